--- a/hopmill/__main__.py
+++ b/hopmill/__main__.py
@@ -8,8 +8,10 @@
 def main() -> int:
     if len(sys.argv) == 1:
         from hopmill.serve import run
+
         return run()
     from hopmill.cli.app import main as command
+
     return command()
 
 
--- a/hopmill/bench/subject.py
+++ b/hopmill/bench/subject.py
@@ -43,8 +43,9 @@
     discovery: int  # its port
     door: bool = False
     extra: dict[str, Any] = field(default_factory=dict)  # more fields of the configuration
-    limits: dict[str, float] = field(default_factory=lambda: {"memory_mb": 192, "sockets": 4096,
-                                                              "disk_mb": 64})
+    limits: dict[str, float] = field(
+        default_factory=lambda: {"memory_mb": 192, "sockets": 4096, "disk_mb": 64}
+    )
     port: int = 0
     ready_s: float = 0.0
     process: asyncio.subprocess.Process | None = None
@@ -54,16 +55,32 @@
         state = self.folder / f"{self.name}.state"
         state.mkdir(parents=True, exist_ok=True)
         config = self.folder / f"{self.name}.json"
-        config.write_text(json.dumps({"seed": 1, "limits": self.limits, "known": self.known,
-                                      "settings": self.raw, **self.extra}))
+        config.write_text(
+            json.dumps(
+                {"seed": 1, "limits": self.limits, "known": self.known, "settings": self.raw, **self.extra}
+            )
+        )
         self.port = free_port()
-        env = {**os.environ, "LB_NAME": self.name, "LB_LISTEN": f"{HOST}:{self.port}",
-               "LB_DISCOVERY": f"{HOST}:{self.discovery}", "LB_STATE": str(state), "LB_CONFIG": str(config),
-               "LB_OPERATOR": f"{HOST}:{free_port()}" if self.door else "", "PYTHONPATH": str(self.checkout)}
+        env = {
+            **os.environ,
+            "LB_NAME": self.name,
+            "LB_LISTEN": f"{HOST}:{self.port}",
+            "LB_DISCOVERY": f"{HOST}:{self.discovery}",
+            "LB_STATE": str(state),
+            "LB_CONFIG": str(config),
+            "LB_OPERATOR": f"{HOST}:{free_port()}" if self.door else "",
+            "PYTHONPATH": str(self.checkout),
+        }
         began = time.monotonic()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hopmill", env=env, cwd=self.checkout, stderr=asyncio.subprocess.DEVNULL,
-            start_new_session=True)
+            sys.executable,
+            "-m",
+            "hopmill",
+            env=env,
+            cwd=self.checkout,
+            stderr=asyncio.subprocess.DEVNULL,
+            start_new_session=True,
+        )
         async with asyncio.timeout(READY_S):
             while not await self._pings():
                 if self.process.returncode is not None:
@@ -85,8 +102,12 @@
         stat = (proc / "stat").read_text().rpartition(")")[2].split()
         lines = (proc / "status").read_text().splitlines()
         status = dict(line.split(":", 1) for line in lines if ":" in line)
-        return Usage((int(stat[11]) + int(stat[12])) / TICKS, int(status["VmRSS"].split()[0]),
-                     int(status["VmHWM"].split()[0]), len(os.listdir(proc / "fd")))
+        return Usage(
+            (int(stat[11]) + int(stat[12])) / TICKS,
+            int(status["VmRSS"].split()[0]),
+            int(status["VmHWM"].split()[0]),
+            len(os.listdir(proc / "fd")),
+        )
 
     async def stop(self) -> None:
         process = self.process
--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -70,8 +70,14 @@
 
 
 class World:
-    def __init__(self, partners: int = 20, latency_s: float = 0.05, endpoints: int = 2, slots: int = 256,
-                 held: int = 4000) -> None:
+    def __init__(
+        self,
+        partners: int = 20,
+        latency_s: float = 0.05,
+        endpoints: int = 2,
+        slots: int = 256,
+        held: int = 4000,
+    ) -> None:
         self.partners, self.latency_s, self.endpoints = partners, latency_s, endpoints
         self.slots, self.held = slots, held
         self.discovery = Discovery(self._noted)
@@ -90,8 +96,9 @@
             for n in range(self.endpoints):
                 server = await loop.create_server(lambda: Endpoint(self), HOST, 0, backlog=4096)
                 self.servers.append(server)
-                self.discovery.target(f"p{partner}-{n}", server.sockets[0].getsockname()[1], partner, "plain",
-                                      rate=0.0)
+                self.discovery.target(
+                    f"p{partner}-{n}", server.sockets[0].getsockname()[1], partner, "plain", rate=0.0
+                )
 
     async def stop(self) -> None:
         for server in self.servers:
@@ -104,23 +111,59 @@
     def settings(self) -> dict[str, Any]:
         """The platform's form, so that any revision reads it."""
         return {
-            "classes": [{"name": "safe", "goalTimeUs": 2_000_000, "deadlineUs": 8_000_000,
-                         "idempotency": "read_like"},
-                        {"name": "unsafe", "goalTimeUs": 2_000_000, "deadlineUs": 8_000_000,
-                         "idempotency": "non_idempotent"}],
-            "clients": {"marksRetry": False}, "groupSize": 1, "me": 0, "stepUs": 2000,
-            "contract": {"coldShare": 0.2, "coldUs": 2_000_000, "drainGraceUs": 2_000_000,
-                         "fallMultiple": 3.0, "fallUs": 1_000_000},
+            "classes": [
+                {
+                    "name": "safe",
+                    "goalTimeUs": 2_000_000,
+                    "deadlineUs": 8_000_000,
+                    "idempotency": "read_like",
+                },
+                {
+                    "name": "unsafe",
+                    "goalTimeUs": 2_000_000,
+                    "deadlineUs": 8_000_000,
+                    "idempotency": "non_idempotent",
+                },
+            ],
+            "clients": {"marksRetry": False},
+            "groupSize": 1,
+            "me": 0,
+            "stepUs": 2000,
+            "contract": {
+                "coldShare": 0.2,
+                "coldUs": 2_000_000,
+                "drainGraceUs": 2_000_000,
+                "fallMultiple": 3.0,
+                "fallUs": 1_000_000,
+            },
             "familyInfo": {"maxCalls": self.slots, "kindApart": [False], "kindBatch": [1]},
-            "policyLimits": {"attemptsCap": 3, "connIdleUs": 10_000_000, "connectTimeoutUs": 1_000_000,
-                             "maxOpen": self.held, "retryAfter": True, "maxRetryAfterUs": 2_000_000},
-            "localities": ["here"], "shapes": ["plain"], "weightSource": "none",
-            "tenants": [{"name": "t", "fraction": 1.0, "quotaPerS": 1e9}]}
+            "policyLimits": {
+                "attemptsCap": 3,
+                "connIdleUs": 10_000_000,
+                "connectTimeoutUs": 1_000_000,
+                "maxOpen": self.held,
+                "retryAfter": True,
+                "maxRetryAfterUs": 2_000_000,
+            },
+            "localities": ["here"],
+            "shapes": ["plain"],
+            "weightSource": "none",
+            "tenants": [{"name": "t", "fraction": 1.0, "quotaPerS": 1e9}],
+        }
 
     # The load
 
-    async def load(self, port: int, rate: float, seconds: float, connections: int = 20, life_s: float = 8.0,
-                   again: int = 0, seed: int = 1, dest: int = 0) -> Load:
+    async def load(
+        self,
+        port: int,
+        rate: float,
+        seconds: float,
+        connections: int = 20,
+        life_s: float = 8.0,
+        again: int = 0,
+        seed: int = 1,
+        dest: int = 0,
+    ) -> Load:
         """Open loop: Poisson arrivals, spread over so many connections, a request after the other on each.
 
         again: how often a refused message is handed in anew. dest: one partner for all, 0 for any.
@@ -147,8 +190,9 @@
         self.account.lost = len(self.open)
         return self.account
 
-    async def _client(self, port: int, queue: asyncio.Queue[tuple[str, int, int]], life_s: float,
-                      chance: random.Random) -> None:
+    async def _client(
+        self, port: int, queue: asyncio.Queue[tuple[str, int, int]], life_s: float, chance: random.Random
+    ) -> None:
         loop = asyncio.get_running_loop()
         reader: asyncio.StreamReader | None = None
         writer: asyncio.StreamWriter | None = None
@@ -162,8 +206,10 @@
                 if writer is None:
                     reader, writer = await asyncio.open_connection(HOST, port)
                 fields = f"c=safe,t=t,d={int(left * 1e3)},dest={dest}".encode()
-                writer.write(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n"
-                             b"$64\r\n%s\r\n" % (len(ident), ident.encode(), len(fields), fields, b"x" * 64))
+                writer.write(
+                    b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n"
+                    b"$64\r\n%s\r\n" % (len(ident), ident.encode(), len(fields), fields, b"x" * 64)
+                )
                 said = await asyncio.wait_for(reader.readuntil(b"\r\n"), ANSWER_S)
                 self._answered(ident, said, again, queue, loop, dest, chance)
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
@@ -174,8 +220,16 @@
             finally:
                 queue.task_done()
 
-    def _answered(self, ident: str, said: bytes, again: int, queue: asyncio.Queue[tuple[str, int, int]],
-                  loop: asyncio.AbstractEventLoop, dest: int, chance: random.Random) -> None:
+    def _answered(
+        self,
+        ident: str,
+        said: bytes,
+        again: int,
+        queue: asyncio.Queue[tuple[str, int, int]],
+        loop: asyncio.AbstractEventLoop,
+        dest: int,
+        chance: random.Random,
+    ) -> None:
         if said.startswith(b"+"):
             self.account.taken += 1
             if ident not in self.done:
@@ -212,7 +266,16 @@
 
 def dump(load: Load) -> str:
     """One JSON object, without the single latencies."""
-    return json.dumps({"offered": load.offered, "taken": load.taken, "refused": load.refused,
-                       "failed": load.failed, "delivered": load.delivered, "lost": load.lost,
-                       "late_ends": load.late_ends, "p50_ms": round(load.percentile_ms(0.5), 1),
-                       "p99_ms": round(load.percentile_ms(0.99), 1)})
+    return json.dumps(
+        {
+            "offered": load.offered,
+            "taken": load.taken,
+            "refused": load.refused,
+            "failed": load.failed,
+            "delivered": load.delivered,
+            "lost": load.lost,
+            "late_ends": load.late_ends,
+            "p50_ms": round(load.percentile_ms(0.5), 1),
+            "p99_ms": round(load.percentile_ms(0.99), 1),
+        }
+    )
--- a/hopmill/book.py
+++ b/hopmill/book.py
@@ -38,12 +38,16 @@
     values: Flat = {}
     entries: list[Entry] = []
 
-    def next(self, ident: str, at_s: float, by: str, reason: str, patch: Flat,
-             unset: tuple[str, ...]) -> Book:
+    def next(
+        self, ident: str, at_s: float, by: str, reason: str, patch: Flat, unset: tuple[str, ...]
+    ) -> Book:
         """What is in force after this change. TooLong."""
         values = merged(self.values, patch, unset)
-        changes = [(path, self.values.get(path), values.get(path)) for path in sorted({*self.values, *values})
-                   if self.values.get(path) != values.get(path)]
+        changes = [
+            (path, self.values.get(path), values.get(path))
+            for path in sorted({*self.values, *values})
+            if self.values.get(path) != values.get(path)
+        ]
         entry = Entry(ident, self.version + 1, at_s, by[:MOST_TEXT], reason[:MOST_TEXT], changes)
         book = Book(FORMAT, self.version + 1, values, [*self.entries, entry])
         while len(book.encode()) > MOST_BYTES:
@@ -73,8 +77,10 @@
     def patch_to(self, version: int) -> tuple[Flat, tuple[str, ...]]:
         """The change that puts back what was in force at a version. KeyError."""
         then = self.at(version)
-        return ({p: v for p, v in then.items() if self.values.get(p) != v},
-                tuple(p for p in self.values if p not in then))
+        return (
+            {p: v for p, v in then.items() if self.values.get(p) != v},
+            tuple(p for p in self.values if p not in then),
+        )
 
 
 def read(text: bytes) -> Book:
--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -12,15 +12,24 @@
 import typer
 
 app = typer.Typer(no_args_is_help=False, rich_markup_mode="rich", pretty_exceptions_enable=False)
-journal_app = typer.Typer(help="What a courier's folder holds; read only, also beside a running courier.",
-                          no_args_is_help=True)
+journal_app = typer.Typer(
+    help="What a courier's folder holds; read only, also beside a running courier.", no_args_is_help=True
+)
 app.add_typer(journal_app, name="journal")
 
-ACTIONS = {"health": ("GET", "/healthcheck"), "drain": ("POST", "/healthcheck/fail"),
-           "undrain": ("POST", "/healthcheck/ok"), "endpoints": ("GET", "/endpoints"),
-           "lanes": ("GET", "/lanes"), "zones": ("GET", "/zones"), "connections": ("GET", "/connections"),
-           "out": ("POST", "/endpoints/{}/maint"), "back": ("POST", "/endpoints/{}/ready"),
-           "zone-out": ("POST", "/zones/{}/maint"), "zone-back": ("POST", "/zones/{}/ready")}
+ACTIONS = {
+    "health": ("GET", "/healthcheck"),
+    "drain": ("POST", "/healthcheck/fail"),
+    "undrain": ("POST", "/healthcheck/ok"),
+    "endpoints": ("GET", "/endpoints"),
+    "lanes": ("GET", "/lanes"),
+    "zones": ("GET", "/zones"),
+    "connections": ("GET", "/connections"),
+    "out": ("POST", "/endpoints/{}/maint"),
+    "back": ("POST", "/endpoints/{}/ready"),
+    "zone-out": ("POST", "/zones/{}/maint"),
+    "zone-back": ("POST", "/zones/{}/ready"),
+}
 FAST = ("serve", "check", "schema", "demo", "ctl", "top", "journal", "fleet", "trial", "--version")
 JsonOption = Annotated[bool, typer.Option("--json", help="Machine-readable.")]
 
@@ -40,18 +49,23 @@
 
 
 @app.callback()
-def root(show: Annotated[bool, typer.Option("--version", callback=_version, is_eager=True,
-                                            help="Say which and end.")] = False) -> None:
+def root(
+    show: Annotated[
+        bool, typer.Option("--version", callback=_version, is_eager=True, help="Say which and end.")
+    ] = False,
+) -> None:
     """A courier: takes messages, each for one outside partner, and delivers each by a call.
 
     Without a command it serves under the platform's environment."""
 
 
 @app.command(epilog="Example: hopmill serve deploy/courier.example.toml")
-def serve(file: Annotated[Path | None, typer.Argument(help="TOML; else the platform's environment.")] = None
-          ) -> None:
+def serve(
+    file: Annotated[Path | None, typer.Argument(help="TOML; else the platform's environment.")] = None,
+) -> None:
     """Serve. Where the platform's environment speaks too, it wins."""
     from hopmill.serve import run
+
     raise typer.Exit(run(file))
 
 
@@ -59,6 +73,7 @@
 def check(file: Path, as_json: JsonOption = False) -> None:
     """Read a configuration, say what holds and what is off. A bad value: one line, exit 2."""
     from hopmill import document as doc
+
     try:
         document = doc.read_toml(file)
     except doc.ConfigError as error:
@@ -79,30 +94,37 @@
     import msgspec
 
     from hopmill.document import Document
+
     print(json.dumps(msgspec.json.schema(Document), indent=2))
 
 
 @app.command(epilog="Example: hopmill demo --seconds 5 --trouble zone --json")
-def demo(seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages come.")] = 10.0,
-         rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages a second.")] = 100.0,
-         trouble: Annotated[str, typer.Option(help="none, down, silent, shut, restart or zone.")] = "down",
-         couriers: Annotated[int, typer.Option(min=1, max=8)] = 2,
-         seed: Annotated[int, typer.Option(help="Of the load and the world.")] = 1,
-         as_json: JsonOption = False) -> None:
+def demo(
+    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages come.")] = 10.0,
+    rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages a second.")] = 100.0,
+    trouble: Annotated[str, typer.Option(help="none, down, silent, shut, restart or zone.")] = "down",
+    couriers: Annotated[int, typer.Option(min=1, max=8)] = 2,
+    seed: Annotated[int, typer.Option(help="Of the load and the world.")] = 1,
+    as_json: JsonOption = False,
+) -> None:
     """Partners, discovery, couriers and a load on this machine: the main job, from start to account."""
     from hopmill.cli.demo import run
     from hopmill.standin.scene import TROUBLES, Options
+
     _one_of(trouble, TROUBLES, "trouble")
     raise typer.Exit(run(Options(seconds, rate, couriers, trouble, seed), as_json))
 
 
 @app.command(epilog="Example: hopmill ctl 127.0.0.1:8600 zone-out hall-a")
-def ctl(address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")],
-        action: Annotated[str, typer.Argument(help=", ".join(ACTIONS), autocompletion=lambda: list(ACTIONS))],
-        name: Annotated[str, typer.Argument(help="Of an endpoint or a zone.")] = "",
-        as_json: JsonOption = False) -> None:
+def ctl(
+    address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")],
+    action: Annotated[str, typer.Argument(help=", ".join(ACTIONS), autocompletion=lambda: list(ACTIONS))],
+    name: Annotated[str, typer.Argument(help="Of an endpoint or a zone.")] = "",
+    as_json: JsonOption = False,
+) -> None:
     """Ask a courier at its operators' door, or tell it something. A no from the courier: exit 1."""
     from hopmill.cli.door import DoorError, call, lines
+
     _one_of(action, tuple(ACTIONS), "action")
     method, path = ACTIONS[action]
     if ("{}" in path) != bool(name):
@@ -116,23 +138,29 @@
 
 
 @app.command(epilog="Example: hopmill top 127.0.0.1:8600 127.0.0.1:8601 --times 3")
-def top(addresses: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
-        every: Annotated[float, typer.Option(min=0.1, help="Seconds between two looks.")] = 1.0,
-        times: Annotated[int, typer.Option(min=0, help="Looks; 0: until Ctrl-C.")] = 0) -> None:
+def top(
+    addresses: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
+    every: Annotated[float, typer.Option(min=0.1, help="Seconds between two looks.")] = 1.0,
+    times: Annotated[int, typer.Option(min=0, help="Looks; 0: until Ctrl-C.")] = 0,
+) -> None:
     """Several couriers live, by partner and zone."""
     from hopmill.cli.top import run
+
     raise typer.Exit(run(addresses, every, times))
 
 
 @app.command(epilog="Example: hopmill trial storm --seed 1-5")
-def trial(scenario: Annotated[str, typer.Argument(help="By name, or a TOML file; or all of them.")],
-          couriers: Annotated[int, typer.Option(min=0, max=200, help="0: drawn by the seed.")] = 0,
-          seed: Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")] = "1",
-          history: Annotated[Path | None, typer.Option(help="Folder for histories and logs.")] = None,
-          at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials side by side.")] = 1,
-          as_json: JsonOption = True) -> None:
+def trial(
+    scenario: Annotated[str, typer.Argument(help="By name, or a TOML file; or all of them.")],
+    couriers: Annotated[int, typer.Option(min=0, max=200, help="0: drawn by the seed.")] = 0,
+    seed: Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")] = "1",
+    history: Annotated[Path | None, typer.Option(help="Folder for histories and logs.")] = None,
+    at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials side by side.")] = 1,
+    as_json: JsonOption = True,
+) -> None:
     """Many couriers as processes, a load, and faults between them; a line a seed. A violation: exit 1."""
     from hopmill.cli.trial import trial as run
+
     raise typer.Exit(run(scenario, couriers, seed, history, at_once))
 
 
@@ -140,6 +168,7 @@
 def journal_show(folder: Path, as_json: JsonOption = False) -> None:
     """The messages that are held, the notices owed, and what staff have left out."""
     from hopmill.cli.journal import show
+
     raise typer.Exit(show(folder, as_json))
 
 
@@ -147,29 +176,35 @@
 def journal_verify(folder: Path, as_json: JsonOption = False) -> None:
     """Read every record. Damage, or records of a version that is not known: exit 1."""
     from hopmill.cli.journal import verify
+
     raise typer.Exit(verify(folder, as_json))
 
 
 def _one_of(given: str, names: tuple[str, ...], what: str) -> None:
     if given not in names:
         near: Any = difflib.get_close_matches(given, names, 1)
-        raise fail(f"no such {what}: {given}" + (f"; did you mean {near[0]}?" if near else
-                                                 f"; there are {', '.join(names)}"))
+        raise fail(
+            f"no such {what}: {given}"
+            + (f"; did you mean {near[0]}?" if near else f"; there are {', '.join(names)}")
+        )
 
 
 def _add_lab() -> None:
     """Where the extra is not installed the command says so, and the rest works."""
     try:
         import importlib.util
+
         if not all(importlib.util.find_spec(name) for name in ("numpy", "scipy", "matplotlib", "hdrh")):
             raise ImportError
     except ImportError:
+
         @app.command("lab")
         def missing() -> None:
             """The laboratory (not installed: pip install 'hopmill[lab]')."""
             raise fail("the laboratory needs its extra: pip install 'hopmill[lab]'", 1)
     else:
         from hopmill.cli.lab import lab, load
+
         app.add_typer(lab, name="lab")
         app.command("load", epilog="Example: hopmill load 127.0.0.1:6379 --rate 500 --seconds 5")(load)
 
@@ -177,6 +212,7 @@
 def _add_fleet() -> None:
     from hopmill.cli import policy  # its commands are the fleet's
     from hopmill.cli.fleet import fleet
+
     assert policy.fleet is fleet
     app.add_typer(fleet, name="fleet")
 
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -18,10 +18,18 @@
 from hopmill.standin.scene import Options, Progress, Scene
 
 PLAIN_EVERY_S = 2.0  # between two lines where there is no terminal
-ROWS = (("handed in", "handed_in"), ("taken on", "taken"), ("refused: come again", "refused"),
-        ("no answer in time", "failed"), ("delivered in time", "in_time"), ("delivered late", "late"),
-        ("deferred", "deferred"), ("undeliverable", "undeliverable"), ("lost", "lost"),
-        ("took effect twice", "twice"))
+ROWS = (
+    ("handed in", "handed_in"),
+    ("taken on", "taken"),
+    ("refused: come again", "refused"),
+    ("no answer in time", "failed"),
+    ("delivered in time", "in_time"),
+    ("delivered late", "late"),
+    ("deferred", "deferred"),
+    ("undeliverable", "undeliverable"),
+    ("lost", "lost"),
+    ("took effect twice", "twice"),
+)
 
 
 def account(result: Result, restarts: int) -> Table:
@@ -31,8 +39,12 @@
     for share in (0.5, 0.9, 0.99):
         table.add_row(f"latency p{share * 100:g}", f"{result.percentile_ms(share):.0f} ms")
     told = result.as_json()
-    for text, name in (("calls", "calls"), ("calls refused", "calls_refused"), ("connections", "connections"),
-                       ("cold partners pushed over", "pushed_over")):
+    for text, name in (
+        ("calls", "calls"),
+        ("calls refused", "calls_refused"),
+        ("connections", "connections"),
+        ("cold partners pushed over", "pushed_over"),
+    ):
         table.add_row(text, str(told[name]))
     table.add_row("couriers restarted", str(restarts))
     return table
@@ -40,8 +52,10 @@
 
 def _line(p: Progress) -> str:
     c = p.result.counts
-    return (f"{p.second:5.1f} s  {p.note:<28.60}  in {c['handed_in']}  taken {c['taken']}  "
-            f"delivered {c['delivered']}  refused {c['refused']}  p99 {p.result.percentile_ms(0.99):.0f} ms")
+    return (
+        f"{p.second:5.1f} s  {p.note:<28.60}  in {c['handed_in']}  taken {c['taken']}  "
+        f"delivered {c['delivered']}  refused {c['refused']}  p99 {p.result.percentile_ms(0.99):.0f} ms"
+    )
 
 
 class Plain:
@@ -61,8 +75,11 @@
     console = Console(stderr=as_json)
     with tempfile.TemporaryDirectory(prefix="hopmill-demo-") as folder:
         scene = Scene(options, Path(folder))
-        console.print(f"{options.couriers} couriers, 5 partners, {options.rate:g} messages a second for "
-                      f"{options.seconds:g} s; trouble: {options.trouble}", highlight=False)
+        console.print(
+            f"{options.couriers} couriers, 5 partners, {options.rate:g} messages a second for "
+            f"{options.seconds:g} s; trouble: {options.trouble}",
+            highlight=False,
+        )
         try:
             result = _watch(scene, console)
         except (KeyboardInterrupt, asyncio.CancelledError):
--- a/hopmill/cli/door.py
+++ b/hopmill/cli/door.py
@@ -18,8 +18,9 @@
     """No answer that can be read; the text is one line."""
 
 
-def call(address: str, method: str, path: str, name: str = "",
-         body: bytes | None = None) -> tuple[int, dict[str, Any]]:
+def call(
+    address: str, method: str, path: str, name: str = "", body: bytes | None = None
+) -> tuple[int, dict[str, Any]]:
     """(status, body). DoorError where nobody answers."""
     try:
         host, port = parse_address(address, "ADDRESS")
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -11,8 +11,9 @@
 from hopmill.cli.app import JsonOption, fail
 from hopmill.cli.door import DoorError, call, lines, table
 
-fleet = typer.Typer(help="Couriers that know one another: members, the register, its leases.",
-                    no_args_is_help=True)
+fleet = typer.Typer(
+    help="Couriers that know one another: members, the register, its leases.", no_args_is_help=True
+)
 Door = Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")]
 Wait = Annotated[float, typer.Option(min=0, help="Seconds to wait for a majority.")]
 Seeds = Annotated[str, typer.Option("--seed", help="As 1-20 or 3,5,9.")]
@@ -30,8 +31,10 @@
 
 
 @fleet.command("status", epilog="Example: hopmill fleet status 127.0.0.1:8600 127.0.0.1:8601")
-def status(doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
-           as_json: JsonOption = False) -> None:
+def status(
+    doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
+    as_json: JsonOption = False,
+) -> None:
     """Who each takes for alive, the voters, the document's version, leases. One that is silent: exit 1."""
     silent = 0
     for door in doors:
@@ -45,9 +48,11 @@
         elif code != 200:
             print(f"{door}: {body.get('error')}")
         else:
-            print(f"{door}: {body['id']} of {body['fleet']}, version {body['version']}, voters "
-                  f"{', '.join(body['voters'])}, {'votes' if body['votes'] else 'does not vote'}, "
-                  f"health {body['health']}, disk {body['disk']}")
+            print(
+                f"{door}: {body['id']} of {body['fleet']}, version {body['version']}, voters "
+                f"{', '.join(body['voters'])}, {'votes' if body['votes'] else 'does not vote'}, "
+                f"health {body['health']}, disk {body['disk']}"
+            )
             print("\n".join(table(body["members"])))
             if body["leases"]:
                 print("\n".join(table(body["leases"])))
@@ -66,10 +71,16 @@
 
 
 @fleet.command("say", epilog="Example: hopmill fleet say 127.0.0.1:8600 note 'hall-b is being rewired'")
-def say(door: Door, name: str, text: Annotated[str, typer.Argument(help="Empty: taken away.")] = "",
-        wait: Wait = 10.0, as_json: JsonOption = False) -> None:
+def say(
+    door: Door,
+    name: str,
+    text: Annotated[str, typer.Argument(help="Empty: taken away.")] = "",
+    wait: Wait = 10.0,
+    as_json: JsonOption = False,
+) -> None:
     """Put a word into the register, for all couriers and staff to see."""
     from urllib.parse import quote
+
     path = "/".join(quote(word, safe="") for word in (name, text) if word)
     change(door, f"/fleet/words/{path}", wait, as_json)
 
@@ -93,14 +104,18 @@
 
 
 @fleet.command("detect", epilog="Example: hopmill fleet detect --members 60 --loss 0.1 --seed 1-5")
-def detect(members: Annotated[int, typer.Option(min=2, max=2000)] = 60,
-           loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.1, kills: int = 20,
-           seconds: Annotated[float, typer.Option(help="Of calm; one member stops at times.")] = 60.0,
-           stop: Annotated[float, typer.Option(help="Seconds that it stands still in every ten.")] = 2.0,
-           seeds: Seeds = "1") -> None:
+def detect(
+    members: Annotated[int, typer.Option(min=2, max=2000)] = 60,
+    loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.1,
+    kills: int = 20,
+    seconds: Annotated[float, typer.Option(help="Of calm; one member stops at times.")] = 60.0,
+    stop: Annotated[float, typer.Option(help="Seconds that it stands still in every ten.")] = 2.0,
+    seeds: Seeds = "1",
+) -> None:
     """Members in virtual time: how soon a dead one is known, false deaths, and cost; a line a seed."""
     from hopmill.cli.seeds import seeds_of
     from hopmill.lab.members import Plan, calm, detection
+
     wrong = 0
     for seed in seeds_of(seeds):
         told = {"seed": seed}
@@ -113,27 +128,33 @@
 
 
 @fleet.command("explore", epilog="Example: hopmill fleet explore --schedules 10000 --members 3 --json")
-def explore(schedules: Annotated[int, typer.Option(min=0, help="Random ones.")] = 10_000,
-            seed: Annotated[int, typer.Option(help="Of the first.")] = 1,
-            members: Annotated[int, typer.Option(min=1, max=9)] = 3,
-            depth: Annotated[int, typer.Option(min=0, max=30, help="And all of three members so deep.")] = 0,
-            cores: Annotated[int, typer.Option(min=0, help="0: all.")] = 0,
-            mutant: Annotated[str, typer.Option(help="A planted fault, by its name.")] = "",
-            mutants: Annotated[bool, typer.Option("--mutants", help="List the planted faults.")] = False,
-            policy: Annotated[bool, typer.Option("--policy", help="Changes of policy on top.")] = False,
-            as_json: JsonOption = False) -> None:
+def explore(
+    schedules: Annotated[int, typer.Option(min=0, help="Random ones.")] = 10_000,
+    seed: Annotated[int, typer.Option(help="Of the first.")] = 1,
+    members: Annotated[int, typer.Option(min=1, max=9)] = 3,
+    depth: Annotated[int, typer.Option(min=0, max=30, help="And all of three members so deep.")] = 0,
+    cores: Annotated[int, typer.Option(min=0, help="0: all.")] = 0,
+    mutant: Annotated[str, typer.Option(help="A planted fault, by its name.")] = "",
+    mutants: Annotated[bool, typer.Option("--mutants", help="List the planted faults.")] = False,
+    policy: Annotated[bool, typer.Option("--policy", help="Changes of policy on top.")] = False,
+    as_json: JsonOption = False,
+) -> None:
     """The register and its leases under every order of events that chance finds. A violation: exit 1."""
     from hopmill.explorer.mutants import PLANTED
     from hopmill.explorer.policy_mutants import PLANTED as OF_POLICY
     from hopmill.explorer.search import search, search_policy
+
     planted = list(OF_POLICY if policy else PLANTED)
     if mutants:
         print("\n".join(planted))
         return
     if mutant and mutant not in planted:
         raise fail(f"no such mutant: {mutant}; there are {', '.join(planted)}")
-    told = search_policy(schedules, seed, members, cores, mutant) if policy else search(
-        schedules, seed, members, depth, cores, mutant)
+    told = (
+        search_policy(schedules, seed, members, cores, mutant)
+        if policy
+        else search(schedules, seed, members, depth, cores, mutant)
+    )
     if as_json:
         print(json.dumps(told))
     else:
--- a/hopmill/cli/journal.py
+++ b/hopmill/cli/journal.py
@@ -72,14 +72,29 @@
         print(f"hopmill: {error}", file=sys.stderr)
         return 1
     held, now = reading.contents.held.values(), reading.contents.scale.now()
-    rows = [{"message": m.id, "class": m.cls, "partner": m.dest, "state": m.status or "open",
-             "attempts": m.tries, "may_have_run": bool(m.may_have_run_at), "left_s": round(m.until - now, 1),
-             "bytes": len(m.body)} for m in held]
+    rows = [
+        {
+            "message": m.id,
+            "class": m.cls,
+            "partner": m.dest,
+            "state": m.status or "open",
+            "attempts": m.tries,
+            "may_have_run": bool(m.may_have_run_at),
+            "left_s": round(m.until - now, 1),
+            "bytes": len(m.body),
+        }
+        for m in held
+    ]
     told: dict[str, Any] = {
-        "bytes": reading.size, "open": sum(not m.status for m in held),
-        "notices_owed": sum(bool(m.status) for m in held), "over_remembered": len(reading.contents.over),
-        "drained": reading.contents.drained, "endpoints_out": sorted(reading.contents.out_by_hand),
-        "zones_out": sorted(reading.contents.zones_out), "tail_bytes": reading.tail}
+        "bytes": reading.size,
+        "open": sum(not m.status for m in held),
+        "notices_owed": sum(bool(m.status) for m in held),
+        "over_remembered": len(reading.contents.over),
+        "drained": reading.contents.drained,
+        "endpoints_out": sorted(reading.contents.out_by_hand),
+        "zones_out": sorted(reading.contents.zones_out),
+        "tail_bytes": reading.tail,
+    }
     if as_json:
         print(json.dumps(told | {"messages": rows}))
         return 0
@@ -98,9 +113,15 @@
     except NoJournal as error:
         print(f"hopmill: {error}", file=sys.stderr)
         return 1
-    told = {"whole": not reading.damaged, "bytes": reading.size, "records": dict(reading.records),
-            "unknown_records": dict(reading.unknown), "unusable_records": reading.unusable,
-            "tail_bytes": reading.tail, "tail_is_torn": bool(reading.tail and reading.torn)}
+    told = {
+        "whole": not reading.damaged,
+        "bytes": reading.size,
+        "records": dict(reading.records),
+        "unknown_records": dict(reading.unknown),
+        "unusable_records": reading.unusable,
+        "tail_bytes": reading.tail,
+        "tail_is_torn": bool(reading.tail and reading.torn),
+    }
     if as_json:
         print(json.dumps(told))
     else:
--- a/hopmill/cli/policy.py
+++ b/hopmill/cli/policy.py
@@ -69,33 +69,62 @@
 def _changes(rows: list[list[Any]]) -> list[str]:
     def text(value: Any) -> str:
         return "each courier's own" if value is None else json.dumps(value)
+
     return [f"{path}: {text(before)} -> {text(after)}" for path, before, after in rows]
 
 
 @fleet.command("propose", epilog="Example: hopmill fleet propose 127.0.0.1:8600 patch.toml --reason 'hall-b'")
-def propose(door: Door, file: Annotated[Path, typer.Argument(help="TOML, in the configuration's tables.")],
-            if_version: IfVersion = -1, wait: Wait = 30.0, reason: Reason = "",
-            dry_run: Annotated[bool, typer.Option("--dry-run", help="Only checked here.")] = False,
-            share: Annotated[float, typer.Option(help="Of the couriers, that go first, watched.")] = 1.0,
-            watch: Annotated[float, typer.Option(help="Seconds, before the rest follows.")] = 60.0,
-            ident: Id = "", as_json: JsonOption = False) -> None:
+def propose(
+    door: Door,
+    file: Annotated[Path, typer.Argument(help="TOML, in the configuration's tables.")],
+    if_version: IfVersion = -1,
+    wait: Wait = 30.0,
+    reason: Reason = "",
+    dry_run: Annotated[bool, typer.Option("--dry-run", help="Only checked here.")] = False,
+    share: Annotated[float, typer.Option(help="Of the couriers, that go first, watched.")] = 1.0,
+    watch: Annotated[float, typer.Option(help="Seconds, before the rest follows.")] = 60.0,
+    ident: Id = "",
+    as_json: JsonOption = False,
+) -> None:
     """A change of policy, in force at every courier or at none. Exit 0: in force, 1: nowhere, 3: unknown."""
     try:
         patch = tomllib.loads(file.read_text())
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise fail(f"{file}: {error}", 1) from None
-    ask = {"id": ident or secrets.token_hex(6), "patch": patch, "by": getpass.getuser(), "reason": reason,
-           "if_version": None if if_version < 0 else if_version, "dry_run": dry_run,
-           "share": share, "watch_s": watch}
+    ask = {
+        "id": ident or secrets.token_hex(6),
+        "patch": patch,
+        "by": getpass.getuser(),
+        "reason": reason,
+        "if_version": None if if_version < 0 else if_version,
+        "dry_run": dry_run,
+        "share": share,
+        "watch_s": watch,
+    }
     _propose(door, ask, wait + (watch if share < 1 else 0.0), as_json)
 
 
 @fleet.command("revert", epilog="Example: hopmill fleet revert 127.0.0.1:8600 41")
-def revert(door: Door, version: int, wait: Wait = 30.0, reason: Reason = "", ident: Id = "",
-           as_json: JsonOption = False) -> None:
+def revert(
+    door: Door,
+    version: int,
+    wait: Wait = 30.0,
+    reason: Reason = "",
+    ident: Id = "",
+    as_json: JsonOption = False,
+) -> None:
     """A new version with what was in force at an earlier one. Exit statuses as for propose."""
-    _propose(door, {"id": ident or secrets.token_hex(6), "revert": version, "by": getpass.getuser(),
-                    "reason": reason or f"revert to {version}"}, wait, as_json)
+    _propose(
+        door,
+        {
+            "id": ident or secrets.token_hex(6),
+            "revert": version,
+            "by": getpass.getuser(),
+            "reason": reason or f"revert to {version}",
+        },
+        wait,
+        as_json,
+    )
 
 
 @fleet.command("change", epilog="Example: hopmill fleet change 127.0.0.1:8600 3f9a10c2be77")
@@ -128,8 +157,9 @@
 
 
 @fleet.command("strike", epilog="Example: hopmill fleet strike 127.0.0.1:8600 c17")
-def strike(door: Door, member: str,
-           back: Annotated[bool, typer.Option("--back", help="It may work again.")] = False) -> None:
+def strike(
+    door: Door, member: str, back: Annotated[bool, typer.Option("--back", help="It may work again.")] = False
+) -> None:
     """Say that a courier does not run, so that no change waits for it. One that runs would break the promise
     where couriers go on alone."""
     _told(door, "POST", f"/fleet/policy/{'let-back' if back else 'strike'}/{member}")
--- a/hopmill/cli/top.py
+++ b/hopmill/cli/top.py
@@ -18,8 +18,10 @@
 def look(address: str) -> dict[str, Any]:
     """What one courier says of itself; {"error": ...} if it does not answer."""
     try:
-        return {path: call(address, "GET", f"/{path}")[1]
-                for path in ("healthcheck", "lanes", "zones", "connections")}
+        return {
+            path: call(address, "GET", f"/{path}")[1]
+            for path in ("healthcheck", "lanes", "zones", "connections")
+        }
     except DoorError as error:
         return {"error": str(error)}
 
@@ -46,8 +48,9 @@
     rows: dict[str, dict[str, Any]] = {}
     for seen in looks:
         for zone in seen.get("zones", {}).get("zones", []):
-            row = rows.setdefault(zone["zone"], {"states": defaultdict(int), "share": 0.0, "couriers": 0,
-                                                 "endpoints": 0})
+            row = rows.setdefault(
+                zone["zone"], {"states": defaultdict(int), "share": 0.0, "couriers": 0, "endpoints": 0}
+            )
             row["states"][zone["state"]] += 1
             row["share"] += zone["share"]
             row["couriers"] += 1
@@ -65,8 +68,11 @@
             continue
         health, links = seen["healthcheck"], seen["connections"]
         state = "drained" if health["drained"] else "serving" if health["taking_clients"] else "ending"
-        couriers.add_row(address, *(str(v) for v in (health["clients"], health["messages"], links["open"],
-                                                     links["idle"])), state)
+        couriers.add_row(
+            address,
+            *(str(v) for v in (health["clients"], health["messages"], links["open"], links["idle"])),
+            state,
+        )
     partners = Table("partner", *PARTNER)
     for number, row in by_partner(looks).items():
         partners.add_row(str(number), *(f"{row[name]:g}" for name in PARTNER))
--- a/hopmill/cli/trial.py
+++ b/hopmill/cli/trial.py
@@ -20,6 +20,7 @@
     """Exit status: 1 for a violation, 130 after Ctrl-C."""
     from hopmill.fields import ConfigError
     from hopmill.trial import scenario as plan
+
     names = plan.names() if scenario == ALL else [scenario]
     try:
         read = [plan.read(name) for name in names]
@@ -33,6 +34,7 @@
 def _one(scenario: object, couriers: int, seed: int, history: Path | None) -> int:
     from hopmill.trial import scenario as plan
     from hopmill.trial.run import Ask, run
+
     assert isinstance(scenario, plan.Scenario)
     try:
         told = run(Ask(scenario, couriers or plan.couriers(scenario, seed), seed, history))
@@ -44,10 +46,12 @@
     return int(bool(told["violations"]))
 
 
-def _side_by_side(names: list[str], couriers: int, seeds: list[int], history: Path | None,
-                  at_once: int) -> int:
+def _side_by_side(
+    names: list[str], couriers: int, seeds: list[int], history: Path | None, at_once: int
+) -> int:
     """Each trial in a process of its own; those end with this one."""
     from hopmill.standin.courier import end_with_parent
+
     running: set[subprocess.Popen[str]] = set()
 
     def one(name: str, seed: int) -> int:
@@ -61,6 +65,7 @@
         sys.stdout.write(said)
         sys.stdout.flush()
         return process.returncode
+
     pool = ThreadPoolExecutor(max(1, at_once))
     try:
         rows = [pool.submit(one, name, seed) for seed in seeds for name in names]
--- a/hopmill/document.py
+++ b/hopmill/document.py
@@ -22,8 +22,19 @@
 from hopmill.logs import FORMATS, LEVELS, PARTS
 
 FORMAT = 1
-FROM_THE_FILE = ("name", "listen", "discovery", "operator", "seed", "limits", "log", "connections", "members",
-                 "left_out", "ceilings")
+FROM_THE_FILE = (
+    "name",
+    "listen",
+    "discovery",
+    "operator",
+    "seed",
+    "limits",
+    "log",
+    "connections",
+    "members",
+    "left_out",
+    "ceilings",
+)
 Level = Literal["debug", "info", "warning", "error"]
 assert set(Level.__args__) == set(LEVELS) and FORMATS == ("line", "json")  # one list of each
 
@@ -185,31 +196,71 @@
         """For the decision module, in its units."""
         r, c = self.retries, self.calls
         return i.Settings(
-            classes=tuple(i.MessageClass(
-                k.name, _us(k.aim_ms), _us(k.deadline_ms), EFFECTS[k.effect], k.worth, k.late_share,
-                k.key_scope, _us(k.key_window_ms), k.ordered) for k in self.classes),
+            classes=tuple(
+                i.MessageClass(
+                    k.name,
+                    _us(k.aim_ms),
+                    _us(k.deadline_ms),
+                    EFFECTS[k.effect],
+                    k.worth,
+                    k.late_share,
+                    k.key_scope,
+                    _us(k.key_window_ms),
+                    k.ordered,
+                )
+                for k in self.classes
+            ),
             kinds=tuple(i.Kind(k.name, k.routes_apart, k.bundle) for k in self.kinds) or (i.Kind("any"),),
             tenants=tuple(i.Tenant(t.name, t.share, t.quota_per_s) for t in self.tenants),
-            slots=c.slots, max_held=self.held, couriers=self.fleet.couriers, me=self.fleet.me,
-            max_attempts=r.attempts, second_copies=r.second_copies, may_probe=r.probe, may_cancel=r.cancel,
-            peer_notes=self.fleet.peer_notes, tick_us=_us(self.tick_ms),
-            max_retry_after_us=_us(r.longest_told_wait_ms), clients_mark_retries=r.clients_mark,
-            connection_idle_us=_us(c.idle_ms), connect_timeout_us=_us(c.connect_ms),
-            drain_grace_us=_us(self.returning.drain_grace_ms), cold_share=self.returning.cold_share,
-            cold_us=_us(self.returning.cold_ms), fall_multiple=self.returning.fall_multiple,
-            fall_us=_us(self.returning.fall_ms), key_rest_us=_us(self.key_rest_ms),
-            answer_slack_us=_us(self.answer_slack_ms), list_on_request=self.list_on_request,
-            report_fields=self.report_fields, rates_listed=self.rates_listed,
-            over_share_worth=self.worth.over_share, late_halves=self.worth.late == "halves",
+            slots=c.slots,
+            max_held=self.held,
+            couriers=self.fleet.couriers,
+            me=self.fleet.me,
+            max_attempts=r.attempts,
+            second_copies=r.second_copies,
+            may_probe=r.probe,
+            may_cancel=r.cancel,
+            peer_notes=self.fleet.peer_notes,
+            tick_us=_us(self.tick_ms),
+            max_retry_after_us=_us(r.longest_told_wait_ms),
+            clients_mark_retries=r.clients_mark,
+            connection_idle_us=_us(c.idle_ms),
+            connect_timeout_us=_us(c.connect_ms),
+            drain_grace_us=_us(self.returning.drain_grace_ms),
+            cold_share=self.returning.cold_share,
+            cold_us=_us(self.returning.cold_ms),
+            fall_multiple=self.returning.fall_multiple,
+            fall_us=_us(self.returning.fall_ms),
+            key_rest_us=_us(self.key_rest_ms),
+            answer_slack_us=_us(self.answer_slack_ms),
+            list_on_request=self.list_on_request,
+            report_fields=self.report_fields,
+            rates_listed=self.rates_listed,
+            over_share_worth=self.worth.over_share,
+            late_halves=self.worth.late == "halves",
             zone_fees=tuple(z.fee for z in self.zones if z.fee or any(x.fee for x in self.zones)),
-            refused_price=self.worth.refused_price)
+            refused_price=self.worth.refused_price,
+        )
 
     def known(self) -> dict[str, Any]:
         """The partners' endpoints in discovery's form, as of version 0."""
-        return {"rev": 0, "targets": [
-            {"uid": e.uid, "endpoint": e.address, "az": e.zone, "model": p.kind, "pod_group": p.number,
-             "state": "in_service", "capacity_hint": e.rate_per_s, "boot_ms": 0}
-            for p in self.partners for e in p.endpoints]}
+        return {
+            "rev": 0,
+            "targets": [
+                {
+                    "uid": e.uid,
+                    "endpoint": e.address,
+                    "az": e.zone,
+                    "model": p.kind,
+                    "pod_group": p.number,
+                    "state": "in_service",
+                    "capacity_hint": e.rate_per_s,
+                    "boot_ms": 0,
+                }
+                for p in self.partners
+                for e in p.endpoints
+            ],
+        }
 
 
 EFFECTS = {"safe": i.Effect.SAFE, "keyed": i.Effect.KEYED, "unsafe": i.Effect.UNSAFE}
@@ -265,12 +316,14 @@
 
 def problems(document: Document) -> Iterator[str]:
     """What is wrong in the relation of fields, one line each. The platform's own files are not held to it."""
-    for names, where in (([c.name for c in document.classes], "classes"),
-                         ([k.name for k in document.kinds], "kinds"),
-                         ([t.name for t in document.tenants], "tenants"),
-                         ([z.name for z in document.zones], "zones"),
-                         ([p.number for p in document.partners], "partners"),
-                         ([c.partner for c in document.ceilings], "ceilings")):
+    for names, where in (
+        ([c.name for c in document.classes], "classes"),
+        ([k.name for k in document.kinds], "kinds"),
+        ([t.name for t in document.tenants], "tenants"),
+        ([z.name for z in document.zones], "zones"),
+        ([p.number for p in document.partners], "partners"),
+        ([c.partner for c in document.ceilings], "ceilings"),
+    ):
         for at, name in enumerate(names):
             if name in names[:at]:
                 yield f"{where}[{at}]: {name!r} is there twice"
@@ -329,28 +382,57 @@
     fees = dict(enumerate(s.zone_fees))
     zones = [str(z) for z in zones]
     return {
-        "classes": [{"name": c.name, "aim_ms": c.aim_us / 1e3, "deadline_ms": c.deadline_us / 1e3,
-                     "effect": names[c.effect], "worth": c.worth, "late_share": c.late_share,
-                     "key_scope": c.key_scope, "key_window_ms": c.key_window_us / 1e3, "ordered": c.ordered}
-                    for c in s.classes],
+        "classes": [
+            {
+                "name": c.name,
+                "aim_ms": c.aim_us / 1e3,
+                "deadline_ms": c.deadline_us / 1e3,
+                "effect": names[c.effect],
+                "worth": c.worth,
+                "late_share": c.late_share,
+                "key_scope": c.key_scope,
+                "key_window_ms": c.key_window_us / 1e3,
+                "ordered": c.ordered,
+            }
+            for c in s.classes
+        ],
         "kinds": [{"name": k.name, "routes_apart": k.routes_apart, "bundle": k.batch} for k in s.kinds],
         "tenants": [{"name": t.name, "share": t.share, "quota_per_s": t.quota_per_s} for t in s.tenants],
         "zones": [{"name": z, "fee": fees.get(n, 0.0)} for n, z in enumerate(zones)],
-        "retries": {"attempts": s.max_attempts, "longest_told_wait_ms": s.max_retry_after_us / 1e3,
-                    "clients_mark": s.clients_mark_retries, "second_copies": s.second_copies,
-                    "cancel": s.may_cancel, "probe": s.may_probe},
-        "calls": {"slots": s.slots, "idle_ms": s.connection_idle_us / 1e3,
-                  "connect_ms": s.connect_timeout_us / 1e3},
-        "held": s.max_held, "tick_ms": s.tick_us / 1e3,
-        "returning": {"cold_share": s.cold_share, "cold_ms": s.cold_us / 1e3,
-                      "fall_multiple": s.fall_multiple, "fall_ms": s.fall_us / 1e3,
-                      "drain_grace_ms": s.drain_grace_us / 1e3},
+        "retries": {
+            "attempts": s.max_attempts,
+            "longest_told_wait_ms": s.max_retry_after_us / 1e3,
+            "clients_mark": s.clients_mark_retries,
+            "second_copies": s.second_copies,
+            "cancel": s.may_cancel,
+            "probe": s.may_probe,
+        },
+        "calls": {
+            "slots": s.slots,
+            "idle_ms": s.connection_idle_us / 1e3,
+            "connect_ms": s.connect_timeout_us / 1e3,
+        },
+        "held": s.max_held,
+        "tick_ms": s.tick_us / 1e3,
+        "returning": {
+            "cold_share": s.cold_share,
+            "cold_ms": s.cold_us / 1e3,
+            "fall_multiple": s.fall_multiple,
+            "fall_ms": s.fall_us / 1e3,
+            "drain_grace_ms": s.drain_grace_us / 1e3,
+        },
         "fleet": {"couriers": s.couriers, "me": s.me, "peer_notes": s.peer_notes},
-        "worth": {"over_share": s.over_share_worth, "late": "halves" if s.late_halves else "evenly",
-                  "refused_price": s.refused_price},
-        "key_rest_ms": s.key_rest_us / 1e3, "answer_slack_ms": s.answer_slack_us / 1e3,
-        "list_on_request": s.list_on_request, "report_fields": list(s.report_fields),
-        "rates_listed": s.rates_listed}
+        "worth": {
+            "over_share": s.over_share_worth,
+            "late": "halves" if s.late_halves else "evenly",
+            "refused_price": s.refused_price,
+        },
+        "key_rest_ms": s.key_rest_us / 1e3,
+        "answer_slack_ms": s.answer_slack_us / 1e3,
+        "list_on_request": s.list_on_request,
+        "report_fields": list(s.report_fields),
+        "rates_listed": s.rates_listed,
+    }
 
 
 def flat(document: Document) -> dict[str, Any]:
@@ -374,16 +456,24 @@
 def changes(old: Document, new: Document) -> list[tuple[str, Any, Any]]:
     """(path, before, after) of each field that differs; None where it is not there."""
     before, after = flat(old), flat(new)
-    return [(path, before.get(path), after.get(path))
-            for path in sorted({*before, *after}) if before.get(path) != after.get(path)]
+    return [
+        (path, before.get(path), after.get(path))
+        for path in sorted({*before, *after})
+        if before.get(path) != after.get(path)
+    ]
 
 
 def off(document: Document) -> list[str]:
     """What is optional and not switched on, one line each."""
-    rows = (("operator", not document.operator, "no door for operators, no metrics"),
-            ("connections.warm_up", not document.connections.warm_up, "no connection is opened early"),
-            ("retries.longest_told_wait_ms", not document.retries.longest_told_wait_ms,
-             "clients are not told when to come again"),
-            ("members", document.members is None, "nothing is shared with other couriers"),
-            ("retries.second_copies", not document.retries.second_copies, "one attempt at a time"))
+    rows = (
+        ("operator", not document.operator, "no door for operators, no metrics"),
+        ("connections.warm_up", not document.connections.warm_up, "no connection is opened early"),
+        (
+            "retries.longest_told_wait_ms",
+            not document.retries.longest_told_wait_ms,
+            "clients are not told when to come again",
+        ),
+        ("members", document.members is None, "nothing is shared with other couriers"),
+        ("retries.second_copies", not document.retries.second_copies, "one attempt at a time"),
+    )
     return [f"{path}: {what}" for path, is_off, what in rows if is_off]
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -23,8 +23,9 @@
     for _ in range(MOST):
         for m in world.members.values():
             world._written(m, len(m.writes))
-        at = next((n for n, (a, b, body, _) in enumerate(world.net)
-                   if isinstance(body, kinds) and may(a, b)), -1)
+        at = next(
+            (n for n, (a, b, body, _) in enumerate(world.net) if isinstance(body, kinds) and may(a, b)), -1
+        )
         if at < 0:
             return
         world._deliver(at)
@@ -53,8 +54,11 @@
     for _ in range(20):
         world._calm()
         held = [m for m in world.members.values() if m.register.keepers[LEASE].held(m.clock(world.now))]
-        if held and held[0].id == world.ids[0] and not any(m.register.proposer.jobs
-                                                           for m in world.members.values()):
+        if (
+            held
+            and held[0].id == world.ids[0]
+            and not any(m.register.proposer.jobs for m in world.members.values())
+        ):
             world.net.clear()
             return held[0], world.members[world.ids[1]], world.ids[1:]
         world.now += LEASE_US // 4
@@ -153,9 +157,12 @@
 
 # The play, how many members, and the seed of the world in which it begins.
 PLAYS: dict[str, tuple[Callable[[World], None], int, int]] = {
-    "late-answer": (late_answer, 3, 2), "two-clocks": (two_clocks, 3, 2),
-    "forgotten-promise": (forgotten_promise, 4, 2), "lost-vote": (lost_vote, 3, 2),
-    "former-voter": (former_voter, 4, 1)}
+    "late-answer": (late_answer, 3, 2),
+    "two-clocks": (two_clocks, 3, 2),
+    "forgotten-promise": (forgotten_promise, 4, 2),
+    "lost-vote": (lost_vote, 3, 2),
+    "former-voter": (former_voter, 4, 1),
+}
 
 
 def violated(name: str, register: type[Register] = Register) -> str:
--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -99,19 +99,32 @@
 
 
 PLANTED = {
-    "promises-anything": PromisesAnything, "accepts-anything": AcceptsAnything,
-    "answers-before-the-disk": AnswersBeforeTheDisk, "trusts-a-copy": TrustsACopy,
-    "let-in-by-anyone": LetInByAnyone, "votes-at-once": VotesAtOnce, "old-promises-stand": OldPromisesStand,
-    "one-vote-is-enough": OneVoteIsEnough, "any-value-will-do": AnyValueWillDo,
-    "only-the-new-voters": OnlyTheNewVoters, "forgets-its-ticket": ForgetsItsTicket,
-    "counts-from-the-answer": CountsFromTheAnswer, "waits-no-longer": WaitsNoLonger, "same-fence": SameFence,
-    "takes-blindly": TakesBlindly, "acts-after-giving": ActsAfterGiving, "keeps-for-ever": KeepsForEver,
+    "promises-anything": PromisesAnything,
+    "accepts-anything": AcceptsAnything,
+    "answers-before-the-disk": AnswersBeforeTheDisk,
+    "trusts-a-copy": TrustsACopy,
+    "let-in-by-anyone": LetInByAnyone,
+    "votes-at-once": VotesAtOnce,
+    "old-promises-stand": OldPromisesStand,
+    "one-vote-is-enough": OneVoteIsEnough,
+    "any-value-will-do": AnyValueWillDo,
+    "only-the-new-voters": OnlyTheNewVoters,
+    "forgets-its-ticket": ForgetsItsTicket,
+    "counts-from-the-answer": CountsFromTheAnswer,
+    "waits-no-longer": WaitsNoLonger,
+    "same-fence": SameFence,
+    "takes-blindly": TakesBlindly,
+    "acts-after-giving": ActsAfterGiving,
+    "keeps-for-ever": KeepsForEver,
 }
 
 
 def planted(name: str) -> type[Register]:
     """A register with the fault of this name. KeyError if there is none."""
     fault = PLANTED[name]
-    kind = next(k for k in ("voter", "proposer", "keeper") if issubclass(
-        fault, {"voter": Voter, "proposer": Proposer, "keeper": Keeper}[k]))
+    kind = next(
+        k
+        for k in ("voter", "proposer", "keeper")
+        if issubclass(fault, {"voter": Voter, "proposer": Proposer, "keeper": Keeper}[k])
+    )
     return type(fault.__name__, (Register,), {f"{kind}_type": fault})
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -91,14 +91,27 @@
         register = super()._register(m, memory, same)
         assert isinstance(register, Governed)
         others = [name for name in self.names if name != m.id]
-        register.govern = self.kind(m.id, m.life, register, random.Random(self.chance.random()), LEASE_US,
-                                    DRIFT, self.last, self.names, lambda: others,
-                                    dict(self.disks.setdefault(m.id, {})))
+        register.govern = self.kind(
+            m.id,
+            m.life,
+            register,
+            random.Random(self.chance.random()),
+            LEASE_US,
+            DRIFT,
+            self.last,
+            self.names,
+            lambda: others,
+            dict(self.disks.setdefault(m.id, {})),
+        )
         return register
 
     def _moves(self) -> list[tuple[Callable[[Member, int], None], int]]:
-        return [*super()._moves(), (self._offer, 14), (self._strike, 1),
-                (lambda m, arg: self._ahead(arg), 24)]
+        return [
+            *super()._moves(),
+            (self._offer, 14),
+            (self._strike, 1),
+            (lambda m, arg: self._ahead(arg), 24),
+        ]
 
     def _ahead(self, arg: int) -> None:
         """Some steps of a change with nothing going wrong."""
@@ -154,8 +167,11 @@
         digest, version = p.digest_for(m.id), p.version_for(m.id)
         if version != govern.standing.version and (not digest or digest in store.held):
             govern.standing.set_up_for(version)
-        if p.change and p.change.id != govern.standing.ready and (
-                not p.change.digest or p.change.digest in store.held):
+        if (
+            p.change
+            and p.change.id != govern.standing.ready
+            and (not p.change.digest or p.change.digest in store.held)
+        ):
             text = store.held.get(p.change.digest, b"")
             refused = text.startswith(REFUSED) and m.id in text.decode().split()
             govern.standing.judged(p.change.id, "no" if refused else "")
@@ -184,11 +200,14 @@
         """One voter at a time, those included that a change which is under way names; and one that lost its
         folder is whole again once it has its texts, too."""
         every = list(self.members.values())
-        there = set[str]().union(*(x.register.document.everyone | self._govern(x).giver.voted().everyone
-                                   for x in every))
+        there = set[str]().union(
+            *(x.register.document.everyone | self._govern(x).giver.voted().everyone for x in every)
+        )
         return super()._all_well(m) and all(
             x.register.voter.voting and self._govern(x).giver.voted().policy.texts <= set(self.disks[x.id])
-            for x in every if x.id in there)
+            for x in every
+            if x.id in there
+        )
 
     def _act(self, m: Member) -> None:
         if not m.up:
@@ -220,14 +239,19 @@
             self.now += ROUND_US
             documents = [m.register.document for m in self.members.values()]
             if all(d.policy == documents[0].policy for d in documents) and not (
-                    documents[0].policy.change or documents[0].policy.stage):
+                documents[0].policy.change or documents[0].policy.stage
+            ):
                 struck = documents[0].policy.struck
-                if all(self._govern(m).standing.held(m.clock(self.now)) >= 0
-                       for m in self.members.values() if m.id not in struck):
+                if all(
+                    self._govern(m).standing.held(m.clock(self.now)) >= 0
+                    for m in self.members.values()
+                    if m.id not in struck
+                ):
                     return
         p = self.members["m0"].register.document.policy
-        raise Violation(f"all is well for {SETTLED_US / 1e6:g} s, and the change has no end, "
-                        f"or somebody may not act: {p}")
+        raise Violation(
+            f"all is well for {SETTLED_US / 1e6:g} s, and the change has no end, or somebody may not act: {p}"
+        )
 
 
 def run(choices: list[int], members: int, seed: int, govern: type[Govern] = Govern) -> str:
@@ -248,8 +272,9 @@
     return [chance.randrange(10**7) for _ in range(STEPS)]
 
 
-def explore(schedules: int, first: int, members: int,
-            govern: type[Govern] = Govern) -> tuple[int, list[Found]]:
+def explore(
+    schedules: int, first: int, members: int, govern: type[Govern] = Govern
+) -> tuple[int, list[Found]]:
     """(schedules run, the first that violates something)."""
     for count, seed in enumerate(range(first, first + schedules), 1):
         choices = schedule(seed)
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -14,8 +14,21 @@
 from hopmill.fleet.policy import close, reopen
 from hopmill.fleet.register import replace_voter, settle_voters
 from hopmill.fleet.voter import Memory
-from hopmill.fleet.wire import (Accept, Accepted, Ask, Body, Chosen, Clear, Given, Hold, IsClear, Known,
-                                Prepare, Promise, Stopped)
+from hopmill.fleet.wire import (
+    Accept,
+    Accepted,
+    Ask,
+    Body,
+    Chosen,
+    Clear,
+    Given,
+    Hold,
+    IsClear,
+    Known,
+    Prepare,
+    Promise,
+    Stopped,
+)
 
 STEPS: tuple[type, ...] = (Body,) if isinstance(Body, type) else tuple(Body.__args__)
 UNLED = tuple(kind for kind in STEPS if kind not in (IsClear, Clear))  # no change goes beyond prepared
@@ -29,8 +42,9 @@
 def _prepared(world: PolicyWorld, by: str = "m0") -> None:
     """All have their lease, and are ready for a change."""
     _all(world)
-    world._govern(world.members[by]).propose("p1", b"policy p1", 0, world.members[by].clock(world.now),
-                                             lambda outcome: None)
+    world._govern(world.members[by]).propose(
+        "p1", b"policy p1", 0, world.members[by].clock(world.now), lambda outcome: None
+    )
     world._emit(world.members[by])
     for _ in range(60):
         for m in world.members.values():
@@ -39,8 +53,10 @@
                 other.register.newer(m.id, m.register.document.version)
         _only(world, UNLED)
         world.now += 10_000
-        if all(m.register.document.policy.change and world._govern(m).standing.ready == "p1"
-               for m in world.members.values()):
+        if all(
+            m.register.document.policy.change and world._govern(m).standing.ready == "p1"
+            for m in world.members.values()
+        ):
             break
     _renew(world, world.ids)
     world.net.clear()
@@ -128,8 +144,12 @@
 
 def _commits(world: PolicyWorld) -> bool:
     """Whether whoever leads has begun to put the change in force."""
-    return any(world._govern(m).conductor.proposing and m.register.document.policy.change
-               and m.register.document.policy.change.closing for m in world.members.values())
+    return any(
+        world._govern(m).conductor.proposing
+        and m.register.document.policy.change
+        and m.register.document.policy.change.closing
+        for m in world.members.values()
+    )
 
 
 def old_version(world: PolicyWorld) -> None:
@@ -276,12 +296,19 @@
 
 # The play, how many members, and the seed of the world in which it begins; of 3 the couriers go on alone.
 PLAYS: dict[str, tuple[Callable[[PolicyWorld], None], int, int]] = {
-    "forgotten-leases": (forgotten_leases, 3, 2), "drifting-clocks": (drifting_clocks, 3, 2),
-    "unwritten-vote": (unwritten_vote, 4, 4), "late-hold": (late_hold, 4, 4),
-    "old-version": (old_version, 3, 2), "alone": (alone, 3, 3), "late-given": (late_answer, 3, 2),
+    "forgotten-leases": (forgotten_leases, 3, 2),
+    "drifting-clocks": (drifting_clocks, 3, 2),
+    "unwritten-vote": (unwritten_vote, 4, 4),
+    "late-hold": (late_hold, 4, 4),
+    "old-version": (old_version, 3, 2),
+    "alone": (alone, 3, 3),
+    "late-given": (late_answer, 3, 2),
     "asked-again": (asked_again, 3, 2),
-    "two-rosters": (two_rosters, 4, 4), "one-is-clear": (one_is_clear, 4, 4),
-    "stale-commit": (stale_commit, 4, 4), "stopped-before": (stopped_before, 3, 2)}
+    "two-rosters": (two_rosters, 4, 4),
+    "one-is-clear": (one_is_clear, 4, 4),
+    "stale-commit": (stale_commit, 4, 4),
+    "stopped-before": (stopped_before, 3, 2),
+}
 
 
 def violated(name: str, govern: type[Govern] = Govern) -> str:
--- a/hopmill/explorer/policy_mutants.py
+++ b/hopmill/explorer/policy_mutants.py
@@ -40,8 +40,9 @@
 
 
 class WaitsTooShort(Giver):
-    def __init__(self, me: str, register: object, length_us: int, drift: float, last: bool,
-                 names: Iterable[str]) -> None:
+    def __init__(
+        self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
+    ) -> None:
         super().__init__(me, register, length_us, -drift, last, names)  # type: ignore[arg-type]
 
 
@@ -56,8 +57,9 @@
 
 
 class ForgetsWhoIsAlone(Giver):
-    def __init__(self, me: str, register: object, length_us: int, drift: float, last: bool,
-                 names: Iterable[str]) -> None:
+    def __init__(
+        self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
+    ) -> None:
         super().__init__(me, register, length_us, drift, last, ())  # type: ignore[arg-type]
 
 
@@ -113,6 +115,7 @@
     def commit(epoch: int) -> Step:
         def step(ticket: str, document: Document) -> Document | None:
             return commit(document.policy.epoch)(ticket, document)
+
         return step
 
 
@@ -122,15 +125,23 @@
 
 
 PLANTED = {
-    "gives-before-it-is-chosen": GivesBeforeItIsChosen, "gives-while-closing": GivesWhileClosing,
-    "gives-any-version": GivesAnyVersion, "waits-no-lease-out": WaitsNoLeaseOut,
-    "waits-too-short": WaitsTooShort, "any-stop-counts": AnyStopCounts,
-    "clear-before-the-disk": ClearBeforeTheDisk, "forgets-who-is-alone": ForgetsWhoIsAlone,
-    "lease-for-ever": KeepsForEver, "goes-on-while-closing": GoesOnWhileClosing,
-    "counts-from-answers": CountsFromTheAnswer, "any-answer-counts": AnyAnswerCounts,
+    "gives-before-it-is-chosen": GivesBeforeItIsChosen,
+    "gives-while-closing": GivesWhileClosing,
+    "gives-any-version": GivesAnyVersion,
+    "waits-no-lease-out": WaitsNoLeaseOut,
+    "waits-too-short": WaitsTooShort,
+    "any-stop-counts": AnyStopCounts,
+    "clear-before-the-disk": ClearBeforeTheDisk,
+    "forgets-who-is-alone": ForgetsWhoIsAlone,
+    "lease-for-ever": KeepsForEver,
+    "goes-on-while-closing": GoesOnWhileClosing,
+    "counts-from-answers": CountsFromTheAnswer,
+    "any-answer-counts": AnyAnswerCounts,
     "answers-to-a-former-life": AnswersToAFormerLife,
-    "adds-up-two-rosters": AddsUpTwoRosters, "one-voter-is-clear": OneVoterIsClear,
-    "commits-at-any-epoch": CommitsAtAnyEpoch, "votes-without-the-text": VotesWithoutTheText,
+    "adds-up-two-rosters": AddsUpTwoRosters,
+    "one-voter-is-clear": OneVoterIsClear,
+    "commits-at-any-epoch": CommitsAtAnyEpoch,
+    "votes-without-the-text": VotesWithoutTheText,
     "gives-to-those-not-ready": GivesToThoseNotReady,
 }
 
--- a/hopmill/explorer/search.py
+++ b/hopmill/explorer/search.py
@@ -37,15 +37,23 @@
     at_once = AT_ONCE // 20
     rows = [(at, min(at_once, seed + schedules - at)) for at in range(seed, seed + schedules, at_once)]
     with ProcessPoolExecutor(cores or os.cpu_count() or 1) as pool:
-        for count, found in pool.map(_run_policy, *zip(*rows, strict=True), [members] * len(rows),
-                                     [mutant] * len(rows)) if rows else ():
+        for count, found in (
+            pool.map(_run_policy, *zip(*rows, strict=True), [members] * len(rows), [mutant] * len(rows))
+            if rows
+            else ()
+        ):
             done += count
             if found:
                 violations.append({"seed": found[0].seed, "said": found[0].violation})
                 pool.shutdown(cancel_futures=True)
                 break
-    return {"schedules": done, "members": members, "mutant": mutant or None, "violations": violations,
-            "seconds": round(time.monotonic() - began, 1)}
+    return {
+        "schedules": done,
+        "members": members,
+        "mutant": mutant or None,
+        "violations": violations,
+        "seconds": round(time.monotonic() - began, 1),
+    }
 
 
 def search(schedules: int, seed: int, members: int, depth: int, cores: int, mutant: str) -> dict[str, Any]:
@@ -60,8 +68,11 @@
             break
     rows = [(at, min(AT_ONCE, seed + schedules - at)) for at in range(seed, seed + schedules, AT_ONCE)]
     with ProcessPoolExecutor(cores or os.cpu_count() or 1) as pool:
-        for count, found in pool.map(_run, *zip(*rows, strict=True), [members] * len(rows),
-                                     [mutant] * len(rows)) if rows else ():
+        for count, found in (
+            pool.map(_run, *zip(*rows, strict=True), [members] * len(rows), [mutant] * len(rows))
+            if rows
+            else ()
+        ):
             done += count
             if found:
                 short = explore.shrink(found[0], members, register)
@@ -72,5 +83,11 @@
         every, states, said = explore.every(depth, register)
         done += every
         violations += [{"depth": depth, "said": said}] if said else []
-    return {"schedules": done, "states": states, "members": members, "mutant": mutant or None,
-            "violations": violations, "seconds": round(time.monotonic() - began, 1)}
+    return {
+        "schedules": done,
+        "states": states,
+        "members": members,
+        "mutant": mutant or None,
+        "violations": violations,
+        "seconds": round(time.monotonic() - began, 1),
+    }
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -48,8 +48,9 @@
 class World:
     """`choices` says what may happen next; `choose` lets it."""
 
-    def __init__(self, members: int, seed: int, register: type[Register] = Register,
-                 leases: bool = True) -> None:
+    def __init__(
+        self, members: int, seed: int, register: type[Register] = Register, leases: bool = True
+    ) -> None:
         self.type, self.chance, self.leases = register, random.Random(seed), leases
         ids = [f"m{n}" for n in range(members)]
         voters = ids[:5] if members >= 5 and seed % 2 else ids[:3]
@@ -76,8 +77,9 @@
                     self.now += 350_000
         # Each world favours some things and lacks others: what is found together with all is seldom found.
         self.moves = self._moves()
-        self.table = list(itertools.accumulate(often * self.chance.choice((0, 1, 1, 1, 4))
-                                               for _, often in self.moves))
+        self.table = list(
+            itertools.accumulate(often * self.chance.choice((0, 1, 1, 1, 4)) for _, often in self.moves)
+        )
 
     def _say_versions(self) -> None:
         """As the members' datagrams do all the time."""
@@ -116,20 +118,22 @@
 
     def _moves(self) -> list[tuple[Callable[[Member, int], None], int]]:
         """What may happen, and how often it does in a world that favours nothing."""
-        return [(lambda m, arg: self._deliver(0 if arg % 4 else arg // 4), 40),
-                (lambda m, arg: self._written(m, len(m.writes)), 16),
-                (lambda m, arg: self._tick(m), 10),
-                (lambda m, arg: self._jump(arg), 10),
-                (lambda m, arg: self._calm(CALMS[arg % len(CALMS)]), 12),
-                (lambda m, arg: self._cut(arg), 5),
-                (lambda m, arg: self._lose(arg), 4),
-                (lambda m, arg: self._repeat(arg), 2),
-                (self._propose, 6),
-                (self._crash, 3),
-                (lambda m, arg: self._start(m), 3),
-                (self._put_back, 3),
-                (self._replace, 4),
-                (self._want, 2)]
+        return [
+            (lambda m, arg: self._deliver(0 if arg % 4 else arg // 4), 40),
+            (lambda m, arg: self._written(m, len(m.writes)), 16),
+            (lambda m, arg: self._tick(m), 10),
+            (lambda m, arg: self._jump(arg), 10),
+            (lambda m, arg: self._calm(CALMS[arg % len(CALMS)]), 12),
+            (lambda m, arg: self._cut(arg), 5),
+            (lambda m, arg: self._lose(arg), 4),
+            (lambda m, arg: self._repeat(arg), 2),
+            (self._propose, 6),
+            (self._crash, 3),
+            (lambda m, arg: self._start(m), 3),
+            (self._put_back, 3),
+            (self._replace, 4),
+            (self._want, 2),
+        ]
 
     def _jump(self, arg: int) -> None:
         self.now += JUMPS_US[arg % len(JUMPS_US)]
@@ -173,7 +177,7 @@
             else:
                 m.writes.append(action)
         if len(self.net) > 60:
-            del self.net[:len(self.net) - 60]
+            del self.net[: len(self.net) - 60]
 
     def _deliver(self, at: int) -> bool:
         """The first at or after this place whose way is open."""
@@ -225,8 +229,9 @@
         if not m.up:
             return
         op = Op("", self.now)
-        op.ticket = m.register.propose(change, m.clock(self.now),
-                                       lambda outcome: self.checker.ended(op, outcome, self.now), 3_000_000)
+        op.ticket = m.register.propose(
+            change, m.clock(self.now), lambda outcome: self.checker.ended(op, outcome, self.now), 3_000_000
+        )
         self.checker.ops[op.ticket] = op
         self._emit(m)
 
@@ -281,8 +286,19 @@
             v, p = m.register.voter, m.register.proposer
             at = p.now_at
             ballot = at and (at.ballot, tuple(sorted(at.promises)), tuple(sorted(at.accepted)), at.payload)
-            rows.append((m.up, v.voting, msgspec.msgpack.encode(v.memory), m.disk, len(m.writes),
-                         p.round, p.known.version, tuple(j.ticket for j in p.jobs), ballot))
+            rows.append(
+                (
+                    m.up,
+                    v.voting,
+                    msgspec.msgpack.encode(v.memory),
+                    m.disk,
+                    len(m.writes),
+                    p.round,
+                    p.known.version,
+                    tuple(j.ticket for j in p.jobs),
+                    ballot,
+                )
+            )
         return (tuple(rows), tuple(sorted(map(repr, self.net))))
 
 
@@ -312,8 +328,14 @@
     choices: list[int]
 
 
-def explore(schedules: int, first: int, members: int, register: type[Register] = Register,
-            steps: int = STEPS, stop: bool = True) -> tuple[int, list[Found]]:
+def explore(
+    schedules: int,
+    first: int,
+    members: int,
+    register: type[Register] = Register,
+    steps: int = STEPS,
+    stop: bool = True,
+) -> tuple[int, list[Found]]:
     """(schedules run, what was found). stop: at the first."""
     found, count = [], 0
     for seed in range(first, first + schedules):
@@ -333,7 +355,7 @@
     while True:
         at, cut = 0, False
         while at < len(choices):
-            shorter = choices[:at] + choices[at + size:]
+            shorter = choices[:at] + choices[at + size :]
             if again := run(shorter, members, found.seed, register):
                 choices, said, cut = shorter, again, True
             else:
--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -10,8 +10,7 @@
 
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import Document
-from hopmill.fleet.policy import (BACK, Change, Policy, close, commit, end, go_back, go_on, prepare,
-                                      reopen)
+from hopmill.fleet.policy import BACK, Change, Policy, close, commit, end, go_back, go_on, prepare, reopen
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.watch import worse
@@ -32,8 +31,9 @@
 class Conductor:
     commit = staticmethod(commit)
 
-    def __init__(self, me: str, register: Register, chance: random.Random,
-                 others: Callable[[], list[str]]) -> None:
+    def __init__(
+        self, me: str, register: Register, chance: random.Random, others: Callable[[], list[str]]
+    ) -> None:
         """others: who is told of a step at once; those that miss it hear of it by and by."""
         self.me, self.register, self.chance, self.others = me, register, chance, others
         self.epoch, self.since, self.leads_from, self.ask_at, self.asks = -1, 0, 0, 0, 0
@@ -51,6 +51,7 @@
         def ended(outcome: Outcome) -> None:
             self.tell_if(outcome)
             then(outcome)
+
         return self.register.propose(prepare(change, base), now, ended)
 
     def waits(self) -> dict[str, str]:
@@ -119,8 +120,12 @@
 
     def counted(self, sender: str, body: Counted) -> None:
         stage = self.policy.stage
-        if stage and body.stage == stage.id and body.version == self.policy.version_for(sender) \
-                and (sender in self.counts or len(self.counts) < MOST_COUNTED):
+        if (
+            stage
+            and body.stage == stage.id
+            and body.version == self.policy.version_for(sender)
+            and (sender in self.counts or len(self.counts) < MOST_COUNTED)
+        ):
             self.counts[sender] = body
 
     def _step(self, p: Policy, d: Document, now: int) -> Callable[[str, Document], Document | None] | None:
@@ -147,6 +152,7 @@
                 self.tell(outcome.document)
             else:
                 self.answers = {}
+
         self.register.propose(step, now, ended, urgent=True)
 
     def tell_if(self, outcome: Outcome) -> None:
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -36,8 +36,9 @@
 class Giver:
     """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
 
-    def __init__(self, me: str, register: Register, length_us: int, drift: float, last: bool,
-                 names: Iterable[str]) -> None:
+    def __init__(
+        self, me: str, register: Register, length_us: int, drift: float, last: bool, names: Iterable[str]
+    ) -> None:
         """names: all members of the configuration, this one included."""
         self.me, self.register, self.last = me, register, last
         self.waits_us = int(length_us * (1 + drift)) + 1
@@ -115,7 +116,7 @@
             return "a change is closing"
         if p.change and not self.may_be_given(p, hold):
             if hold.refuses.startswith(p.change.id + " "):
-                self.refusals = {p.change.id: f"{sender}: {hold.refuses[len(p.change.id) + 1:]}"}
+                self.refusals = {p.change.id: f"{sender}: {hold.refuses[len(p.change.id) + 1 :]}"}
                 self._tell(now)
             return "not ready for the change"
         if sender not in self.grants and len(self.grants) >= MOST_GRANTS:
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -14,8 +14,19 @@
 from hopmill.fleet.standing import Standing
 from hopmill.fleet.texts import Texts
 from hopmill.fleet.watch import Watch
-from hopmill.fleet.wire import (Body, Clear, Counted, Given, Hold, IsClear, NotGiven, Piece, Stopped,
-                                WantSums, WantText)
+from hopmill.fleet.wire import (
+    Body,
+    Clear,
+    Counted,
+    Given,
+    Hold,
+    IsClear,
+    NotGiven,
+    Piece,
+    Stopped,
+    WantSums,
+    WantText,
+)
 
 MOST_LACKED = 4
 SALTS = 256  # that are tried, for a share of few members to be met
@@ -27,9 +38,19 @@
 
     standing_type, giver_type, conductor_type = Standing, Giver, Conductor
 
-    def __init__(self, me: str, life: int, register: Register, chance: random.Random, length_us: int,
-                 drift: float, last: bool, names: Iterable[str], others: Callable[[], list[str]],
-                 on_disk: dict[bytes, bytes]) -> None:
+    def __init__(
+        self,
+        me: str,
+        life: int,
+        register: Register,
+        chance: random.Random,
+        length_us: int,
+        drift: float,
+        last: bool,
+        names: Iterable[str],
+        others: Callable[[], list[str]],
+        on_disk: dict[bytes, bytes],
+    ) -> None:
         """life: of this process, never used before. names: all members configured; others: those that are
         there now. on_disk: texts."""
         self.me, self.register = me, register
@@ -126,8 +147,9 @@
 
     # Words of the staff
 
-    def propose(self, ident: str, text: bytes, base: int, now: int, then: Then, share: float = 1.0,
-                watch_ms: int = 0) -> str:
+    def propose(
+        self, ident: str, text: bytes, base: int, now: int, then: Then, share: float = 1.0, watch_ms: int = 0
+    ) -> str:
         """ident: of this proposal and no other, however often it is told. share: under 1, so many go first
         and are watched. ValueError: too long."""
         digest = self.texts.add(text)
@@ -136,6 +158,7 @@
         def ended(outcome: object) -> None:
             self.proposed.discard(digest)
             then(outcome)  # type: ignore[arg-type]
+
         change = Change(ident, digest, self.me)
         if share < 1:
             change = Change(ident, digest, self.me, False, STAGE, self._few(share, watch_ms))
@@ -145,17 +168,24 @@
         """By the salt that comes nearest to the share of those that are there: one at least, and not all."""
         names = [self.me, *self.conductor.others()]
         wanted = min(max(1, round(share * len(names))), max(1, len(names) - 1))
-        return min((Few(share, salt, watch_ms) for salt in range(SALTS)),
-                   key=lambda few: abs(sum(map(few.has, names)) - wanted))
+        return min(
+            (Few(share, salt, watch_ms) for salt in range(SALTS)),
+            key=lambda few: abs(sum(map(few.has, names)) - wanted),
+        )
 
     def withdraw(self, ident: str, now: int) -> str:
         """End the change that is under way, if it is this one."""
+
         def step(ticket: str, document: Document) -> Document | None:
             p = document.policy
             if p.stage and p.stage.id == ident:
                 return go_back(p.epoch, "withdrawn by staff")(ticket, document)
-            return end(p.epoch, "withdrawn by staff")(ticket, document) if (
-                p.change and p.change.id == ident) else None
+            return (
+                end(p.epoch, "withdrawn by staff")(ticket, document)
+                if (p.change and p.change.id == ident)
+                else None
+            )
+
         return self.register.propose(step, now, lambda outcome: self.conductor.tell_if(outcome))
 
     def strike(self, member: str, off: bool, now: int, then: Then) -> str:
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -91,13 +91,21 @@
         self.asked = Asked(ticket, now, what, fence)
         if what == "give":
             self.lets_go()
-        seen, mine = self.seen, Lease("" if what == "give" else self.owner, fence,
-                                      0 if what == "take" else self.seen.renewal + 1, self.length_us)
+        seen, mine = (
+            self.seen,
+            Lease(
+                "" if what == "give" else self.owner,
+                fence,
+                0 if what == "take" else self.seen.renewal + 1,
+                self.length_us,
+            ),
+        )
 
         def change(document: Document) -> Document | None:
             if document.leases.get(self.name, Lease()) != seen and self.unchanged():
                 return None
             return document.next(ticket, leases={**document.leases, self.name: mine})
+
         return ticket, change
 
     def lets_go(self) -> None:
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -85,8 +85,15 @@
 class Node:
     """Times are us of this member's elapsed clock. After each call, `take` gives what is to be done."""
 
-    def __init__(self, members: Members, stored: Stored, same_folder: bool, seed: int,
-                 carried: dict[str, Any] | None = None, texts: dict[bytes, bytes] | None = None) -> None:
+    def __init__(
+        self,
+        members: Members,
+        stored: Stored,
+        same_folder: bool,
+        seed: int,
+        carried: dict[str, Any] | None = None,
+        texts: dict[bytes, bytes] | None = None,
+    ) -> None:
         """same_folder: it is where it was stored, no copy. seed: another with each start, from the system's
         own chance. carried: by the process before, in an upgrade. texts: those on disk, by digest."""
         self.s, self.chance = members, random.Random(seed)
@@ -106,9 +113,18 @@
         self.born = born
         self.govern: Govern | None = None
         if members.policy:
-            self.govern = Govern(members.id, born, self.register, self.chance, int(members.lease_ms * 1e3),
-                                 members.drift, members.policy.alone == "last",
-                                 [members.id, *(o.id for o in members.others)], self.swim.there, texts or {})
+            self.govern = Govern(
+                members.id,
+                born,
+                self.register,
+                self.chance,
+                int(members.lease_ms * 1e3),
+                members.drift,
+                members.policy.alone == "last",
+                [members.id, *(o.id for o in members.others)],
+                self.swim.there,
+                texts or {},
+            )
         self.started, self.due = False, 0
         self.writes: list[Write] = []
         self.ready: list[Datagram] = []
@@ -123,12 +139,19 @@
     def carry(self) -> dict[str, Any]:
         """For the next process on this machine; this one must not speak any more."""
         r = self.register
-        return {"born": self.born, "incarnation": self.swim.me.incarnation, "ceiling": self.ceiling,
-                "round": r.proposer.round, "counted": r.counted, "document": doc.encode(r.document),
-                "state": self._state(self.ceiling), "voting": r.voter.voting,
-                "leases": {name: k.carry() for name, k in r.keepers.items()},
-                "policy": self.govern and self.govern.standing.carry(),
-                "texts": dict(self.govern.texts.held) if self.govern else {}}
+        return {
+            "born": self.born,
+            "incarnation": self.swim.me.incarnation,
+            "ceiling": self.ceiling,
+            "round": r.proposer.round,
+            "counted": r.counted,
+            "document": doc.encode(r.document),
+            "state": self._state(self.ceiling),
+            "voting": r.voter.voting,
+            "leases": {name: k.carry() for name, k in r.keepers.items()},
+            "policy": self.govern and self.govern.standing.carry(),
+            "texts": dict(self.govern.texts.held) if self.govern else {},
+        }
 
     def _resume(self, carried: dict[str, Any]) -> None:
         r = self.register
@@ -276,8 +299,14 @@
             self.counts.dropped["no address"] += 1
             return
         try:
-            data = wire.write(self.s.fleet, self.s.id, self.swim.me.incarnation,
-                              self.register.document.version, send.body, self.swim.news_for(send.to))
+            data = wire.write(
+                self.s.fleet,
+                self.s.id,
+                self.swim.me.incarnation,
+                self.register.document.version,
+                send.body,
+                self.swim.news_for(send.to),
+            )
         except ValueError:
             self.counts.dropped["too large"] += 1
             return
@@ -292,8 +321,9 @@
         changed, self.swim.changed = self.swim.changed, []
         return changed
 
-    def propose(self, change: Callable[[str, Document], Document | None], now: int,
-                then: Callable[[Outcome], None]) -> str:
+    def propose(
+        self, change: Callable[[str, Document], Document | None], now: int, then: Callable[[Outcome], None]
+    ) -> str:
         return self.register.propose(change, now, then)
 
     def held(self, lease: str, now: int) -> int:
@@ -305,35 +335,79 @@
         """Ages are in ms."""
         me, r = self.swim.me, self.register
         peers = sorted(self.swim.peers.values(), key=lambda p: p.id)
-        rows = [{"id": me.id, "state": STATES[me.state], "zone": me.zone, "region": me.region,
-                 "incarnation": me.incarnation, "age_ms": 0, "self": True}]
-        rows += [{"id": p.id, "state": STATES[p.state] if p.incarnation > 0 else "unheard", "zone": p.zone,
-                  "region": p.region, "incarnation": p.incarnation,
-                  "age_ms": (now - p.heard_at) // 1000 if p.heard_at else None, "self": False}
-                 for p in peers]
+        rows = [
+            {
+                "id": me.id,
+                "state": STATES[me.state],
+                "zone": me.zone,
+                "region": me.region,
+                "incarnation": me.incarnation,
+                "age_ms": 0,
+                "self": True,
+            }
+        ]
+        rows += [
+            {
+                "id": p.id,
+                "state": STATES[p.state] if p.incarnation > 0 else "unheard",
+                "zone": p.zone,
+                "region": p.region,
+                "incarnation": p.incarnation,
+                "age_ms": (now - p.heard_at) // 1000 if p.heard_at else None,
+                "self": False,
+            }
+            for p in peers
+        ]
         d = r.document
-        return {"fleet": self.s.fleet, "id": me.id, "life": self.born, "started": self.started,
-                "members": rows, "health": self.swim.health, "version": d.version, "voters": list(d.voters),
-                "former": list(d.former), "votes": r.voter.voting, "words": d.words,
-                "leases": [{"name": name, "owner": lease.owner, "fence": lease.fence,
-                            "mine": bool(self.held(name, now))} for name, lease in sorted(d.leases.items())],
-                "policy": self._policy_status(now) if self.govern else None,
-                "datagrams": {"sent": self.counts.sent, "sent_bytes": self.counts.sent_bytes,
-                              "received": self.counts.received,
-                              "dropped": dict(self.counts.dropped + self.swim.dropped)}}
+        return {
+            "fleet": self.s.fleet,
+            "id": me.id,
+            "life": self.born,
+            "started": self.started,
+            "members": rows,
+            "health": self.swim.health,
+            "version": d.version,
+            "voters": list(d.voters),
+            "former": list(d.former),
+            "votes": r.voter.voting,
+            "words": d.words,
+            "leases": [
+                {"name": name, "owner": lease.owner, "fence": lease.fence, "mine": bool(self.held(name, now))}
+                for name, lease in sorted(d.leases.items())
+            ],
+            "policy": self._policy_status(now) if self.govern else None,
+            "datagrams": {
+                "sent": self.counts.sent,
+                "sent_bytes": self.counts.sent_bytes,
+                "received": self.counts.received,
+                "dropped": dict(self.counts.dropped + self.swim.dropped),
+            },
+        }
 
     def _policy_status(self, now: int) -> dict[str, Any]:
         assert self.govern is not None
         p, standing = self.register.document.policy, self.govern.standing
         until = standing.valid_until()
-        return {"version": p.version, "epoch": p.epoch, "may_act": standing.held(now) >= 0,
-                "set_up_for": standing.version, "alone": "last" if standing.last else "hold",
-                "lease_ms": None if until - now > 1 << 60 else max(0, (until - now) // 1000),
-                "not_given": standing.why, "struck": list(p.struck), "waits": self.govern.conductor.waits(),
-                "change": p.change and {"id": p.change.id, "by": p.change.by, "closing": p.change.closing,
-                                        "moves": p.change.moves},
-                "stage": p.stage and {
-                    "id": p.stage.id, "version": p.stage.version, "share": p.stage.few.share,
-                    "members": [m for m in sorted((self.s.id, *self.swim.there()))
-                                if p.stage.few.has(m)][:MOST_NAMED]},
-                "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in p.ended]}
+        return {
+            "version": p.version,
+            "epoch": p.epoch,
+            "may_act": standing.held(now) >= 0,
+            "set_up_for": standing.version,
+            "alone": "last" if standing.last else "hold",
+            "lease_ms": None if until - now > 1 << 60 else max(0, (until - now) // 1000),
+            "not_given": standing.why,
+            "struck": list(p.struck),
+            "waits": self.govern.conductor.waits(),
+            "change": p.change
+            and {"id": p.change.id, "by": p.change.by, "closing": p.change.closing, "moves": p.change.moves},
+            "stage": p.stage
+            and {
+                "id": p.stage.id,
+                "version": p.stage.version,
+                "share": p.stage.few.share,
+                "members": [m for m in sorted((self.s.id, *self.swim.there())) if p.stage.few.has(m)][
+                    :MOST_NAMED
+                ],
+            },
+            "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in p.ended],
+        }
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -106,8 +106,11 @@
     @property
     def texts(self) -> set[bytes]:
         """Digests of all that is in force or may be."""
-        there = (self.digest, self.change.digest if self.change else b"",
-                 self.stage.digest if self.stage else b"")
+        there = (
+            self.digest,
+            self.change.digest if self.change else b"",
+            self.stage.digest if self.stage else b"",
+        )
         return {d for d in there if d}
 
 
@@ -121,6 +124,7 @@
 
 def prepare(change: Change, base: int) -> Step:
     """base: the version that its text was made from. Left as it is where it is under way or has ended."""
+
     def step(ticket: str, document: Document) -> Document | None:
         p = document.policy
         if p.outcome(change.id) or p.change and p.change.id == change.id:
@@ -131,13 +135,16 @@
         if p.version != base:
             raise Refused(f"version {p.version} is in force, not {base}")
         return _next(document, ticket, change=change)
+
     return step
 
 
 def _at(epoch: int, then: Callable[[str, Document], Document | None]) -> Step:
     """Only where nothing has happened to the policy since this epoch."""
+
     def step(ticket: str, document: Document) -> Document | None:
         return then(ticket, document) if document.policy.epoch == epoch and document.policy.change else None
+
     return step
 
 
@@ -161,6 +168,7 @@
 
 def commit(epoch: int) -> Step:
     """It is in force: a majority of voters knows of nobody who works under the version before."""
+
     def then(ticket: str, d: Document) -> Document | None:
         p, change, stage = d.policy, d.policy.change, d.policy.stage
         assert change is not None
@@ -176,23 +184,27 @@
         version = stage.version if stage else p.version + 1
         ended = (*p.ended, Ended(change.id, version))[-ENDED:]
         return _next(d, ticket, version=version, digest=change.digest, change=None, stage=None, ended=ended)
+
     return _at(epoch, then)
 
 
 def go_on(epoch: int) -> Step:
     """Those that are watched do well: the rest follows."""
+
     def step(ticket: str, document: Document) -> Document | None:
         p = document.policy
         if p.epoch != epoch or p.stage is None or p.change:
             return None
         s = p.stage
         return _next(document, ticket, change=Change(s.id, s.digest, s.by, False, REST, s.few))
+
     return step
 
 
 def go_back(epoch: int, why: str) -> Step:
     """They do worse, or staff say so: all go to a version that is as the one before the stage. It can't be
     refused, for all went by it."""
+
     def step(ticket: str, document: Document) -> Document | None:
         p = document.policy
         if p.epoch != epoch or p.stage is None or p.change and p.change.moves != REST:
@@ -201,23 +213,28 @@
         ended = (*p.ended, Ended(s.id, 0, why[:MOST_WHY]))[-ENDED:]
         back = Change(s.id + "~", p.digest, s.by, False, BACK, s.few)
         return _next(document, ticket, ended=ended, change=back)
+
     return step
 
 
 def end(epoch: int, why: str) -> Step:
     """It is in force nowhere. Where some go by it already, they go back."""
+
     def then(ticket: str, d: Document) -> Document | None:
         change = d.policy.change
         assert change is not None
         if d.policy.stage:
             return go_back(epoch, why)(ticket, d)
-        return _next(d, ticket, change=None,
-                     ended=(*d.policy.ended, Ended(change.id, 0, why[:MOST_WHY]))[-ENDED:])
+        return _next(
+            d, ticket, change=None, ended=(*d.policy.ended, Ended(change.id, 0, why[:MOST_WHY]))[-ENDED:]
+        )
+
     return _at(epoch, then)
 
 
 def strike(member: str, off: bool = True) -> Step:
     """Staff's word that this member does not work any more: no change waits for it, and it gets no lease."""
+
     def step(ticket: str, document: Document) -> Document | None:
         struck = tuple(s for s in document.policy.struck if s != member) + ((member,) if off else ())
         if set(struck) == set(document.policy.struck):
@@ -225,4 +242,5 @@
         if len(struck) > MOST_STRUCK:
             raise Refused(f"at most {MOST_STRUCK} members are struck off at once")
         return _next(document, ticket, struck=struck)
+
     return step
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -259,5 +259,3 @@
             return False
         self.known = document
         return True
-
-
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -11,8 +11,7 @@
 from hopmill.fleet.lease import Keeper
 from hopmill.fleet.proposer import Change, Outcome, Proposer
 from hopmill.fleet.voter import Memory, Voter
-from hopmill.fleet.wire import (Accept, Accepted, Ask, Body, Chosen, Fetch, Known, Prepare, Promise,
-                                Refused)
+from hopmill.fleet.wire import Accept, Accepted, Ask, Body, Chosen, Fetch, Known, Prepare, Promise, Refused
 
 SETTLE_US = (500_000, 2_000_000)  # after the first step of replacing a voter
 CLOSING_US = 50_000  # that a lease's renewal waits at a time while a change of policy is closing
@@ -25,8 +24,9 @@
 
     voter_type, proposer_type, keeper_type = Voter, Proposer, Keeper
 
-    def __init__(self, me: str, life: int, initial: Document, memory: Memory, same_folder: bool,
-                 chance: random.Random) -> None:
+    def __init__(
+        self, me: str, life: int, initial: Document, memory: Memory, same_folder: bool, chance: random.Random
+    ) -> None:
         """life: of this member, never used before. memory, same_folder: what its voter finds on disk."""
         self.me, self.name = me, f"{me}#{life}"
         self.voter = self.voter_type(me, initial, memory, same_folder, chance)
@@ -49,9 +49,14 @@
         """Try to hold a lease from now on."""
         return self.keepers.setdefault(name, self.keeper_type(name, self.name, length_us, drift))
 
-    def propose(self, change: Callable[[str, Document], Document | None], now: int,
-                then: Callable[[Outcome], None] = lambda outcome: None, within: int = DONE_WITHIN_US,
-                urgent: bool = False) -> str:
+    def propose(
+        self,
+        change: Callable[[str, Document], Document | None],
+        now: int,
+        then: Callable[[Outcome], None] = lambda outcome: None,
+        within: int = DONE_WITHIN_US,
+        urgent: bool = False,
+    ) -> str:
         """change: given its ticket and the document, the next one or None. Returns the ticket."""
         self.counted += 1
         ticket = doc.ticket_of(f"{self.name}/{self.counted}")
@@ -157,21 +162,25 @@
 
 def say(name: str, text: str, if_version: int | None = None) -> Callable[[str, Document], Document | None]:
     """A word of the staff; an empty text takes it away. Left as it is where the version is another."""
+
     def change(ticket: str, document: Document) -> Document | None:
         if if_version is not None and document.version != if_version:
             return None
         words = {k: v for k, v in document.words.items() if k != name} | ({name: text} if text else {})
         return document.next(ticket, words=words)
+
     return change
 
 
 def replace_voter(old: str, new: str) -> Callable[[str, Document], Document | None]:
     """First step: from here on a majority of both sets has to agree. One at a time."""
+
     def change(ticket: str, document: Document) -> Document | None:
         if document.former or old not in document.voters or new in document.voters:
             return None
         voters = tuple(new if v == old else v for v in document.voters)
         return document.next(ticket, voters=voters, former=document.voters)
+
     return change
 
 
--- a/hopmill/fleet/settings.py
+++ b/hopmill/fleet/settings.py
@@ -58,7 +58,7 @@
     """What is wrong in the relation of fields, one line each."""
     ids = [members.id, *(o.id for o in members.others)]
     for at, other in enumerate(members.others):
-        if other.id in ids[:at + 1]:
+        if other.id in ids[: at + 1]:
             yield f"members.others[{at}].id: {other.id!r} is there twice"
         if not ADDRESS.match(other.address):
             yield f"members.others[{at}].address: must be an IPv4 HOST:PORT, not {other.address!r}"
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -34,8 +34,9 @@
 class Standing:
     """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
 
-    def __init__(self, me: str, life: int, register: Register, length_us: int, drift: float,
-                 last: bool) -> None:
+    def __init__(
+        self, me: str, life: int, register: Register, length_us: int, drift: float, last: bool
+    ) -> None:
         """last: alone, it goes on under the last version; else it holds."""
         self.me, self.life, self.register = me, life, register
         self.length_us, self.drift, self.last = length_us, drift, last
@@ -127,9 +128,19 @@
         asked.next_at = now + min(MOST_AGAIN_US, AGAIN_US << min(asked.tries, 8))
         asked.tries += 1
         mine = p.change is not None and p.change.id == self.ready
-        self.out.append(Send(voter, Hold(self.life, self.seq, self.version, self.last,
-                                         self.ready if mine and not self.refuses else "",
-                                         f"{self.ready} {self.refuses}" if mine and self.refuses else "")))
+        self.out.append(
+            Send(
+                voter,
+                Hold(
+                    self.life,
+                    self.seq,
+                    self.version,
+                    self.last,
+                    self.ready if mine and not self.refuses else "",
+                    f"{self.ready} {self.refuses}" if mine and self.refuses else "",
+                ),
+            )
+        )
 
     def _stop(self, p: Policy, d: Document, now: int) -> int:
         """Every voter is told, again and again, until a later epoch is known."""
@@ -167,8 +178,13 @@
     # Upgrades, on the same machine, whose elapsed clock goes on
 
     def carry(self) -> dict[str, object]:
-        return {"version": self.version, "given": self.given, "roster": self.roster, "seq": self.seq,
-                "stopped": self.stopped}
+        return {
+            "version": self.version,
+            "given": self.given,
+            "roster": self.roster,
+            "seq": self.seq,
+            "stopped": self.stopped,
+        }
 
     def resume(self, carried: dict[str, object]) -> None:
         """The lease moves along; what was asked and not answered does not."""
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -51,8 +51,15 @@
     by: set[str] = field(default_factory=set)  # who suspects it
 
     def news(self) -> News:
-        return News(self.id, self.state, self.incarnation, self.address, self.zone, self.region,
-                    min(self.by, default=""))
+        return News(
+            self.id,
+            self.state,
+            self.incarnation,
+            self.address,
+            self.zone,
+            self.region,
+            min(self.by, default=""),
+        )
 
 
 @dataclass
@@ -78,8 +85,13 @@
 class Swim:
     """Times are us of this member's elapsed clock."""
 
-    def __init__(self, members: Members, incarnation: int, chance: random.Random,
-                 next_incarnation: Callable[[int], int]) -> None:
+    def __init__(
+        self,
+        members: Members,
+        incarnation: int,
+        chance: random.Random,
+        next_incarnation: Callable[[int], int],
+    ) -> None:
         """next_incarnation: one above the given, never used before; 0 while it can't be had."""
         self.s, self.chance, self.next_incarnation = members, chance, next_incarnation
         self.me = Peer(members.id, members.address, members.zone, members.region, True, ALIVE, incarnation)
@@ -212,10 +224,16 @@
         if now >= self.next_probe:
             self.next_probe = max(now, self.next_probe + self.period * (1 + self.health))
             self._probe(now)
-        return min([self.next_probe, *(p.sent_at + (self._first_wait() if not p.helped else
-                                                    self.probe_us * (1 + self.health))
-                                       for p in self.probes.values()),
-                    *(self.peers[n].since + self._patience(self.peers[n]) for n in self.suspects)])
+        return min(
+            [
+                self.next_probe,
+                *(
+                    p.sent_at + (self._first_wait() if not p.helped else self.probe_us * (1 + self.health))
+                    for p in self.probes.values()
+                ),
+                *(self.peers[n].since + self._patience(self.peers[n]) for n in self.suspects),
+            ]
+        )
 
     def stood_still(self, late: int) -> None:
         """This process was, for so long: its open probes say nothing, and suspicions wait on."""
--- a/hopmill/fleet/texts.py
+++ b/hopmill/fleet/texts.py
@@ -83,7 +83,7 @@
         if text is None or not 0 <= want.at < max(1, len(text)):
             return
         for at in range(want.at, min(len(text), want.at + AT_ONCE * PIECE_BYTES) or 1, PIECE_BYTES):
-            piece = Piece(want.digest, at, len(text), text[at:at + PIECE_BYTES])
+            piece = Piece(want.digest, at, len(text), text[at : at + PIECE_BYTES])
             self.out.append(Send(sender, piece))
 
     def piece(self, sender: str, piece: Piece, now: int) -> None:
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -39,8 +39,9 @@
 class Voter:
     """`out` gathers its actions; whoever calls takes them."""
 
-    def __init__(self, me: str, initial: Document, memory: Memory, same_folder: bool,
-                 chance: random.Random) -> None:
+    def __init__(
+        self, me: str, initial: Document, memory: Memory, same_folder: bool, chance: random.Random
+    ) -> None:
         """initial: the document of a fleet that has none yet. same_folder: no copy, and not emptied."""
         self.me, self.initial, self.memory, self.chance = me, initial, memory, chance
         self.voting = self.begins = False
@@ -104,7 +105,7 @@
         """Lives of the voters stay; of others the latest, for a datagram has to hold them. One that was a
         voter long ago may be forgotten: no majority has counted on it since."""
         lives, there = self.memory.lives, self.document().everyone
-        for name in [n for n in lives if n not in there][:max(0, len(lives) - MOST_LIVES)]:
+        for name in [n for n in lives if n not in there][: max(0, len(lives) - MOST_LIVES)]:
             del lives[name]
 
     def known(self, sender: str, known: Known) -> None:
@@ -203,5 +204,7 @@
     def stands(self, basis: tuple[tuple[str, int], ...]) -> bool:
         """No promise under it was given in a life that has ended since."""
         lives = self.memory.lives
-        return all(life == self.memory.life if voter == self.me else life >= lives.get(voter, 0)
-                   for voter, life in basis)
+        return all(
+            life == self.memory.life if voter == self.me else life >= lives.get(voter, 0)
+            for voter, life in basis
+        )
--- a/hopmill/fleet/watch.py
+++ b/hopmill/fleet/watch.py
@@ -59,8 +59,11 @@
 def shares(s: Sums) -> dict[str, tuple[float, float]]:
     """(good share, of how many) by figure: all of them are better when larger."""
     calls = max(1e-9, s.calls)
-    return {"worth": (s.earned / max(1e-9, s.worth), s.worth),
-            "refusals": (1 - s.refused / calls, s.calls), "errors": (1 - s.failed / calls, s.calls)}
+    return {
+        "worth": (s.earned / max(1e-9, s.worth), s.worth),
+        "refusals": (1 - s.refused / calls, s.calls),
+        "errors": (1 - s.failed / calls, s.calls),
+    }
 
 
 def worse(few: Iterable[tuple[Sums, Sums]], rest: Iterable[tuple[Sums, Sums]], looks: int) -> str:
@@ -98,8 +101,11 @@
 def _spread(group: list[tuple[Sums, Sums]], figure: str) -> float:
     """How much more couriers differ than chance would have them, at least 1."""
     mean = _moved(group, figure)[0]
-    squares = [(_moved([row], figure)[0] - mean) ** 2 / max(1e-12, _moved([row], figure)[1]) for row in group
-               if _moved([row], figure)[2] >= 1]
+    squares = [
+        (_moved([row], figure)[0] - mean) ** 2 / max(1e-12, _moved([row], figure)[1])
+        for row in group
+        if _moved([row], figure)[2] >= 1
+    ]
     return max(1.0, sum(squares) / (len(squares) - 1)) if len(squares) > 1 else 1.0
 
 
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -201,9 +201,31 @@
     data: bytes
 
 
-Body = (Ping | Ack | PingFor | Unheard | Ask | Known | Prepare | Promise | Accept | Accepted | Refused | Fetch
-        | Chosen | Hold | Given | NotGiven | Stopped | IsClear | Clear | WantSums | Counted
-        | WantText | Piece)
+Body = (
+    Ping
+    | Ack
+    | PingFor
+    | Unheard
+    | Ask
+    | Known
+    | Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Refused
+    | Fetch
+    | Chosen
+    | Hold
+    | Given
+    | NotGiven
+    | Stopped
+    | IsClear
+    | Clear
+    | WantSums
+    | Counted
+    | WantText
+    | Piece
+)
 
 
 class Frame(Part):
--- a/hopmill/interface.py
+++ b/hopmill/interface.py
@@ -338,9 +338,26 @@
     messages: tuple[int, ...]
 
 
-Event = (EndpointsListed | MessageArrived | AttemptAnswering | AttemptEnded | ProbeEnded | MessageGone
-         | TimerDue | Closing | PeerNote | SetByHand | Carried | CallCarried | Connections | WarmUp
-         | SetZoneByHand | ZoneCarried | PolicySet | Hold)
+Event = (
+    EndpointsListed
+    | MessageArrived
+    | AttemptAnswering
+    | AttemptEnded
+    | ProbeEnded
+    | MessageGone
+    | TimerDue
+    | Closing
+    | PeerNote
+    | SetByHand
+    | Carried
+    | CallCarried
+    | Connections
+    | WarmUp
+    | SetZoneByHand
+    | ZoneCarried
+    | PolicySet
+    | Hold
+)
 
 # Actions: what the host must carry out, in order. Refuse and Fail are final answers.
 
@@ -441,5 +458,18 @@
     """Ask for the whole list once."""
 
 
-Action = (Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Keep | OpenIdle | SendNote | Log
-          | Subscribe | FetchList)
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | SetTimer
+    | Probe
+    | CloseIdle
+    | Keep
+    | OpenIdle
+    | SendNote
+    | Log
+    | Subscribe
+    | FetchList
+)
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -46,8 +46,12 @@
     def as_json(self) -> dict[str, object]:
         def rows(h: HdrHistogram) -> dict[str, float]:
             return {f"p{p:g}": round(h.get_value_at_percentile(p) / 1e3, 2) for p in (50, 90, 99, 99.9)}
-        return {**dict(sorted(self.counts.items())), "from_due_ms": rows(self.from_due),
-                "from_write_ms": rows(self.from_write)}
+
+        return {
+            **dict(sorted(self.counts.items())),
+            "from_due_ms": rows(self.from_due),
+            "from_write_ms": rows(self.from_write),
+        }
 
 
 def checked(address: Address, plan: Plan) -> None:
@@ -98,9 +102,16 @@
         try:
             async with asyncio.timeout(ANSWER_S):
                 client = client or await Client().open(port)
-                said = await client.send(client.message(
-                    ident, chance.choice(plan.classes), chance.choice(plan.partners), plan.life_ms,
-                    tenant=plan.tenant, key=ident))
+                said = await client.send(
+                    client.message(
+                        ident,
+                        chance.choice(plan.classes),
+                        chance.choice(plan.partners),
+                        plan.life_ms,
+                        tenant=plan.tenant,
+                        key=ident,
+                    )
+                )
             told.counts["taken" if said[:1] == "+" else "busy" if said[:5] == "-BUSY" else "error"] += 1
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             told.counts["no answer"] += 1
--- a/hopmill/lab/members.py
+++ b/hopmill/lab/members.py
@@ -33,12 +33,25 @@
 
 def configurations(plan: Plan) -> list[Members]:
     ids = [f"c{n}" for n in range(plan.members)]
-    rows = [Other(id=name, address=f"127.0.0.1:{20_000 + n}", zone=f"z{n % plan.zones}", region="r")
-            for n, name in enumerate(ids)]
+    rows = [
+        Other(id=name, address=f"127.0.0.1:{20_000 + n}", zone=f"z{n % plan.zones}", region="r")
+        for n, name in enumerate(ids)
+    ]
     voters = tuple(ids[:5] if len(ids) >= 5 else ids[:3] if len(ids) >= 3 else ids[:1])
-    return [Members(fleet="virtual", id=me.id, address=me.address, zone=me.zone, region=me.region,
-                    voters=voters, others=tuple(r for r in rows if r is not me), leases=plan.leases,
-                    **plan.settings) for me in rows]
+    return [
+        Members(
+            fleet="virtual",
+            id=me.id,
+            address=me.address,
+            zone=me.zone,
+            region=me.region,
+            voters=voters,
+            others=tuple(r for r in rows if r is not me),
+            leases=plan.leases,
+            **plan.settings,
+        )
+        for me in rows
+    ]
 
 
 class Fleet:
@@ -76,8 +89,13 @@
     def start(self, n: int) -> None:
         stored = msgspec.msgpack.decode(self.disks[n], type=Stored) if self.disks[n] else Stored()
         self.lives += 1
-        self.nodes[n] = Node(self.configs[n], stored, bool(self.disks[n]), self.plan.seed * 7919 + self.lives,
-                             texts=dict(self.texts[n]))
+        self.nodes[n] = Node(
+            self.configs[n],
+            stored,
+            bool(self.disks[n]),
+            self.plan.seed * 7919 + self.lives,
+            texts=dict(self.texts[n]),
+        )
         self._pump(n)
 
     def kill(self, n: int) -> None:
@@ -86,11 +104,18 @@
     def figures(self) -> dict[str, Any]:
         """What a play is told of its members."""
         live = [node for node in self.nodes if node]
-        return {"live": len(live), "versions": sorted({n.register.document.version for n in live}),
-                "taken_for_dead": sum(p.state == DEAD and p.incarnation > 0 and self.nodes[m] is not None
-                                      for node in live for p in node.swim.peers.values()
-                                      for m in (int(p.id[1:]),)),
-                "datagrams": self.datagrams, "bytes": self.bytes}
+        return {
+            "live": len(live),
+            "versions": sorted({n.register.document.version for n in live}),
+            "taken_for_dead": sum(
+                p.state == DEAD and p.incarnation > 0 and self.nodes[m] is not None
+                for node in live
+                for p in node.swim.peers.values()
+                for m in (int(p.id[1:]),)
+            ),
+            "datagrams": self.datagrams,
+            "bytes": self.bytes,
+        }
 
     def stop(self, n: int, lasts: int) -> None:
         """SIGSTOP; what comes meanwhile is read on waking."""
@@ -180,8 +205,11 @@
         fleet.kill(n)
         fleet.run(at + 8_000_000)
         victim = fleet.configs[n].id
-        known = {where: when for when, where, who, state in reversed(fleet.heard)
-                 if who == victim and state == "dead"}
+        known = {
+            where: when
+            for when, where, who, state in reversed(fleet.heard)
+            if who == victim and state == "dead"
+        }
         times = [known.get(c.id, at + 60_000_000) - at for m, c in enumerate(fleet.configs) if m != n]
         took += times
         whole.append(max(times))
@@ -189,13 +217,20 @@
         fleet.run(fleet.now + 4_000_000)
     took.sort()
     whole.sort()
-    return {"members": plan.members, "loss": plan.loss, "kills": kills,
-            "p50_ms": took[len(took) // 2] // 1000, "p99_ms": took[int(len(took) * 0.99)] // 1000,
-            "all_know_p50_ms": whole[len(whole) // 2] // 1000, "all_know_worst_ms": whole[-1] // 1000}
-
-
-def calm(plan: Plan, seconds: float, stop_us: int = 0, every_us: int = 10_000_000,
-         after_us: int = 3_000_000) -> dict[str, Any]:
+    return {
+        "members": plan.members,
+        "loss": plan.loss,
+        "kills": kills,
+        "p50_ms": took[len(took) // 2] // 1000,
+        "p99_ms": took[int(len(took) * 0.99)] // 1000,
+        "all_know_p50_ms": whole[len(whole) // 2] // 1000,
+        "all_know_worst_ms": whole[-1] // 1000,
+    }
+
+
+def calm(
+    plan: Plan, seconds: float, stop_us: int = 0, every_us: int = 10_000_000, after_us: int = 3_000_000
+) -> dict[str, Any]:
     """Nobody dies; one member is stopped for stop_us in each every_us. What is said of anybody, the cost."""
     fleet = Fleet(plan)
     fleet.run(after_us)
@@ -207,7 +242,12 @@
             fleet.stop(0, stop_us)
         fleet.run(min(until, fleet.now + every_us))
     lasted = (fleet.now - began) / 1e6 * plan.members
-    return {"members": plan.members, "loss": plan.loss, "seconds": seconds,
-            "false_deaths": sum(state == "dead" for *_, state in fleet.heard),
-            "suspected": sum(state == "suspect" for *_, state in fleet.heard),
-            "datagrams_s": round(fleet.datagrams / lasted, 1), "bytes_s": round(fleet.bytes / lasted)}
+    return {
+        "members": plan.members,
+        "loss": plan.loss,
+        "seconds": seconds,
+        "false_deaths": sum(state == "dead" for *_, state in fleet.heard),
+        "suspected": sum(state == "suspect" for *_, state in fleet.heard),
+        "datagrams_s": round(fleet.datagrams / lasted, 1),
+        "bytes_s": round(fleet.bytes / lasted),
+    }
--- a/hopmill/lab/policy.py
+++ b/hopmill/lab/policy.py
@@ -101,13 +101,22 @@
             return
         self.proposed += 1
         text = f"policy {self.proposed}".encode()
-        govern.propose(f"p{self.proposed}", text, govern.register.document.policy.version,
-                       self.world.clock.now, lambda outcome: None)
+        govern.propose(
+            f"p{self.proposed}",
+            text,
+            govern.register.document.policy.version,
+            self.world.clock.now,
+            lambda outcome: None,
+        )
         self.fleet.again(n)  # type: ignore[union-attr]
 
     def figures(self) -> dict[str, Any]:
         """Times in ms; a pause is one courier's."""
         versions = [govern.standing.version for n in range(len(self.holding)) if (govern := self._govern(n))]
-        return {"proposed": self.proposed, "version": max(versions, default=0), "pauses": self.pauses,
-                "mean_pause_ms": round(self.paused_us / 1e3 / max(1, self.pauses), 1),
-                "longest_pause_ms": round(self.longest_us / 1e3, 1)}
+        return {
+            "proposed": self.proposed,
+            "version": max(versions, default=0),
+            "pauses": self.pauses,
+            "mean_pause_ms": round(self.paused_us / 1e3 / max(1, self.pauses), 1),
+            "longest_pause_ms": round(self.longest_us / 1e3, 1),
+        }
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -47,9 +47,20 @@
         self.couriers = [CourierModel(self, n, int(zones[n])) for n in range(s.fleet.couriers)]
         for courier in self.couriers:
             courier.known = {n: self.entry(n) for n in self.endpoints}
-        self.members = Fleet(Plan(s.fleet.couriers, seed=seed, zones=s.net.zones, leases=("duty",),
-                                  settings={"policy": PolicyRule(alone="hold")} if s.fleet.policy else {}),
-                             self.clock) if s.fleet.members or s.fleet.policy else None
+        self.members = (
+            Fleet(
+                Plan(
+                    s.fleet.couriers,
+                    seed=seed,
+                    zones=s.net.zones,
+                    leases=("duty",),
+                    settings={"policy": PolicyRule(alone="hold")} if s.fleet.policy else {},
+                ),
+                self.clock,
+            )
+            if s.fleet.members or s.fleet.policy
+            else None
+        )
         self.policy = FleetPolicy(self, s.fleet.policy_every_s) if s.fleet.policy else None
         self.clients = Clients(self)
         self.troubles = Troubles(self)
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -22,8 +22,22 @@
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 FORMATS = ("line", "json")
-PARTS = ("accept", "asyncio", "calls", "clients", "config", "courier", "discovery", "door", "fleet",
-         "journal", "messages", "policy", "pool", "upgrade")
+PARTS = (
+    "accept",
+    "asyncio",
+    "calls",
+    "clients",
+    "config",
+    "courier",
+    "discovery",
+    "door",
+    "fleet",
+    "journal",
+    "messages",
+    "policy",
+    "pool",
+    "upgrade",
+)
 MOST = 4096  # bytes of a line: a pipe that is ready takes as many without waiting
 METHODS = ("debug", "info", "warning", "error", "exception")
 
@@ -70,7 +84,7 @@
 
     def _write(self, line: bytes) -> bool:
         if len(line) >= MOST:
-            line = line[:MOST - 4] + b"..."
+            line = line[: MOST - 4] + b"..."
         if self.may_block and not any(state & select.POLLOUT for _, state in self.ready.poll(0)):
             return False
         with contextlib.suppress(OSError):  # a log that is gone must not end the courier
@@ -83,14 +97,19 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         method = "error" if record.levelno >= logging.ERROR else "warning"
-        getattr(part("asyncio"), method)("library", text=record.getMessage(), logger=record.name,
-                                         exc_info=record.exc_info or None)
+        getattr(part("asyncio"), method)(
+            "library", text=record.getMessage(), logger=record.name, exc_info=record.exc_info or None
+        )
 
 
 def _in_order(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
     """Time, level, part and event first, in both forms."""
-    head = {"at": event.pop("at"), "level": method if method != "exception" else "error",
-            "part": event.pop("part"), "event": event.pop("event")}
+    head = {
+        "at": event.pop("at"),
+        "level": method if method != "exception" else "error",
+        "part": event.pop("part"),
+        "event": event.pop("event"),
+    }
     return head | {name: value for name, value in event.items() if value is not None}
 
 
@@ -127,8 +146,13 @@
     return _parts[name]
 
 
-def configure(form: str = "line", level: str = "info", levels: Mapping[str, str] | None = None,
-              lines_per_s: int = 50, stream: TextIO | int | None = None) -> None:
+def configure(
+    form: str = "line",
+    level: str = "info",
+    levels: Mapping[str, str] | None = None,
+    lines_per_s: int = 50,
+    stream: TextIO | int | None = None,
+) -> None:
     """From now on, also for loggers that were made before.
 
     form: one of FORMATS. level: of all parts but those in `levels`, each one of LEVELS. lines_per_s: the
@@ -136,8 +160,12 @@
     """
     sink = Sink(sys.stderr if stream is None else stream, lines_per_s)
     renderer = structlog.processors.JSONRenderer(serializer=_as_json) if form == "json" else _as_line
-    processors = [structlog.processors.format_exc_info, structlog.processors.TimeStamper("iso", key="at"),
-                  _in_order, renderer]
+    processors = [
+        structlog.processors.format_exc_info,
+        structlog.processors.TimeStamper("iso", key="at"),
+        _in_order,
+        renderer,
+    ]
 
     def dropped(event: str, count: int) -> bytes:
         fields: Any = {"event": event, "part": "courier", "count": count}
@@ -159,8 +187,11 @@
         return
     level = LEVELS[_now["levels"].get(each.name, _now["level"])]
     logger = structlog.wrap_logger(
-        _now["sink"], processors=_now["processors"], part=each.name,
-        wrapper_class=structlog.make_filtering_bound_logger(level)).bind()
+        _now["sink"],
+        processors=_now["processors"],
+        part=each.name,
+        wrapper_class=structlog.make_filtering_bound_logger(level),
+    ).bind()
     for method in METHODS:
         setattr(each, method, getattr(logger, method))
     each.debugs = level <= logging.DEBUG
--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -20,8 +20,13 @@
 
 TAIL_S = 1.0  # how long the rest of an answer whose status line has come is waited for
 MAX_ANSWER = 64 * 1024  # bytes of an answer's body: what is longer is no answer, and is not waited for
-STATES = {"done": Result.OK, "failed": Result.ERROR, "busy": Result.FULL, "void": Result.MOOT,
-          "used_up": Result.MOOT}
+STATES = {
+    "done": Result.OK,
+    "failed": Result.ERROR,
+    "busy": Result.FULL,
+    "void": Result.MOOT,
+    "used_up": Result.MOOT,
+}
 log = logs.part("calls")
 
 
@@ -229,18 +234,39 @@
             received = connection.received if connection.written else None
             if received is not None:
                 items = [[i.number, i.timeout_us, i.ended] for i in call.items]
-                rows.append([call.endpoint, list(connection.address), carry_link(cargo, connection),
-                             call.started, items, received])
+                rows.append(
+                    [
+                        call.endpoint,
+                        list(connection.address),
+                        carry_link(cargo, connection),
+                        call.started,
+                        items,
+                        received,
+                    ]
+                )
             # One that has begun and is not handed over may have run, unless its last byte was not written.
         return rows
 
     def unwritten(self) -> list[int]:
         """Messages whose newest attempt has begun and can't have run, for its last byte is not written."""
-        return [i.number for call in self.out if call.connection and not call.connection.written
-                for i in call.items if i.begun and not i.ended]
-
-    def resume(self, endpoint: int, address: Address, sock: socket.socket, born: float, started: float,
-               items: list[Item], received: bytes) -> None:
+        return [
+            i.number
+            for call in self.out
+            if call.connection and not call.connection.written
+            for i in call.items
+            if i.begun and not i.ended
+        ]
+
+    def resume(
+        self,
+        endpoint: int,
+        address: Address,
+        sock: socket.socket,
+        born: float,
+        started: float,
+        items: list[Item],
+        received: bytes,
+    ) -> None:
         """Go on with a call of the process before this one."""
         call = Call(self, endpoint, items)
         call.started = started
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -361,8 +361,11 @@
 
     def carry(self, cargo: Cargo, most: int) -> list[list[Any]]:
         """The connections, most recently used last; nothing is pending on them between two turns."""
-        return [[cargo.place(c.fileno), c.reader.carry(), c.heard_at, c.proper_at, c.begun_at, c.fresh]
-                for c in list(self.clients)[-most:] if c.steady]
+        return [
+            [cargo.place(c.fileno), c.reader.carry(), c.heard_at, c.proper_at, c.begun_at, c.fresh]
+            for c in list(self.clients)[-most:]
+            if c.steady
+        ]
 
     def resume(self, sock: socket.socket, *carried: Any) -> None:
         """Go on with a connection of the process before this one."""
--- a/hopmill/net/config.py
+++ b/hopmill/net/config.py
@@ -93,12 +93,21 @@
         name=env.get("LB_NAME") or document.name,
         listen=parse_address(env.get("LB_LISTEN") or document.listen, "LB_LISTEN"),
         discovery=parse_address(env.get("LB_DISCOVERY") or document.discovery, "LB_DISCOVERY"),
-        state=state, seed=_seed(document.seed), sockets=int(limits.sockets),
-        disk_bytes=int(limits.disk_mb * 1_000_000), memory_bytes=int(limits.memory_mb * 1_000_000),
-        known=known, settings=settings, zones=tuple(z.name for z in document.zones),
+        state=state,
+        seed=_seed(document.seed),
+        sockets=int(limits.sockets),
+        disk_bytes=int(limits.disk_mb * 1_000_000),
+        memory_bytes=int(limits.memory_mb * 1_000_000),
+        known=known,
+        settings=settings,
+        zones=tuple(z.name for z in document.zones),
         operator=parse_address(door, "LB_OPERATOR") if door else None,
-        listen_fd=_listen_fd(env.get("LB_LISTEN_FD", "")), options=options(document), log=document.log,
-        members=document.members, document=document)
+        listen_fd=_listen_fd(env.get("LB_LISTEN_FD", "")),
+        options=options(document),
+        log=document.log,
+        members=document.members,
+        document=document,
+    )
 
 
 def options(document: Document) -> Options:
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -118,8 +118,14 @@
 class Watch(Link, Exchange):
     """Follows the list of endpoints from the last version on."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, rev: int,
-                 told: Callable[[dict[str, Any]], None], couriers: int = 1) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        rev: int,
+        told: Callable[[dict[str, Any]], None],
+        couriers: int = 1,
+    ) -> None:
         super().__init__(loop, address, Backoff(couriers))
         self.rev, self.told = rev, told
         self.tail, self.part, self.status, self.since = b"", b"", 0, 0.0
@@ -182,8 +188,9 @@
 class Notices(Link, Exchange):
     """Sends finals in batches, again and again until each batch is answered 204."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address,
-                 accepted: Callable[[list[int]], None]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, address: Address, accepted: Callable[[list[int]], None]
+    ) -> None:
         super().__init__(loop, address, Backoff())  # its own machine's agent answers these
         self.accepted = accepted
         self.waiting: dict[int, bytes] = {}
@@ -219,7 +226,7 @@
 
     def ready(self) -> None:
         assert self.connection is not None
-        self.sent = list(self.waiting)[:self.most]
+        self.sent = list(self.waiting)[: self.most]
         body = b"".join(self.waiting[n] for n in self.sent)
         self.status = 0
         self.after(NOTICE_S, self.open)
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -105,9 +105,13 @@
             uids=host.roster.uids,
             known={"rev": host.watch.rev, "targets": list(host.roster.targets.values())},
             waits=[[*key, until] for key, until in host.roster.waits.items()],
-            learned=host.courier.carry(), returning=self._zones_returning(),
-            calls=host.calls.carry(cargo), unwritten=host.calls.unwritten(),
-            door=host.door.carry(cargo), moved=host.moved_to)
+            learned=host.courier.carry(),
+            returning=self._zones_returning(),
+            calls=host.calls.carry(cargo),
+            unwritten=host.calls.unwritten(),
+            door=host.door.carry(cargo),
+            moved=host.moved_to,
+        )
         if host.in_force:
             host.in_force.turn_all_away()
         if host.peers:
@@ -121,16 +125,23 @@
         sends then may go over the idle connections, so these have their owner before."""
         carried, host = self.carried, self.host
         host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
-        host.pool.resume_idle([
-            (endpoint, tuple(address), self.sock(place), since, self._born(place, since))
-            for endpoint, address, place, since, *_ in carried.get("idle", ())])
-        host.events += [i.ZoneCarried(host.roster.zone(name), since, until)
-                        for name, since, until in carried.get("returning", ())]
+        host.pool.resume_idle(
+            [
+                (endpoint, tuple(address), self.sock(place), since, self._born(place, since))
+                for endpoint, address, place, since, *_ in carried.get("idle", ())
+            ]
+        )
+        host.events += [
+            i.ZoneCarried(host.roster.zone(name), since, until)
+            for name, since, until in carried.get("returning", ())
+        ]
         host.events += [i.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
         for number in carried["unwritten"]:
             host.note(host.journal.missed, number)
-        calls = [(endpoint, int(started * 1e6), tuple(n for n, _, ended in items if not ended))
-                 for endpoint, _, _, started, items, *_ in carried["calls"]]
+        calls = [
+            (endpoint, int(started * 1e6), tuple(n for n, _, ended in items if not ended))
+            for endpoint, _, _, started, items, *_ in carried["calls"]
+        ]
         host.restore({number for _, _, numbers in calls for number in numbers})
         host.events += [i.CallCarried(*call) for call in calls]
         host.turn()
@@ -150,8 +161,9 @@
             host.move_discovery((carried["moved"][0], carried["moved"][1]))
         for endpoint, address, place, started, rows, received, *_ in carried["calls"]:
             items = [self._carried_item(*row) for row in rows]
-            host.calls.resume(endpoint, tuple(address), sock(place), self._born(place, started), started,
-                              items, received)
+            host.calls.resume(
+                endpoint, tuple(address), sock(place), self._born(place, started), started, items, received
+            )
         for place, *rest in carried["clients"]:
             host.clients.resume(sock(place), *rest)
         door = carried["door"]
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -42,16 +42,20 @@
 class Host:
     """One courier on real sockets."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, owner: Owner,
-                 cargo: Cargo | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, config: Config, owner: Owner, cargo: Cargo | None = None
+    ) -> None:
         """owner: the right to act on the journal; cargo: what came with it from the process before."""
         self.loop, self.config, self.s = loop, config, config.settings
         self.upgrade = HandOver(self, owner, cargo)
         self.courier = Courier(self.s, config.seed)
         self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
         self.in_force: Any = None  # hopmill/net/in_force.py, where something may differ from the file
-        self.journal = Journal(owner.folder, config.disk_bytes - joining.fleet_bytes(config),
-                               max(c.key_window_us for c in self.s.classes) / 1e6)
+        self.journal = Journal(
+            owner.folder,
+            config.disk_bytes - joining.fleet_bytes(config),
+            max(c.key_window_us for c in self.s.classes) / 1e6,
+        )
         self.roster = Roster(self.s, config.zones, self.courier.may_serve)
         self.events: list[i.Event] = []
         self.intake = Intake(self)
@@ -60,12 +64,20 @@
         self.scheduled = False
         self.last_turn = -self.s.tick_us
         self.restart = Restart(self)
-        hooks = Hooks(lambda endpoint: self.roster.may_write(endpoint, self.clock()),
-                      self._begin, self._ended,
-                      lambda endpoint, wait_us: self.roster.told_wait(endpoint, self.clock() + wait_us),
-                      self._probed)
-        self.pool = Pool(loop, self.s.connection_idle_us, self.s.connect_timeout_us,
-                         int(config.sockets * IDLE_SHARE), self.roster.wanted)
+        hooks = Hooks(
+            lambda endpoint: self.roster.may_write(endpoint, self.clock()),
+            self._begin,
+            self._ended,
+            lambda endpoint, wait_us: self.roster.told_wait(endpoint, self.clock() + wait_us),
+            self._probed,
+        )
+        self.pool = Pool(
+            loop,
+            self.s.connection_idle_us,
+            self.s.connect_timeout_us,
+            int(config.sockets * IDLE_SHARE),
+            self.roster.wanted,
+        )
         self.calls = Calls(loop, hooks, self.pool)
         places = min(config.sockets * CLIENT_SHARE, config.memory_bytes * MEMORY_SHARE / MAX_REQUEST)
         self.clients = ClientServer(self.intake.put, max(8, int(places)))
@@ -76,8 +88,16 @@
         self.metrics: Any = None  # counted only while the operators' door is open
         self.due = 0  # when the next turn was to begin, in us of the monotonic clock
         self.moved_to: Address | None = None  # where discovery went with a changed configuration
-        self.staff = Staff(self.courier, self.journal, self.roster, self.pool, self.clients, self.clock,
-                           self.act, lambda: self.clients.listening and not self.restart.closing_at)
+        self.staff = Staff(
+            self.courier,
+            self.journal,
+            self.roster,
+            self.pool,
+            self.clients,
+            self.clock,
+            self.act,
+            lambda: self.clients.listening and not self.restart.closing_at,
+        )
         self.door = Door(self.staff.routes(), config.sockets)
 
     def start(self) -> int:
@@ -133,9 +153,20 @@
 
     def arrival(self, m: Held, out: bool = False, restored: bool = False) -> i.MessageArrived:
         ran, zone = (m.ran_at, m.ran_zone) if out else (m.may_have_run_at, m.may_have_run_zone)
-        return i.MessageArrived(m.number, m.cls, m.dest, self._mono(m.until), m.tenant, m.order,
-                                m.resubmitted, m.tries, self._mono(ran) if ran else -1,
-                                self.roster.zones.get(zone, -1), out, restored)
+        return i.MessageArrived(
+            m.number,
+            m.cls,
+            m.dest,
+            self._mono(m.until),
+            m.tenant,
+            m.order,
+            m.resubmitted,
+            m.tries,
+            self._mono(ran) if ran else -1,
+            self.roster.zones.get(zone, -1),
+            out,
+            restored,
+        )
 
     # The turn
 
@@ -211,7 +242,7 @@
         for endpoint, items in bundles.items():
             most = self.roster.batch(endpoint)
             for at in range(0, len(items), most):
-                self._call(endpoint, items[at:at + most])
+                self._call(endpoint, items[at : at + most])
 
     # Ends
 
@@ -322,8 +353,9 @@
         m = self.journal.held.get(item.number)
         over = outcome.over or m is None
         if m and (self.metrics or self.observer.counting or messages_log.debugs):
-            self.observer.ended(m, item.attempt, self.roster.uid(endpoint), outcome.result, latency,
-                                outcome.wait_us)
+            self.observer.ended(
+                m, item.attempt, self.roster.uid(endpoint), outcome.result, latency, outcome.wait_us
+            )
         if outcome.over and m:
             if not m.status:
                 self.observer.over(m, "delivered" if outcome.result is i.Result.OK else "withdrawn")
@@ -335,8 +367,19 @@
             self.attempts.pop(item.number, None)
         named = dict(outcome.report)
         report = tuple(named.get(name, 0.0) for name in self.s.report_fields) if named else ()
-        self.tell(i.AttemptEnded(item.number, item.attempt, endpoint, outcome.result, max(1, latency), over,
-                                 outcome.wait_us, report, item.idle_us))
+        self.tell(
+            i.AttemptEnded(
+                item.number,
+                item.attempt,
+                endpoint,
+                outcome.result,
+                max(1, latency),
+                over,
+                outcome.wait_us,
+                report,
+                item.idle_us,
+            )
+        )
         self.restart.maybe_exit()
 
     def _probed(self, endpoint: int, result: i.Result, latency: int) -> None:
@@ -355,6 +398,7 @@
     def _count(self) -> None:
         """Only here is the library read: what is not asked for costs a courier in service no memory."""
         from hopmill.net.metrics import HostState, Metrics
+
         self.metrics = Metrics(tuple(c.name for c in self.s.classes), HostState(self))
         self.observer.meters = self.staff.metrics = self.metrics
 
@@ -383,4 +427,3 @@
         self.door.close()
         self.journal.close()
         self.upgrade.close()
-
--- a/hopmill/net/http.py
+++ b/hopmill/net/http.py
@@ -45,8 +45,9 @@
 class Connection:
     """Carries one exchange at a time."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address,
-                 sock: socket.socket | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, address: Address, sock: socket.socket | None = None
+    ) -> None:
         """sock: a connection that is up already, of the process before this one."""
         self.loop, self.address = loop, address
         self.http = h11.Connection(h11.CLIENT)
@@ -130,7 +131,7 @@
 
     def _write(self) -> None:
         try:
-            self._sent += self.sock.send(memoryview(self._out)[self._sent:])
+            self._sent += self.sock.send(memoryview(self._out)[self._sent :])
         except BlockingIOError:
             pass
         except OSError:
@@ -154,7 +155,7 @@
         self._take(data)
 
     def _take(self, data: bytes) -> None:
-        self._in += data[:MAX_KEPT - len(self._in)]
+        self._in += data[: MAX_KEPT - len(self._in)]
         try:
             self.http.receive_data(data)
             self._events()
@@ -170,8 +171,9 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                exchange.head(event.status_code, {k.decode("latin-1"): v.decode("latin-1")
-                                                  for k, v in event.headers})
+                exchange.head(
+                    event.status_code, {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
+                )
             elif isinstance(event, h11.Data):
                 exchange.data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -53,8 +53,11 @@
         if not self.governed:
             return True
         govern = self.peers and self.peers.node.govern
-        return bool(govern) and self.applied == govern.standing.version \
+        return (
+            bool(govern)
+            and self.applied == govern.standing.version
             and govern.standing.held(elapsed_us()) >= 0
+        )
 
     def wait(self, put: Put, reply: Reply) -> None:
         """A message that came while nothing may be taken on."""
@@ -164,8 +167,11 @@
                 self.trouble = str(error)
                 log.error("fleet.policy_not_taken", version=version, error=error)
             return
-        changes = sum(1 for path in {*self.book.values, *book.values}
-                      if self.book.values.get(path) != book.values.get(path))
+        changes = sum(
+            1
+            for path in {*self.book.values, *book.values}
+            if self.book.values.get(path) != book.values.get(path)
+        )
         self.trouble, self.book, self.applied = "", book, version
         self.host.act(self._event(document))
         log.info("fleet.policy", version=version, fields=len(book.values), changed=changes)
@@ -173,17 +179,25 @@
 
     def _event(self, document: Document) -> i.PolicySet:
         before, after = self.document.settings(), document.settings()
-        changed = {f.name: getattr(after, f.name) for f in dataclasses.fields(after)
-                   if getattr(after, f.name) != getattr(before, f.name)}
+        changed = {
+            f.name: getattr(after, f.name)
+            for f in dataclasses.fields(after)
+            if getattr(after, f.name) != getattr(before, f.name)
+        }
         host = self.host
         settings = dataclasses.replace(self.own, **changed) if changed else self.own
         host.s = host.roster.s = host.observer.s = settings
         self.left_out = frozenset(document.left_out.endpoints), frozenset(document.left_out.zones)
-        endpoints, zones = ({*self.left_out[0], *host.journal.out_by_hand},
-                            {*self.left_out[1], *host.journal.zones_out})
-        return i.PolicySet(settings, frozenset(map(host.roster.number, sorted(endpoints))),
-                           frozenset(map(host.roster.zone, sorted(zones))),
-                           {c.partner: (c.window, c.rate_per_s) for c in document.ceilings})
+        endpoints, zones = (
+            {*self.left_out[0], *host.journal.out_by_hand},
+            {*self.left_out[1], *host.journal.zones_out},
+        )
+        return i.PolicySet(
+            settings,
+            frozenset(map(host.roster.number, sorted(endpoints))),
+            frozenset(map(host.roster.zone, sorted(zones))),
+            {c.partner: (c.window, c.rate_per_s) for c in document.ceilings},
+        )
 
     def reloaded(self, document: Document) -> None:
         """What the file on this machine says otherwise does not hold."""
@@ -191,5 +205,10 @@
             log.warning("fleet.policy_prevails", paths=",".join(paths))
 
     def status(self) -> dict[str, Any]:
-        return {"applied": self.applied, "may_act": self.may_act(), "trouble": self.trouble,
-                "values": self.book.values, "waiting_clients": len(self.waiting)}
+        return {
+            "applied": self.applied,
+            "may_act": self.may_act(),
+            "trouble": self.trouble,
+            "values": self.book.values,
+            "waiting_clients": len(self.waiting),
+        }
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -62,8 +62,19 @@
             return
         now = host.journal.scale.now()
         self.numbers += 1
-        m = Held(self.numbers, put.id, cls, tenant, put.dest, put.key, now + put.life_ms / 1e3,
-                 put.resubmitted, put.body, put.order, ran_at=host.journal.key_ran_at(put.key))
+        m = Held(
+            self.numbers,
+            put.id,
+            cls,
+            tenant,
+            put.dest,
+            put.key,
+            now + put.life_ms / 1e3,
+            put.resubmitted,
+            put.body,
+            put.order,
+            ran_at=host.journal.key_ran_at(put.key),
+        )
         self._replace(m)
         self.arrived[m.number] = (m, [reply])
         self.arriving[m.id] = m.number
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -29,6 +29,7 @@
     if d is None or not (bounded or members and members.policy):
         return
     from hopmill.net.in_force import InForce
+
     host.in_force = host.staff.in_force = InForce(host, d)
     host.events += host.in_force.first()
 
@@ -38,9 +39,11 @@
     if not host.config.members:
         return
     from hopmill.net.peers import Peers
+
     carried = host.upgrade.carried.get("fleet")
     sock = host.upgrade.sock(carried["socket"]) if carried else None
-    host.peers = host.staff.peers = Peers(host.loop, host.config.members, host.upgrade.owner.folder, carried,
-                                          sock)
+    host.peers = host.staff.peers = Peers(
+        host.loop, host.config.members, host.upgrade.owner.folder, carried, sock
+    )
     if host.in_force:
         host.in_force.join(host.peers)
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -46,18 +46,41 @@
         """classes: their names, in the settings' order. state: a collector of what only has a present."""
         self.registry = registry = CollectorRegistry(auto_describe=False)
         self.classes, self.partners = classes, Names()
-        self.messages = Counter("hopmill_messages", "Messages by class and what became of them.",
-                                ["cls", "end"], registry=registry)
-        self.message_s = Histogram("hopmill_message_seconds", "From taken on to its end.", ["cls", "end"],
-                                   buckets=LATENCY_S, registry=registry)
-        self.calls = Counter("hopmill_attempts", "Attempts that ended, by partner and result.",
-                             ["partner", "result"], registry=registry)
-        self.call_s = Histogram("hopmill_attempt_seconds", "From an attempt's start to its end.", ["partner"],
-                                buckets=LATENCY_S, registry=registry)
-        self.turn_s = Histogram("hopmill_turn_seconds", "Time that a turn takes, its effects included.",
-                                buckets=TURN_S, registry=registry)
-        self.lag_s = Histogram("hopmill_loop_lag_seconds", "How late turns begin.", buckets=TURN_S,
-                               registry=registry)
+        self.messages = Counter(
+            "hopmill_messages",
+            "Messages by class and what became of them.",
+            ["cls", "end"],
+            registry=registry,
+        )
+        self.message_s = Histogram(
+            "hopmill_message_seconds",
+            "From taken on to its end.",
+            ["cls", "end"],
+            buckets=LATENCY_S,
+            registry=registry,
+        )
+        self.calls = Counter(
+            "hopmill_attempts",
+            "Attempts that ended, by partner and result.",
+            ["partner", "result"],
+            registry=registry,
+        )
+        self.call_s = Histogram(
+            "hopmill_attempt_seconds",
+            "From an attempt's start to its end.",
+            ["partner"],
+            buckets=LATENCY_S,
+            registry=registry,
+        )
+        self.turn_s = Histogram(
+            "hopmill_turn_seconds",
+            "Time that a turn takes, its effects included.",
+            buckets=TURN_S,
+            registry=registry,
+        )
+        self.lag_s = Histogram(
+            "hopmill_loop_lag_seconds", "How late turns begin.", buckets=TURN_S, registry=registry
+        )
         if state:
             registry.register(state)
 
@@ -89,16 +112,19 @@
     def collect(self) -> Iterator[Metric]:
         host = self.host
         for name, text, value in (
-                ("hopmill_messages_held", "Messages taken on and not ended.",
-                 host.journal.open),
-                ("hopmill_notices_owed", "Notices that the platform has not accepted.",
-                 len(host.notices.waiting)),
-                ("hopmill_slots_used", "Calls in flight.", host.courier.book.out),
-                ("hopmill_slots", "Calls that may be in flight.", host.s.slots),
-                ("hopmill_journal_bytes", "Size of the journal.", host.journal.size),
-                ("hopmill_journal_limit_bytes", "What the folder may hold.", host.journal.limit),
-                ("hopmill_clients", "Clients' connections.", len(host.clients.clients)),
-                ("hopmill_drained", "1 while an operator has it drained.", int(host.clients.drained))):
+            ("hopmill_messages_held", "Messages taken on and not ended.", host.journal.open),
+            (
+                "hopmill_notices_owed",
+                "Notices that the platform has not accepted.",
+                len(host.notices.waiting),
+            ),
+            ("hopmill_slots_used", "Calls in flight.", host.courier.book.out),
+            ("hopmill_slots", "Calls that may be in flight.", host.s.slots),
+            ("hopmill_journal_bytes", "Size of the journal.", host.journal.size),
+            ("hopmill_journal_limit_bytes", "What the folder may hold.", host.journal.limit),
+            ("hopmill_clients", "Clients' connections.", len(host.clients.clients)),
+            ("hopmill_drained", "1 while an operator has it drained.", int(host.clients.drained)),
+        ):
             yield GaugeMetricFamily(name, text, value=value)
         yield from self._lanes()
         yield from self._by("hopmill_circuits", "Circuits by state.", "state", observe.circuits(host.courier))
@@ -110,18 +136,29 @@
     @staticmethod
     def _fleet(status: dict[str, Any]) -> Iterator[Metric]:
         states = [row["state"] for row in status["members"]]
-        yield from HostState._by("hopmill_fleet_members", "Members as this courier sees them.", "state",
-                            {state: states.count(state) for state in sorted(set(states))})
+        yield from HostState._by(
+            "hopmill_fleet_members",
+            "Members as this courier sees them.",
+            "state",
+            {state: states.count(state) for state in sorted(set(states))},
+        )
         counts = status["datagrams"]
         for name, text, value in (
-                ("hopmill_fleet_version", "Of the register's document, as known here.", status["version"]),
-                ("hopmill_fleet_votes", "1 while this courier votes.", int(status["votes"])),
-                ("hopmill_fleet_health", "Of this member's own hearing; 0 is well.", status["health"]),
-                ("hopmill_fleet_leases_held", "Leases that it may act under.",
-                 sum(row["mine"] for row in status["leases"]))):
+            ("hopmill_fleet_version", "Of the register's document, as known here.", status["version"]),
+            ("hopmill_fleet_votes", "1 while this courier votes.", int(status["votes"])),
+            ("hopmill_fleet_health", "Of this member's own hearing; 0 is well.", status["health"]),
+            (
+                "hopmill_fleet_leases_held",
+                "Leases that it may act under.",
+                sum(row["mine"] for row in status["leases"]),
+            ),
+        ):
             yield GaugeMetricFamily(name, text, value=value)
-        for name, text in (("sent", "Datagrams to members."), ("sent_bytes", "Their bytes."),
-                           ("received", "Datagrams from members.")):
+        for name, text in (
+            ("sent", "Datagrams to members."),
+            ("sent_bytes", "Their bytes."),
+            ("received", "Datagrams from members."),
+        ):
             yield CounterMetricFamily(f"hopmill_fleet_{name}", text, value=counts[name])
         dropped = CounterMetricFamily("hopmill_fleet_dropped", "Datagrams by reason.", labels=["reason"])
         for reason, count in counts["dropped"].items():
@@ -131,15 +168,21 @@
     def _lanes(self) -> Iterator[Metric]:
         host, names = self.host, ["partner", "endpoint"]
         columns: list[tuple[Metric, Callable[[observe.LaneRow], float]]] = [
-            (GaugeMetricFamily(f"hopmill_lane_{name}", text, labels=names), value) for name, text, value in (
+            (GaugeMetricFamily(f"hopmill_lane_{name}", text, labels=names), value)
+            for name, text, value in (
                 ("queued", "Messages that wait, of the whole partner.", lambda row: row.queued),
                 ("out", "Calls in flight.", lambda row: row.out),
-                ("window", "Calls that may be in flight; 0 where a pace holds instead.",
-                 lambda row: row.window),
+                (
+                    "window",
+                    "Calls that may be in flight; 0 where a pace holds instead.",
+                    lambda row: row.window,
+                ),
                 ("pace", "Calls a second it is held to, 0 if none.", lambda row: row.pace),
                 ("part", "This courier's part of the limit, calls a second.", lambda row: row.part),
                 ("refused_ratio", "Share of its calls refused lately.", lambda row: row.refused),
-                ("wait_seconds", "Until a told wait ends.", lambda row: row.wait_us / 1e6))]
+                ("wait_seconds", "Until a told wait ends.", lambda row: row.wait_us / 1e6),
+            )
+        ]
         for count, row in enumerate(observe.lanes(host.courier, host.clock())):
             if count >= MOST_NAMES:
                 break
@@ -150,8 +193,9 @@
             yield family
 
     def _zones(self) -> Iterator[Metric]:
-        share = GaugeMetricFamily("hopmill_zone_share", "Share of the traffic that a zone may get.",
-                                  labels=["zone", "state"])
+        share = GaugeMetricFamily(
+            "hopmill_zone_share", "Share of the traffic that a zone may get.", labels=["zone", "state"]
+        )
         for row in self.host.staff.zone_rows():
             share.add_metric([row["zone"], row["state"]], row["share"])
         yield share
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -40,8 +40,16 @@
     def put(self, m: Held, life_ms: int) -> None:
         if log.debugs:
             tenant = self.s.tenants[m.tenant].name if self.s.tenants else None
-            log.debug("message.put", message=m.id, cls=self._cls(m), tenant=tenant, partner=m.dest,
-                      life_ms=life_ms, bytes=len(m.body), resubmitted=m.resubmitted)
+            log.debug(
+                "message.put",
+                message=m.id,
+                cls=self._cls(m),
+                tenant=tenant,
+                partner=m.dest,
+                life_ms=life_ms,
+                bytes=len(m.body),
+                resubmitted=m.resubmitted,
+            )
 
     def refused(self, m: Held, wait_us: int) -> None:
         """Answered -BUSY or -ERR before it was taken on."""
@@ -59,14 +67,27 @@
 
     def sent(self, m: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
         if log.debugs:
-            log.debug("attempt.sent", message=m.id, attempt=attempt, endpoint=endpoint,
-                      timeout_ms=timeout_us // 1000)
-
-    def ended(self, m: Held, attempt: int, endpoint: str, result: i.Result, latency_us: int,
-              wait_us: int) -> None:
+            log.debug(
+                "attempt.sent",
+                message=m.id,
+                attempt=attempt,
+                endpoint=endpoint,
+                timeout_ms=timeout_us // 1000,
+            )
+
+    def ended(
+        self, m: Held, attempt: int, endpoint: str, result: i.Result, latency_us: int, wait_us: int
+    ) -> None:
         if log.debugs:
-            log.debug("attempt.ended", message=m.id, attempt=attempt, endpoint=endpoint, result=result.value,
-                      latency_ms=round(latency_us / 1e3, 1), wait_ms=wait_us // 1000 or None)
+            log.debug(
+                "attempt.ended",
+                message=m.id,
+                attempt=attempt,
+                endpoint=endpoint,
+                result=result.value,
+                latency_ms=round(latency_us / 1e3, 1),
+                wait_ms=wait_us // 1000 or None,
+            )
         if self.counting:
             self.sums[2] += 1
             self.sums[3] += result is i.Result.FULL
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -59,16 +59,19 @@
     """Methods and paths with their handlers; '*' in a path stands for any one word."""
 
     def __init__(self, *rows: tuple[str, str, Handler | WithBody]) -> None:
-        self.rows = [(method, re.compile(re.escape(path).replace(r"\*", "([^/]+)")), handler)
-                     for method, path, handler in rows]
+        self.rows = [
+            (method, re.compile(re.escape(path).replace(r"\*", "([^/]+)")), handler)
+            for method, path, handler in rows
+        ]
 
     def answer(self, method: str, target: str, body: bytes = b"") -> tuple[int, Body]:
         try:
             path = urlsplit(target).path
         except ValueError:
             raise Refused(400, "the target can't be read") from None
-        found = [(m, match, handler) for m, pattern, handler in self.rows
-                 if (match := pattern.fullmatch(path))]
+        found = [
+            (m, match, handler) for m, pattern, handler in self.rows if (match := pattern.fullmatch(path))
+        ]
         if not found:
             raise Refused(404, "no such path")
         for known, match, handler in found:
@@ -162,11 +165,17 @@
         self.answered = True
         page = body if isinstance(body, Page) else Page("application/json", json.dumps(body).encode() + b"\n")
         text = page.text
-        fields = [("Content-Type", page.content_type), ("Content-Length", str(len(text))),
-                  ("Connection", "close"), *(headers or {}).items()]
+        fields = [
+            ("Content-Type", page.content_type),
+            ("Content-Length", str(len(text))),
+            ("Connection", "close"),
+            *(headers or {}).items(),
+        ]
         try:
-            parts = [self.http.send(h11.Response(status_code=status, headers=fields)),
-                     self.http.send(h11.Data(data=text)) if not self._is_head else b""]
+            parts = [
+                self.http.send(h11.Response(status_code=status, headers=fields)),
+                self.http.send(h11.Data(data=text)) if not self._is_head else b"",
+            ]
         except h11.LocalProtocolError:  # the caller's side is beyond an answer
             self.transport.close()
             return
@@ -205,10 +214,15 @@
         return [a for a in (self.acceptor, self.former) if a and a.open]
 
     def carry(self, cargo: Cargo) -> dict[str, Any]:
-        callers = [[cargo.place(c.transport.get_extra_info("socket").fileno()), bytes(c.heard)]
-                   for c in self.callers if not c.answered and not c.transport.is_closing()]
-        return {"listening": cargo.place(self.acceptor.sock.fileno()) if self.acceptor else None,
-                "callers": callers}
+        callers = [
+            [cargo.place(c.transport.get_extra_info("socket").fileno()), bytes(c.heard)]
+            for c in self.callers
+            if not c.answered and not c.transport.is_closing()
+        ]
+        return {
+            "listening": cargo.place(self.acceptor.sock.fileno()) if self.acceptor else None,
+            "callers": callers,
+        }
 
     def resume(self, sock: socket.socket, callers: list[tuple[socket.socket, bytes]]) -> None:
         """Answer at the former address for a while, and those who had begun a call there."""
--- a/hopmill/net/peers.py
+++ b/hopmill/net/peers.py
@@ -66,7 +66,7 @@
             data = self.state.read_bytes()
         except FileNotFoundError:
             return Stored(), False
-        slots = [s for at in (0, SLOT_BYTES) if (s := self._slot(data[at:at + SLOT_BYTES]))]
+        slots = [s for at in (0, SLOT_BYTES) if (s := self._slot(data[at : at + SLOT_BYTES]))]
         if not slots:  # damaged: as good as emptied
             log.error("fleet.storage_unreadable", path=self.state)
             return Stored(), False
@@ -85,7 +85,7 @@
 
     def _slot(self, data: bytes) -> Slot | None:
         size, checksum = HEAD.unpack_from(data.ljust(HEAD.size, b"\0"))
-        payload = data[HEAD.size:HEAD.size + size]
+        payload = data[HEAD.size : HEAD.size + size]
         if not size or len(payload) != size or zlib.crc32(payload) != checksum:
             return None
         try:
@@ -157,8 +157,14 @@
 class Peers:
     """One member in this process."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, members: Members, folder: Path,
-                 carried: dict[str, Any] | None = None, sock: socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        members: Members,
+        folder: Path,
+        carried: dict[str, Any] | None = None,
+        sock: socket.socket | None = None,
+    ) -> None:
         """carried, sock: from the process before, in an upgrade. OSError: no socket, or no folder."""
         self.loop, self.s = loop, members
         self.storage = Storage(folder)
@@ -167,8 +173,14 @@
         else:
             stored, same = self.storage.load()
             self.storage.settle(same)
-        self.node = Node(members, stored, same, secrets.randbits(64), carried,
-                         self.storage.texts() if members.policy else None)
+        self.node = Node(
+            members,
+            stored,
+            same,
+            secrets.randbits(64),
+            carried,
+            self.storage.texts() if members.policy else None,
+        )
         self.look: Callable[[], None] = lambda: None  # whoever goes by the fleet's policy looks what is new
         self.sock = sock or self._bind()
         self.writer = ThreadPoolExecutor(1, "fleet-disk")
@@ -180,8 +192,13 @@
         self.version, self.leases = -1, dict[str, int]()
         for text in warnings(members):
             log.warning("fleet.settings", text=text)
-        log.info("fleet.member", member=members.id, incarnation=self.node.swim.me.incarnation,
-                 same_folder=same, votes=members.id in members.voters)
+        log.info(
+            "fleet.member",
+            member=members.id,
+            incarnation=self.node.swim.me.incarnation,
+            same_folder=same,
+            votes=members.id in members.voters,
+        )
         loop.add_reader(self.sock, self._readable)
         self._pump()
 
@@ -245,8 +262,13 @@
                 self.waiting.append(action)
             elif isinstance(action, WriteText):
                 done = self.writer.submit(self.storage.write_text, action.digest, action.text)
-                done.add_done_callback(lambda done, digest=action.digest: self.loop.call_soon_threadsafe(
-                    self._text_written, digest, done) if self.open else None)
+                done.add_done_callback(
+                    lambda done, digest=action.digest: (
+                        self.loop.call_soon_threadsafe(self._text_written, digest, done)
+                        if self.open
+                        else None
+                    )
+                )
             elif isinstance(action, DropTexts):
                 self.writer.submit(self.storage.drop_texts, action.digests)
             else:
@@ -267,7 +289,8 @@
         batch, self.waiting = self.waiting, []
         self.writing = self.writer.submit(self.storage.write, batch[-1].state)
         self.writing.add_done_callback(
-            lambda done: self.loop.call_soon_threadsafe(self._written, batch, done) if self.open else None)
+            lambda done: self.loop.call_soon_threadsafe(self._written, batch, done) if self.open else None
+        )
 
     def _written(self, batch: list[Write], done: Future[None]) -> None:
         if self.writing is not done:
@@ -294,8 +317,9 @@
 
     def _tell(self, now: int) -> None:
         for c in self.node.changed():
-            log.info("fleet.changed", member=c.id, state=c.state, was=c.was, incarnation=c.incarnation,
-                     why=c.why)
+            log.info(
+                "fleet.changed", member=c.id, state=c.state, was=c.was, incarnation=c.incarnation, why=c.why
+            )
         document = self.node.register.document
         if document.version != self.version:
             self.version = document.version
@@ -312,8 +336,9 @@
     def status(self) -> dict[str, Any]:
         return self.node.status(elapsed_us()) | {"disk": "failing" if self.failing else "well"}
 
-    def propose(self, change: Callable[[str, Document], Document | None],
-                then: Callable[[Outcome], None]) -> str:
+    def propose(
+        self, change: Callable[[str, Document], Document | None], then: Callable[[Outcome], None]
+    ) -> str:
         ticket = self.node.propose(change, elapsed_us(), then)
         self._pump()
         return ticket
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -41,8 +41,14 @@
 class Link(Connection):
     """A connection with its place in the pool."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, endpoint: int, address: Address, born: float,
-                 sock: socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        endpoint: int,
+        address: Address,
+        born: float,
+        sock: socket.socket | None = None,
+    ) -> None:
         super().__init__(loop, address, sock)
         self.endpoint = endpoint
         self.born = born  # wall clock, as the list's boot times are
@@ -71,9 +77,16 @@
 
     def figures(self) -> dict[str, Any]:
         states = Counter(link.state for link in self.links)
-        return {"open": len(self.links), "lent": states["lent"], "opening": states["opening"],
-                "idle": len(self.idle), "kept_at_most": self.most, "opened": self.opened,
-                "reused": self.reused, "closed": dict(self.closed)}
+        return {
+            "open": len(self.links),
+            "lent": states["lent"],
+            "opening": states["opening"],
+            "idle": len(self.idle),
+            "kept_at_most": self.most,
+            "opened": self.opened,
+            "reused": self.reused,
+            "closed": dict(self.closed),
+        }
 
 
 @dataclass(eq=False)
@@ -102,8 +115,14 @@
 class Pool:
     """Connections to all endpoints of one courier."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, idle_us: int, connect_us: int, max_idle: int,
-                 wanted: Callable[[int], bool] = lambda endpoint: True) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        idle_us: int,
+        connect_us: int,
+        max_idle: int,
+        wanted: Callable[[int], bool] = lambda endpoint: True,
+    ) -> None:
         """wanted: whether an endpoint may get calls at all; nothing is kept for one that may not."""
         self.loop, self.wanted = loop, wanted
         # The endpoint counts from when it wrote its answer, and the next request takes a while to reach it. A
@@ -409,8 +428,11 @@
     def news(self) -> list[tuple[int, tuple[int, ...]]]:
         """Endpoints whose idle connections changed since the last time: when each came free, oldest first."""
         changed, self.changed = self.changed, set()
-        return [(endpoint, tuple(int(link.idle_at * 1e6) for link in place.idle))
-                for endpoint in sorted(changed) if (place := self.places.get(endpoint))]
+        return [
+            (endpoint, tuple(int(link.idle_at * 1e6) for link in place.idle))
+            for endpoint in sorted(changed)
+            if (place := self.places.get(endpoint))
+        ]
 
     def totals(self) -> Counter[str]:
         """Over all endpoints, those that have gone too."""
@@ -424,16 +446,22 @@
         """For staff: those with the most connections first, in bounded size."""
         rows = sorted(self.places.items(), key=lambda row: -len(row[1].links))
         shown = [{"endpoint": name(endpoint), **place.figures()} for endpoint, place in rows[:MOST_ROWS]]
-        return {"open": sum(len(p.links) for p in self.places.values()) + len(self.leaving),
-                "idle": len(self.idle), "idle_at_most": self.max_idle, "waiting": len(self.waiting),
-                "total": dict(self.totals()), "endpoints": shown, "not_shown": len(rows) - len(shown)}
+        return {
+            "open": sum(len(p.links) for p in self.places.values()) + len(self.leaving),
+            "idle": len(self.idle),
+            "idle_at_most": self.max_idle,
+            "waiting": len(self.waiting),
+            "total": dict(self.totals()),
+            "endpoints": shown,
+            "not_shown": len(rows) - len(shown),
+        }
 
     # Upgrades
 
     def carry_idle(self, cargo: Cargo, most: int) -> list[list[Any]]:
         """The most recently used idle connections."""
         idle = [link for link in reversed(self.idle) if not link.stale()]
-        return [[k.endpoint, list(k.address), carry_link(cargo, k), k.idle_at] for k in idle[:max(0, most)]]
+        return [[k.endpoint, list(k.address), carry_link(cargo, k), k.idle_at] for k in idle[: max(0, most)]]
 
     def resume(self, endpoint: int, address: Address, sock: socket.socket, born: float) -> Link:
         """A lent connection of the process before; its endpoint may have left the list since."""
--- a/hopmill/net/put.py
+++ b/hopmill/net/put.py
@@ -66,5 +66,14 @@
     dest = _number(fields, "dest")
     if dest > MAX_DEST:
         raise BadRequest(f"dest: over {MAX_DEST}")
-    return Put(ident.decode(), order_key(order), fields["c"], fields.get("t"), _number(fields, "d"), dest,
-               key, fields.get("r") == "1", body)
+    return Put(
+        ident.decode(),
+        order_key(order),
+        fields["c"],
+        fields.get("t"),
+        _number(fields, "d"),
+        dest,
+        key,
+        fields.get("r") == "1",
+        body,
+    )
--- a/hopmill/net/resp.py
+++ b/hopmill/net/resp.py
@@ -47,8 +47,15 @@
 
     def carry(self) -> list[Any]:
         """What was read of a request that is not whole, for the process that takes over."""
-        return [bytes(self.buffer), self.elements, self.missing, self.bulk, self.announced, self.taken,
-                self.proper]
+        return [
+            bytes(self.buffer),
+            self.elements,
+            self.missing,
+            self.bulk,
+            self.announced,
+            self.taken,
+            self.proper,
+        ]
 
     def resume(self, carried: list[Any]) -> None:
         (buffer, self.elements, self.missing, self.bulk, self.announced, self.taken, self.proper) = carried
@@ -69,10 +76,10 @@
     def _bulk(self) -> bool:
         if len(self.buffer) < self.bulk + len(END):
             return False
-        if self.buffer[self.bulk:self.bulk + len(END)] != END:
+        if self.buffer[self.bulk : self.bulk + len(END)] != END:
             raise ProtocolError("a bulk string is longer than it said")
-        self.elements.append(bytes(self.buffer[:self.bulk]))
-        del self.buffer[:self.bulk + len(END)]
+        self.elements.append(bytes(self.buffer[: self.bulk]))
+        del self.buffer[: self.bulk + len(END)]
         self.bulk = -1
         self.missing -= 1
         return True
@@ -86,7 +93,7 @@
                 raise ProtocolError("expected an array of bulk strings")
             return False
         mark, text = bytes(self.buffer[:1]), bytes(self.buffer[1:end])
-        del self.buffer[:end + len(END)]
+        del self.buffer[: end + len(END)]
         first, self.announced = self.announced == 0, self.announced + 1
         if mark == b"*":
             count = max(0, _count(text, MAX_ELEMENTS))
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -12,8 +12,11 @@
 from hopmill.net.config import Address, ConfigError, parse_address
 from hopmill.net.pool import Pool
 
-STATES = {"in_service": i.EndpointState.READY, "terminating": i.EndpointState.DRAINING,
-          "terminated": i.EndpointState.GONE}
+STATES = {
+    "in_service": i.EndpointState.READY,
+    "terminating": i.EndpointState.DRAINING,
+    "terminated": i.EndpointState.GONE,
+}
 MOST_ZONES = 256  # an entry with one more is not used: names must not pile up
 log = logs.part("courier")
 
@@ -21,8 +24,9 @@
 class Roster:
     """One owner of what discovery said. The module hears of it as events, the pool as places."""
 
-    def __init__(self, settings: i.Settings, zones: tuple[str, ...],
-                 may_serve: Callable[[int, int], bool]) -> None:
+    def __init__(
+        self, settings: i.Settings, zones: tuple[str, ...], may_serve: Callable[[int, int], bool]
+    ) -> None:
         """zones: those of the settings, in order. may_serve: the module's word on what staff left out."""
         self.s, self.may_serve = settings, may_serve
         self.kinds = {k.name: n for n, k in enumerate(settings.kinds)}
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -21,9 +21,17 @@
 class Staff:
     """The calls of operators, on the parts that they concern."""
 
-    def __init__(self, courier: Courier, journal: Journal, roster: Roster, pool: Pool,
-                 clients: ClientServer, clock: Callable[[], int], act: Callable[[i.Event], None],
-                 taking: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        courier: Courier,
+        journal: Journal,
+        roster: Roster,
+        pool: Pool,
+        clients: ClientServer,
+        clock: Callable[[], int],
+        act: Callable[[i.Event], None],
+        taking: Callable[[], bool],
+    ) -> None:
         """act: tell the module in a turn taken at once. taking: whether new clients are taken."""
         self.courier, self.journal, self.roster = courier, journal, roster
         self.pool, self.clients, self.clock, self.act, self.taking = pool, clients, clock, act, taking
@@ -32,20 +40,22 @@
         self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
 
     def routes(self) -> Routes:
-        return Routes(("GET", "/healthcheck", self._healthcheck),
-                      ("POST", "/healthcheck/fail", lambda: self._drain(True)),
-                      ("POST", "/healthcheck/ok", lambda: self._drain(False)),
-                      ("GET", "/metrics", self._metrics),
-                      ("GET", "/endpoints", self._endpoints),
-                      ("GET", "/lanes", self._lanes),
-                      ("GET", "/connections", lambda: (200, self.pool.figures(self.roster.uid))),
-                      ("GET", "/connections/*", self._connections),
-                      *fleet_routes(lambda: self.peers, lambda: self.in_force),
-                      ("GET", "/zones", lambda: (200, {"zones": self.zone_rows()})),
-                      ("POST", "/zones/*/maint", lambda name: self._set_zone_by_hand(name, True)),
-                      ("POST", "/zones/*/ready", lambda name: self._set_zone_by_hand(name, False)),
-                      ("POST", "/endpoints/*/maint", lambda uid: self._set_by_hand(uid, True)),
-                      ("POST", "/endpoints/*/ready", lambda uid: self._set_by_hand(uid, False)))
+        return Routes(
+            ("GET", "/healthcheck", self._healthcheck),
+            ("POST", "/healthcheck/fail", lambda: self._drain(True)),
+            ("POST", "/healthcheck/ok", lambda: self._drain(False)),
+            ("GET", "/metrics", self._metrics),
+            ("GET", "/endpoints", self._endpoints),
+            ("GET", "/lanes", self._lanes),
+            ("GET", "/connections", lambda: (200, self.pool.figures(self.roster.uid))),
+            ("GET", "/connections/*", self._connections),
+            *fleet_routes(lambda: self.peers, lambda: self.in_force),
+            ("GET", "/zones", lambda: (200, {"zones": self.zone_rows()})),
+            ("POST", "/zones/*/maint", lambda name: self._set_zone_by_hand(name, True)),
+            ("POST", "/zones/*/ready", lambda name: self._set_zone_by_hand(name, False)),
+            ("POST", "/endpoints/*/maint", lambda uid: self._set_by_hand(uid, True)),
+            ("POST", "/endpoints/*/ready", lambda uid: self._set_by_hand(uid, False)),
+        )
 
     # Asking
 
@@ -53,28 +63,45 @@
         """What staff on call want to know first."""
         taking = self.taking() and not self.clients.drained
         return 200 if taking else 503, {
-            "taking_clients": taking, "drained": self.clients.drained,
-            "out_by_hand": sorted(self.journal.out_by_hand), "clients": len(self.clients.clients),
-            "messages": self.journal.open}
+            "taking_clients": taking,
+            "drained": self.clients.drained,
+            "out_by_hand": sorted(self.journal.out_by_hand),
+            "clients": len(self.clients.clients),
+            "messages": self.journal.open,
+        }
 
     def _metrics(self) -> tuple[int, Page]:
         from hopmill.net.metrics import CONTENT_TYPE
+
         return 200, Page(CONTENT_TYPE, self.metrics.text())
 
     def _endpoints(self) -> Answer:
         names = {number: name for name, number in self.roster.zones.items()}
         rows = observe.endpoint_rows(self.courier, self.roster.uid)
-        return 200, {"endpoints": [row | {"zone": names.get(row["zone"])} for row in rows[:MOST_ROWS]],
-                     "not_shown": max(0, len(rows) - MOST_ROWS)}
+        return 200, {
+            "endpoints": [row | {"zone": names.get(row["zone"])} for row in rows[:MOST_ROWS]],
+            "not_shown": max(0, len(rows) - MOST_ROWS),
+        }
 
     def _lanes(self) -> Answer:
         rows = list(observe.lanes(self.courier, self.clock()))
-        return 200, {"lanes": [{"partner": row.partner,
-                                "endpoint": None if row.endpoint is None else self.roster.uid(row.endpoint),
-                                "queued": row.queued, "out": row.out, "window": round(row.window, 2),
-                                "pace": round(row.pace, 3), "part": round(row.part, 3),
-                                "refused": round(row.refused, 3), "wait_ms": row.wait_us // 1000}
-                               for row in rows[:MOST_ROWS]], "not_shown": max(0, len(rows) - MOST_ROWS)}
+        return 200, {
+            "lanes": [
+                {
+                    "partner": row.partner,
+                    "endpoint": None if row.endpoint is None else self.roster.uid(row.endpoint),
+                    "queued": row.queued,
+                    "out": row.out,
+                    "window": round(row.window, 2),
+                    "pace": round(row.pace, 3),
+                    "part": round(row.part, 3),
+                    "refused": round(row.refused, 3),
+                    "wait_ms": row.wait_us // 1000,
+                }
+                for row in rows[:MOST_ROWS]
+            ],
+            "not_shown": max(0, len(rows) - MOST_ROWS),
+        }
 
     def _connections(self, uid: str) -> Answer:
         place = self.pool.places.get(self.roster.uids.get(uid, -1))
@@ -88,8 +115,15 @@
         rows = []
         for name, number in self.roster.zones.items():
             state, share, why = self.courier.zones.state(number, now)
-            rows.append({"zone": name, "state": state, "share": round(share, 3), "reason": why,
-                         "endpoints": listed.count(number)})
+            rows.append(
+                {
+                    "zone": name,
+                    "state": state,
+                    "share": round(share, 3),
+                    "reason": why,
+                    "endpoints": listed.count(number),
+                }
+            )
         return rows
 
     # Telling
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/staff_fleet.py
@@ -33,8 +33,13 @@
         def ended(outcome: Any) -> None:
             told.update(state=outcome.state, why=outcome.why)
             if outcome.document is not None:
-                told.update(version=outcome.document.version, made=outcome.made, words=outcome.document.words,
-                            voters=list(outcome.document.voters))
+                told.update(
+                    version=outcome.document.version,
+                    made=outcome.made,
+                    words=outcome.document.words,
+                    voters=list(outcome.document.voters),
+                )
+
         ticket = peers.propose(change, ended)
         told["ticket"] = ticket
         self.outcomes[ticket] = told
@@ -46,6 +51,7 @@
         if self.peers() is None:
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import say
+
         if len(name) + len(text) > MOST_TEXT:
             return 400, {"error": f"a word and its text are at most {MOST_TEXT} characters"}
         return self._begin(say(name, text))
@@ -64,6 +70,7 @@
         if peers is None:
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import replace_voter
+
         if not peers.node.swim.alive(new):
             return 409, {"error": f"{new} is no member that is alive"}
         return self._begin(replace_voter(old, new))
@@ -80,14 +87,17 @@
         return (200, told) if told else (404, {"error": "no such change was begun here lately"})
 
 
-def fleet_routes(peers: Callable[[], Any],
-                 in_force: Callable[[], Any]) -> list[tuple[str, str, Handler | WithBody]]:
+def fleet_routes(
+    peers: Callable[[], Any], in_force: Callable[[], Any]
+) -> list[tuple[str, str, Handler | WithBody]]:
     staff = FleetStaff(peers)
-    return [*policy_routes(peers, in_force),
-            ("GET", "/fleet", staff.status),
-            ("POST", "/fleet/read", staff.read),
-            ("GET", "/fleet/leases/*", staff.lease),
-            ("GET", "/fleet/changes/*", staff.outcome),
-            ("POST", "/fleet/words/*/*", staff.say),
-            ("POST", "/fleet/words/*", staff.unsay),
-            ("POST", "/fleet/voters/*/*", staff.replace)]
+    return [
+        *policy_routes(peers, in_force),
+        ("GET", "/fleet", staff.status),
+        ("POST", "/fleet/read", staff.read),
+        ("GET", "/fleet/leases/*", staff.lease),
+        ("GET", "/fleet/changes/*", staff.outcome),
+        ("POST", "/fleet/words/*/*", staff.say),
+        ("POST", "/fleet/words/*", staff.unsay),
+        ("POST", "/fleet/voters/*/*", staff.replace),
+    ]
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -61,6 +61,7 @@
             return 404, {"error": "no fleet with a policy is configured"}
         from hopmill import book as books
         from hopmill.overlay import read_patch
+
         try:
             ask = msgspec.json.decode(body, type=Proposal)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -106,8 +107,12 @@
                 self.begun[ident] = outcome.why
             elif outcome.state == "unknown":
                 self.begun.pop(ident, None)
-        self.peers().govern(lambda govern, now: govern.propose(
-            ident, text, base, now, ended, ask.share, int(ask.watch_s * 1e3)))
+
+        self.peers().govern(
+            lambda govern, now: govern.propose(
+                ident, text, base, now, ended, ask.share, int(ask.watch_s * 1e3)
+            )
+        )
         return 202, {"state": "under way", "id": ident, "base": base, "changes": changes}
 
     def outcome(self, ident: str) -> Answer:
@@ -116,8 +121,11 @@
         p = govern.register.document.policy
         told = {"id": ident, "version": p.version}
         if p.change and p.change.id == ident + "~":
-            return 200, told | {"state": "under way", "step": "going back", "why": p.outcome(ident).why
-                                if p.outcome(ident) else ""}
+            return 200, told | {
+                "state": "under way",
+                "step": "going back",
+                "why": p.outcome(ident).why if p.outcome(ident) else "",
+            }
         if ended := p.outcome(ident):
             state = "in force" if ended.version else "in force nowhere"
             return 200, told | {"state": state, "version": ended.version or p.version, "why": ended.why}
@@ -125,11 +133,17 @@
             if entry.id == ident:
                 return 200, told | {"state": "in force", "version": entry.version, "why": ""}
         if p.change and p.change.id == ident:
-            return 200, told | {"state": "under way", "step": "closing" if p.change.closing else "prepared",
-                                "waits": govern.conductor.waits()}
+            return 200, told | {
+                "state": "under way",
+                "step": "closing" if p.change.closing else "prepared",
+                "waits": govern.conductor.waits(),
+            }
         if p.stage and p.stage.id == ident:
-            return 200, told | {"state": "under way", "step": "staged",
-                                "watched": sorted(govern.conductor.counts)}
+            return 200, told | {
+                "state": "under way",
+                "step": "staged",
+                "watched": sorted(govern.conductor.counts),
+            }
         if self.begun.get(ident):
             return 200, told | {"state": "in force nowhere", "why": self.begun[ident]}
         return 200, told | {"state": "under way" if ident in self.begun else "not known", "why": ""}
@@ -148,13 +162,16 @@
         return self._step(lambda govern, now: govern.withdraw(ident, now))
 
 
-def policy_routes(peers: Callable[[], Any],
-                  in_force: Callable[[], Any]) -> list[tuple[str, str, Handler | WithBody]]:
+def policy_routes(
+    peers: Callable[[], Any], in_force: Callable[[], Any]
+) -> list[tuple[str, str, Handler | WithBody]]:
     staff = PolicyStaff(peers, in_force)
-    return [("GET", "/fleet/policy", staff.status),
-            ("GET", "/fleet/policy/history", staff.history),
-            ("POST", "/fleet/policy", WithBody(staff.propose)),
-            ("GET", "/fleet/policy/changes/*", staff.outcome),
-            ("POST", "/fleet/policy/changes/*/withdraw", staff.withdraw),
-            ("POST", "/fleet/policy/strike/*", staff.strike),
-            ("POST", "/fleet/policy/let-back/*", lambda member: staff.strike(member, False))]
+    return [
+        ("GET", "/fleet/policy", staff.status),
+        ("GET", "/fleet/policy/history", staff.history),
+        ("POST", "/fleet/policy", WithBody(staff.propose)),
+        ("GET", "/fleet/policy/changes/*", staff.outcome),
+        ("POST", "/fleet/policy/changes/*/withdraw", staff.withdraw),
+        ("POST", "/fleet/policy/strike/*", staff.strike),
+        ("POST", "/fleet/policy/let-back/*", lambda member: staff.strike(member, False)),
+    ]
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -82,7 +82,7 @@
     records, at = [], 0
     while at + FRAME.size <= len(data):
         size, checksum = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size:at + FRAME.size + size]
+        payload = data[at + FRAME.size : at + FRAME.size + size]
         if len(payload) != size or zlib.crc32(payload) != checksum or not size:
             break
         try:
@@ -194,6 +194,7 @@
             self.live += EACH
             self.keys[key] = at
 
+
 class Journal(Contents):
     """The same with its file, to which each record is written before it is applied."""
 
@@ -318,10 +319,13 @@
         self.keys = {k: at for k, at in self.keys.items() if now - at < self.key_s}
         self.live = sum(m.bytes for m in self.held.values()) + EACH * (len(self.over) + len(self.keys))
         self.live += sum(len(name) + EACH for name in (*self.out_by_hand, *self.zones_out))
-        parts = [frame(["clock", self.scale.boot, self.scale.ahead]),
-                 frame(["known", self.last, self.over, self.keys]), frame(["drain", self.drained]),
-                 *(frame(["hand", uid, True]) for uid in self.out_by_hand),
-                 *(frame(["zone", name, True]) for name in self.zones_out)]
+        parts = [
+            frame(["clock", self.scale.boot, self.scale.ahead]),
+            frame(["known", self.last, self.over, self.keys]),
+            frame(["drain", self.drained]),
+            *(frame(["hand", uid, True]) for uid in self.out_by_hand),
+            *(frame(["zone", name, True]) for name in self.zones_out),
+        ]
         for m in self.held.values():
             parts.append(frame(m.record()))
         data = b"".join(parts)
--- a/hopmill/net/upgrade.py
+++ b/hopmill/net/upgrade.py
@@ -180,7 +180,7 @@
         payload = msgpack.packb(cargo.values)
         sock.sendall(HEAD.pack(len(payload), len(cargo.fds)) + payload)
         for at in range(0, len(cargo.fds), MOST_FDS):
-            socket.send_fds(sock, [b"."], cargo.fds[at:at + MOST_FDS])
+            socket.send_fds(sock, [b"."], cargo.fds[at : at + MOST_FDS])
         if _exactly(sock, 4) != b"have":
             raise NotHandedOver("the other side spoke out of turn")
         socket.send_fds(sock, [b"g"], [owner.fd])
--- a/hopmill/observe.py
+++ b/hopmill/observe.py
@@ -30,9 +30,17 @@
     for dest in courier.book.dests.values():
         apart = courier.s.kinds[dest.kind].routes_apart
         for lane in dest.lanes:
-            yield LaneRow(dest.number, next(iter(lane.endpoints), None) if apart else None, len(dest.queue),
-                          lane.out, 0.0 if lane.rate else lane.window, lane.rate, lane.listed,
-                          lane.refused, max(0, lane.wait_until - now_us))
+            yield LaneRow(
+                dest.number,
+                next(iter(lane.endpoints), None) if apart else None,
+                len(dest.queue),
+                lane.out,
+                0.0 if lane.rate else lane.window,
+                lane.rate,
+                lane.listed,
+                lane.refused,
+                max(0, lane.wait_until - now_us),
+            )
 
 
 def circuit_state(circuit: Circuit) -> str:
@@ -50,10 +58,19 @@
 
 def endpoint_rows(courier: Courier, name: Callable[[int], str]) -> list[dict[str, object]]:
     """For staff: each endpoint of the list with its partner, zone number, state and calls."""
-    return [{"endpoint": name(ep.id), "partner": _partner(ep.lane), "zone": ep.zone,
-             "state": ep.state.name.lower(), "circuit": circuit_state(ep.c), "out": len(ep.out),
-             "failing_share": round(ep.bad, 3), "out_by_hand": ep.id in courier.book.by_hand}
-            for ep in courier.book.endpoints.values()]
+    return [
+        {
+            "endpoint": name(ep.id),
+            "partner": _partner(ep.lane),
+            "zone": ep.zone,
+            "state": ep.state.name.lower(),
+            "circuit": circuit_state(ep.c),
+            "out": len(ep.out),
+            "failing_share": round(ep.bad, 3),
+            "out_by_hand": ep.id in courier.book.by_hand,
+        }
+        for ep in courier.book.endpoints.values()
+    ]
 
 
 def _partner(lane: Lane) -> int:
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -18,13 +18,17 @@
 
 Flat = dict[str, Any]
 FIELDS = {  # tables, and what of them may differ
-    "retries": ("attempts", "longest_told_wait_ms"), "worth": ("over_share", "late", "refused_price"),
-    "returning": ("cold_share", "cold_ms", "fall_multiple", "fall_ms"), "left_out": ("endpoints", "zones"),
+    "retries": ("attempts", "longest_told_wait_ms"),
+    "worth": ("over_share", "late", "refused_price"),
+    "returning": ("cold_share", "cold_ms", "fall_multiple", "fall_ms"),
+    "left_out": ("endpoints", "zones"),
     "": ("held",),
 }
 ROWS = {  # lists: what names a row, what of it may differ, whether there may be rows that no file has
-    "classes": ("name", ("worth", "late_share"), False), "tenants": ("name", ("share", "quota_per_s"), False),
-    "zones": ("name", ("fee",), False), "ceilings": ("partner", ("window", "rate_per_s"), True),
+    "classes": ("name", ("worth", "late_share"), False),
+    "tenants": ("name", ("share", "quota_per_s"), False),
+    "zones": ("name", ("fee",), False),
+    "ceilings": ("partner", ("window", "rate_per_s"), True),
 }
 UNSET = "unset"
 ROW = re.compile(r"^(\w+)\[([^\]]+)\]\.(\w+)$")
@@ -86,8 +90,14 @@
 
 
 def _fields_of(table: str) -> set[str]:
-    kinds = {"classes": doc.MessageClass, "tenants": doc.Tenant, "zones": doc.Zone, "ceilings": doc.Ceiling,
-             "kinds": doc.Kind, "": Document}
+    kinds = {
+        "classes": doc.MessageClass,
+        "tenants": doc.Tenant,
+        "zones": doc.Zone,
+        "ceilings": doc.Ceiling,
+        "kinds": doc.Kind,
+        "": Document,
+    }
     kind = kinds.get(table)
     return {f.name for f in msgspec.structs.fields(kind)} if kind else set()
 
