--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -7,9 +7,34 @@
 from collections.abc import Iterable
 
 from hopmill.interface import (
-    Action, AttemptAnswering, AttemptEnded, CallCarried, Carried, CloseIdle, Closing, Effect, EndpointsListed,
-    EndpointState, Event, Fail, Hold, ListEntry, ListForm, MessageArrived, MessageGone, PolicySet, Refuse,
-    Result, Send, SetByHand, Settings, SetZoneByHand, Subscribe, WarmUp, ZoneCarried)
+    Action,
+    AttemptAnswering,
+    AttemptEnded,
+    CallCarried,
+    Carried,
+    CloseIdle,
+    Closing,
+    Effect,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    Fail,
+    Hold,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageGone,
+    PolicySet,
+    Refuse,
+    Result,
+    Send,
+    SetByHand,
+    Settings,
+    SetZoneByHand,
+    Subscribe,
+    WarmUp,
+    ZoneCarried,
+)
 from hopmill.interface import Connections as ConnectionsTold
 from hopmill.policy.admission import Admission
 from hopmill.policy.circuit import Circuits
@@ -29,12 +54,28 @@
 ROOM = 2  # places kept free for new messages
 QUICK_US = 200_000  # a failure that came this soon may be tried again at once, outage or not
 # What an upgrade hands on of an endpoint, its circuit and its lane, and of all calls.
-CARRIED = {"ep": ("bad", "dirty", "dirty_at", "last_ok"),
-           "circuit": ("bad", "open", "trial_at", "gap", "ramp_from", "base", "tokens", "stamp"),
-           "lane": ("rate", "brink", "tokens", "stamp", "wait_until", "cut_at", "refused", "window", "fulls",
-                    "mean", "dev", "hold", "seen", "seen_at"),
-           "links": ("calls", "counted_at", "first_at", "part", "bound", "grow_at"),
-           "all": ("hold", "loss", "new_lost", "keep", "reaped", "unreturned")}
+CARRIED = {
+    "ep": ("bad", "dirty", "dirty_at", "last_ok"),
+    "circuit": ("bad", "open", "trial_at", "gap", "ramp_from", "base", "tokens", "stamp"),
+    "lane": (
+        "rate",
+        "brink",
+        "tokens",
+        "stamp",
+        "wait_until",
+        "cut_at",
+        "refused",
+        "window",
+        "fulls",
+        "mean",
+        "dev",
+        "hold",
+        "seen",
+        "seen_at",
+    ),
+    "links": ("calls", "counted_at", "first_at", "part", "bound", "grow_at"),
+    "all": ("hold", "loss", "new_lost", "keep", "reaped", "unreturned"),
+}
 
 
 class Courier:
@@ -51,8 +92,9 @@
         self.admission = Admission(turn, self.pacing, self.tries)
         self.evidence = Evidence(turn, self.pacing, self.circuits, self.timeouts, self.connections)
         self.gate = Gate(turn, self.book, self.pacing, self.circuits, self.timeouts, self.zones, self.tries)
-        self.ranking = Ranking(turn, self.book, self.gate, self.worth, self.timeouts, self.connections,
-                               self.zones)
+        self.ranking = Ranking(
+            turn, self.book, self.gate, self.worth, self.timeouts, self.connections, self.zones
+        )
         self.seq, self.holding = 0, False
         self.expiries: list[tuple[int, int]] = []
 
@@ -141,8 +183,18 @@
 
     def _set_policy(self, e: PolicySet) -> None:
         """All of it in one event: no turn decides by half of one."""
-        for part in (self, self.turn, self.pacing, self.timeouts, self.circuits, self.connections, self.worth,
-                     self.admission, self.gate, self.ranking):
+        for part in (
+            self,
+            self.turn,
+            self.pacing,
+            self.timeouts,
+            self.circuits,
+            self.connections,
+            self.worth,
+            self.admission,
+            self.gate,
+            self.ranking,
+        ):
             part.s = e.settings
         self.tries = self.gate.tries = self.admission.tries = min(TRIES, e.settings.max_attempts)
         self.zones.cold_share, self.zones.cold_us = e.settings.cold_share, max(1, e.settings.cold_us)
@@ -166,8 +218,10 @@
 
     def carry(self) -> list[tuple[int, dict[str, float]]]:
         """What was learned of each endpoint, for the process that takes over."""
-        return [(ep.id, {path: getattr(owner, name) for path, owner, name in self._carried(ep)})
-                for ep in self.book.endpoints.values()]
+        return [
+            (ep.id, {path: getattr(owner, name) for path, owner, name in self._carried(ep)})
+            for ep in self.book.endpoints.values()
+        ]
 
     def _learn(self, ep: Endpoint, e: Carried) -> None:
         for path, owner, name in self._carried(ep):
@@ -371,8 +425,11 @@
         self.circuits.spend(ep)
         going, most = [m], self.s.kinds[ep.lane.dest.kind].batch
         if most > 1 and not ep.c.open:  # a trial carries one
-            going += [x for x in sorted(m.dest.queue, key=lambda x: x.seq) if x is not m
-                      and self.timeouts.shares(m, x, ep.lane) and self.gate.may(x, ep)][:most - 1]
+            going += [
+                x
+                for x in sorted(m.dest.queue, key=lambda x: x.seq)
+                if x is not m and self.timeouts.shares(m, x, ep.lane) and self.gate.may(x, ep)
+            ][: most - 1]
         timeout = self.timeouts.of_call(going, ep, self.book.out >= self.pacing.cap)
         for x in going:
             self._join(x, call, x.tries)
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -14,8 +14,9 @@
 
 
 class Evidence:
-    def __init__(self, turn: Turn, pacing: Pacing, circuits: Circuits, timeouts: Timeouts,
-                 connections: Connections) -> None:
+    def __init__(
+        self, turn: Turn, pacing: Pacing, circuits: Circuits, timeouts: Timeouts, connections: Connections
+    ) -> None:
         self.turn, self.pacing, self.circuits = turn, pacing, circuits
         self.timeouts, self.connections = timeouts, connections
 
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -17,8 +17,16 @@
 
 
 class Gate:
-    def __init__(self, turn: Turn, book: Book, pacing: Pacing, circuits: Circuits, timeouts: Timeouts,
-                 zones: Zones, tries: int) -> None:
+    def __init__(
+        self,
+        turn: Turn,
+        book: Book,
+        pacing: Pacing,
+        circuits: Circuits,
+        timeouts: Timeouts,
+        zones: Zones,
+        tries: int,
+    ) -> None:
         """tries: attempts of one message, at most."""
         self.turn, self.s, self.book, self.tries = turn, turn.s, book, tries
         self.pacing, self.circuits, self.timeouts, self.zones = pacing, circuits, timeouts, zones
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -74,8 +74,9 @@
 
     def allows(self, lane: Lane) -> bool:
         if self.fill(lane) < 1.0:
-            self.turn.wake(max(self.turn.now, lane.stamp)
-                           + int((1 - lane.tokens) / self.pace(lane) * 1e6) + 1)
+            self.turn.wake(
+                max(self.turn.now, lane.stamp) + int((1 - lane.tokens) / self.pace(lane) * 1e6) + 1
+            )
             return False
         return True
 
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -17,8 +17,16 @@
 
 
 class Ranking:
-    def __init__(self, turn: Turn, book: Book, gate: Gate, worth: Worth, timeouts: Timeouts,
-                 connections: Connections, zones: Zones) -> None:
+    def __init__(
+        self,
+        turn: Turn,
+        book: Book,
+        gate: Gate,
+        worth: Worth,
+        timeouts: Timeouts,
+        connections: Connections,
+        zones: Zones,
+    ) -> None:
         self.turn, self.s, self.book, self.gate, self.worth = turn, turn.s, book, gate, worth
         self.timeouts, self.connections, self.zones = timeouts, connections, zones
 
@@ -49,8 +57,11 @@
     def returning(self, dest: Destination, free: list[Endpoint]) -> list[Endpoint]:
         """Without what returning zones may not have yet, where the destination has another choice. The chance
         is taken each time that a message could go, so it is the share of those."""
-        other = any(self.gate.serves(ep) and ep.zone not in self.zones.back and not ep.c.open
-                    for lane in dest.lanes for ep in lane.endpoints.values())
+        other = any(
+            self.gate.serves(ep) and ep.zone not in self.zones.back and not ep.c.open
+            for lane in dest.lanes
+            for ep in lane.endpoints.values()
+        )
         if not other:
             return free
         chance, now = self.turn.random, self.turn.now
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -62,8 +62,9 @@
 
 
 class Message:
-    def __init__(self, ident: int, cls: MessageClass, event: MessageArrived, seq: int, now: int,
-                 dest: Destination) -> None:
+    def __init__(
+        self, ident: int, cls: MessageClass, event: MessageArrived, seq: int, now: int, dest: Destination
+    ) -> None:
         self.id, self.cls, self.seq, self.dest = ident, cls, seq, dest
         self.key = event.order_key if cls.ordered else 0
         self.until, self.born = event.valid_until_us, event.valid_until_us - cls.deadline_us
--- a/hopmill/simhost.py
+++ b/hopmill/simhost.py
@@ -65,8 +65,9 @@
                 self.attempts.pop(a.message, None)
 
 
-def answer(sequence: int, now_us: int, body: bytes, count: int, couriers: dict[int, Connected],
-           pages: dict[int, Any]) -> bytes:
+def answer(
+    sequence: int, now_us: int, body: bytes, count: int, couriers: dict[int, Connected], pages: dict[int, Any]
+) -> bytes:
     """The reply to one batch."""
     inbox: dict[int, list[Any]] = {}
     for instance, event in wire.read_events(body, count, pages):
--- a/hopmill/standin/__init__.py
+++ b/hopmill/standin/__init__.py
@@ -7,5 +7,15 @@
 from hopmill.standin.load import Load
 from hopmill.standin.partner import Machine, Partner, Plan
 
-__all__ = ["Client", "CourierProcess", "Discovery", "Ledger", "Load", "Machine", "Partner", "Plan", "Result",
-           "free_port"]
+__all__ = [
+    "Client",
+    "CourierProcess",
+    "Discovery",
+    "Ledger",
+    "Load",
+    "Machine",
+    "Partner",
+    "Plan",
+    "Result",
+    "free_port",
+]
--- a/hopmill/standin/client.py
+++ b/hopmill/standin/client.py
@@ -25,8 +25,16 @@
         return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(a), a) for a in args)
 
     @classmethod
-    def message(cls, ident: str, kind: str = "safe", dest: int = 7, life: int = 6000, body: bytes = b"hello",
-                key: str = "", tenant: str = "t") -> bytes:
+    def message(
+        cls,
+        ident: str,
+        kind: str = "safe",
+        dest: int = 7,
+        life: int = 6000,
+        body: bytes = b"hello",
+        key: str = "",
+        tenant: str = "t",
+    ) -> bytes:
         """life: in milliseconds."""
         fields = f"c={kind},t={tenant},d={life},dest={dest}" + (f",k={key}" if key else "")
         return cls.command(b"MSG.PUT", b"0" * 16, ident.encode(), fields.encode(), body)
--- a/hopmill/standin/courier.py
+++ b/hopmill/standin/courier.py
@@ -40,17 +40,30 @@
         state = folder / f"{name}.state"
         state.mkdir()
         self.file, self.log = folder / f"{name}.toml", folder / f"{name}.log"
-        self.file.write_text(f'format = 1\nname = "{name}"\nlisten = "{HOST}:{self.port}"\n'
-                             f'operator = "{HOST}:{self.door}"\nstate = "{state}"\n{text}')
-
-    async def launch(self, module: str = "hopmill", fds: tuple[int, ...] = (),
-                     **env: str) -> asyncio.subprocess.Process:
+        self.file.write_text(
+            f'format = 1\nname = "{name}"\nlisten = "{HOST}:{self.port}"\n'
+            f'operator = "{HOST}:{self.door}"\nstate = "{state}"\n{text}'
+        )
+
+    async def launch(
+        self, module: str = "hopmill", fds: tuple[int, ...] = (), **env: str
+    ) -> asyncio.subprocess.Process:
         """env: on top of this process's own."""
         with self.log.open("ab") as log:
             return await asyncio.create_subprocess_exec(
-                sys.executable, "-m", module, "serve", str(self.file), stderr=log, stdout=log,
-                stdin=asyncio.subprocess.DEVNULL, start_new_session=True,  # Ctrl-C is the demo's affair
-                env={**os.environ, **env}, pass_fds=fds, preexec_fn=end_with_parent)
+                sys.executable,
+                "-m",
+                module,
+                "serve",
+                str(self.file),
+                stderr=log,
+                stdout=log,
+                stdin=asyncio.subprocess.DEVNULL,
+                start_new_session=True,  # Ctrl-C is the demo's affair
+                env={**os.environ, **env},
+                pass_fds=fds,
+                preexec_fn=end_with_parent,
+            )
 
     async def start(self) -> None:
         """Returns once it answers PING. OSError if it ends first."""
--- a/hopmill/standin/discovery.py
+++ b/hopmill/standin/discovery.py
@@ -25,10 +25,26 @@
         self.watchers: list[asyncio.StreamWriter] = []
         self.notice_status: list[int] = []  # of the next answers to notices, in turn; then 204
 
-    def target(self, uid: str, port: int, dest: int, kind: str = "plain", state: str = "in_service",
-               rate: float = 100.0, zone: str = "here") -> dict[str, Any]:
-        self.targets[uid] = {"uid": uid, "endpoint": f"{HOST}:{port}", "az": zone, "model": kind,
-                             "pod_group": dest, "state": state, "capacity_hint": rate, "boot_ms": 0}
+    def target(
+        self,
+        uid: str,
+        port: int,
+        dest: int,
+        kind: str = "plain",
+        state: str = "in_service",
+        rate: float = 100.0,
+        zone: str = "here",
+    ) -> dict[str, Any]:
+        self.targets[uid] = {
+            "uid": uid,
+            "endpoint": f"{HOST}:{port}",
+            "az": zone,
+            "model": kind,
+            "pod_group": dest,
+            "state": state,
+            "capacity_hint": rate,
+            "boot_ms": 0,
+        }
         return self.targets[uid]
 
     def whole(self) -> dict[str, Any]:
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -61,8 +61,13 @@
 
     def open(self, now: float) -> int:
         """Messages taken on whose end is still owed in time."""
-        return sum(e.answer == "taken" and not e.delivered_at and not e.notice
-                   and now < e.handed_in + e.life_s + SLACK_S for e in self.entries.values())
+        return sum(
+            e.answer == "taken"
+            and not e.delivered_at
+            and not e.notice
+            and now < e.handed_in + e.life_s + SLACK_S
+            for e in self.entries.values()
+        )
 
     def result(self) -> Result:
         """The counts; `taken` is the sum of delivered, deferred, undeliverable, withdrawn and lost."""
@@ -102,11 +107,27 @@
         return bool(self.counts["lost"] or self.counts["twice"])
 
     def as_json(self) -> dict[str, object]:
-        names = ("handed_in", "taken", "refused", "failed", "delivered", "in_time", "late", "deferred",
-                 "undeliverable", "lost", "twice")
+        names = (
+            "handed_in",
+            "taken",
+            "refused",
+            "failed",
+            "delivered",
+            "in_time",
+            "late",
+            "deferred",
+            "undeliverable",
+            "lost",
+            "twice",
+        )
         calls = self.ledger.calls
-        return {**{name: int(self.counts[name]) for name in names},
-                "latency_ms": {f"p{round(share * 100)}": round(self.percentile_ms(share), 1)
-                               for share in (0.5, 0.9, 0.99)},
-                "calls": sum(calls.values()), "calls_refused": calls["refused"] + calls["told to wait"],
-                "connections": self.ledger.connections, "pushed_over": self.ledger.fell}
+        return {
+            **{name: int(self.counts[name]) for name in names},
+            "latency_ms": {
+                f"p{round(share * 100)}": round(self.percentile_ms(share), 1) for share in (0.5, 0.9, 0.99)
+            },
+            "calls": sum(calls.values()),
+            "calls_refused": calls["refused"] + calls["told to wait"],
+            "connections": self.ledger.connections,
+            "pushed_over": self.ledger.fell,
+        }
--- a/hopmill/standin/load.py
+++ b/hopmill/standin/load.py
@@ -30,8 +30,15 @@
 class Load:
     """Hands messages in at couriers that are up, over connections that are kept while they are used."""
 
-    def __init__(self, ledger: Ledger, kinds: list[Kind], partners: list[int], ports: Callable[[], list[int]],
-                 chance: random.Random, tenant: str = "demo") -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        kinds: list[Kind],
+        partners: list[int],
+        ports: Callable[[], list[int]],
+        chance: random.Random,
+        tenant: str = "demo",
+    ) -> None:
         """ports: of the couriers that take clients now."""
         self.ledger, self.kinds, self.partners, self.ports = ledger, kinds, partners, ports
         self.chance, self.tenant = chance, tenant
@@ -81,9 +88,17 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(ANSWER_S):
                 client = await self._client(port)
-                said = await client.send(client.message(
-                    ident, kind.cls, partner, int(life * 1e3), b"x" * self.chance.randrange(20, 400),
-                    f"k-{ident}" if kind.keyed else "", self.tenant))
+                said = await client.send(
+                    client.message(
+                        ident,
+                        kind.cls,
+                        partner,
+                        int(life * 1e3),
+                        b"x" * self.chance.randrange(20, 400),
+                        f"k-{ident}" if kind.keyed else "",
+                        self.tenant,
+                    )
+                )
             self.idle.setdefault(port, []).append((asyncio.get_running_loop().time(), client))
             return said
         if client is not None:
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -95,8 +95,9 @@
 class Machine(Server):
     """One endpoint of a partner."""
 
-    def __init__(self, plan: Plan, uid: str, zone: str, limit: Limit, ledger: Ledger,
-                 chance: random.Random) -> None:
+    def __init__(
+        self, plan: Plan, uid: str, zone: str, limit: Limit, ledger: Ledger, chance: random.Random
+    ) -> None:
         super().__init__()
         self.plan, self.uid, self.zone, self.limit = plan, uid, zone, limit
         self.ledger, self.chance = ledger, chance
@@ -190,10 +191,19 @@
 class Partner:
     """All endpoints of one partner, under one limit unless its routes stand apart."""
 
-    def __init__(self, plan: Plan, zones: list[str], ledger: Ledger, chance: random.Random,
-                 now: float) -> None:
+    def __init__(
+        self, plan: Plan, zones: list[str], ledger: Ledger, chance: random.Random, now: float
+    ) -> None:
         self.plan = plan
         shared = Limit(plan, now)
         self.machines = [
-            Machine(plan, f"{plan.name}-{n}", zone, Limit(plan, now) if plan.routes_apart else shared, ledger,
-                    chance) for n, zone in enumerate(zones)]
+            Machine(
+                plan,
+                f"{plan.name}-{n}",
+                zone,
+                Limit(plan, now) if plan.routes_apart else shared,
+                ledger,
+                chance,
+            )
+            for n, zone in enumerate(zones)
+        ]
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -18,8 +18,11 @@
 
 TROUBLES = ("none", "down", "silent", "shut", "restart", "zone")
 ZONES = ["hall-a", "hall-b"]
-KINDS = [Kind("news", 0.6, 1.0, 6.0), Kind("update", 0.3, 2.0, 8.0, keyed=True),
-         Kind("payout", 0.1, 1.0, 8.0, unsafe=True)]
+KINDS = [
+    Kind("news", 0.6, 1.0, 6.0),
+    Kind("update", 0.3, 2.0, 8.0, keyed=True),
+    Kind("payout", 0.1, 1.0, 8.0, unsafe=True),
+]
 BEGINS, ENDS = 0.3, 0.55  # of the run, for its trouble
 BACK_S = 0.3  # a courier that ended comes back after so long
 STEP_S = 0.25  # between two looks at the processes, and two words of progress
@@ -71,8 +74,13 @@
 class Scene:
     """Everything that a demo starts. `run` ends all of it, however it ends itself."""
 
-    def __init__(self, options: Options, folder: Path, partners: list[Plan] | None = None,
-                 kinds: list[Kind] | None = None) -> None:
+    def __init__(
+        self,
+        options: Options,
+        folder: Path,
+        partners: list[Plan] | None = None,
+        kinds: list[Kind] | None = None,
+    ) -> None:
         """partners, kinds: of messages; the demo's own if none are given."""
         self.o, self.folder = options, folder
         self.plans, self.kinds = partners or plans(options.rate), kinds or KINDS
@@ -101,8 +109,9 @@
             self.partners.append(partner)
             for machine in partner.machines:
                 await machine.start()
-                self.discovery.target(machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s,
-                                      zone=machine.zone)
+                self.discovery.target(
+                    machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
+                )
         for me in range(self.o.couriers):
             text = courier_toml(self.discovery.port, self.o, me, self.kinds)
             self.couriers.append(CourierProcess(f"courier-{me}", self.folder, text))
@@ -111,8 +120,13 @@
     async def _play(self, progress: Callable[[Progress], None]) -> None:
         loop = asyncio.get_running_loop()
         start = loop.time()
-        load = Load(self.ledger, self.kinds, [p.plan.number for p in self.partners],
-                    lambda: [c.port for c in self.couriers if c.taking], random.Random(self.o.seed + 1))
+        load = Load(
+            self.ledger,
+            self.kinds,
+            [p.plan.number for p in self.partners],
+            lambda: [c.port for c in self.couriers if c.taking],
+            random.Random(self.o.seed + 1),
+        )
         async with asyncio.TaskGroup() as group:
             handing_in = group.create_task(load.run(self.o.rate, self.o.seconds))
             trouble = group.create_task(self._trouble())
@@ -120,8 +134,14 @@
             while not (handing_in.done() and trouble.done() and not self.ledger.open(loop.time())):
                 await asyncio.sleep(STEP_S)
                 await self._keep_up()
-                progress(Progress(loop.time() - start, self.note, self.ledger.result(),
-                                  [c.name for c in self.couriers if c.taking]))
+                progress(
+                    Progress(
+                        loop.time() - start,
+                        self.note,
+                        self.ledger.result(),
+                        [c.name for c in self.couriers if c.taking],
+                    )
+                )
                 if loop.time() > until:
                     break
         load.close()
@@ -147,7 +167,8 @@
             struck = self._struck()
             kind = "down" if self.o.trouble == "zone" else self.o.trouble
             self.note = f"{self.o.trouble}: {', '.join(m.uid for m in struck[:3])}" + (
-                f" and {len(struck) - 3} more" if len(struck) > 3 else "")
+                f" and {len(struck) - 3} more" if len(struck) > 3 else ""
+            )
             await asyncio.gather(*(m.begin(kind) for m in struck))
             await asyncio.sleep(lasts)
             await asyncio.gather(*(m.end() for m in struck))
@@ -181,18 +202,29 @@
 def plans(rate: float) -> list[Plan]:
     """Five partners whose limits leave half as much again as their part of the load."""
     each = rate / 5
-    return [Plan(1, "mill", rate_per_s=max(8.0, 1.5 * each)),
-            Plan(2, "press", at_once=12, latency_ms=60),
-            Plan(3, "hall", "bundles", rate_per_s=max(4.0, 0.6 * each), bundle=10),
-            Plan(4, "ink", "bundles", at_once=6, bundle=10, latency_ms=80),
-            Plan(5, "paper", "apart", rate_per_s=max(6.0, each), routes_apart=True)]
+    return [
+        Plan(1, "mill", rate_per_s=max(8.0, 1.5 * each)),
+        Plan(2, "press", at_once=12, latency_ms=60),
+        Plan(3, "hall", "bundles", rate_per_s=max(4.0, 0.6 * each), bundle=10),
+        Plan(4, "ink", "bundles", at_once=6, bundle=10, latency_ms=80),
+        Plan(5, "paper", "apart", rate_per_s=max(6.0, each), routes_apart=True),
+    ]
 
 
 def courier_toml(discovery: int, options: Options, me: int, kinds: list[Kind]) -> str:
     """The configuration of one courier, after what says who and where it is."""
     effects = [(k, "unsafe" if k.unsafe else "keyed" if k.keyed else "safe") for k in kinds]
     return COURIER.format(
-        host=HOST, discovery=discovery, seed=options.seed + me, level=options.log_level,
-        couriers=options.couriers, me=me, bundle=10, zones=", ".join(f'{{name = "{z}"}}' for z in ZONES),
-        classes="\n".join(CLASS.format(k.cls, int(k.aim_s * 1e3), int(k.life_s * 1e3), effect,
-                                       8000 if k.keyed else 0) for k, effect in effects))
+        host=HOST,
+        discovery=discovery,
+        seed=options.seed + me,
+        level=options.log_level,
+        couriers=options.couriers,
+        me=me,
+        bundle=10,
+        zones=", ".join(f'{{name = "{z}"}}' for z in ZONES),
+        classes="\n".join(
+            CLASS.format(k.cls, int(k.aim_s * 1e3), int(k.life_s * 1e3), effect, 8000 if k.keyed else 0)
+            for k, effect in effects
+        ),
+    )
--- a/hopmill/trial/couriers.py
+++ b/hopmill/trial/couriers.py
@@ -42,11 +42,17 @@
 def members_toml(number: int, count: int, voters: int, relay: Relay, alone: str = "") -> str:
     """Its own address is its own; every other is reached through the relay. alone: with a policy."""
     names = ", ".join(f'"c{n}"' for n in range(voters))
-    rows = [f'[members]\nfleet = "trial"\nid = "c{number}"\naddress = "{THERE}:{relay.inner[number]}"\n'
-            f'zone = "z{number % ZONES}"\nregion = "r"\nvoters = [{names}]\nleases = ["{LEASE}"]\n']
+    rows = [
+        f'[members]\nfleet = "trial"\nid = "c{number}"\naddress = "{THERE}:{relay.inner[number]}"\n'
+        f'zone = "z{number % ZONES}"\nregion = "r"\nvoters = [{names}]\nleases = ["{LEASE}"]\n'
+    ]
     rows += [f'[members.policy]\nalone = "{alone}"\n'] if alone else []
-    rows += [f'[[members.others]]\nid = "c{n}"\naddress = "{HOST}:{relay.ports[n]}"\n'
-             f'zone = "z{n % ZONES}"\nregion = "r"\n' for n in range(count) if n != number]
+    rows += [
+        f'[[members.others]]\nid = "c{n}"\naddress = "{HOST}:{relay.ports[n]}"\n'
+        f'zone = "z{n % ZONES}"\nregion = "r"\n'
+        for n in range(count)
+        if n != number
+    ]
     return "\n".join(rows)
 
 
@@ -66,15 +72,21 @@
         self.stopped = False
         self.copies: list[Path] = []
 
-    async def launch(self, module: str = "", fds: tuple[int, ...] = (),
-                     **env: str) -> asyncio.subprocess.Process:
+    async def launch(
+        self, module: str = "", fds: tuple[int, ...] = (), **env: str
+    ) -> asyncio.subprocess.Process:
         fd = self.listening.fileno()
         if self.record:
             env |= {"HOPMILL_TRIAL_RECORD": str(self.record)}
-        return await super().launch("hopmill.trial.process", (fd,), LB_LISTEN_FD=str(fd),
-                                    HOPMILL_TRIAL_CLOCK_S=str(self.clock_s),
-                                    HOPMILL_TRIAL_DISK=str(self.disk),
-                                    LB_OPERATOR=f"{THERE}:{self.door}", **env)
+        return await super().launch(
+            "hopmill.trial.process",
+            (fd,),
+            LB_LISTEN_FD=str(fd),
+            HOPMILL_TRIAL_CLOCK_S=str(self.clock_s),
+            HOPMILL_TRIAL_DISK=str(self.disk),
+            LB_OPERATOR=f"{THERE}:{self.door}",
+            **env,
+        )
 
     async def upgrade(self) -> bool:
         """A second process takes over from the first. False if it did not, and the first goes on."""
--- a/hopmill/trial/faults.py
+++ b/hopmill/trial/faults.py
@@ -90,8 +90,12 @@
         else:
             a, b = (*fault.who, fault.who[0])[:2]
             others = [n for n in every if n != a]
-            ways = {"hears": [(a, n) for n in others], "heard": [(n, a) for n in others], "pair": [(a, b)],
-                    "all but one": [(a, b), (b, a)]}[fault.detail["way"]]
+            ways = {
+                "hears": [(a, n) for n in others],
+                "heard": [(n, a) for n in others],
+                "pair": [(a, b)],
+                "all but one": [(a, b), (b, a)],
+            }[fault.detail["way"]]
         self.relay.cut(ways, True)
         await asyncio.sleep(fault.lasts)
         self.relay.cut(ways, False)
--- a/hopmill/trial/policies.py
+++ b/hopmill/trial/policies.py
@@ -16,8 +16,9 @@
 
 
 class Policies:
-    def __init__(self, couriers: list[Courier], history: History, chance: random.Random,
-                 endpoints: list[str]) -> None:
+    def __init__(
+        self, couriers: list[Courier], history: History, chance: random.Random, endpoints: list[str]
+    ) -> None:
         self.couriers, self.history, self.chance, self.endpoints = couriers, history, chance, endpoints
         self.asking: set[asyncio.Task[None]] = set()
         self.count = 0
@@ -68,5 +69,13 @@
             if asked != 200 or body.get("state") == "not known":
                 c = self.chance.choice(self.couriers)
         state = told.get("state", "no answer")
-        self.history.add(c.name, "outcome", change=ident, state=state, began_us=began, staged="share" in ask,
-                         why=told.get("why", ""), version=told.get("version", 0))
+        self.history.add(
+            c.name,
+            "outcome",
+            change=ident,
+            state=state,
+            began_us=began,
+            staged="share" in ask,
+            why=told.get("why", ""),
+            version=told.get("version", 0),
+        )
--- a/hopmill/trial/policy_rules.py
+++ b/hopmill/trial/policy_rules.py
@@ -19,8 +19,9 @@
     acts = sorted(history.of("began") + history.of("took"), key=lambda row: row["at_us"])
     if not acts:
         return []
-    return [*order(acts, staged(history)), *texts(history), *outcomes(history),
-            *left_out(history, acts)[0]][:20]
+    return [*order(acts, staged(history)), *texts(history), *outcomes(history), *left_out(history, acts)[0]][
+        :20
+    ]
 
 
 def firsts(acts: list[Row]) -> tuple[list[int], list[int]]:
@@ -54,8 +55,10 @@
             times, versions = others
             at = bisect.bisect_left(times, row["looked_us"])
         if at and versions[at - 1] > row["version"]:
-            yield (f"{row['who']} {row['what']} {row['messages'][:1]} under version {row['version']}, having "
-                   f"looked {row['looked_us'] - times[at - 1]} us after an act under {versions[at - 1]}")
+            yield (
+                f"{row['who']} {row['what']} {row['messages'][:1]} under version {row['version']}, having "
+                f"looked {row['looked_us'] - times[at - 1]} us after an act under {versions[at - 1]}"
+            )
 
 
 def texts(history: History) -> Iterator[str]:
@@ -95,8 +98,11 @@
     found, late = [], 0
     for call in history.of("call"):
         at = bisect.bisect_left(times, call["at_us"])
-        decided = [row for row in looked.get(call["messages"][0], ()) if row["looked_us"] <= call["at_us"]] \
-            if call["messages"] else []
+        decided = (
+            [row for row in looked.get(call["messages"][0], ()) if row["looked_us"] <= call["at_us"]]
+            if call["messages"]
+            else []
+        )
         by = max(decided, key=lambda row: row["looked_us"], default=None)
         # A staged version is its few's before it binds the others.
         version = max(versions[at - 1] if at else -1, by["version"] if by else -1)
@@ -105,8 +111,10 @@
         if by and at and by["version"] < version and by["looked_us"] <= times[at - 1]:
             late += 1
         else:
-            found.append(f"{call['who']} got a call of {call['courier']} that had looked "
-                         f"at {by and by['looked_us']}, under version {version}, which leaves it out")
+            found.append(
+                f"{call['who']} got a call of {call['courier']} that had looked "
+                f"at {by and by['looked_us']}, under version {version}, which leaves it out"
+            )
     return found, late
 
 
@@ -117,13 +125,20 @@
     took = sorted((r["at_us"] - r["began_us"]) // 1000 for r in there if not r["staged"])
     acts = sorted(history.of("began") + history.of("took"), key=lambda row: row["at_us"])
     pauses = sorted(pause_ms for _, pause_ms in stops(history))
-    return {"policies": len(rows), "in_force": len(there), "staged": sum(r["staged"] for r in there),
-            "nowhere": sum(r["state"] == "in force nowhere" for r in rows),
-            "not_ended": sum(r["state"] not in ("in force", "in force nowhere") for r in rows),
-            "versions": max((r["version"] for r in history.of("policy")), default=0),
-            "policy_p50_ms": quantile(took, 0.5), "policy_p99_ms": quantile(took, 0.99),
-            "pause_p50_ms": quantile(pauses, 0.5), "pause_p99_ms": quantile(pauses, 0.99),
-            "began": len(acts), "late_calls": left_out(history, acts)[1] if acts else 0}
+    return {
+        "policies": len(rows),
+        "in_force": len(there),
+        "staged": sum(r["staged"] for r in there),
+        "nowhere": sum(r["state"] == "in force nowhere" for r in rows),
+        "not_ended": sum(r["state"] not in ("in force", "in force nowhere") for r in rows),
+        "versions": max((r["version"] for r in history.of("policy")), default=0),
+        "policy_p50_ms": quantile(took, 0.5),
+        "policy_p99_ms": quantile(took, 0.99),
+        "pause_p50_ms": quantile(pauses, 0.5),
+        "pause_p99_ms": quantile(pauses, 0.99),
+        "began": len(acts),
+        "late_calls": left_out(history, acts)[1] if acts else 0,
+    }
 
 
 def quantile(values: list[int], share: float) -> int | None:
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -28,7 +28,9 @@
             with contextlib.suppress(OSError, ValueError), open(path) as file:
                 time.sleep(float(file.read() or 0) / 1e3)
             sync(fd)
+
         return slow
+
     os.fsync, os.fdatasync = slowed(os.fsync), slowed(os.fdatasync)
 
 
@@ -40,10 +42,16 @@
     from hopmill.net.in_force import InForce
     from hopmill.net.intake import Intake
     from hopmill.net.peers import elapsed_us
+
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     looked = [0]
-    may_act, begin, take, set_up, hold = (InForce.may_act, Host._begin, Intake.take, InForce._take,
-                                          InForce._hold)
+    may_act, begin, take, set_up, hold = (
+        InForce.may_act,
+        Host._begin,
+        Intake.take,
+        InForce._take,
+        InForce._hold,
+    )
 
     def say(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
@@ -69,13 +77,19 @@
         set_up(self, version, text)
         if self.applied == version:
             stage = self.peers.node.register.document.policy.stage
-            say("policy", version=version, values=self.book.values, changes=[e.id for e in self.book.entries],
-                staged=bool(stage and stage.version == version))
+            say(
+                "policy",
+                version=version,
+                values=self.book.values,
+                changes=[e.id for e in self.book.entries],
+                staged=bool(stage and stage.version == version),
+            )
 
     def holds(self: InForce, on: bool) -> None:
         if on is not self.holding:
             say("holds", on=on, version=self.applied)
         hold(self, on)
+
     InForce.may_act, Host._begin, Intake.take = looks, begins, takes  # type: ignore[method-assign]
     InForce._take, InForce._hold = sets_up, holds  # type: ignore[method-assign]
 
@@ -88,6 +102,7 @@
     if path := os.environ.get("HOPMILL_TRIAL_RECORD"):
         record(path)
     from hopmill.__main__ import main as program
+
     return program()
 
 
--- a/hopmill/trial/rules.py
+++ b/hopmill/trial/rules.py
@@ -86,5 +86,8 @@
     for row in history.of("fault"):
         for who in row["members"]:
             troubled[who].append((row["at_us"], row["until_us"] + slack_us))
-    return [f"{who} by {where}" for at, where, who in deaths
-            if not any(a <= at <= b for a, b in troubled[who] + troubled[where])]
+    return [
+        f"{who} by {where}"
+        for at, where, who in deaths
+        if not any(a <= at <= b for a, b in troubled[who] + troubled[where])
+    ]
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -77,22 +77,28 @@
         return self._told(found, time.monotonic() - began)
 
     async def _start(self) -> None:
-        loop, o = asyncio.get_running_loop(), Options(self.s.seconds, self.s.rate_per_s, self.ask.couriers,
-                                                      seed=self.ask.seed)
+        loop, o = (
+            asyncio.get_running_loop(),
+            Options(self.s.seconds, self.s.rate_per_s, self.ask.couriers, seed=self.ask.seed),
+        )
         await self.discovery.start()
         for plan in plans(self.s.rate_per_s):
             partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.chance, loop.time())
             self.partners.append(partner)
             for m in partner.machines:
                 await m.start()
-                self.discovery.target(m.uid, m.port, plan.number, plan.kind, rate=plan.rate_per_s,
-                                      zone=m.zone)
+                self.discovery.target(
+                    m.uid, m.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=m.zone
+                )
         net = self.s.net
         self.relay.loss, self.relay.repeat, self.relay.delay_s = net.loss, net.repeat, net.delay_ms / 1e3
         self.relay.open(free_udp_ports(self.ask.couriers))
         for n in range(self.ask.couriers):
-            text = courier_toml(self.discovery.port, o, n, KINDS) + "\n" + members_toml(
-                n, self.ask.couriers, self.voters, self.relay, self.s.alone)
+            text = (
+                courier_toml(self.discovery.port, o, n, KINDS)
+                + "\n"
+                + members_toml(n, self.ask.couriers, self.voters, self.relay, self.s.alone)
+            )
             if self.s.alone and n == 1:
                 text = text.replace("limits = {disk_mb = 16}", SMALL)
             off = self.chance.uniform(-1, 1) * self.s.clocks_off_s
@@ -104,6 +110,7 @@
         async def start(c: Courier) -> None:
             async with starting:
                 await c.start()
+
         async with asyncio.TaskGroup() as group:  # if one can't, no other is started after the end
             for c in self.couriers:
                 group.create_task(start(c))
@@ -114,13 +121,18 @@
 
     async def _play(self) -> None:
         loop = asyncio.get_running_loop()
-        load = Load(self.ledger, KINDS, [p.plan.number for p in self.partners],
-                    lambda: [c.port for c in self.couriers if c.taking],
-                    random.Random(f"load {self.ask.seed}"))
+        load = Load(
+            self.ledger,
+            KINDS,
+            [p.plan.number for p in self.partners],
+            lambda: [c.port for c in self.couriers if c.taking],
+            random.Random(f"load {self.ask.seed}"),
+        )
         watching = [loop.create_task(self._watch(c)) for c in self.couriers]
         watching += [loop.create_task(self._changes())]
-        policies = Policies(self.couriers, self.history, self.chance, [m.uid for p in self.partners
-                                                                      for m in p.machines])
+        policies = Policies(
+            self.couriers, self.history, self.chance, [m.uid for p in self.partners for m in p.machines]
+        )
         if self.s.policies_per_s:
             watching.append(loop.create_task(policies.go_on(self.s.policies_per_s)))
         try:
@@ -147,16 +159,22 @@
             load.close()
 
     def _open(self) -> int:
-        return sum(e.answer == "taken" and not e.delivered_at and not e.notice
-                   for e in self.ledger.entries.values())
+        return sum(
+            e.answer == "taken" and not e.delivered_at and not e.notice for e in self.ledger.entries.values()
+        )
 
     async def _agree(self, within: float) -> bool:
         """All doors answer, take all for alive and know one version, the same words."""
         until = time.monotonic() + within
         while time.monotonic() < until:
             views = await asyncio.gather(*(c.ask("GET", "/fleet") for c in self.couriers))
-            well = all(code == 200 and self._settled(body) and body["started"]
-                       and all(m["state"] == "alive" for m in body["members"]) for code, body in views)
+            well = all(
+                code == 200
+                and self._settled(body)
+                and body["started"]
+                and all(m["state"] == "alive" for m in body["members"])
+                for code, body in views
+            )
             if well and len({repr(sorted(body["words"].items())) for _, body in views}) == 1:
                 return True
             await asyncio.sleep(0.1)
@@ -177,14 +195,21 @@
             if c.pid and not c.stopped:
                 status, body = await c.ask("GET", f"/fleet/leases/{LEASE}")
                 if status == 200 and body["fence"]:
-                    self.history.add(c.name, "act", fence=body["fence"], owner=body["owner"],
-                                     looked_us=body["at_us"])
+                    self.history.add(
+                        c.name, "act", fence=body["fence"], owner=body["owner"], looked_us=body["at_us"]
+                    )
                 if loop.time() - looked >= max(VIEW_S, len(self.couriers) / VIEWS_PER_S):
                     looked = loop.time()
                     status, body = await c.ask("GET", "/fleet")
                     if status == 200:
-                        self.history.add(c.name, "view", version=body["version"], life=body["life"],
-                                         incarnation=body["members"][0]["incarnation"], health=body["health"])
+                        self.history.add(
+                            c.name,
+                            "view",
+                            version=body["version"],
+                            life=body["life"],
+                            incarnation=body["members"][0]["incarnation"],
+                            health=body["health"],
+                        )
             each = len(self.couriers) / max(1.0, self.s.acts_per_s)
             await asyncio.sleep(self.chance.uniform(0.5, 1.5) * each)
 
@@ -205,13 +230,15 @@
         while status == 202 and told["state"] == "under way" and time.monotonic() < until and c.pid == life:
             await asyncio.sleep(0.03)
             asked, body = await c.ask(
-                "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}")
+                "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}"
+            )
             told = body if asked == 200 else told
         if status == 202 and told["state"] in ("done", "left"):
             self.history.add(c.name, "change", began_us=began, text=text, **told)
         else:
-            self.history.add(c.name, "unknown", began_us=began, text=text,
-                             state=told.get("state", "no answer"))
+            self.history.add(
+                c.name, "unknown", began_us=began, text=text, state=told.get("state", "no answer")
+            )
 
     # The end
 
@@ -234,16 +261,26 @@
         wrong = rules.false_deaths(self.history, deaths, DEATH_SLACK_US)
         changes = self.history.of("change")
         took = sorted((r["at_us"] - r["began_us"]) // 1000 for r in changes)
-        return {"scenario": self.s.name, "seed": self.ask.seed, "couriers": self.ask.couriers,
-                "faults": dict(sorted(self.hand.counts.items())), "killed": self.hand.killed,
-                "messages": result["taken"], "lost": self._open(), "twice": result["twice"],
-                "in_time": round(result["in_time"] / max(1, result["handed_in"]), 4),
-                "changes": sum(r["state"] == "done" for r in changes),
-                "unknown": len(self.history.of("unknown")),
-                "change_p99_ms": took[int(len(took) * 0.99)] if took else None,
-                "acts": len(self.history.of("act")), "agreed_s": round(self.agreed_s, 1),
-                **(policy_rules.figures(self.history) if self.s.alone else {}),
-                "false_deaths": len(wrong), "violations": found, "seconds": round(seconds, 1)}
+        return {
+            "scenario": self.s.name,
+            "seed": self.ask.seed,
+            "couriers": self.ask.couriers,
+            "faults": dict(sorted(self.hand.counts.items())),
+            "killed": self.hand.killed,
+            "messages": result["taken"],
+            "lost": self._open(),
+            "twice": result["twice"],
+            "in_time": round(result["in_time"] / max(1, result["handed_in"]), 4),
+            "changes": sum(r["state"] == "done" for r in changes),
+            "unknown": len(self.history.of("unknown")),
+            "change_p99_ms": took[int(len(took) * 0.99)] if took else None,
+            "acts": len(self.history.of("act")),
+            "agreed_s": round(self.agreed_s, 1),
+            **(policy_rules.figures(self.history) if self.s.alone else {}),
+            "false_deaths": len(wrong),
+            "violations": found,
+            "seconds": round(seconds, 1),
+        }
 
 
 def run(ask: Ask) -> dict[str, Any]:
--- a/hopmill/trial/scenario.py
+++ b/hopmill/trial/scenario.py
@@ -13,8 +13,19 @@
 from hopmill.fields import ConfigError, NotNegative, Positive, Share, Strict
 
 FOLDER = Path(__file__).parent / "scenarios"
-KINDS = ("kill", "stop", "split", "oneway", "loss", "folder", "fulldisk", "slowdisk", "restart", "upgrade",
-         "half")
+KINDS = (
+    "kill",
+    "stop",
+    "split",
+    "oneway",
+    "loss",
+    "folder",
+    "fulldisk",
+    "slowdisk",
+    "restart",
+    "upgrade",
+    "half",
+)
 QUIET_S = 1.0  # before the first fault, and between a fault's end and the end of the trial at least
 
 
@@ -97,19 +108,22 @@
             detail["back"] = chance.random() < 0.5
             who = [chance.randrange(voters if chance.random() < 0.7 else members)]
         elif kind == "half":
-            who = who[:max(1, members // 2)]
+            who = who[: max(1, members // 2)]
         elif kind == "split":
             detail["groups"] = [chance.randrange(chance.choice((2, 3))) for _ in range(members)]
         elif kind == "oneway":
             detail["way"] = chance.choice(("hears", "heard", "pair", "all but one"))
             who = who[:2]
         elif kind == "loss":
-            detail |= {"loss": chance.choice((0.1, 0.3)), "repeat": chance.choice((0.0, 0.2)),
-                       "delay_ms": chance.choice((1.0, 20.0, 200.0))}
+            detail |= {
+                "loss": chance.choice((0.1, 0.3)),
+                "repeat": chance.choice((0.0, 0.2)),
+                "delay_ms": chance.choice((1.0, 20.0, 200.0)),
+            }
             who = []
         elif kind == "slowdisk":
             detail["ms"] = chance.choice((10.0, 100.0, 1000.0))
-            who = who[:chance.choice((1, members))]
+            who = who[: chance.choice((1, members))]
         else:
             who = who[:1]
         faults.append(Fault(round(at, 3), kind, round(lasts, 3), tuple(who), detail))
@@ -117,10 +131,15 @@
 
 
 LASTS = {
-    "kill": lambda c: c.uniform(0.1, 3.0), "half": lambda c: c.uniform(0.1, 3.0),
-    "restart": lambda c: 0.3, "stop": lambda c: c.choice((c.uniform(0.1, 1.0), c.uniform(1.0, 20.0))),
-    "split": lambda c: c.uniform(0.5, 5.0), "oneway": lambda c: c.uniform(0.5, 5.0),
-    "loss": lambda c: c.uniform(1.0, 5.0), "folder": lambda c: c.uniform(0.1, 1.0),
-    "slowdisk": lambda c: c.uniform(0.5, 5.0), "upgrade": lambda c: 1.0,
+    "kill": lambda c: c.uniform(0.1, 3.0),
+    "half": lambda c: c.uniform(0.1, 3.0),
+    "restart": lambda c: 0.3,
+    "stop": lambda c: c.choice((c.uniform(0.1, 1.0), c.uniform(1.0, 20.0))),
+    "split": lambda c: c.uniform(0.5, 5.0),
+    "oneway": lambda c: c.uniform(0.5, 5.0),
+    "loss": lambda c: c.uniform(1.0, 5.0),
+    "folder": lambda c: c.uniform(0.1, 1.0),
+    "slowdisk": lambda c: c.uniform(0.5, 5.0),
+    "upgrade": lambda c: 1.0,
     "fulldisk": lambda c: c.uniform(0.5, 3.0),
 }
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -15,8 +15,16 @@
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
 
-RESULTS = {200: i.Result.OK, 502: i.Result.ERROR, 429: i.Result.FULL, 408: i.Result.TIMEOUT,
-           521: i.Result.CONNECT_FAILED, 520: i.Result.RESET, 444: i.Result.CANCELLED, 409: i.Result.MOOT}
+RESULTS = {
+    200: i.Result.OK,
+    502: i.Result.ERROR,
+    429: i.Result.FULL,
+    408: i.Result.TIMEOUT,
+    521: i.Result.CONNECT_FAILED,
+    520: i.Result.RESET,
+    444: i.Result.CANCELLED,
+    409: i.Result.MOOT,
+}
 FORMS = (i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.CACHED, i.ListForm.FAILED)
 STATES = (i.EndpointState.GONE, i.EndpointState.READY, i.EndpointState.DRAINING)
 EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
@@ -66,7 +74,7 @@
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
         raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
-    return tail[offset:offset + size]
+    return tail[offset : offset + size]
 
 
 def read_settings(text: bytes | memoryview | str) -> i.Settings:
@@ -90,46 +98,70 @@
     report = raw.get("report", {})
     classes = tuple(
         i.MessageClass(
-            name=c.get("name", str(k)), aim_us=int(c["goalTimeUs"]), deadline_us=int(c["deadlineUs"]),
+            name=c.get("name", str(k)),
+            aim_us=int(c["goalTimeUs"]),
+            deadline_us=int(c["deadlineUs"]),
             effect=_choice(EFFECTS, c["idempotency"], "classes.idempotency"),
-            worth=float(c.get("worth", 1.0)), late_share=float(c.get("lateShare", 0.0)),
+            worth=float(c.get("worth", 1.0)),
+            late_share=float(c.get("lateShare", 0.0)),
             key_scope=c.get("keyScope", "all"),
-            key_window_us=int(c.get("keyTtlUs", 0)), ordered=bool(c.get("sequential", False)))
-        for k, c in enumerate(raw["classes"]))
+            key_window_us=int(c.get("keyTtlUs", 0)),
+            ordered=bool(c.get("sequential", False)),
+        )
+        for k, c in enumerate(raw["classes"])
+    )
     names = raw.get("shapes") or ["any"]
     apart, batch = family.get("kindApart", []), family.get("kindBatch", [])
     kinds = tuple(
         i.Kind(n, bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1)
-        for k, n in enumerate(names))
+        for k, n in enumerate(names)
+    )
     tenants = tuple(
         i.Tenant(t.get("name", ""), float(t.get("fraction", 0.0)), float(t.get("quotaPerS", 0.0)))
-        for t in raw.get("tenants", []))
+        for t in raw.get("tenants", [])
+    )
     return i.Settings(
-        classes=classes, kinds=kinds, tenants=tenants, slots=int(family["maxCalls"]),
-        max_held=int(limits["maxOpen"]), couriers=int(raw.get("groupSize", 1)), me=int(raw.get("me", 0)),
-        max_attempts=int(limits["attemptsCap"]), second_copies=bool(limits.get("secondCopies", False)),
-        may_probe=bool(limits.get("probing", False)), may_cancel=bool(limits.get("mayCancel", False)),
-        peer_notes=bool(limits.get("peers", False)), tick_us=int(raw.get("stepUs", 1000)),
+        classes=classes,
+        kinds=kinds,
+        tenants=tenants,
+        slots=int(family["maxCalls"]),
+        max_held=int(limits["maxOpen"]),
+        couriers=int(raw.get("groupSize", 1)),
+        me=int(raw.get("me", 0)),
+        max_attempts=int(limits["attemptsCap"]),
+        second_copies=bool(limits.get("secondCopies", False)),
+        may_probe=bool(limits.get("probing", False)),
+        may_cancel=bool(limits.get("mayCancel", False)),
+        peer_notes=bool(limits.get("peers", False)),
+        tick_us=int(raw.get("stepUs", 1000)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if limits.get("retryAfter", False) else 0,
-        connection_idle_us=int(limits["connIdleUs"]), connect_timeout_us=int(limits["connectTimeoutUs"]),
-        drain_grace_us=int(contract["drainGraceUs"]), cold_share=float(contract["coldShare"]),
-        cold_us=int(contract["coldUs"]), fall_multiple=float(contract["fallMultiple"]),
-        fall_us=int(contract["fallUs"]), key_rest_us=int(contract.get("keyRestUs", 0)),
+        connection_idle_us=int(limits["connIdleUs"]),
+        connect_timeout_us=int(limits["connectTimeoutUs"]),
+        drain_grace_us=int(contract["drainGraceUs"]),
+        cold_share=float(contract["coldShare"]),
+        cold_us=int(contract["coldUs"]),
+        fall_multiple=float(contract["fallMultiple"]),
+        fall_us=int(contract["fallUs"]),
+        key_rest_us=int(contract.get("keyRestUs", 0)),
         answer_slack_us=int(contract.get("answerSlackUs", 0)),
         list_on_request=raw.get("membershipMode") == "on_request",
         report_fields=tuple(report.get("fields", ())) if report.get("how") == "piggyback" else (),
         rates_listed=raw.get("weightSource") in ("nominal", "rough"),
-        over_share_worth=float(raw.get("overShareWorth", 1.0)), late_halves=family.get("late") == "halves",
+        over_share_worth=float(raw.get("overShareWorth", 1.0)),
+        late_halves=family.get("late") == "halves",
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
         refused_price=float(family.get("refusedPrice", 0.0)),
-        zone_fees=tuple(float(f) for f in family.get("carriage", [])))
+        zone_fees=tuple(float(f) for f in family.get("carriage", [])),
+    )
 
 
 def read_entries(data: memoryview) -> tuple[i.ListEntry, ...]:
     return tuple(
-        i.ListEntry(endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate,
-                    kind, zone)
-        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data))
+        i.ListEntry(
+            endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate, kind, zone
+        )
+        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data)
+    )
 
 
 def split_header(header: bytes) -> tuple[int, int, int, int]:
@@ -139,13 +171,14 @@
     return BATCH_HEADER.unpack(header)
 
 
-def read_events(body: bytes, count: int,
-                pages: dict[int, tuple[i.ListEntry, ...]]) -> Iterator[tuple[int, Any]]:
+def read_events(
+    body: bytes, count: int, pages: dict[int, tuple[i.ListEntry, ...]]
+) -> Iterator[tuple[int, Any]]:
     """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
     if count * EVENT_SIZE > len(body):
         raise Malformed(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
-    tail, instance = view[count * EVENT_SIZE:], None
+    tail, instance = view[count * EVENT_SIZE :], None
     for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
         code = view[at]
         if code == 1:
@@ -184,8 +217,9 @@
         ident, attempt, address, port, result, latency, last, hold, n, *load = _ANSWER.unpack_from(view, at)
         kind = _choice(RESULTS, result, "result")
         wait = hold * 1000 if kind is i.Result.FULL else 0
-        return i.AttemptEnded(ident, attempt, endpoint_id(address, port), kind, latency, bool(last), wait,
-                              tuple(load[:n]))
+        return i.AttemptEnded(
+            ident, attempt, endpoint_id(address, port), kind, latency, bool(last), wait, tuple(load[:n])
+        )
     if code == 9:
         return Shutdown()
     if code == 10:
@@ -222,8 +256,9 @@
 
     def action(self, a: i.Action) -> None:
         if isinstance(a, i.Send):
-            self._add("BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF,
-                      min(a.timeout_us, MAX_U32))
+            self._add(
+                "BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF, min(a.timeout_us, MAX_U32)
+            )
         elif isinstance(a, i.SetTimer):
             self._add("BIQ", 5, min(a.delay_us, MAX_U32), a.token)
         elif isinstance(a, i.Refuse):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -26,20 +26,52 @@
     """Settings as on the wire; a change is given as group__name=value."""
     raw = {
         "classes": [
-            {"name": "safe", "goalTimeUs": 1_000_000, "deadlineUs": 6_000_000, "idempotency": "read_like",
-             "worth": 2.0},
-            {"name": "keyed", "goalTimeUs": 2_000_000, "deadlineUs": 9_000_000,
-             "idempotency": "idempotency_key", "keyScope": "all", "keyTtlUs": 8_000_000},
-            {"name": "unsafe", "goalTimeUs": 500_000, "deadlineUs": 9_000_000,
-             "idempotency": "non_idempotent"},
+            {
+                "name": "safe",
+                "goalTimeUs": 1_000_000,
+                "deadlineUs": 6_000_000,
+                "idempotency": "read_like",
+                "worth": 2.0,
+            },
+            {
+                "name": "keyed",
+                "goalTimeUs": 2_000_000,
+                "deadlineUs": 9_000_000,
+                "idempotency": "idempotency_key",
+                "keyScope": "all",
+                "keyTtlUs": 8_000_000,
+            },
+            {
+                "name": "unsafe",
+                "goalTimeUs": 500_000,
+                "deadlineUs": 9_000_000,
+                "idempotency": "non_idempotent",
+            },
         ],
-        "clients": {"marksRetry": True}, "groupSize": 2, "me": 0, "stepUs": 5000,
-        "contract": {"coldShare": 0.15, "coldUs": 1_000_000, "drainGraceUs": 2_000_000, "fallMultiple": 2.5,
-                     "fallUs": 2_000_000},
+        "clients": {"marksRetry": True},
+        "groupSize": 2,
+        "me": 0,
+        "stepUs": 5000,
+        "contract": {
+            "coldShare": 0.15,
+            "coldUs": 1_000_000,
+            "drainGraceUs": 2_000_000,
+            "fallMultiple": 2.5,
+            "fallUs": 2_000_000,
+        },
         "familyInfo": {"maxCalls": 12, "kindApart": [False, False], "kindBatch": [1, 5]},
-        "policyLimits": {"attemptsCap": 12, "connIdleUs": 10_000_000, "connectTimeoutUs": 1_000_000,
-                         "maxOpen": 40, "retryAfter": True, "maxRetryAfterUs": 2_000_000, "probing": True},
-        "localities": ["here"], "shapes": ["plain", "bundles"], "weightSource": "nominal",
+        "policyLimits": {
+            "attemptsCap": 12,
+            "connIdleUs": 10_000_000,
+            "connectTimeoutUs": 1_000_000,
+            "maxOpen": 40,
+            "retryAfter": True,
+            "maxRetryAfterUs": 2_000_000,
+            "probing": True,
+        },
+        "localities": ["here"],
+        "shapes": ["plain", "bundles"],
+        "weightSource": "nominal",
         "tenants": [{"name": "t", "fraction": 1.0, "quotaPerS": 1000.0}],
     }
     for name, value in changes.items():
@@ -54,9 +86,11 @@
 
 async def until(condition):
     """Wait for it, a bounded time."""
+
     async def poll():
         while not condition():
             await asyncio.sleep(0.005)
+
     await bounded(poll())
 
 
@@ -158,13 +192,23 @@
         return endpoint
 
     def env(self):
-        config = {"name": "n0", "seed": "8c1f30d27a5be964", "limits": self.limits,
-                  "known": self.discovery.whole(), "settings": self.raw}
+        config = {
+            "name": "n0",
+            "seed": "8c1f30d27a5be964",
+            "limits": self.limits,
+            "known": self.discovery.whole(),
+            "settings": self.raw,
+        }
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
-        return {"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(path),
-                "LB_OPERATOR": f"{DOOR}:{self.door}" if self.door else "",
-                "LB_DISCOVERY": f"127.0.0.1:{self.discovery.port}", "LB_STATE": str(self.folder / "state")}
+        return {
+            "LB_NAME": "n0",
+            "LB_LISTEN": "127.0.0.1:0",
+            "LB_CONFIG": str(path),
+            "LB_OPERATOR": f"{DOOR}:{self.door}" if self.door else "",
+            "LB_DISCOVERY": f"127.0.0.1:{self.discovery.port}",
+            "LB_STATE": str(self.folder / "state"),
+        }
 
     async def inside(self):
         """Start the courier in this process; returns a client of it."""
@@ -180,9 +224,11 @@
 
     async def start(self, files=0):
         """A process that is ready, and the port that it says it is ready on."""
+
         def limit():
             if files:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
+
         process = await self.launch(preexec_fn=limit)
         while True:
             line = (await bounded(process.stderr.readline())).decode()
@@ -196,7 +242,8 @@
             env["LB_LISTEN_FD"] = str(self.listening.fileno())
             more["pass_fds"] = [self.listening.fileno()]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hopmill", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, **more)
+            sys.executable, "-m", "hopmill", env=env, cwd=ROOT, stderr=asyncio.subprocess.PIPE, **more
+        )
         self.processes.append(process)
         return process
 
@@ -212,9 +259,12 @@
 
 def courier(test):
     """Runs a test with a fleet."""
+
     def run(tmp_path):
         async def inner():
             async with Fleet(tmp_path) as fleet:
                 await test(fleet)
+
         asyncio.run(inner())
+
     return run
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -37,14 +37,26 @@
     """Feeds a courier and keeps what it did."""
 
     def __init__(self, endpoints=1, rate=0.0, **changes):
-        given = {"classes": CLASSES, "slots": 8, "max_held": 100, "max_attempts": 12, "kinds": (Kind("k"),),
-                 "rates_listed": rate > 0, "max_retry_after_us": 2 * S, "tick_us": 5000}
+        given = {
+            "classes": CLASSES,
+            "slots": 8,
+            "max_held": 100,
+            "max_attempts": 12,
+            "kinds": (Kind("k"),),
+            "rates_listed": rate > 0,
+            "max_retry_after_us": 2 * S,
+            "tick_us": 5000,
+        }
         given.update(changes)
         self.connected = Connected(Settings(**given), 7)  # it tells the module of connections
         self.courier = self.connected.courier
         self.now, self.next, self.tries = 1000 * S, 0, {}
-        self.do(EndpointsListed(ListForm.CACHED, tuple(
-            ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints))))
+        self.do(
+            EndpointsListed(
+                ListForm.CACHED,
+                tuple(ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints)),
+            )
+        )
 
     def do(self, *events, after=0):
         self.now += after
@@ -60,8 +72,10 @@
         return self.do(MessageArrived(self.next, cls, dest, until), after=after)
 
     def end(self, message, result, latency=100_000, after=100_000, endpoint=100, told=0):
-        return self.do(AttemptEnded(message, self.tries[message], endpoint, result, latency,
-                                    result is Result.OK, told), after=after)
+        return self.do(
+            AttemptEnded(message, self.tries[message], endpoint, result, latency, result is Result.OK, told),
+            after=after,
+        )
 
     def idle(self, seconds, step=0.05):
         acts = []
@@ -262,6 +276,7 @@
         lane.brink = lane.rate = 2.0
         serve(h, 3, Result.OK)
         return lane.rate - 2.0
+
     assert 0 < growth(True) < 0.7 * growth(False)
 
 
@@ -282,6 +297,7 @@
         h.courier.book.endpoints[100].lane.window = 20.0
         h.idle(2)
         return sum(len(of(Send, h.arrive())) for _ in range(12))
+
     assert 1 < at_once(0.1) < at_once(0.0) < 12
 
 
@@ -327,13 +343,15 @@
     other = of(Send, old.arrive())
     old.end(other[0].message, Result.FULL, told=5 * S, endpoint=other[0].endpoint)
     new = Courier(old.courier.s, 9)
-    listed = EndpointsListed(ListForm.CACHED, tuple(
-        ListEntry(100 + n, 1, EndpointState.READY, 100.0) for n in range(2)))
+    listed = EndpointsListed(
+        ListForm.CACHED, tuple(ListEntry(100 + n, 1, EndpointState.READY, 100.0) for n in range(2))
+    )
     carried = [Carried(e, {**figures, "lane.unknown": 1.0}) for e, figures in old.courier.carry()]
     begun = MessageArrived(first.message, 2, 1, old.now + 9 * S, tries=1, out=True)
     held = MessageArrived(77, 0, 1, old.now + 9 * S)
-    acts = new.handle(old.now, [listed, *carried, begun, held,
-                                CallCarried(first.endpoint, old.now - S, (first.message,))])
+    acts = new.handle(
+        old.now, [listed, *carried, begun, held, CallCarried(first.endpoint, old.now - S, (first.message,))]
+    )
     assert not of(Send, acts) and not of(Fail, acts)  # the wait is kept, the unsafe one is not given up
     assert new.book.out == 1
     assert of(Send, new.handle(old.now + 6 * S, []))  # the held one, once the wait is over
@@ -353,12 +371,14 @@
     # Lost calls of four seconds had held most slots, with hundreds of messages waiting for one.
     def patience(h):
         return of(Send, h.arrive(cls=2))[-1].timeout_us
+
     h = Host(endpoints=1, slots=4)
 
     def served(times):
         for _ in range(times):
             send = of(Send, h.arrive(after=20_000))[0]
             h.end(send.message, Result.OK, after=100_000)
+
     served(60)
     h.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
     assert patience(h) == CLASSES[2].aim_us  # few slots taken: one long try
@@ -384,6 +404,7 @@
     def lose(message, answered):
         h.end(answered, Result.OK, after=20_000)  # the endpoint answers others meanwhile
         h.end(message, Result.TIMEOUT, latency=600_000, after=600_000)
+
     for _ in range(6):
         h.end(send(), Result.OK, after=50_000)
     if new_ones_too:
@@ -441,7 +462,7 @@
         h.arrive(life=int(life * S))
         left[h.next] = h.now + int(life * S)
     sent = of(Send, h.end(1, Result.OK))
-    lane, = h.courier.book.dests[1].lanes
+    (lane,) = h.courier.book.dests[1].lanes
     usual = lane.mean + 2 * lane.dev
     left = {m: until - h.now - h.courier.turn.margin for m, until in left.items()}
     assert sent and len({a.timeout_us for a in sent}) == 1
@@ -451,16 +472,22 @@
     assert together == {m for m in left if left[m] >= usual} or not any(left[m] >= usual for m in together)
 
 
-SHORT = (MessageClass("keyed", aim_us=S, deadline_us=20 * S, effect=Effect.KEYED, key_window_us=2 * S),
-         MessageClass("zoned", aim_us=S, deadline_us=20 * S, effect=Effect.KEYED, key_window_us=8 * S,
-                      key_scope="zone"))
+SHORT = (
+    MessageClass("keyed", aim_us=S, deadline_us=20 * S, effect=Effect.KEYED, key_window_us=2 * S),
+    MessageClass(
+        "zoned", aim_us=S, deadline_us=20 * S, effect=Effect.KEYED, key_window_us=8 * S, key_scope="zone"
+    ),
+)
 
 
-@pytest.mark.parametrize(("waits", "after", "ends"), [
-    ("its endpoint drains", 1.8, None),
-    ("its endpoint drains", 2.05, "deferred"),  # and not at its deadline, 18 s later
-    ("its call", 2.05, "deferred"),
-])
+@pytest.mark.parametrize(
+    ("waits", "after", "ends"),
+    [
+        ("its endpoint drains", 1.8, None),
+        ("its endpoint drains", 2.05, "deferred"),  # and not at its deadline, 18 s later
+        ("its call", 2.05, "deferred"),
+    ],
+)
 def test_what_may_not_be_repeated_any_more_is_answered_at_once(waits, after, ends):
     h = Host(classes=SHORT)
     h.arrive(cls=0, life=20 * S)
@@ -470,15 +497,19 @@
         h.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
         h.end(1, Result.ERROR)
         acts = h.idle(after - 0.1)
-    assert ["deferred" if isinstance(a, Refuse) else "failed" for a in acts
-            if isinstance(a, (Refuse, Fail))] == ([ends] if ends else [])
+    assert [
+        "deferred" if isinstance(a, Refuse) else "failed" for a in acts if isinstance(a, (Refuse, Fail))
+    ] == ([ends] if ends else [])
 
 
 @pytest.mark.parametrize(("ran_zone", "sent"), [(0, [100]), (1, [101]), (-1, []), (7, [])])
 def test_a_restored_message_whose_key_holds_in_one_zone_goes_there_again_or_ends(ran_zone, sent):
     h = Host(classes=SHORT)
-    h.do(EndpointsListed(ListForm.CACHED, tuple(
-        ListEntry(100 + n, 1, EndpointState.READY, zone=n) for n in range(2))))
+    h.do(
+        EndpointsListed(
+            ListForm.CACHED, tuple(ListEntry(100 + n, 1, EndpointState.READY, zone=n) for n in range(2))
+        )
+    )
     acts = h.do(MessageArrived(9, 1, 1, h.now + 15 * S, tries=1, ran_at_us=h.now - S, ran_zone=ran_zone))
     assert [a.endpoint for a in of(Send, acts)] == sent
     if ran_zone < 0:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -19,8 +19,13 @@
     def __init__(self, **changes):
         self.ended, self.waits, self.probes, self.begun = asyncio.Queue(), [], asyncio.Queue(), []
         self.allowed = self.wanted = True
-        hooks = c.Hooks(lambda e: self.allowed, self.begin, self.end, lambda e, w: self.waits.append(w),
-                        lambda e, r, latency: self.probes.put_nowait(r))
+        hooks = c.Hooks(
+            lambda e: self.allowed,
+            self.begin,
+            self.end,
+            lambda e, w: self.waits.append(w),
+            lambda e, r, latency: self.probes.put_nowait(r),
+        )
         given = {"idle_us": 10_000_000, "connect_us": 1_000_000, "max_idle": 20, **changes}
         loop = asyncio.get_running_loop()
         self.pool = Pool(loop, wanted=lambda e: self.wanted, **given)
@@ -48,31 +53,40 @@
         return s.getsockname()[1]
 
 
-@pytest.mark.parametrize(("step", "outcome"), [
-    (answer(200), c.Outcome(Result.OK, over=True)),
-    (answer(500), c.Outcome(Result.ERROR)),
-    (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
-    (answer(503), c.Outcome(Result.FULL)),
-    (answer(503, X_Server_Load="x0=0.4,x1=25"), c.Outcome(Result.FULL, report=(("x0", 0.4), ("x1", 25.0)))),
-    (answer(503, X_Server_Load="x0=0.4,x1=nan"), c.Outcome(Result.FULL)),  # one that can't be read is none
-    (answer(503, X_Server_Load="x0,=,x1=25,"), c.Outcome(Result.FULL)),
-    (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
-    (answer(504), c.Outcome(Result.MOOT)),
-    (answer(410), c.Outcome(Result.MOOT, over=True)),
-    (answer(413), c.Outcome(Result.MOOT)),
-    ("reset", c.Outcome(Result.RESET)),
-    ("hang", c.Outcome(Result.TIMEOUT)),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
-    (b"nonsense\r\n\r\n", c.Outcome(Result.RESET)),
-    # Only the first line of such an answer can be read: where it is whole and says 200, it is true.
-    (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000, c.Outcome(Result.OK, over=True)),
-    (b"HTTP/1.1 200 OK\r\nno header\r\n\r\n", c.Outcome(Result.OK, over=True)),
-    (b"HTTP/1.1 200\r\nContent-Length: -1\r\n\r\n", c.Outcome(Result.OK, over=True)),
-    (("end", b"HTTP/1.1 200 OK\r\nContent-Le"), c.Outcome(Result.OK, over=True)),
-    (("end", b"HTTP/1.1 200 O"), c.Outcome(Result.RESET)),
-    (b"HTTP/1.1 2000 OK\r\nno header\r\n\r\n", c.Outcome(Result.RESET)),
-    (b"HTTP/1.1 500 x\r\nno header\r\n\r\n", c.Outcome(Result.RESET)),
-])
+@pytest.mark.parametrize(
+    ("step", "outcome"),
+    [
+        (answer(200), c.Outcome(Result.OK, over=True)),
+        (answer(500), c.Outcome(Result.ERROR)),
+        (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
+        (answer(503), c.Outcome(Result.FULL)),
+        (
+            answer(503, X_Server_Load="x0=0.4,x1=25"),
+            c.Outcome(Result.FULL, report=(("x0", 0.4), ("x1", 25.0))),
+        ),
+        (
+            answer(503, X_Server_Load="x0=0.4,x1=nan"),
+            c.Outcome(Result.FULL),
+        ),  # one that can't be read is none
+        (answer(503, X_Server_Load="x0,=,x1=25,"), c.Outcome(Result.FULL)),
+        (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
+        (answer(504), c.Outcome(Result.MOOT)),
+        (answer(410), c.Outcome(Result.MOOT, over=True)),
+        (answer(413), c.Outcome(Result.MOOT)),
+        ("reset", c.Outcome(Result.RESET)),
+        ("hang", c.Outcome(Result.TIMEOUT)),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
+        (b"nonsense\r\n\r\n", c.Outcome(Result.RESET)),
+        # Only the first line of such an answer can be read: where it is whole and says 200, it is true.
+        (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000, c.Outcome(Result.OK, over=True)),
+        (b"HTTP/1.1 200 OK\r\nno header\r\n\r\n", c.Outcome(Result.OK, over=True)),
+        (b"HTTP/1.1 200\r\nContent-Length: -1\r\n\r\n", c.Outcome(Result.OK, over=True)),
+        (("end", b"HTTP/1.1 200 OK\r\nContent-Le"), c.Outcome(Result.OK, over=True)),
+        (("end", b"HTTP/1.1 200 O"), c.Outcome(Result.RESET)),
+        (b"HTTP/1.1 2000 OK\r\nno header\r\n\r\n", c.Outcome(Result.RESET)),
+        (b"HTTP/1.1 500 x\r\nno header\r\n\r\n", c.Outcome(Result.RESET)),
+    ],
+)
 def test_each_answer_has_its_outcome(step, outcome):
     async def run():
         endpoint = await Endpoint(step).start()
@@ -88,6 +102,7 @@
         assert o.waits == ([250_000] if outcome.wait_us else [])
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -105,10 +120,13 @@
             self.ended.put_nowait(None)
 
 
-@pytest.mark.parametrize(("ids", "outcome"), [
-    (("a",), c.Outcome(Result.OK, over=True)),  # the first line had come
-    (("a", "b"), c.Outcome(Result.ERROR)),  # it may have run
-])
+@pytest.mark.parametrize(
+    ("ids", "outcome"),
+    [
+        (("a",), c.Outcome(Result.OK, over=True)),  # the first line had come
+        (("a", "b"), c.Outcome(Result.ERROR)),  # it may have run
+    ],
+)
 def test_an_answer_that_does_not_end_is_not_kept(ids, outcome, monkeypatch):
     monkeypatch.setattr(c, "TAIL_S", 1000.0)
 
@@ -119,6 +137,7 @@
         await bounded(endpoint.ended.get())  # the connection was closed, and not because of a time-out
         assert not o.calls.out
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -132,6 +151,7 @@
         next(iter(o.calls.out)).timed_out()
         assert await sending == [("a", c.Outcome(Result.OK, over=True))]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -145,6 +165,7 @@
         assert not o.calls.out
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -155,6 +176,7 @@
         ends = await o.send(endpoint.port, "a", "b")
         assert ends == [(i, c.Outcome(Result.RESET)) for i in "ab"]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -163,6 +185,7 @@
         o = Outcomes()
         assert await o.send(free_port(), "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
         assert o.begun == []  # nothing was written, so no attempt is recorded
+
     asyncio.run(run())
 
 
@@ -181,6 +204,7 @@
             assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
             for f in fill:
                 f.close()
+
     asyncio.run(run())
 
 
@@ -214,6 +238,7 @@
         assert await bounded(lost) is False
         thread.join()
         listener.close()
+
     asyncio.run(run())
 
 
@@ -230,6 +255,7 @@
         assert endpoint.accepted == 2
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -241,28 +267,37 @@
         await bounded(endpoint.ended.get())  # this side ended it
         assert not o.pool.idle
         await endpoint.stop()
+
     asyncio.run(run())
 
 
 def test_a_bundle_has_an_end_for_each():
     async def run():
-        rows = (b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
-                b'{"id":"d","state":"void"},{"id":"e","state":"used_up"}]')
-        endpoint = await Endpoint(answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"),
-                                  answer(200, b"[]"), "reset").start()
+        rows = (
+            b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
+            b'{"id":"d","state":"void"},{"id":"e","state":"used_up"}]'
+        )
+        endpoint = await Endpoint(
+            answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"), answer(200, b"[]"), "reset"
+        ).start()
         o = Outcomes()
         ends = dict(await o.send(endpoint.port, *"abcde"))
         path, headers, body, _ = await endpoint.call()
         assert path == "/events/bundle" and b'"key":"ka"' in body and b'"body":"eA=="' in body
         assert {o.wait_us for o in ends.values()} == {500_000}
         assert {i: (o.result, o.over) for i, o in ends.items()} == {
-            "a": (Result.OK, True), "b": (Result.ERROR, False), "c": (Result.FULL, False),
-            "d": (Result.MOOT, True), "e": (Result.MOOT, False)}
+            "a": (Result.OK, True),
+            "b": (Result.ERROR, False),
+            "c": (Result.FULL, False),
+            "d": (Result.MOOT, True),
+            "e": (Result.MOOT, False),
+        }
         assert {o.result for _, o in await o.send(endpoint.port, *"fg")} == {Result.FULL}
         assert {o.result for _, o in await o.send(endpoint.port, *"hi")} == {Result.ERROR}  # may have run
         assert {o.result for _, o in await o.send(endpoint.port, *"jk")} == {Result.RESET}
         assert o.waits == [500_000, 1_000_000]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -278,6 +313,7 @@
         await bounded(endpoint.ended.get())  # the connection has ended: no answer can come any more
         assert {end.result for end in ends.values()} == {Result.TIMEOUT} and not o.calls.out
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -291,6 +327,7 @@
         assert endpoint.calls.empty() and o.begun == []
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -305,6 +342,7 @@
         assert (await endpoint.call())[0] == "/alive"
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -335,4 +373,5 @@
         o.calls.close()
         thread.join()
         listener.close()
+
     asyncio.run(run())
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -77,6 +77,7 @@
     def mixed(body):
         rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
         return answer(200, rows, Retry_After="0.3")
+
     # The first call teaches the courier that more than one may be out; then three travel as one.
     e = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
     client = await fleet.inside()
@@ -96,16 +97,23 @@
     await fleet.endpoint("a")
     client = await fleet.inside()
     c = client.command
-    bad = [c(b"NOPE"), c(b"MSG.PUT", b"1"), b"+hello\r\n", b":5\r\n", b"*0\r\n", b"*1\r\n*1\r\n$1\r\nx\r\n",
-           c(b"MSG.PUT", b"0", b"id", b"c=nope,t=t,d=9,dest=7", b""),
-           c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=x,dest=7", b""),
-           c(b"MSG.PUT", b"0", b"id", b"c=keyed,t=t,d=900,dest=7", b""),
-           c(b"MSG.PUT", b"0", b"id", b"c=safe,t=nobody,d=900,dest=7", b""),
-           c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=900,dest=70000", b""),
-           c(b"MSG.PUT", b"91ec6abcf5bef80f", b"id", b"c=safe,t=t,d=900,dest=7", b""),
-           c(b"MSG.PUT", b"0", b"i d", b"c=safe,t=t,d=900,dest=7", b""),
-           c(b"MSG.PUT", b"0", b"id", b"\xff\xfe", b""),
-           client.message("big", body=b"x" * 65537)]
+    bad = [
+        c(b"NOPE"),
+        c(b"MSG.PUT", b"1"),
+        b"+hello\r\n",
+        b":5\r\n",
+        b"*0\r\n",
+        b"*1\r\n*1\r\n$1\r\nx\r\n",
+        c(b"MSG.PUT", b"0", b"id", b"c=nope,t=t,d=9,dest=7", b""),
+        c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=x,dest=7", b""),
+        c(b"MSG.PUT", b"0", b"id", b"c=keyed,t=t,d=900,dest=7", b""),
+        c(b"MSG.PUT", b"0", b"id", b"c=safe,t=nobody,d=900,dest=7", b""),
+        c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=900,dest=70000", b""),
+        c(b"MSG.PUT", b"91ec6abcf5bef80f", b"id", b"c=safe,t=t,d=900,dest=7", b""),
+        c(b"MSG.PUT", b"0", b"i d", b"c=safe,t=t,d=900,dest=7", b""),
+        c(b"MSG.PUT", b"0", b"id", b"\xff\xfe", b""),
+        client.message("big", body=b"x" * 65537),
+    ]
     for request in bad:
         assert (await client.send(request)).startswith("-ERR"), request
     pipelined = client.message("p1") + c(b"NOPE") + client.message("p2") + c(b"PING")
@@ -143,15 +151,27 @@
     def put(ident, kind):
         fields = f"c={kind},t=t,d=6000,dest=7".encode()
         return client.send(client.command(b"MSG.PUT", b"91ec6abcf5bef80f", ident, fields, b""))
+
     assert (await put(b"m1", "unsafe")).startswith("-ERR key")
     assert await put(b"m1", "safe") == "+OK"
     assert await put(b"m1", "unsafe") == "+OK"  # its id is known: it is taken care of
 
 
-@pytest.mark.parametrize("bad", [
-    {"pod_group": float("inf")}, {"pod_group": "x"}, {"capacity_hint": float("nan")},
-    {"capacity_hint": float("inf")}, {"endpoint": "partner.invalid:80"}, {"endpoint": "127.0.0.1:99999"},
-    {"endpoint": None}, {"state": []}, {"model": {}}, {"uid": None, "state": "no such"}])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        {"pod_group": float("inf")},
+        {"pod_group": "x"},
+        {"capacity_hint": float("nan")},
+        {"capacity_hint": float("inf")},
+        {"endpoint": "partner.invalid:80"},
+        {"endpoint": "127.0.0.1:99999"},
+        {"endpoint": None},
+        {"state": []},
+        {"model": {}},
+        {"uid": None, "state": "no such"},
+    ],
+)
 def test_a_bad_list_entry_leaves_the_others_in_force(tmp_path, bad):
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -162,6 +182,7 @@
             uids = fleet.host.roster.uids
             entries = fleet.host.roster.entries
             assert [n for n in ("a", "b", "c", "None") if uids.get(n) in entries] == ["a", "b"]
+
     asyncio.run(run())
 
 
@@ -195,6 +216,7 @@
             await fleet.inside()
             for _ in range(3):
                 await bounded(fleet.discovery.watches.get())
+
     asyncio.run(run())
 
 
@@ -259,6 +281,7 @@
 
     def fail(file, data):
         raise OSError(28, "No space left on device")
+
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("hopmill.net.state.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
@@ -275,27 +298,36 @@
     assert time.monotonic() - start < 0.6 + 0.3
 
 
-@pytest.mark.parametrize(("name", "value", "field"), [
-    ("LB_CONFIG", "", "LB_CONFIG"), ("LB_CONFIG", "/nowhere", "LB_CONFIG"),
-    ("LB_STATE", "/nowhere", "LB_STATE"),
-    ("LB_LISTEN", "here", "LB_LISTEN"), ("LB_DISCOVERY", "127.0.0.1:x", "LB_DISCOVERY"),
-])
+@pytest.mark.parametrize(
+    ("name", "value", "field"),
+    [
+        ("LB_CONFIG", "", "LB_CONFIG"),
+        ("LB_CONFIG", "/nowhere", "LB_CONFIG"),
+        ("LB_STATE", "/nowhere", "LB_STATE"),
+        ("LB_LISTEN", "here", "LB_LISTEN"),
+        ("LB_DISCOVERY", "127.0.0.1:x", "LB_DISCOVERY"),
+    ],
+)
 def test_a_wrong_value_names_its_field(tmp_path, name, value, field):
     async def run():
         async with Fleet(tmp_path) as fleet:
             return fleet.env()
+
     env = asyncio.run(run())
     load(env)
     with pytest.raises(ConfigError, match=f"^{field}: [^\n]+$"):
         load({**env, name: value})
 
 
-@pytest.mark.parametrize(("given", "field"), [
-    ([], "connections"), ({"warm_up": 1}, "connections.warm_up"), ({"warmup": True}, "connections.warmup")])
+@pytest.mark.parametrize(
+    ("given", "field"),
+    [([], "connections"), ({"warm_up": 1}, "connections.warm_up"), ({"warmup": True}, "connections.warmup")],
+)
 def test_a_wrong_option_is_named(tmp_path, given, field):
     async def run():
         async with Fleet(tmp_path) as fleet:
             return fleet.env(), fleet.folder / "config.json"
+
     env, path = asyncio.run(run())
     assert load(env).options == Options()  # off unless it is named
     config = json.loads(path.read_text())
@@ -313,8 +345,9 @@
     config = json.loads(path.read_text())
     reload = Reloader(fleet.host, Source({"LB_CONFIG": str(path)}))
     for given, on in (({}, False), ({"warm_up": True}, True), ({"warm_up": "yes"}, True), ({}, False)):
-        path.write_text(json.dumps({**config, "connections": given,
-                                    "discovery": f"127.0.0.1:{fleet.discovery.port}"}))
+        path.write_text(
+            json.dumps({**config, "connections": given, "discovery": f"127.0.0.1:{fleet.discovery.port}"})
+        )
         reload()
         fleet.host.turn()
         assert fleet.host.courier.connections.warm_up is on
@@ -325,6 +358,7 @@
     async def run():
         async with Fleet(tmp_path, settings(familyInfo__maxCalls=0)) as fleet:
             return fleet.env()
+
     with pytest.raises(ConfigError, match="^settings: slots"):
         load(asyncio.run(run()))
 
@@ -337,14 +371,20 @@
             client.writer.write(client.message("half")[:-5])
             other = await Client().open(client.writer.get_extra_info("peername")[1])
             assert await other.put("m") == "+OK"
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize(("first", "then", "said"), [
-    (b"", b"", b""), (b"*5\r\n$7\r\nMSG.PUT", b"", b"-ERR no whole request in time\r\n"),
-    (b"NOPE", b"", b"-ERR Protocol error"),
-    (b"*1\r\n$4\r\nPING\r\n", b"*1\r\n$4\r\nPI", b"+PONG\r\n-ERR no whole"),
-    (b"*1\r\n$4\r\nNOPE\r\n", b"", b"-ERR unknown command\r\n")])
+@pytest.mark.parametrize(
+    ("first", "then", "said"),
+    [
+        (b"", b"", b""),
+        (b"*5\r\n$7\r\nMSG.PUT", b"", b"-ERR no whole request in time\r\n"),
+        (b"NOPE", b"", b"-ERR Protocol error"),
+        (b"*1\r\n$4\r\nPING\r\n", b"*1\r\n$4\r\nPI", b"+PONG\r\n-ERR no whole"),
+        (b"*1\r\n$4\r\nNOPE\r\n", b"", b"-ERR unknown command\r\n"),
+    ],
+)
 def test_a_peer_that_sends_no_proper_request_is_closed(tmp_path, monkeypatch, first, then, said):
     monkeypatch.setattr("hopmill.net.clients.REQUEST_S", 0.1)
 
@@ -355,6 +395,7 @@
             got = await bounded(peer.reader.read())
             assert got.startswith(said) and (said or not got)
             assert not fleet.host.clients.clients
+
     asyncio.run(run())
 
 
@@ -376,6 +417,7 @@
             peer.timer.cancel()
             peer._overdue()
             assert await bounded(client.reader.read()) == b""
+
     asyncio.run(run())
 
 
@@ -392,8 +434,10 @@
             async def closed():
                 while fleet.host.clients.clients:
                     await asyncio.sleep(0.01)
+
             await bounded(closed())
             client.writer.transport.abort()
+
     asyncio.run(run())
 
 
@@ -474,6 +518,7 @@
                 assert e.calls.empty()
             else:
                 assert (await e.call())[1]["x-request-id"] == "m"
+
     asyncio.run(run())
 
 
@@ -494,6 +539,7 @@
             assert await client.put("m", kind="unsafe") == "+OK"
             assert (await fleet.discovery.final())["status"] == "deferred"  # it never ran
             assert e.calls.empty()
+
     asyncio.run(run())
 
 
@@ -532,6 +578,7 @@
         for name in ("heard_at", "proper_at", "begun_at"):
             setattr(peer, name, getattr(peer, name) - by)
         peer._overdue()
+
     message = client.message("m")
     late(2.0)
     for byte in message[:30]:
@@ -557,5 +604,6 @@
         async with Fleet(folder, **limits) as fleet:
             await fleet.inside()
             return fleet.host.clients.max_clients
+
     assert asyncio.run(places(tmp_path / "a", memory_mb=192, sockets=1024)) == 307
     assert asyncio.run(places(tmp_path / "b", memory_mb=16, sockets=1024)) < 40
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -43,12 +43,15 @@
     peer.close()
 
 
-@pytest.mark.parametrize(("sent", "said"), [
-    (FLOOD, b"-ERR Protocol error: expected an array of bulk strings\r\n"),
-    (b"*9999\r\n" + FLOOD, b"-ERR Protocol error: too large\r\n"),
-    (Client.command(b"QUIT") + FLOOD, OK),
-    (PING + b"\x00" * 300_000, PONG + b"-ERR Protocol error: a line is too long\r\n"),
-])
+@pytest.mark.parametrize(
+    ("sent", "said"),
+    [
+        (FLOOD, b"-ERR Protocol error: expected an array of bulk strings\r\n"),
+        (b"*9999\r\n" + FLOOD, b"-ERR Protocol error: too large\r\n"),
+        (Client.command(b"QUIT") + FLOOD, OK),
+        (PING + b"\x00" * 300_000, PONG + b"-ERR Protocol error: a line is too long\r\n"),
+    ],
+)
 def test_an_error_line_is_not_lost_over_what_is_unread(tmp_path, sent, said):
     # A close over unread bytes resets the connection, and the line may go with it.
     async def run():
@@ -62,6 +65,7 @@
             await sending
             peer.close()
             assert not fleet.host.journal.held
+
     asyncio.run(run())
 
 
@@ -137,6 +141,7 @@
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_client_that_ends_beside_its_answer(tmp_path, end, when):
     """when: its end comes before the turn that answers, or after its answer was written."""
+
     async def run():
         async with Fleet(tmp_path) as fleet:
             e = await fleet.endpoint("a")
@@ -156,7 +161,8 @@
             assert [m.id for m in fleet.host.journal.held.values()] == ["m"] * taken
             if end == "half_close":
                 assert await (peer.rest() if when == "before" else peer.some()) == (
-                    (OK, "end") if when == "before" else OK)
+                    (OK, "end") if when == "before" else OK
+                )
             if when == "after":
                 getattr(peer, end)()
                 await until(lambda: side.gone)
@@ -165,6 +171,7 @@
             assert await good.put("good") == "+OK"
             assert (await e.call())[1]["x-request-id"] == "good"
             peer.close()
+
     asyncio.run(run())
 
 
@@ -199,6 +206,7 @@
                     else:
                         await peer.send(step)
                         await asyncio.sleep(0)
+
             acting = asyncio.create_task(act())
             for n in range(20):
                 assert await asyncio.wait_for(good.put(f"m{n}"), 0.4) == "+OK"
@@ -207,6 +215,7 @@
             acting.cancel()
             peer.close()
             assert not {m.id for m in fleet.host.journal.held.values()} - {f"m{n}" for n in range(20)}
+
     asyncio.run(run())
 
 
@@ -302,24 +311,33 @@
             told = cut >= (first_line if ids == "a" else len(whole))
             results = {end.result for end in ends.values()}
             # A reset may come before what was sent is read: then it is lost, and may have run.
-            allowed = [{Result.OK}] if told and how == "end" else [{Result.OK}, {Result.RESET}] if told else [
-                {Result.RESET}]
+            allowed = (
+                [{Result.OK}]
+                if told and how == "end"
+                else [{Result.OK}, {Result.RESET}]
+                if told
+                else [{Result.RESET}]
+            )
             assert results in allowed, cut
             assert not o.calls.out or cut < len(whole)
             o.calls.close()
             o.pool.close()
             endpoint.close()
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize(("text", "ids", "result"), [
-    (b"", "a", Result.TIMEOUT),
-    (b"HTTP/1.1 20", "a", Result.TIMEOUT),
-    (WHOLE[:30], "a", Result.OK),
-    (answer(200, ROWS)[:-1], "ab", Result.TIMEOUT),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n[{\"id", "ab", Result.TIMEOUT),
-    (b"HTTP/1.1 100 Continue\r\n\r\n" * 50, "ab", Result.TIMEOUT),
-])
+@pytest.mark.parametrize(
+    ("text", "ids", "result"),
+    [
+        (b"", "a", Result.TIMEOUT),
+        (b"HTTP/1.1 20", "a", Result.TIMEOUT),
+        (WHOLE[:30], "a", Result.OK),
+        (answer(200, ROWS)[:-1], "ab", Result.TIMEOUT),
+        (b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n[{"id', "ab", Result.TIMEOUT),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" * 50, "ab", Result.TIMEOUT),
+    ],
+)
 def test_an_answer_that_does_not_end_is_given_up_with_its_connection(text, ids, result):
     async def run():
         endpoint = Answering(text, "stay")
@@ -333,6 +351,7 @@
         assert not o.calls.out and not o.pool.idle
         o.calls.close()
         endpoint.close()
+
     asyncio.run(run())
 
 
@@ -344,21 +363,27 @@
         o.pool.place(1, ("127.0.0.1", endpoint.port))
         held = []
         connected = c.Link._connected
-        monkeypatch.setattr(c.Link, "_connected", lambda link, *a: held.append((link, a)) or (
-            link.loop.remove_writer(link.sock)))
+        monkeypatch.setattr(
+            c.Link,
+            "_connected",
+            lambda link, *a: held.append((link, a)) or (link.loop.remove_writer(link.sock)),
+        )
         o.calls.send(1, [c.Item(0, 0, "a", "", b"x", 100_000 if given_up == "timed out" else 60_000_000)])
         await until(lambda: held)
         if given_up == "cancelled":
             o.calls.cancel(0, 0)
         ident, outcome = await bounded(o.ended.get())
-        assert (ident, outcome.result) == ("a", {
-            "cancelled": Result.MOOT, "timed out": Result.CONNECT_FAILED}[given_up])
+        assert (ident, outcome.result) == (
+            "a",
+            {"cancelled": Result.MOOT, "timed out": Result.CONNECT_FAILED}[given_up],
+        )
         for link, args in held:  # now it is up
             connected(link, *args)
         await asyncio.sleep(0)
         assert endpoint.calls.empty() and not o.begun and not o.calls.out
         assert not any(place.links for place in o.pool.places.values())
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -421,6 +446,7 @@
         assert [t["rev"] for t in told] == [4, 5]
         watch.stop()
         lists.server.close()
+
     asyncio.run(run())
 
 
@@ -435,11 +461,12 @@
         odd = json.dumps({"rev": 5, "all": False, "targets": [{"uid": "s-{{"}]}).encode() + b"\n"
         text = line(4, indent=2) + b"\n" + odd + line(6, indent=1)
         for start in range(0, len(text), cut):
-            lists.say(text[start:start + cut])
+            lists.say(text[start : start + cut])
         await until(lambda: len(told) == 3)
         assert [t["rev"] for t in told] == [4, 5, 6] and watch.rev == 6
         watch.stop()
         lists.server.close()
+
     asyncio.run(run())
 
 
@@ -454,10 +481,12 @@
 
             def __getattr__(self, name):
                 return getattr(sock, name)
+
         acceptor.stop()
         acceptor.sock = Full()
         acceptor.close()
         assert not acceptor.open and acceptor.pausing.cancelled()
+
     asyncio.run(run())
 
 
@@ -472,6 +501,7 @@
                 got.put_nowait(await reader.readexactly(length))
                 if got.qsize() + len(told) > 1:
                     writer.write(b"HTTP/1.1 204 x\r\n\r\n")
+
         told = []
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         notices = Notices(asyncio.get_running_loop(), server.sockets[0].getsockname(), told.extend)
@@ -482,6 +512,7 @@
         await until(lambda: told == ["silent", 1])
         notices.stop()
         server.close()
+
     asyncio.run(run())
 
 
@@ -491,6 +522,7 @@
 @pytest.mark.parametrize("kind", ["safe", "keyed", "unsafe"])
 def test_a_process_that_was_killed_between_any_two_writes_owes_no_more_and_no_less(tmp_path, kind):
     """The journal of one message is cut after each record, and inside each: that is what a kill leaves."""
+
     async def life(folder):
         async with Fleet(folder) as fleet:
             e = await fleet.endpoint("a", answer(500), answer(500), answer(500))
@@ -528,7 +560,8 @@
         for n, end in enumerate(ends):
             await after(tmp_path / f"{n}", whole[:end], records[:n])
             if n < len(records):  # the next one is torn
-                await after(tmp_path / f"{n}-torn", whole[:ends[n + 1] - 3], records[:n])
+                await after(tmp_path / f"{n}-torn", whole[: ends[n + 1] - 3], records[:n])
+
     asyncio.run(run())
 
 
@@ -592,6 +625,7 @@
         peer = Peer(fleet.port)
         await peer.send(put(f"half{number}", body=b"x" * 65_536)[:-1])
         return peer
+
     crowd = []
     for at_once in range(0, 800, 40):
         crowd += await asyncio.gather(*(half_way(n) for n in range(at_once, at_once + 40)))
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -29,30 +29,52 @@
 
 
 def hopmill(*args, **more):
-    return subprocess.run([sys.executable, "-m", "hopmill", *map(str, args)], cwd=ROOT, timeout=60,
-                          capture_output=True, text=True, **more)
-
-
-@pytest.mark.parametrize(("args", "status", "said"), [
-    (["--version"], 0, "hopmill"), (["demo", "--help"], 0, "Example: hopmill demo"),
-    (["dmo"], 2, "demo"), (["demo", "--trouble", "zon"], 2, "did you mean zone?"),
-    (["ctl", "127.0.0.1:1", "helth"], 2, "did you mean health?"),
-    (["ctl", "127.0.0.1:1", "out"], 2, "out takes a name"),
-    (["ctl", "127.0.0.1:1", "health"], 1, "no answer"), (["ctl", "here", "health"], 1, "must be HOST:PORT"),
-    (["check", EXAMPLE], 0, "off: connections.warm_up"), (["check", "/nowhere"], 2, "cannot be read"),
-    (["check", "--json", EXAMPLE], 0, '"calls.slots": 32'), (["schema"], 0, "longest_told_wait_ms"),
-    (["journal", "show", "/nowhere"], 1, "holds no journal"),
-    (["journal", "verify", "/proc"], 1, "holds no journal"), (["serve", "/nowhere"], 2, "cannot be read")])
+    return subprocess.run(
+        [sys.executable, "-m", "hopmill", *map(str, args)],
+        cwd=ROOT,
+        timeout=60,
+        capture_output=True,
+        text=True,
+        **more,
+    )
+
+
+@pytest.mark.parametrize(
+    ("args", "status", "said"),
+    [
+        (["--version"], 0, "hopmill"),
+        (["demo", "--help"], 0, "Example: hopmill demo"),
+        (["dmo"], 2, "demo"),
+        (["demo", "--trouble", "zon"], 2, "did you mean zone?"),
+        (["ctl", "127.0.0.1:1", "helth"], 2, "did you mean health?"),
+        (["ctl", "127.0.0.1:1", "out"], 2, "out takes a name"),
+        (["ctl", "127.0.0.1:1", "health"], 1, "no answer"),
+        (["ctl", "here", "health"], 1, "must be HOST:PORT"),
+        (["check", EXAMPLE], 0, "off: connections.warm_up"),
+        (["check", "/nowhere"], 2, "cannot be read"),
+        (["check", "--json", EXAMPLE], 0, '"calls.slots": 32'),
+        (["schema"], 0, "longest_told_wait_ms"),
+        (["journal", "show", "/nowhere"], 1, "holds no journal"),
+        (["journal", "verify", "/proc"], 1, "holds no journal"),
+        (["serve", "/nowhere"], 2, "cannot be read"),
+    ],
+)
 def test_commands_say_what_is_wrong_in_a_line(args, status, said):
     done = hopmill(*args)
     assert done.returncode == status and said in done.stdout + done.stderr
     assert "Traceback" not in done.stderr
 
 
-@pytest.mark.parametrize(("change", "status", "said"), [
-    ({}, 0, " ready "), ({"LB_LISTEN": "busy"}, 1, "cannot start"),
-    ({"LB_STATE": "/proc"}, 1, "cannot start"), ({"LB_OPERATOR": "busy"}, 1, "cannot start"),
-    ({"LB_STATE": str(EXAMPLE)}, 2, "LB_STATE: must be a folder")])
+@pytest.mark.parametrize(
+    ("change", "status", "said"),
+    [
+        ({}, 0, " ready "),
+        ({"LB_LISTEN": "busy"}, 1, "cannot start"),
+        ({"LB_STATE": "/proc"}, 1, "cannot start"),
+        ({"LB_OPERATOR": "busy"}, 1, "cannot start"),
+        ({"LB_STATE": str(EXAMPLE)}, 2, "LB_STATE: must be a folder"),
+    ],
+)
 def test_serve_reads_a_file_and_the_environment_wins(tmp_path, change, status, said):
     with socket.create_server(("127.0.0.1", 0)) as busy:
         taken = f"127.0.0.1:{busy.getsockname()[1]}"
@@ -60,8 +82,13 @@
         env |= {k: taken if v == "busy" else v for k, v in change.items()}
         file = tmp_path / "alone.toml"
         file.write_text(Path(EXAMPLE).read_text().partition("[members]")[0])
-        process = subprocess.Popen([sys.executable, "-m", "hopmill", "serve", str(file)], cwd=ROOT, text=True,
-                                   env={**os.environ, **env}, stderr=subprocess.PIPE)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "hopmill", "serve", str(file)],
+            cwd=ROOT,
+            text=True,
+            env={**os.environ, **env},
+            stderr=subprocess.PIPE,
+        )
         line = process.stderr.readline()
         process.send_signal(signal.SIGTERM) if status == 0 else None
         assert said in line and process.wait(10) == status
@@ -71,6 +98,7 @@
 
 # The door
 
+
 async def ask(fleet, path):
     return await asyncio.to_thread(door.call, f"{DOOR}:{fleet.door}", "GET", path)
 
@@ -81,8 +109,11 @@
     head, _, text = (await bounded(reader.read())).partition(b"\r\n\r\n")
     writer.close()
     assert b"text/plain; version=0.0.4" in head
-    return {(s.name, *sorted(s.labels.items())): s.value
-            for family in text_string_to_metric_families(text.decode()) for s in family.samples}
+    return {
+        (s.name, *sorted(s.labels.items())): s.value
+        for family in text_string_to_metric_families(text.decode())
+        for s in family.samples
+    }
 
 
 @courier
@@ -163,8 +194,15 @@
     while "message.over" not in (line := (await bounded(fleet.process.stderr.readline())).decode()):
         said.append(line)
     events = [line.split()[3] for line in [*said, line] if "message=m1" in line]
-    assert events == ["message.put", "message.taken", "attempt.sent", "attempt.ended", "attempt.sent",
-                      "attempt.ended", "message.over"]
+    assert events == [
+        "message.put",
+        "message.taken",
+        "attempt.sent",
+        "attempt.ended",
+        "attempt.sent",
+        "attempt.ended",
+        "message.over",
+    ]
 
 
 @courier
@@ -177,19 +215,32 @@
     fleet.process.send_signal(signal.SIGHUP)
     said = [(await bounded(fleet.process.stderr.readline())).decode() for _ in range(4)]
     assert [re.search(r"(config\.\w+) path=([\w.]+)", line).groups() for line in said[:3]] == [
-        ("config.changed", "discovery"), ("config.needs_restart", "held"), ("config.changed", "log.format")]
+        ("config.changed", "discovery"),
+        ("config.needs_restart", "held"),
+        ("config.changed", "log.format"),
+    ]
     assert json.loads(said[3])["event"] == "config.discovery"  # in the new form already
 
 
 def test_top_adds_up_couriers():
     lane = {"partner": 7, "queued": 5, "out": 1, "pace": 2.0, "part": 3.0, "wait_ms": 10}
-    seen = {"lanes": {"lanes": [lane, lane]}, "zones": {"zones": [
-        {"zone": "a", "state": "out", "share": 0.0, "endpoints": 2}]}}
-    other = {"lanes": {"lanes": [lane]}, "zones": {"zones": [
-        {"zone": "a", "state": "serving", "share": 1.0, "endpoints": 3}]}}
+    seen = {
+        "lanes": {"lanes": [lane, lane]},
+        "zones": {"zones": [{"zone": "a", "state": "out", "share": 0.0, "endpoints": 2}]},
+    }
+    other = {
+        "lanes": {"lanes": [lane]},
+        "zones": {"zones": [{"zone": "a", "state": "serving", "share": 1.0, "endpoints": 3}]},
+    }
     looks = [seen, other, {"error": "no answer"}]
-    assert top_.by_partner(looks)[7] == {"couriers": 2, "queued": 10, "out": 3, "pace": 6.0, "part": 9.0,
-                                         "waiting": 3}
+    assert top_.by_partner(looks)[7] == {
+        "couriers": 2,
+        "queued": 10,
+        "out": 3,
+        "pace": 6.0,
+        "part": 9.0,
+        "waiting": 3,
+    }
     zone = top_.by_zone(looks)["a"]
     assert (zone["share"], zone["endpoints"], dict(zone["states"])) == (0.5, 3, {"out": 1, "serving": 1})
 
@@ -199,8 +250,12 @@
     await fleet.endpoint("a")
     await fleet.inside()
     address = f"{DOOR}:{fleet.door}"
-    for args, status, said in ((["out", "a"], 0, '"out_by_hand": true'), (["health"], 0, '["a"]'),
-                               (["out", "z"], 1, "no such endpoint"), (["zones"], 0, "serving")):
+    for args, status, said in (
+        (["out", "a"], 0, '"out_by_hand": true'),
+        (["health"], 0, '["a"]'),
+        (["out", "z"], 1, "no such endpoint"),
+        (["zones"], 0, "serving"),
+    ):
         done = await asyncio.to_thread(hopmill, "ctl", address, *args, "--json")
         assert done.returncode == status and said in done.stdout
     done = await asyncio.to_thread(hopmill, "top", address, "127.0.0.1:1", "--times", "1")
@@ -209,6 +264,7 @@
 
 # The journal
 
+
 def folder_with(tmp_path, *, cut=0, more=b""):
     j = state.Journal(tmp_path, 10**6)
     for n in (1, 2):
@@ -219,18 +275,25 @@
     j.close()
     path = tmp_path / state.NAME
     data = path.read_bytes()
-    path.write_bytes(data[:len(data) - cut] + more)
+    path.write_bytes(data[: len(data) - cut] + more)
     return path
 
 
 WHOLE = state.frame(["known", 0, {}, {}])
 
 
-@pytest.mark.parametrize(("cut", "more", "status", "tail"), [
-    (0, b"", 0, 0), (3, b"", 0, 14), (0, WHOLE[:-2], 0, len(WHOLE) - 2), (0, WHOLE[:3], 0, 3),
-    # a record is being written, above; below it is
-    (0, WHOLE[:-1] + b"\0" + WHOLE, 1, 2 * len(WHOLE)),  # damaged in the middle
-    (0, state.frame(["later", 1]), 1, 0)])  # of a version that is not known
+@pytest.mark.parametrize(
+    ("cut", "more", "status", "tail"),
+    [
+        (0, b"", 0, 0),
+        (3, b"", 0, 14),
+        (0, WHOLE[:-2], 0, len(WHOLE) - 2),
+        (0, WHOLE[:3], 0, 3),
+        # a record is being written, above; below it is
+        (0, WHOLE[:-1] + b"\0" + WHOLE, 1, 2 * len(WHOLE)),  # damaged in the middle
+        (0, state.frame(["later", 1]), 1, 0),
+    ],
+)  # of a version that is not known
 def test_a_folder_is_shown_as_it_is(tmp_path, capsys, cut, more, status, tail):
     path = folder_with(tmp_path, cut=cut, more=more)
     before = path.read_bytes()
@@ -253,25 +316,62 @@
 
 # The demo
 
+
 def test_the_account_adds_up_and_fails_on_what_must_not_be():
     ledger = Ledger()
-    for n, (answer_, delivered, notice, effects) in enumerate([
-            ("taken", 1.5, "", 2), ("taken", 3.0, "undeliverable", 1), ("taken", 0, "deferred", 0),
-            ("taken", 0, "", 0), ("refused", 0, "", 0), ("", 0, "", 0)]):
+    for n, (answer_, delivered, notice, effects) in enumerate(
+        [
+            ("taken", 1.5, "", 2),
+            ("taken", 3.0, "undeliverable", 1),
+            ("taken", 0, "deferred", 0),
+            ("taken", 0, "", 0),
+            ("refused", 0, "", 0),
+            ("", 0, "", 0),
+        ]
+    ):
         ledger.handed_in(str(n), Entry("c", n == 0, 1.0, 1.0, 6.0, answer_, delivered, effects, notice))
     got = ledger.result().as_json()
-    assert {k: got[k] for k in ("handed_in", "taken", "refused", "failed", "delivered", "in_time", "late",
-                                "deferred", "undeliverable", "lost", "twice")} == {
-        "handed_in": 6, "taken": 4, "refused": 1, "failed": 1, "delivered": 2, "in_time": 1, "late": 1,
-        "deferred": 1, "undeliverable": 0, "lost": 1, "twice": 1}
+    assert {
+        k: got[k]
+        for k in (
+            "handed_in",
+            "taken",
+            "refused",
+            "failed",
+            "delivered",
+            "in_time",
+            "late",
+            "deferred",
+            "undeliverable",
+            "lost",
+            "twice",
+        )
+    } == {
+        "handed_in": 6,
+        "taken": 4,
+        "refused": 1,
+        "failed": 1,
+        "delivered": 2,
+        "in_time": 1,
+        "late": 1,
+        "deferred": 1,
+        "undeliverable": 0,
+        "lost": 1,
+        "twice": 1,
+    }
     assert ledger.result().failed and ledger.open(2.0) == 1 and ledger.open(7.4) == 0
 
 
 def running_demo(tmp_path, *args):
     return subprocess.Popen(
-        [sys.executable, "-m", "hopmill", "demo", "--json", *args], cwd=ROOT, text=True,
-        env={**os.environ, "TMPDIR": str(tmp_path)}, start_new_session=True,
-        stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        [sys.executable, "-m", "hopmill", "demo", "--json", *args],
+        cwd=ROOT,
+        text=True,
+        env={**os.environ, "TMPDIR": str(tmp_path)},
+        start_new_session=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    )
 
 
 def couriers_of(tmp_path):
@@ -319,24 +419,31 @@
 def test_logs_at_debug_under_load_to_a_pipe_that_nobody_reads(tmp_path, monkeypatch):
     reader, writer = os.pipe()
     launch = asyncio.create_subprocess_exec
-    monkeypatch.setattr(asyncio, "create_subprocess_exec",
-                        lambda *args, **more: launch(*args, **{**more, "stderr": writer}))
+    monkeypatch.setattr(
+        asyncio, "create_subprocess_exec", lambda *args, **more: launch(*args, **{**more, "stderr": writer})
+    )
 
     async def run():
         world = World(partners=4, latency_s=0.01)
         await world.start()
-        subject = Subject("n0", ROOT, tmp_path, world.settings(), world.known(), world.discovery.port,
-                          extra={"log": {"level": "debug", "lines_per_s": 10**6}})
+        subject = Subject(
+            "n0",
+            ROOT,
+            tmp_path,
+            world.settings(),
+            world.known(),
+            world.discovery.port,
+            extra={"log": {"level": "debug", "lines_per_s": 10**6}},
+        )
         try:
             await subject.start()
             return await world.load(subject.port, 1000, 1.5, connections=20)
         finally:
             await subject.stop()
             await world.stop()
+
     load = asyncio.run(run())
     os.close(reader)
     os.close(writer)
     assert load.delivered + load.refused + load.failed == load.offered and load.lost == 0
     assert load.delivered > 0.5 * load.offered  # one core, and all that is written is dropped
-
-
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,8 +7,21 @@
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import (
-    AttemptEnded, CloseIdle, Connections, EndpointsListed, EndpointState, Fail, Kind, ListEntry, ListForm,
-    MessageArrived, Refuse, Result, Send, Settings)
+    AttemptEnded,
+    CloseIdle,
+    Connections,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    Refuse,
+    Result,
+    Send,
+    Settings,
+)
 from hopmill.net.discovery import Backoff
 
 
@@ -27,7 +40,7 @@
     h.arrive()
     assert not of(CloseIdle, h.end(1, Result.OK))
     assert of(Send, h.arrive(after=5 * S))
-    (call, _), = h.courier.book.calls.values()
+    ((call, _),) = h.courier.book.calls.values()
     assert call.idle_us == 5 * S
 
 
@@ -71,8 +84,18 @@
 @pytest.mark.parametrize("how", [Result.CONNECT_FAILED, Result.ERROR, Result.RESET, Result.TIMEOUT])
 def test_what_a_hundred_couriers_send_into_an_outage_sums_to_the_fall_budget(how):
     rate, cold, multiple, couriers = 40.0, 0.15, 2.5, 100
-    given = dict(classes=CLASSES, slots=4, max_held=100, max_attempts=12, rates_listed=True,
-                 couriers=couriers, cold_share=cold, cold_us=12 * S, fall_multiple=multiple, tick_us=5000)
+    given = dict(
+        classes=CLASSES,
+        slots=4,
+        max_held=100,
+        max_attempts=12,
+        rates_listed=True,
+        couriers=couriers,
+        cold_share=cold,
+        cold_us=12 * S,
+        fall_multiple=multiple,
+        tick_us=5000,
+    )
     all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
     told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     calls, sent, now, ident = [], [], 1000 * S, 0
@@ -147,10 +170,25 @@
 def test_couriers_spread_over_routes_in_step_with_their_rates():
     chosen = {}
     for seed in range(200):
-        c = Courier(Settings(classes=CLASSES, slots=4, max_held=50, couriers=100, rates_listed=True,
-                             kinds=(Kind("k", routes_apart=True),), zone_fees=(0.1,)), seed)
-        acts = c.handle(S, [EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
-                            MessageArrived(1, 0, 1, 9 * S)])
+        c = Courier(
+            Settings(
+                classes=CLASSES,
+                slots=4,
+                max_held=50,
+                couriers=100,
+                rates_listed=True,
+                kinds=(Kind("k", routes_apart=True),),
+                zone_fees=(0.1,),
+            ),
+            seed,
+        )
+        acts = c.handle(
+            S,
+            [
+                EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
+                MessageArrived(1, 0, 1, 9 * S),
+            ],
+        )
         e = of(Send, acts)[0].endpoint
         chosen[e] = chosen.get(e, 0) + 1
     assert 130 < chosen[100] < 170
@@ -214,9 +252,12 @@
         for step in range(int(seconds * 20)):
             self.now += 50_000
             arrives = step % int(20 / each_per_s) == 0
-            sent += self.do(lambda c, step=step, arrives=arrives: [
-                *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in c.book.calls],
-                *([MessageArrived(self.ident + step, 0, 1, self.now + 60 * S)] if arrives else [])])
+            sent += self.do(
+                lambda c, step=step, arrives=arrives: [
+                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in c.book.calls],
+                    *([MessageArrived(self.ident + step, 0, 1, self.now + 60 * S)] if arrives else []),
+                ]
+            )
         return sent / seconds
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -32,6 +32,7 @@
 
 # Against the known
 
+
 def endpoint(clock, kind, workers, queue, rate=0.0):
     target = partners.Target("t", kind, partners.Limit(kind, rate), 1e9, 1.0, 2.0, 500_000)
     return partners.Endpoint(1, 1, 0, target, workers, queue, 10**6, clock, Pool(stream(1, "e")))
@@ -43,21 +44,30 @@
 
     def arrive(work):
         at = clock.now
-        place.arrives(partners.Call(0, (0,), (work,), lambda said, wait, report: rows.append(
-            (said, at, clock.now)), lambda: None))
+        place.arrives(
+            partners.Call(
+                0, (0,), (work,), lambda said, wait, report: rows.append((said, at, clock.now)), lambda: None
+            )
+        )
+
     for at, work in zip(arrivals_us.astype(int).tolist(), works_us.tolist(), strict=True):
         clock.at(at, arrive, work)
     clock.run(int(arrivals_us[-1]) + 10**9)
     return rows
 
 
-@pytest.mark.parametrize(("workers", "load_", "queue"), [(1, 0.7, 10**6), (4, 0.8, 10**6), (3, 0.9, 1),
-                                                         (2, 1.5, 4)])
+@pytest.mark.parametrize(
+    ("workers", "load_", "queue"), [(1, 0.7, 10**6), (4, 0.8, 10**6), (3, 0.9, 1), (2, 1.5, 4)]
+)
 def test_a_queue_waits_and_loses_as_erlang_says(workers, load_, queue):
     n, mean = 60_000, 50_000.0
     arrivals = np.cumsum(stream(7, "a").exponential(mean / workers / load_, n))
-    rows = offer(clock := Clock(), endpoint(clock, Kind(name="k", errors=0.0), workers, queue), arrivals,
-                 stream(7, "w").exponential(mean, n))
+    rows = offer(
+        clock := Clock(),
+        endpoint(clock, Kind(name="k", errors=0.0), workers, queue),
+        arrivals,
+        stream(7, "w").exponential(mean, n),
+    )
     a, size = load_ * workers, workers + min(queue, 3000)
     odds = [1.0]
     for k in range(1, size + 1):
@@ -75,8 +85,12 @@
     kind = Kind(name="k", limit=limit, span_ms=span_ms, errors=0.0)
     for offered, let in ((8, 8), (12, 10), (60, 10)):
         arrivals = np.cumsum(stream(3, "a").exponential(1e6 / offered, 100 * offered))
-        rows = offer(clock := Clock(), endpoint(clock, kind, 10**6, 1, rate=10.0), arrivals,
-                     np.full(len(arrivals), 1000.0))
+        rows = offer(
+            clock := Clock(),
+            endpoint(clock, kind, 10**6, 1, rate=10.0),
+            arrivals,
+            np.full(len(arrivals), 1000.0),
+        )
         assert sum(s == partners.OK for s, *_ in rows) / 100 == pytest.approx(min(let, 10), rel=0.12)
 
 
@@ -84,8 +98,9 @@
     for counts, least, most in ((False, 9, 11), (True, 0, 1)):
         kind = Kind(name="k", limit="rate", span_ms=1000, refused_count=counts, errors=0.0)
         arrivals = np.cumsum(np.full(3000, 1e6 / 30))
-        rows = offer(clock := Clock(), endpoint(clock, kind, 10**6, 1, rate=10.0), arrivals,
-                     np.full(3000, 1000.0))
+        rows = offer(
+            clock := Clock(), endpoint(clock, kind, 10**6, 1, rate=10.0), arrivals, np.full(3000, 1000.0)
+        )
         assert least <= sum(s == partners.OK for s, *_ in rows) / 100 <= most
 
 
@@ -96,6 +111,7 @@
 
 # The same on every run
 
+
 def test_two_at_one_instant_happen_as_they_were_set():
     clock, said = Clock(), []
     clock.at(5, said.append, "a")
@@ -116,6 +132,7 @@
 def test_one_parts_draws_shift_no_others():
     def arrivals(**changes):
         return [(o.born, o.cls, o.dest, o.works) for o in World(small(**changes), 5).clients.origins]
+
     first = arrivals()
     assert len(first) > 100
     assert arrivals(**{"net.jitter": 0.0, "clients.honour": 0.1, "reports.noise": 0.3}) == first
@@ -127,8 +144,10 @@
     found, a, b = cmp.compare(farm.Build(), same, "calm", 4, [1, 2])
     assert a == b and all(d.mean == d.low == d.high == 0 and d.sign == 0 for d in found)
     chance = np.random.default_rng(5)
-    outside = [0 if low <= 0.3 <= high else 1 for low, high in (
-        cmp.interval(chance.normal(0.3, 1, 10)) for _ in range(400))]
+    outside = [
+        0 if low <= 0.3 <= high else 1
+        for low, high in (cmp.interval(chance.normal(0.3, 1, 10)) for _ in range(400))
+    ]
     assert 0.02 <= np.mean(outside) <= 0.08  # 0.05 is meant; plain percentiles of 10 pairs give 0.1
 
 
@@ -157,6 +176,7 @@
 
 # Rules and hard cases
 
+
 class Altered:
     """The module with its actions changed on their way out."""
 
@@ -172,6 +192,7 @@
 
             def __getattr__(self, name):
                 return getattr(inner, name)
+
         return Courier()
 
 
@@ -215,11 +236,16 @@
     return actions
 
 
-@pytest.mark.parametrize(("alter", "rule", "scenario", "changes"), [
-    (silent, "lost", "calm", {}), (come_again, "duplicates", "split", {"net.lost": 0.2}),
-    (deaf_to_waits, "waits", "overload", {"load.factor": 4.0}),
-    (deaf_to_the_list, "drains", "roll", {"discovery.notice_ms": 10.0, "drain_grace_ms": 100.0}),
-    (greedy, "slots", "calm", {"load.clumps": 0.9})])
+@pytest.mark.parametrize(
+    ("alter", "rule", "scenario", "changes"),
+    [
+        (silent, "lost", "calm", {}),
+        (come_again, "duplicates", "split", {"net.lost": 0.2}),
+        (deaf_to_waits, "waits", "overload", {"load.factor": 4.0}),
+        (deaf_to_the_list, "drains", "roll", {"discovery.notice_ms": 10.0, "drain_grace_ms": 100.0}),
+        (greedy, "slots", "calm", {"load.clumps": 0.9}),
+    ],
+)
 def test_a_module_that_breaks_a_rule_ends_the_play_with_what_led_to_it(alter, rule, scenario, changes):
     day = small(scenario, 4, **changes)
     play_altered(lambda inner, now, events, actions: actions, day)  # as it is it breaks none
@@ -259,6 +285,7 @@
             told.append((life, courier.life))
             return
         finish(calls, out, outcome, wait, report)
+
     monkeypatch.setattr(Calls, "_finish", kill_first)
     world.play()  # a second effect, or a message without an end, would end it
     assert len(killed) == 20 and all(after > before for before, after in told)
@@ -266,13 +293,18 @@
     assert unsafe and all(m.effects == 1 for m in unsafe)
 
 
-@pytest.mark.parametrize(("changes", "said"), [
-    ({"load.rate": 1}, "load: Object contains unknown field `rate`"), ({"load.rate_per_s": -5.0},
-     "load.rate_per_s: must be 0 or more, not -5"),
-    ({"load.rate_per_s": [5.0, 1.0]}, r"load.rate_per_s: must be \[least, most\]"),
-    ({"classes": []}, "classes: "), ({"late": "never"}, "late: Invalid enum value"),
-    ({"troubles": [{"kind": "quake"}]}, r"troubles\[0\]"),
-    ({"load.burst_from": 0.9}, "load.burst_from: is over load.burst_to")])
+@pytest.mark.parametrize(
+    ("changes", "said"),
+    [
+        ({"load.rate": 1}, "load: Object contains unknown field `rate`"),
+        ({"load.rate_per_s": -5.0}, "load.rate_per_s: must be 0 or more, not -5"),
+        ({"load.rate_per_s": [5.0, 1.0]}, r"load.rate_per_s: must be \[least, most\]"),
+        ({"classes": []}, "classes: "),
+        ({"late": "never"}, "late: Invalid enum value"),
+        ({"troubles": [{"kind": "quake"}]}, r"troubles\[0\]"),
+        ({"load.burst_from": 0.9}, "load.burst_from: is over load.burst_to"),
+    ],
+)
 def test_a_scenario_that_cannot_be_is_named(changes, said):
     with pytest.raises(ScenarioError, match=said):
         load("calm", 4, **changes)
@@ -292,6 +324,7 @@
         if now > 900_000 and any(isinstance(e, i.MessageArrived) for e in events):
             raise ZeroDivisionError("in a decision")
         return actions
+
     with pytest.raises(ModuleFailed, match=r"courier \d+ at [01]\.\d+ s, on \d+ events, the last \w+\("):
         play_altered(throws, small())
     dialect = Dialect()
@@ -327,9 +360,27 @@
 
 def test_an_ended_run_keeps_the_seeds_that_are_done():
     process = subprocess.Popen(
-        [sys.executable, "-m", "hopmill", "lab", "run", "calm", "--couriers", "8", "--seeds", "1-400",
-         "--json", "--cores", "2"], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-        start_new_session=True)
+        [
+            sys.executable,
+            "-m",
+            "hopmill",
+            "lab",
+            "run",
+            "calm",
+            "--couriers",
+            "8",
+            "--seeds",
+            "1-400",
+            "--json",
+            "--cores",
+            "2",
+        ],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        start_new_session=True,
+    )
     lines = [process.stdout.readline() for _ in range(2)]
     os.killpg(process.pid, signal.SIGINT)
     rest, said = process.communicate(timeout=20)
@@ -357,6 +408,7 @@
 
 def test_a_report_is_one_page_without_links():
     from hopmill.lab.report import page
+
     rows = [play.play(small("zone", 4), seed, more=True) for seed in (1, 2)]
     text = page("zone <small>", rows, [cmp.difference("g", rows, rows)])
     assert text.count("data:image/png;base64,") == 6 and "http" not in text and "zone &lt;small&gt;" in text
@@ -375,6 +427,7 @@
 
 # The load on sockets
 
+
 @pytest.mark.parametrize("address", ["10.0.0.1", "192.168.1.1", "8.8.8.8", "localhost", "::1"])
 def test_a_load_goes_to_loopback_only(address):
     with pytest.raises(farm.LabError, match="127.0.0.0/8"):
@@ -405,6 +458,7 @@
         return told.as_json()
 
     import asyncio
+
     stalled = []
     told = asyncio.run(run())
     assert told["from_due_ms"]["p90"] > 3 * told["from_write_ms"]["p90"] and told["offered"] > 150
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,8 +7,22 @@
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import (
-    AttemptEnded, Carried, CloseIdle, Connections, EndpointsListed, EndpointState, Keep, ListEntry, ListForm,
-    MessageArrived, OpenIdle, Result, Send, Settings, WarmUp)
+    AttemptEnded,
+    Carried,
+    CloseIdle,
+    Connections,
+    EndpointsListed,
+    EndpointState,
+    Keep,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    OpenIdle,
+    Result,
+    Send,
+    Settings,
+    WarmUp,
+)
 from hopmill.policy.links import Links
 
 IDLE = 10 * S
@@ -21,12 +35,15 @@
     return links, seconds * S
 
 
-@pytest.mark.parametrize(("per_s", "hold_us", "most"), [
-    (0.2, 400_000, 1),  # one call in 5 s: a courier of hundreds
-    (4, 400_000, 5),  # 1.6 at once in the mean
-    (20, 400_000, 14),
-    (20, 20_000, 2),  # quick ones follow each other over few
-])
+@pytest.mark.parametrize(
+    ("per_s", "hold_us", "most"),
+    [
+        (0.2, 400_000, 1),  # one call in 5 s: a courier of hundreds
+        (4, 400_000, 5),  # 1.6 at once in the mean
+        (20, 400_000, 14),
+        (20, 20_000, 2),  # quick ones follow each other over few
+    ],
+)
 def test_what_is_kept_follows_from_calls_a_second_times_the_time_that_each_takes(per_s, hold_us, most):
     links, now = steady(per_s)
     assert links.most(now, hold_us, 100) == most
@@ -86,8 +103,10 @@
 
 def ended(h, message, result, idle_us, told=0, report=()):
     over = result is Result.OK
-    return h.do(AttemptEnded(message, h.tries[message], 100, result, 20_000, over, told, report, idle_us),
-                after=20_000)
+    return h.do(
+        AttemptEnded(message, h.tries[message], 100, result, 20_000, over, told, report, idle_us),
+        after=20_000,
+    )
 
 
 def test_connects_refused_beside_answers_lower_what_is_kept_and_open_no_circuit():
@@ -108,13 +127,16 @@
     assert h.courier.book.endpoints[100].links.part == float("inf") and h.courier.book.endpoints[100].bad > 0
 
 
-@pytest.mark.parametrize(("idle_us", "report", "told", "cut"), [
-    (-1, (), 0, True),
-    (5000, (), 0, False),  # reused ones are refused too: its queue is full
-    (-1, (0.4, 20.0), 0, True),
-    (-1, (0.0, 20.0), 0, False),  # the limit is used up
-    (-1, (), 300_000, False),  # and told as a wait
-])
+@pytest.mark.parametrize(
+    ("idle_us", "report", "told", "cut"),
+    [
+        (-1, (), 0, True),
+        (5000, (), 0, False),  # reused ones are refused too: its queue is full
+        (-1, (0.4, 20.0), 0, True),
+        (-1, (0.0, 20.0), 0, False),  # the limit is used up
+        (-1, (), 300_000, False),  # and told as a wait
+    ],
+)
 def test_refusals_of_new_connections_alone_are_told_from_a_limit_and_a_queue(idle_us, report, told, cut):
     h = Host(report_fields=("x0", "x1"))
     busy(h, 7)
@@ -158,10 +180,21 @@
                 back += [] if full else [now + 50_000]
                 served[k] += not full and burst >= 30 * couriers
                 attempt = max(t for m, t in all_[k].book.calls if m == message)
-                ends.append(AttemptEnded(message, attempt, 100, Result.FULL if full else Result.OK, 50_000,
-                                         not full, 0, (), 1000 if reused else -1))
+                ends.append(
+                    AttemptEnded(
+                        message,
+                        attempt,
+                        100,
+                        Result.FULL if full else Result.OK,
+                        50_000,
+                        not full,
+                        0,
+                        (),
+                        1000 if reused else -1,
+                    )
+                )
             now += 1000
-            idle[k] = (idle[k] + back)[-keep[k]:] if keep[k] else []
+            idle[k] = (idle[k] + back)[-keep[k] :] if keep[k] else []
             sent = act(k, ends)
     return served, refused
 
@@ -225,6 +258,6 @@
 def test_what_was_learned_of_a_full_table_passes_over_an_upgrade():
     h, new = Host(), Host()
     h.courier.book.endpoints[100].links.full(h.now, 4, 0)
-    (_, figures), = h.courier.carry()
+    ((_, figures),) = h.courier.carry()
     new.do(Carried(100, figures))
     assert new.courier.book.endpoints[100].links.part == 2
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -45,8 +45,14 @@
     at, _, rest = line.partition(" ")
     assert rest == f'info    calls     attempt.ended message="m 1" attempt=0 error={error}'
     assert at.endswith("Z")
-    assert list(json.loads(text).items())[1:] == [("level", "info"), ("part", "calls"), (
-        "event", "attempt.ended"), ("message", "m 1"), ("attempt", 0), ("error", error)]
+    assert list(json.loads(text).items())[1:] == [
+        ("level", "info"),
+        ("part", "calls"),
+        ("event", "attempt.ended"),
+        ("message", "m 1"),
+        ("attempt", 0),
+        ("error", error),
+    ]
 
 
 def test_levels_hold_by_part_and_change_for_loggers_that_exist(pipe):
@@ -111,8 +117,12 @@
     listed -= {("part", "event")}
     names = {n for row in re.findall(r"^\| ([\w, ]+) \|", fields, re.M) for n in row.split(", ")} - {"name"}
     found = list(said_in_code())
-    elsewhere = {("courier", "log.dropped"), ("asyncio", "library"), ("config", "config.changed"),
-                 ("config", "config.needs_restart")}  # put together where they are said
+    elsewhere = {
+        ("courier", "log.dropped"),
+        ("asyncio", "library"),
+        ("config", "config.changed"),
+        ("config", "config.needs_restart"),
+    }  # put together where they are said
     assert len(found) > 30 and {(part, event) for part, event, _ in found} | elsewhere == listed
     assert {n for _, _, f in found for n in f} - {"name"} <= names
     assert {part for part, _ in listed} <= set(logs.PARTS)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -23,8 +23,16 @@
 from hopmill.fleet.voter import MOST_LIVES
 from hopmill.lab.members import Fleet, Plan, calm, detection
 
-MEMBERS = dict(fleet="f", id="a", address="127.0.0.1:7001", voters=("a", "b", "c"), others=(
-    Other(id="b", address="127.0.0.1:7002", zone="z"), Other(id="c", address="127.0.0.1:7003", zone="z")))
+MEMBERS = dict(
+    fleet="f",
+    id="a",
+    address="127.0.0.1:7001",
+    voters=("a", "b", "c"),
+    others=(
+        Other(id="b", address="127.0.0.1:7002", zone="z"),
+        Other(id="c", address="127.0.0.1:7003", zone="z"),
+    ),
+)
 
 
 def members(**changes):
@@ -33,14 +41,20 @@
 
 # Configuration
 
-@pytest.mark.parametrize(("changes", "said"), [
-    ({}, ""), ({"voters": ("a", "b")}, "voters: must be one, three or five"),
-    ({"voters": ("a", "a", "b")}, "voters: must be"),
-    ({"voters": ("a", "b", "x")}, r"voters\[2\]: no such member"),
-    ({"address": "localhost:1"}, "address: must be an IPv4"),
-    ({"id": "b", "voters": ("b",)}, r"others\[0\].id: 'b' is there twice"),
-    ({"others": (Other(id="b", address="h"),), "voters": ("a",)}, r"others\[0\].address: must be"),
-    ({"probe_ms": 100.0}, "probe_ms: must be over period_ms")])
+
+@pytest.mark.parametrize(
+    ("changes", "said"),
+    [
+        ({}, ""),
+        ({"voters": ("a", "b")}, "voters: must be one, three or five"),
+        ({"voters": ("a", "a", "b")}, "voters: must be"),
+        ({"voters": ("a", "b", "x")}, r"voters\[2\]: no such member"),
+        ({"address": "localhost:1"}, "address: must be an IPv4"),
+        ({"id": "b", "voters": ("b",)}, r"others\[0\].id: 'b' is there twice"),
+        ({"others": (Other(id="b", address="h"),), "voters": ("a",)}, r"others\[0\].address: must be"),
+        ({"probe_ms": 100.0}, "probe_ms: must be over period_ms"),
+    ],
+)
 def test_what_is_wrong_with_members_is_named(changes, said):
     found = list(problems(members(**changes)))
     assert (len(found) == 1 and re.search(said, found[0])) if said else not found
@@ -48,15 +62,28 @@
 
 def test_a_zone_with_a_majority_of_voters_is_warned_of():
     assert "zone 'z' holds a majority" in list(warnings(members()))[0]
-    assert not list(warnings(members(voters=("a",)))) and not list(warnings(members(zone="y", others=(
-        Other(id="b", address="127.0.0.1:7002", zone="x"), MEMBERS["others"][1]))))
+    assert not list(warnings(members(voters=("a",)))) and not list(
+        warnings(
+            members(
+                zone="y", others=(Other(id="b", address="127.0.0.1:7002", zone="x"), MEMBERS["others"][1])
+            )
+        )
+    )
 
 
 # The wire
 
+
 def frame(fleet="f", sender="b", incarnation=1, body=None, form=wire.FORMAT, news=()):
-    row = wire.Frame(form, fleet, sender, incarnation, 0, msgspec.Raw(wire.encode(body or wire.Ping(1, "a"))),
-                     tuple(msgspec.Raw(wire.encode(n)) for n in news))
+    row = wire.Frame(
+        form,
+        fleet,
+        sender,
+        incarnation,
+        0,
+        msgspec.Raw(wire.encode(body or wire.Ping(1, "a"))),
+        tuple(msgspec.Raw(wire.encode(n)) for n in news),
+    )
     return wire.encode(row)
 
 
@@ -76,11 +103,21 @@
 BEYOND = wire.Known(1, True, 0, (1, "b"), (1, "b"), b"\xc1 no document")
 
 
-@pytest.mark.parametrize(("data", "reason"), [
-    (b"", "unreadable"), (b"\xc1" * 40, "unreadable"), (b"x" * 1201, "long"), (frame()[:-3], "unreadable"),
-    (frame(form=2), "format"), (frame(fleet="g"), "fleet"), (frame(incarnation=1 << 49), "incarnation"),
-    (frame(sender="nobody"), "unknown"), (frame(body=wire.Chosen(b"\xc1")), "unreadable"),
-    (frame(body=wire.Promise((1, "b"), 1, (1, "b"), b"\xc1")), "unreadable")])
+@pytest.mark.parametrize(
+    ("data", "reason"),
+    [
+        (b"", "unreadable"),
+        (b"\xc1" * 40, "unreadable"),
+        (b"x" * 1201, "long"),
+        (frame()[:-3], "unreadable"),
+        (frame(form=2), "format"),
+        (frame(fleet="g"), "fleet"),
+        (frame(incarnation=1 << 49), "incarnation"),
+        (frame(sender="nobody"), "unknown"),
+        (frame(body=wire.Chosen(b"\xc1")), "unreadable"),
+        (frame(body=wire.Promise((1, "b"), 1, (1, "b"), b"\xc1")), "unreadable"),
+    ],
+)
 def test_what_cannot_be_read_is_counted_and_dropped(data, reason):
     node = started()
     node.datagram(data, 10)
@@ -88,10 +125,16 @@
     assert [to for to, body in sends(node) if isinstance(body, wire.Ack)] == []
 
 
-@given(st.binary(max_size=200) | st.builds(
-    lambda body, cut: frame(body=body)[:cut],
-    st.sampled_from([BEYOND, wire.Accept((1, "b"), b"x", (("b", 1),)), wire.PingFor(1, "c"), wire.Fetch(0)]),
-    st.integers(0, 300)))
+@given(
+    st.binary(max_size=200)
+    | st.builds(
+        lambda body, cut: frame(body=body)[:cut],
+        st.sampled_from(
+            [BEYOND, wire.Accept((1, "b"), b"x", (("b", 1),)), wire.PingFor(1, "c"), wire.Fetch(0)]
+        ),
+        st.integers(0, 300),
+    )
+)
 @settings(max_examples=200, deadline=None)
 def test_no_datagram_breaks_a_member(data):
     node = started()
@@ -110,16 +153,19 @@
         except doc.TooLarge:
             break
         text += "x"
-    data = data if len(data) <= doc.MOST_BYTES else data[:doc.MOST_BYTES]
+    data = data if len(data) <= doc.MOST_BYTES else data[: doc.MOST_BYTES]
     ballot = (1 << 40, names[0] + "#" + "9" * 15)
     lives = {name: 1 << 40 for name in names[:MOST_LIVES]}
-    for body in (wire.Known(1 << 40, True, 1 << 40, ballot, ballot, data, lives),
-                 wire.Accept(ballot, data, tuple((n, 1 << 40) for n in names[:6]))):
+    for body in (
+        wire.Known(1 << 40, True, 1 << 40, ballot, ballot, data, lives),
+        wire.Accept(ballot, data, tuple((n, 1 << 40) for n in names[:6])),
+    ):
         assert len(wire.write("f" * 20, names[0], 1 << 47, 1 << 40, body, [b"x" * 300])) <= wire.MOST_BYTES
 
 
 # Who is there
 
+
 def test_a_dead_member_is_known_soon_and_a_slow_one_is_not_taken_for_dead():
     told = detection(Plan(20, 0.1, 3), 4)
     assert told["p99_ms"] < 3000 and told["p50_ms"] > 1500
@@ -132,8 +178,9 @@
     assert large["datagrams_s"] < 1.2 * small["datagrams_s"] and large["bytes_s"] < 1.4 * small["bytes_s"]
 
 
-@pytest.mark.parametrize(("incarnation", "state", "known"), [
-    (5, ALIVE, (DEAD, 7)), (7, ALIVE, (DEAD, 7)), (8, ALIVE, (ALIVE, 8))])
+@pytest.mark.parametrize(
+    ("incarnation", "state", "known"), [(5, ALIVE, (DEAD, 7)), (7, ALIVE, (DEAD, 7)), (8, ALIVE, (ALIVE, 8))]
+)
 def test_of_two_incarnations_the_later_prevails(incarnation, state, known):
     node = started()
     gone = wire.News("b", DEAD, 7, "127.0.0.1:7002", "z", "", "c")
@@ -144,8 +191,13 @@
     assert (node.swim.dropped["old incarnation"] == 1) is (incarnation < 7)
 
 
-@given(st.lists(st.tuples(st.sampled_from(["b", "c", "new"]), st.integers(1, 4), st.integers(ALIVE, LEFT)),
-                max_size=12), st.randoms())
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["b", "c", "new"]), st.integers(1, 4), st.integers(ALIVE, LEFT)),
+        max_size=12,
+    ),
+    st.randoms(),
+)
 @settings(max_examples=100, deadline=None)
 def test_news_twice_late_or_out_of_order_come_to_the_same(rows, chance):
     seen = []
@@ -177,8 +229,22 @@
         for at in range(now, now + 1_000_000, 80_000):
             node.tick(at)
             node.take(at)
-        sizes.append(sum(map(len, (node.swim.peers, node.swim.told, node.swim.packed, node.swim.relays,
-                                   node.swim.probes, node.swim.suspects, node.register.heard))))
+        sizes.append(
+            sum(
+                map(
+                    len,
+                    (
+                        node.swim.peers,
+                        node.swim.told,
+                        node.swim.packed,
+                        node.swim.relays,
+                        node.swim.probes,
+                        node.swim.suspects,
+                        node.register.heard,
+                    ),
+                )
+            )
+        )
     assert max(sizes[500:]) <= max(sizes[200:400]) + 5 and max(sizes) < 400
     for n in range(2 * MOST_RELAYS):
         node.datagram(frame(sender="c", body=wire.PingFor(n, "b")), now)
@@ -203,8 +269,9 @@
         others = tuple(o for o in fleet.configs[n].others if o.id != new.id)
         fleet.configs[n] = msgspec.structs.replace(fleet.configs[n], others=others, voters=("c0",))
     fleet.run(4_000_000)
-    assert all(n.swim.alive("c4") for n in fleet.nodes) and all(p.state == ALIVE for p in
-                                                                 fleet.nodes[4].swim.peers.values())
+    assert all(n.swim.alive("c4") for n in fleet.nodes) and all(
+        p.state == ALIVE for p in fleet.nodes[4].swim.peers.values()
+    )
     fleet.nodes[4].swim.leave()
     fleet._pump(4)
     fleet.kill(4)
@@ -248,6 +315,7 @@
 
 # The register
 
+
 def outcomes(fleet, rows, n, change):
     node = fleet.nodes[n]
     node.propose(change, fleet.now, rows.append)
@@ -298,7 +366,8 @@
     outcomes(fleet, rows, 4, say("w", "healed"))
     fleet.run(24_000_000)
     assert rows[-1].state == "done" and {n.register.document.version for n in fleet.nodes} == {
-        rows[-1].document.version}
+        rows[-1].document.version
+    }
     assert all(p.state == ALIVE for n in fleet.nodes for p in n.swim.peers.values())
 
 
@@ -346,8 +415,10 @@
 
 # Leases
 
-@pytest.mark.parametrize(("pause_us", "holds"), [(100_000, True), (980_000, True), (995_000, False),
-                                                 (9_000_000, False)])
+
+@pytest.mark.parametrize(
+    ("pause_us", "holds"), [(100_000, True), (980_000, True), (995_000, False), (9_000_000, False)]
+)
 def test_a_lease_is_checked_by_elapsed_time_where_it_is_used(pause_us, holds):
     keeper = Keeper("duty", "a#1", 1_000_000, 0.01)
     ticket, change = keeper.tick(0, Document(0, ("a",)))
@@ -373,13 +444,26 @@
 
 # Each fault with the members and the seed of a schedule that shows it, or the play that is written for it.
 FOUND = {
-    "promises-anything": (3, 57), "accepts-anything": (3, 6), "trusts-a-copy": (3, 2295),
-    "votes-at-once": (3, 404), "one-vote-is-enough": (3, 277), "any-value-will-do": (3, 60),
-    "forgets-its-ticket": (3, 936), "same-fence": (3, 68), "takes-blindly": (3, 68),
-    "acts-after-giving": (4, 1370), "keeps-for-ever": (3, 268), "let-in-by-anyone": (3, 2295)}
-PLAYS = {"counts-from-the-answer": "late-answer", "waits-no-longer": "two-clocks",
-         "old-promises-stand": "forgotten-promise", "answers-before-the-disk": "lost-vote",
-         "only-the-new-voters": "former-voter"}
+    "promises-anything": (3, 57),
+    "accepts-anything": (3, 6),
+    "trusts-a-copy": (3, 2295),
+    "votes-at-once": (3, 404),
+    "one-vote-is-enough": (3, 277),
+    "any-value-will-do": (3, 60),
+    "forgets-its-ticket": (3, 936),
+    "same-fence": (3, 68),
+    "takes-blindly": (3, 68),
+    "acts-after-giving": (4, 1370),
+    "keeps-for-ever": (3, 268),
+    "let-in-by-anyone": (3, 2295),
+}
+PLAYS = {
+    "counts-from-the-answer": "late-answer",
+    "waits-no-longer": "two-clocks",
+    "old-promises-stand": "forgotten-promise",
+    "answers-before-the-disk": "lost-vote",
+    "only-the-new-voters": "former-voter",
+}
 
 
 def test_every_planted_fault_has_its_schedule():
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -36,26 +36,30 @@
     assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 503
 
 
-@pytest.mark.parametrize("data,status", [
-    (b"nonsense\r\n\r\n", 400),
-    (b"GET /healthcheck HTTP/1.1\r\n\r\n", 400),  # no Host
-    (b"GET /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400),
-    (b"GET http://[ HTTP/1.1\r\nHost: a\r\n\r\n", 400),
-    (b"GET /" + b"x" * 9000 + b" HTTP/1.1\r\n", 413),
-    (b"POST /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: 9000\r\n\r\n" + b"x" * 9000, 413),
-    (CALL % (b"GET", b"/", b""), 404),
-    (CALL % (b"GET", b"/healthcheck/", b""), 404),
-    (CALL % (b"POST", b"/healthcheck", b"Content-Length: 2\r\n") + b"{}", 405),
-    (CALL % (b"HEAD", b"/healthcheck", b""), 405),
-    (CALL % (b"GET", b"/healthcheck?now=1", b""), 200),
-    (b"GET /healthcheck HTTP/1.0\r\n\r\n", 200),
-])
+@pytest.mark.parametrize(
+    "data,status",
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /healthcheck HTTP/1.1\r\n\r\n", 400),  # no Host
+        (b"GET /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400),
+        (b"GET http://[ HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (b"GET /" + b"x" * 9000 + b" HTTP/1.1\r\n", 413),
+        (b"POST /healthcheck HTTP/1.1\r\nHost: a\r\nContent-Length: 9000\r\n\r\n" + b"x" * 9000, 413),
+        (CALL % (b"GET", b"/", b""), 404),
+        (CALL % (b"GET", b"/healthcheck/", b""), 404),
+        (CALL % (b"POST", b"/healthcheck", b"Content-Length: 2\r\n") + b"{}", 405),
+        (CALL % (b"HEAD", b"/healthcheck", b""), 405),
+        (CALL % (b"GET", b"/healthcheck?now=1", b""), 200),
+        (b"GET /healthcheck HTTP/1.0\r\n\r\n", 200),
+    ],
+)
 def test_a_call_that_is_not_proper_gets_a_no(tmp_path, data, status):
     @courier
     async def inner(fleet):
         await fleet.inside()
         assert (await say(fleet.door, data))[0] == status
         assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200  # and the door goes on
+
     inner(tmp_path)
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -37,6 +37,7 @@
         path = Path(got["LB_CONFIG"])
         path.write_text(json.dumps(json.loads(path.read_text()) | {"members": told}))
         return got
+
     fleet.env = wrapped
 
 
@@ -56,6 +57,7 @@
 
 # Off
 
+
 @courier
 async def test_off_means_nothing_is_there(fleet):
     await fleet.endpoint("a")
@@ -63,6 +65,7 @@
 
     def count(what):
         return len(os.listdir(f"/proc/{fleet.process.pid}/{what}"))
+
     without, threads = count("fd"), count("task")
     assert (await call(fleet.door, "GET", "/fleet"))[0] == 404
     assert not list((fleet.folder / "state").glob("fleet*"))
@@ -81,8 +84,10 @@
 
 
 def test_off_reads_none_of_it():
-    code = ("import sys, hopmill.serve; "
-            "print([m for m in sys.modules if m.startswith(('hopmill.fleet.', 'hopmill.net.peers'))])")
+    code = (
+        "import sys, hopmill.serve; "
+        "print([m for m in sys.modules if m.startswith(('hopmill.fleet.', 'hopmill.net.peers'))])"
+    )
     said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout
     assert said.strip() == "['hopmill.fleet.settings']"
 
@@ -106,10 +111,12 @@
             done = handle(now, events)
             actions.extend((type(a).__name__, getattr(a, "endpoint", None)) for a in done)
             return done
+
         fleet.host.courier.handle = record
         assert await client.put("m") == "+OK"
         while (await bounded(fleet.endpoints["a"].calls.get()))[1]["x-request-id"] != "m" or len(
-                [a for a in actions if a[0] == "Send"]) < 3:
+            [a for a in actions if a[0] == "Send"]
+        ) < 3:
             pass
         await until(lambda: not fleet.host.journal.held)
         seen.append([a for a in actions if a[0] != "SetTimer"])
@@ -119,6 +126,7 @@
 
 # Storage
 
+
 def stored(count):
     return msgspec.msgpack.encode(Stored(count, Memory(life=count)))
 
@@ -131,8 +139,9 @@
     return storage
 
 
-@pytest.mark.parametrize("how", ["left", "copied back", "moved files", "emptied", "torn", "both torn",
-                                 "anchor new"])
+@pytest.mark.parametrize(
+    "how", ["left", "copied back", "moved files", "emptied", "torn", "both torn", "anchor new"]
+)
 def test_a_folder_that_is_not_the_one_it_was_is_known(tmp_path, how):
     folder, other = tmp_path / "state", tmp_path / "other"
     folder.mkdir()
@@ -158,8 +167,13 @@
         (folder / peers.ANCHOR).unlink()
         (folder / peers.ANCHOR).write_text("x")
     got, same = peers.Storage(folder).load()
-    expected = {"left": (3, True), "torn": (2, True), "copied back": (3, False), "moved files": (3, False),
-                "anchor new": (3, False)}.get(how, (0, False))
+    expected = {
+        "left": (3, True),
+        "torn": (2, True),
+        "copied back": (3, False),
+        "moved files": (3, False),
+        "anchor new": (3, False),
+    }.get(how, (0, False))
     assert (got.ceiling, same) == expected
 
 
@@ -189,6 +203,7 @@
 
     def full(state):
         raise OSError(28, "No space left on device")
+
     fleet.host.peers.storage.write = full
     begun = asyncio.create_task(changed(fleet, "/fleet/words/w/x"))
     await until(lambda: fleet.host.peers.failing)
@@ -202,6 +217,7 @@
 
 # The door and an upgrade
 
+
 @courier
 async def test_staff_ask_and_change_the_register(fleet):
     with_members(fleet)
@@ -214,12 +230,21 @@
     assert (await call(fleet.door, "POST", "/fleet/voters/n0/nobody"))[0] == 409
     assert (await call(fleet.door, "POST", f"/fleet/words/w/{'x' * 201}"))[0] == 400
     door = f"{DOOR}:{fleet.door}"
-    said = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "hopmill", "fleet", "status", door],
-                                   cwd=ROOT, capture_output=True, text=True)
+    said = await asyncio.to_thread(
+        subprocess.run,
+        [sys.executable, "-m", "hopmill", "fleet", "status", door],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert said.returncode == 0 and "n0 of f" in said.stdout and "duty" in said.stdout
     said = await asyncio.to_thread(
-        subprocess.run, [sys.executable, "-m", "hopmill", "fleet", "say", door, "a", "b"],
-        cwd=ROOT, capture_output=True, text=True)
+        subprocess.run,
+        [sys.executable, "-m", "hopmill", "fleet", "say", door, "a", "b"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert said.returncode == 0 and "done" in said.stdout
 
 
@@ -262,10 +287,21 @@
 
 # The trial
 
+
 def change(at, began, version, text="", state="done", made=None, ticket=None, voters=("a",)):
-    return {"at_us": at, "who": "c", "what": "change", "began_us": began, "state": state, "text": text,
-            "version": version, "made": version if made is None else made, "words": {"x": text},
-            "voters": list(voters), "ticket": ticket or f"{at}"}
+    return {
+        "at_us": at,
+        "who": "c",
+        "what": "change",
+        "began_us": began,
+        "state": state,
+        "text": text,
+        "version": version,
+        "made": version if made is None else made,
+        "words": {"x": text},
+        "voters": list(voters),
+        "ticket": ticket or f"{at}",
+    }
 
 
 def act(at, fence, owner):
@@ -273,22 +309,41 @@
 
 
 def view(who, life, version, incarnation=1):
-    return {"at_us": 1, "who": who, "what": "view", "life": life, "version": version,
-            "incarnation": incarnation}
-
-
-@pytest.mark.parametrize(("rows", "said"), [
-    ([change(5, 1, 1, "a"), change(9, 6, 2, "b"), act(1, 1, "a"), act(2, 2, "b"), view("c", 1, 4),
-      view("c", 1, 4), view("c", 2, 1, 2)], ""),
-    ([change(5, 1, 1, "a"), change(9, 2, 1, "b", "left", 0)], "version 1 is"),
-    ([change(5, 1, 2, "a"), change(9, 6, 1, "b")], "saw version 1 after"),
-    ([change(5, 1, 2, "a", ticket="p"), change(9, 2, 2, "a", ticket="q")], "is the change of p and of q"),
-    ([{**change(5, 1, 2, "a"), "words": {"x": "b"}}], "was told version 2 without it"),
-    ([act(1, 2, "a"), act(2, 1, "b")], "acts under 1 after a did under 2"),
-    ([act(1, 2, "a"), act(2, 2, "b")], "b acts under 2 after a"),
-    ([view("c", 1, 4), view("c", 1, 3)], "back to 3"),
-    ([view("c", 1, 4), view("c", 2, 4)], "used incarnation 1 in two lives"),
-])
+    return {
+        "at_us": 1,
+        "who": who,
+        "what": "view",
+        "life": life,
+        "version": version,
+        "incarnation": incarnation,
+    }
+
+
+@pytest.mark.parametrize(
+    ("rows", "said"),
+    [
+        (
+            [
+                change(5, 1, 1, "a"),
+                change(9, 6, 2, "b"),
+                act(1, 1, "a"),
+                act(2, 2, "b"),
+                view("c", 1, 4),
+                view("c", 1, 4),
+                view("c", 2, 1, 2),
+            ],
+            "",
+        ),
+        ([change(5, 1, 1, "a"), change(9, 2, 1, "b", "left", 0)], "version 1 is"),
+        ([change(5, 1, 2, "a"), change(9, 6, 1, "b")], "saw version 1 after"),
+        ([change(5, 1, 2, "a", ticket="p"), change(9, 2, 2, "a", ticket="q")], "is the change of p and of q"),
+        ([{**change(5, 1, 2, "a"), "words": {"x": "b"}}], "was told version 2 without it"),
+        ([act(1, 2, "a"), act(2, 1, "b")], "acts under 1 after a did under 2"),
+        ([act(1, 2, "a"), act(2, 2, "b")], "b acts under 2 after a"),
+        ([view("c", 1, 4), view("c", 1, 3)], "back to 3"),
+        ([view("c", 1, 4), view("c", 2, 4)], "used incarnation 1 in two lives"),
+    ],
+)
 def test_the_rules_find_what_is_planted(rows, said):
     history = History()
     history.rows = rows
@@ -298,9 +353,11 @@
 
 def test_a_lost_message_and_an_effect_twice_are_found():
     ledger = Ledger()
-    for ident, entry in (("a", Entry("news", False, 0, 1, 2, "taken")),
-                         ("b", Entry("payout", True, 0, 1, 2, "taken", 1.0, 2)),
-                         ("c", Entry("news", False, 0, 1, 2, "refused"))):
+    for ident, entry in (
+        ("a", Entry("news", False, 0, 1, 2, "taken")),
+        ("b", Entry("payout", True, 0, 1, 2, "taken", 1.0, 2)),
+        ("c", Entry("news", False, 0, 1, 2, "refused")),
+    ):
         ledger.handed_in(ident, entry)
     assert [text.split()[1] for text in rules.violations(History(), ledger)] == ["a", "b"]
 
@@ -318,12 +375,18 @@
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
 def test_a_trial_that_is_ended_leaves_no_process(tmp_path, how):
     env = {**os.environ, "TMPDIR": str(tmp_path)}
-    trial = subprocess.Popen([sys.executable, "-m", "hopmill", "trial", "stops", "--couriers", "3"], cwd=ROOT,
-                             env=env, start_new_session=True, stdout=subprocess.PIPE)
+    trial = subprocess.Popen(
+        [sys.executable, "-m", "hopmill", "trial", "stops", "--couriers", "3"],
+        cwd=ROOT,
+        env=env,
+        start_new_session=True,
+        stdout=subprocess.PIPE,
+    )
 
     def running():
         found = subprocess.run(["pgrep", "-f", str(tmp_path)], capture_output=True, text=True).stdout.split()
         return [pid for pid in found if int(pid) != trial.pid]
+
     deadline = time.monotonic() + 30
     while len(running()) < 3 and time.monotonic() < deadline:
         time.sleep(0.1)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -45,15 +45,28 @@
 # The explorer
 
 # Each planted fault with the members and the seed of a schedule that shows it, or the play written for it.
-FOUND = {"gives-before-it-is-chosen": (3, 112), "goes-on-while-closing": (3, 149),
-         "votes-without-the-text": (3, 4), "gives-to-those-not-ready": (3, 16),
-         "answers-to-a-former-life": (4, 252_172)}
-PLAYS = {"waits-no-lease-out": "forgotten-leases", "waits-too-short": "drifting-clocks",
-         "clear-before-the-disk": "unwritten-vote", "gives-while-closing": "late-hold",
-         "gives-any-version": "old-version", "lease-for-ever": "old-version", "forgets-who-is-alone": "alone",
-         "counts-from-answers": "late-given", "any-answer-counts": "asked-again",
-         "adds-up-two-rosters": "two-rosters", "one-voter-is-clear": "one-is-clear",
-         "commits-at-any-epoch": "stale-commit", "any-stop-counts": "stopped-before"}
+FOUND = {
+    "gives-before-it-is-chosen": (3, 112),
+    "goes-on-while-closing": (3, 149),
+    "votes-without-the-text": (3, 4),
+    "gives-to-those-not-ready": (3, 16),
+    "answers-to-a-former-life": (4, 252_172),
+}
+PLAYS = {
+    "waits-no-lease-out": "forgotten-leases",
+    "waits-too-short": "drifting-clocks",
+    "clear-before-the-disk": "unwritten-vote",
+    "gives-while-closing": "late-hold",
+    "gives-any-version": "old-version",
+    "lease-for-ever": "old-version",
+    "forgets-who-is-alone": "alone",
+    "counts-from-answers": "late-given",
+    "any-answer-counts": "asked-again",
+    "adds-up-two-rosters": "two-rosters",
+    "one-voter-is-clear": "one-is-clear",
+    "commits-at-any-epoch": "stale-commit",
+    "any-stop-counts": "stopped-before",
+}
 
 
 def test_every_planted_fault_has_its_schedule():
@@ -146,21 +159,30 @@
 def test_the_largest_document_and_what_goes_with_it_fit_a_datagram():
     voters = tuple(f"{n}" + "v" * 19 for n in range(5))
     few, d16 = Few(0.3333333, 255, 86_400_000), b"\xff" * 16
-    policy = Policy(1 << 40, 1 << 40, d16, Change("i" * 16, d16, "b" * 20, True, BACK, few, 99),
-                    (Ended("i" * 16, 1 << 40, "w" * steps.MOST_WHY),) * steps.ENDED, (),
-                    Stage("i" * 16, d16, 1 << 40, few, "b" * 20))
+    policy = Policy(
+        1 << 40,
+        1 << 40,
+        d16,
+        Change("i" * 16, d16, "b" * 20, True, BACK, few, 99),
+        (Ended("i" * 16, 1 << 40, "w" * steps.MOST_WHY),) * steps.ENDED,
+        (),
+        Stage("i" * 16, d16, 1 << 40, few, "b" * 20),
+    )
     document = doc.Document(1 << 40, voters, (), {}, {}, (doc.ticket_of("t"),) * doc.RECENT, policy)
     data = doc.encode(document)
     basis = tuple((v, 1 << 41) for v in voters)
     assert len(data) <= doc.MOST_BYTES
-    for body in (wire.Accept((1 << 40, "x" * 30), b"x" * doc.MOST_BYTES, basis),
-                 Piece(d16, 1 << 16, 1 << 16, b"x" * texts.PIECE_BYTES),
-                 wire.Clear(1 << 40, 1 << 32, False, (("m" * 20, "has not stopped"),) * 12, "r" * 90)):
+    for body in (
+        wire.Accept((1 << 40, "x" * 30), b"x" * doc.MOST_BYTES, basis),
+        Piece(d16, 1 << 16, 1 << 16, b"x" * texts.PIECE_BYTES),
+        wire.Clear(1 << 40, 1 << 32, False, (("m" * 20, "has not stopped"),) * 12, "r" * 90),
+    ):
         wire.write("f" * 20, "s" * 20, 1 << 47, 1 << 40, body, [])
 
 
 # Texts
 
+
 @given(st.binary(max_size=texts.MOST_BYTES), st.integers(0, 2**32), st.floats(0, 0.4))
 @settings(max_examples=25, deadline=None)
 def test_a_text_comes_whole_whatever_is_lost_doubled_or_overtaken(text, seed, loss):
@@ -197,16 +219,27 @@
 
 # What a policy is
 
-@pytest.mark.parametrize(("patch", "said"), [
-    ({}, "changes nothing"), ("x", "must be a table"), ({"retries": {"attempt": 2}}, "retries.attempt: no"),
-    ({"nonsense": 1}, "nonsense: no such field"), ({"retries": {"probe": True}}, "retries.probe: can't"),
-    ({"listen": "x"}, "listen: can't change"), ({"calls": {"slots": 2}}, "calls.slots: can't change"),
-    ({"classes": [{"worth": 2}]}, "rows with a name"), ({"unset": "held"}, "unset: must be a list"),
-    ({"classes": [{"name": "any", "effect": "safe"}]}, r"classes\[any\].effect: can't change"),
-    ({"classes": [{"name": "other", "worth": 2.0}]}, r"classes\[other\].worth: this courier has no"),
-    ({"retries": {"attempts": "many"}}, "attempts: .*int"), ({"worth": {"late": "soon"}}, "worth.late"),
-    ({"returning": {"cold_share": 2}}, "cold_share"),
-    ({"held": 50, "ceilings": [{"partner": 7, "window": 3}], "left_out": {"zones": ["z"]}}, "")])
+
+@pytest.mark.parametrize(
+    ("patch", "said"),
+    [
+        ({}, "changes nothing"),
+        ("x", "must be a table"),
+        ({"retries": {"attempt": 2}}, "retries.attempt: no"),
+        ({"nonsense": 1}, "nonsense: no such field"),
+        ({"retries": {"probe": True}}, "retries.probe: can't"),
+        ({"listen": "x"}, "listen: can't change"),
+        ({"calls": {"slots": 2}}, "calls.slots: can't change"),
+        ({"classes": [{"worth": 2}]}, "rows with a name"),
+        ({"unset": "held"}, "unset: must be a list"),
+        ({"classes": [{"name": "any", "effect": "safe"}]}, r"classes\[any\].effect: can't change"),
+        ({"classes": [{"name": "other", "worth": 2.0}]}, r"classes\[other\].worth: this courier has no"),
+        ({"retries": {"attempts": "many"}}, "attempts: .*int"),
+        ({"worth": {"late": "soon"}}, "worth.late"),
+        ({"returning": {"cold_share": 2}}, "cold_share"),
+        ({"held": 50, "ceilings": [{"partner": 7, "window": 3}], "left_out": {"zones": ["z"]}}, ""),
+    ],
+)
 def test_a_patch_that_does_not_fit_is_named(patch, said):
     document = overlay._example()
     try:
@@ -219,8 +252,11 @@
     assert [*overlay.disagreements(changed, {"held": 60, "retries.attempts": 9})] == ["held"]
 
 
-FIELDS = st.dictionaries(st.sampled_from(["held", "retries.attempts", "worth.late", "left_out.zones"]),
-                         st.integers(1, 5), max_size=3)
+FIELDS = st.dictionaries(
+    st.sampled_from(["held", "retries.attempts", "worth.late", "left_out.zones"]),
+    st.integers(1, 5),
+    max_size=3,
+)
 
 
 UNSET = st.lists(st.sampled_from(["held", "worth.late"]), max_size=2)
@@ -254,6 +290,7 @@
 
 # Hard cases, in virtual time: members as they are, and acts judged by one clock
 
+
 class Staffed:
     """A fleet with a policy; each member acts whenever it may, every 10 ms."""
 
@@ -292,8 +329,13 @@
     def propose(self, n, ident=""):
         self.count += 1
         govern = self.fleet.nodes[n].govern
-        govern.propose(ident or f"x{self.count}", b"text %d" % self.count,
-                       govern.register.document.policy.version, self.fleet.now, lambda outcome: None)
+        govern.propose(
+            ident or f"x{self.count}",
+            b"text %d" % self.count,
+            govern.register.document.policy.version,
+            self.fleet.now,
+            lambda outcome: None,
+        )
         self.fleet._pump(n)
 
     def cut(self, *groups):
@@ -412,12 +454,25 @@
     return 1
 
 
-@pytest.mark.parametrize(("case", "more"), [
-    (half_are_down, {}), (proposer_dies, {}), (stopped_before_its_check, {}),
-    (proposer_in_the_smaller_part, {}),
-    (two_at_once, {}), (two_at_once, {"loss": 0.3}), (told_again, {}), (told_again, {"loss": 0.3}),
-    (one_refuses, {}), (one_missed_a_hundred, {}), (a_voter_is_replaced_meanwhile, {"members": 6}),
-    (an_emptied_folder, {}), (left_alone, {"alone": "last"}), (proposer_dies, {"alone": "last"})])
+@pytest.mark.parametrize(
+    ("case", "more"),
+    [
+        (half_are_down, {}),
+        (proposer_dies, {}),
+        (stopped_before_its_check, {}),
+        (proposer_in_the_smaller_part, {}),
+        (two_at_once, {}),
+        (two_at_once, {"loss": 0.3}),
+        (told_again, {}),
+        (told_again, {"loss": 0.3}),
+        (one_refuses, {}),
+        (one_missed_a_hundred, {}),
+        (a_voter_is_replaced_meanwhile, {"members": 6}),
+        (an_emptied_folder, {}),
+        (left_alone, {"alone": "last"}),
+        (proposer_dies, {"alone": "last"}),
+    ],
+)
 def test_a_hard_case_ends_everywhere_or_nowhere(case, more):
     f = Staffed(**more)
     version = case(f)
@@ -426,6 +481,7 @@
 
 # Watching those that go first
 
+
 def sums(worth, earned, calls=0.0, refused=0.0, failed=0.0):
     return Sums(worth, earned, calls, refused, failed)
 
@@ -433,15 +489,21 @@
 GOOD, WORSE = (sums(1000, 980), sums(1000, 975)), (sums(1000, 980), sums(1000, 800))
 
 
-@pytest.mark.parametrize(("few", "rest", "said"), [
-    ([GOOD], [GOOD] * 4, ""), ([WORSE], [GOOD] * 4, "worth: -0.180"),
-    ([WORSE] * 2, [WORSE] * 4, ""),  # all do: it is not the change
-    ([(sums(1000, 300), sums(1000, 300))], [GOOD] * 4, ""),  # it always did
-    ([(sums(10, 10), sums(10, 2))], [GOOD] * 4, ""),  # too few to say
-    ([(sums(0, 0, 900, 0, 9), sums(0, 0, 900, 300, 9))], [(sums(0, 0, 900, 9, 9),) * 2] * 3, "refusals"),
-    ([(sums(0, 0, 900, 0, 9), sums(0, 0, 900, 0, 200))], [(sums(0, 0, 900, 9, 9),) * 2] * 3, "errors"),
-    ([WORSE], [GOOD, WORSE, GOOD, (sums(1000, 700), sums(1000, 990))], ""),  # others differ as much
-    ([], [GOOD], ""), ([WORSE], [], "")])
+@pytest.mark.parametrize(
+    ("few", "rest", "said"),
+    [
+        ([GOOD], [GOOD] * 4, ""),
+        ([WORSE], [GOOD] * 4, "worth: -0.180"),
+        ([WORSE] * 2, [WORSE] * 4, ""),  # all do: it is not the change
+        ([(sums(1000, 300), sums(1000, 300))], [GOOD] * 4, ""),  # it always did
+        ([(sums(10, 10), sums(10, 2))], [GOOD] * 4, ""),  # too few to say
+        ([(sums(0, 0, 900, 0, 9), sums(0, 0, 900, 300, 9))], [(sums(0, 0, 900, 9, 9),) * 2] * 3, "refusals"),
+        ([(sums(0, 0, 900, 0, 9), sums(0, 0, 900, 0, 200))], [(sums(0, 0, 900, 9, 9),) * 2] * 3, "errors"),
+        ([WORSE], [GOOD, WORSE, GOOD, (sums(1000, 700), sums(1000, 990))], ""),  # others differ as much
+        ([], [GOOD], ""),
+        ([WORSE], [], ""),
+    ],
+)
 def test_those_that_go_first_are_held_back_only_if_they_do_worse_beyond_chance(few, rest, said):
     found = watch.worse(few, rest, 60)
     assert found.startswith(said) and bool(found) is bool(said)
@@ -450,19 +512,25 @@
 def test_a_stage_that_changes_nothing_is_seldom_ended():
     chance, ended = random.Random(5), 0
     for _ in range(300):
+
         def pair():
             return tuple(sums(200, sum(chance.random() < 0.9 for _ in range(200))) for _ in range(2))
+
         ended += any(watch.worse([pair()], [pair() for _ in range(4)], 5) for _ in range(5))
     assert ended <= 3
 
 
 # The module
 
+
 def policy(host, **changes):
     s = host.courier.s
-    return PolicySet(dataclasses.replace(s, **{k: v for k, v in changes.items() if hasattr(s, k)}),
-                     frozenset(changes.get("out", ())), frozenset(changes.get("zones", ())),
-                     changes.get("ceilings", {}))
+    return PolicySet(
+        dataclasses.replace(s, **{k: v for k, v in changes.items() if hasattr(s, k)}),
+        frozenset(changes.get("out", ())),
+        frozenset(changes.get("zones", ())),
+        changes.get("ceilings", {}),
+    )
 
 
 def test_a_policy_reaches_every_decision_of_the_turn_that_it_comes_in():
@@ -529,8 +597,11 @@
     client = await fleet.outside()
     await bounded(acts(fleet))
     for ident, patch, code, said in (
-            ("e", {}, 400, "changes nothing"), ("u", {"nonsense": 1}, 400, "no such field"),
-            ("m", {"held": 10_000_000}, 409, "MiB"), ("n", {"left_out": {"zones": ["x" * 300]}}, 409, "")):
+        ("e", {}, 400, "changes nothing"),
+        ("u", {"nonsense": 1}, 400, "no such field"),
+        ("m", {"held": 10_000_000}, 409, "MiB"),
+        ("n", {"left_out": {"zones": ["x" * 300]}}, 409, ""),
+    ):
         status, told = await propose(fleet, ident, patch)
         assert status == code and said in told["error"]
     assert (await propose(fleet, "big", {"held": 1, "unset": ["x" * 1_000_000]}))[0] in (0, 413)
@@ -562,7 +633,10 @@
     assert (await bounded(became(fleet, "x3")))["version"] == 3
     shown = (await call(fleet.door, "GET", "/fleet/policy/history"))[1]["changes"]
     assert [(r["id"], r["version"], r["reason"]) for r in shown] == [
-        ("x1", 1, "rewired"), ("x2", 2, ""), ("x3", 3, "b is well")]
+        ("x1", 1, "rewired"),
+        ("x2", 2, ""),
+        ("x3", 3, "b is well"),
+    ]
     assert shown[2]["changes"] == [["left_out.endpoints", ["b"], ["a"]], ["retries.attempts", 2, None]]
     assert (await propose(fleet, "x4", {}, revert=9))[0] == 400
     client.close()
@@ -571,8 +645,12 @@
 @courier
 async def test_a_courier_that_holds_no_lease_takes_nothing_on(fleet):
     a = await fleet.endpoint("a")
-    with_members(fleet, voters=["n0", "x", "y"], others=[
-        {"id": n, "address": f"127.0.0.1:{port}"} for n, port in (("x", 9), ("y", 10))], **ONE)
+    with_members(
+        fleet,
+        voters=["n0", "x", "y"],
+        others=[{"id": n, "address": f"127.0.0.1:{port}"} for n, port in (("x", 9), ("y", 10))],
+        **ONE,
+    )
     client = await fleet.outside()
     began = time.monotonic()
     told = await client.put("m")
@@ -609,6 +687,7 @@
         path = Path(got["LB_CONFIG"])
         path.write_text(json.dumps(json.loads(path.read_text()) | {"left_out": {"endpoints": ["a"]}}))
         return got
+
     fleet.env = with_left_out
     client = await fleet.inside()
     for n in range(4):
@@ -631,8 +710,9 @@
     async def said(*words):
         command = [sys.executable, "-m", "hopmill", "fleet", *words]
         return await asyncio.to_thread(subprocess.run, command, cwd=ROOT, capture_output=True, text=True)
+
     done = await said("propose", door, str(patch), "--reason", "rewired", "--id", "x1")
-    assert done.returncode == 0 and "own -> [\"a\"]" in done.stdout and "in force" in done.stdout
+    assert done.returncode == 0 and 'own -> ["a"]' in done.stdout and "in force" in done.stdout
     assert (await said("propose", door, str(patch))).returncode == 1  # it changes nothing now
     assert "rewired" in (await said("history", door)).stdout
     assert (await said("revert", door, "0")).returncode == 0
@@ -645,19 +725,42 @@
 
 # The trial's rules
 
+
 def act(at, version, who="c0", message="m", what="began", looked=None):
-    return {"at_us": at, "who": who, "what": what, "looked_us": at - 5 if looked is None else looked,
-            "version": version, "messages": [message]}
+    return {
+        "at_us": at,
+        "who": who,
+        "what": what,
+        "looked_us": at - 5 if looked is None else looked,
+        "version": version,
+        "messages": [message],
+    }
 
 
 def put_in_force(version, out, staged=False, who="c0", changes=()):
-    return {"at_us": 0, "who": who, "what": "policy", "version": version, "staged": staged,
-            "values": {"left_out.endpoints": out}, "changes": list(changes)}
+    return {
+        "at_us": 0,
+        "who": who,
+        "what": "policy",
+        "version": version,
+        "staged": staged,
+        "values": {"left_out.endpoints": out},
+        "changes": list(changes),
+    }
 
 
 def outcome(change, state, version=0):
-    return {"at_us": 0, "who": "c0", "what": "outcome", "change": change, "state": state, "version": version,
-            "began_us": 0, "why": "", "staged": False}
+    return {
+        "at_us": 0,
+        "who": "c0",
+        "what": "outcome",
+        "change": change,
+        "state": state,
+        "version": version,
+        "began_us": 0,
+        "why": "",
+        "staged": False,
+    }
 
 
 def endpoint_call(at, endpoint, message="m"):
@@ -667,20 +770,24 @@
 A, B = put_in_force(1, ["a"], changes=["x"]), put_in_force(2, ["b"], changes=["x", "y"])
 
 
-@pytest.mark.parametrize(("rows", "said"), [
-    ([A, B, act(10, 1), act(20, 2, "c1"), endpoint_call(11, "b"), endpoint_call(21, "a")], ""),
-    ([A, B, act(20, 2, "c1"), act(30, 1)], "under version 1, having looked"),
-    ([A, B, act(20, 2, "c1"), act(30, 1, looked=19)], ""),  # it had looked before
-    ([A, B, act(20, 2, "c1"), act(30, 1, what="took")], "c0 took"),
-    ([A, put_in_force(1, ["b"], who="c1"), act(10, 1)], "version 1 is"),
-    ([A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b", "n")], "b got a call"),
-    ([A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b")], ""),  # late, by its own record
-    ([A, act(10, 1), endpoint_call(12, "a")], "a got a call"),
-    ([A, B, act(10, 1), outcome("x", "in force nowhere")], "x was in force"),
-    ([A, B, act(10, 1), outcome("x", "in force", 1), outcome("z", "in force", 2)], "lacks change z"),
-    ([A, put_in_force(2, ["b"], True, "c1"), act(20, 2, "c1"), act(30, 1)], ""),  # staged at c1 alone
-    ([A, put_in_force(2, ["b"], True, "c1"), act(20, 2, "c1"), act(30, 1, "c1")], "c1 began"),
-    ([A, put_in_force(2, ["b"], True, "c1", ["z"]), act(10, 1), outcome("z", "in force nowhere")], "")])
+@pytest.mark.parametrize(
+    ("rows", "said"),
+    [
+        ([A, B, act(10, 1), act(20, 2, "c1"), endpoint_call(11, "b"), endpoint_call(21, "a")], ""),
+        ([A, B, act(20, 2, "c1"), act(30, 1)], "under version 1, having looked"),
+        ([A, B, act(20, 2, "c1"), act(30, 1, looked=19)], ""),  # it had looked before
+        ([A, B, act(20, 2, "c1"), act(30, 1, what="took")], "c0 took"),
+        ([A, put_in_force(1, ["b"], who="c1"), act(10, 1)], "version 1 is"),
+        ([A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b", "n")], "b got a call"),
+        ([A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b")], ""),  # late, by its own record
+        ([A, act(10, 1), endpoint_call(12, "a")], "a got a call"),
+        ([A, B, act(10, 1), outcome("x", "in force nowhere")], "x was in force"),
+        ([A, B, act(10, 1), outcome("x", "in force", 1), outcome("z", "in force", 2)], "lacks change z"),
+        ([A, put_in_force(2, ["b"], True, "c1"), act(20, 2, "c1"), act(30, 1)], ""),  # staged at c1 alone
+        ([A, put_in_force(2, ["b"], True, "c1"), act(20, 2, "c1"), act(30, 1, "c1")], "c1 began"),
+        ([A, put_in_force(2, ["b"], True, "c1", ["z"]), act(10, 1), outcome("z", "in force nowhere")], ""),
+    ],
+)
 def test_the_rules_of_policy_find_what_is_planted(rows, said):
     history = History()
     history.rows = rows
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -19,6 +19,7 @@
 
 def run(test):
     """Runs a test with one endpoint and calls to it."""
+
     def inner():
         async def go():
             endpoint, o = await Endpoint().start(), Outcomes()
@@ -26,7 +27,9 @@
             o.calls.close()
             o.pool.close()
             await endpoint.stop()
+
         asyncio.run(go())
+
     return inner
 
 
@@ -81,6 +84,7 @@
         o.pool.close()
         for e in endpoints:
             await e.stop()
+
     asyncio.run(go())
 
 
@@ -103,6 +107,7 @@
         await until(lambda: links[0].closed and links[1].closed)
         assert o.pool.places[1].closed == {p.AGED: 2} and o.pool.aging is None
         await endpoint.stop()
+
     asyncio.run(go())
 
 
@@ -111,6 +116,7 @@
     # At three quarters of its time each tenth call of a courier of hundreds came just too late.
     async def go():
         assert Outcomes(idle_us=idle_us).pool.idle_s == idle_s
+
     asyncio.run(go())
 
 
@@ -226,6 +232,7 @@
             assert (await o.send(endpoint.port, ident))[0][1].result is Result.OK
         assert endpoint.accepted == 2 and o.pool.places[1].reused == 0
         await endpoint.stop()
+
     asyncio.run(go())
 
 
@@ -264,6 +271,7 @@
         assert o.pool.places[1].reused == 1 and o.pool.places[1].closed == {p.BROKE: 1}
         thread.join()
         listener.close()
+
     asyncio.run(go())
 
 
@@ -280,6 +288,7 @@
                 raise OSError(errno.EMFILE, "too many open files")
             self.room -= 1
             real(link, *args, **more)
+
         monkeypatch.setattr(p.Link, "__init__", init)
 
 
@@ -304,6 +313,7 @@
         assert not o.pool.waiting and not o.calls.out and files.asked < 50
         for e in (a, b):
             await e.stop()
+
     asyncio.run(go())
 
 
@@ -319,11 +329,12 @@
             o, before = Outcomes(connect_us=200_000), open_files()
             o.pool.place(1, s.getsockname())
             ends = await asyncio.gather(*(o.send(s.getsockname()[1], str(n)) for n in range(30)))
-            assert {outcome.result for (_, outcome), in ends} == {Result.CONNECT_FAILED}
+            assert {outcome.result for ((_, outcome),) in ends} == {Result.CONNECT_FAILED}
             assert open_files() == before and not o.pool.places[1].links
             assert o.pool.places[1].closed == {p.NEVER_UP: 30}
             for f in fill:
                 f.close()
+
     asyncio.run(go())
 
 
@@ -368,8 +379,12 @@
     assert cargo.values["born"] == {0: links[1].born, 1: links[0].born}
     other = Outcomes()
     other.pool.place(1, ("127.0.0.1", endpoint.port))
-    other.pool.resume_idle([(e, tuple(a), socket.socket(fileno=os.dup(cargo.fds[place])), since,
-                             cargo.values["born"][place]) for e, a, place, since in rows])
+    other.pool.resume_idle(
+        [
+            (e, tuple(a), socket.socket(fileno=os.dup(cargo.fds[place])), since, cargo.values["born"][place])
+            for e, a, place, since in rows
+        ]
+    )
     assert [k.idle_at for k in other.pool.places[1].idle] == [k.idle_at for k in links]
     other.pool.close()
 
@@ -433,9 +448,18 @@
         await until(lambda: not fleet.host.calls.out)
     status, said = await at_door(fleet.door, "GET", "/connections")
     assert status == 200 and said["open"] == said["idle"] == 1 and said["not_shown"] == 0
-    row, = said["endpoints"]
-    assert row == {"endpoint": "a", "open": 1, "lent": 0, "opening": 0, "idle": 1, "opened": 1, "reused": 2,
-                   "closed": {}, "kept_at_most": fleet.host.courier.book.endpoints[1].links.told}
+    (row,) = said["endpoints"]
+    assert row == {
+        "endpoint": "a",
+        "open": 1,
+        "lent": 0,
+        "opening": 0,
+        "idle": 1,
+        "opened": 1,
+        "reused": 2,
+        "closed": {},
+        "kept_at_most": fleet.host.courier.book.endpoints[1].links.told,
+    }
     assert await at_door(fleet.door, "GET", "/connections/a") == (200, row)
     assert (await at_door(fleet.door, "GET", "/connections/b"))[0] == 404
     assert (await at_door(fleet.door, "POST", "/connections"))[0] == 405
@@ -476,6 +500,7 @@
             host.close()
             fleet.host = None
             assert not host.pool.places or not any(x.links for x in host.pool.places.values())
+
     asyncio.run(go())
 
 
@@ -494,4 +519,5 @@
             assert (place.opened, place.reused) == (3, 2)  # both were lost on one that had been used before
             await until(lambda: not fleet.host.journal.held)
             assert e.calls.empty()
+
     asyncio.run(go())
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -26,18 +26,43 @@
     assert got == requests and not reader.unread
 
 
-@pytest.mark.parametrize("value", [b"+hello\r\n", b":5\r\n", b"-x\r\n", b"*0\r\n", b"*-1\r\n",
-                                   b"$2\r\nhi\r\n", b"*2\r\n$1\r\na\r\n*2\r\n:1\r\n$1\r\nb\r\n",
-                                   b"*2\r\n$-1\r\n$1\r\na\r\n"])
+@pytest.mark.parametrize(
+    "value",
+    [
+        b"+hello\r\n",
+        b":5\r\n",
+        b"-x\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"$2\r\nhi\r\n",
+        b"*2\r\n$1\r\na\r\n*2\r\n:1\r\n$1\r\nb\r\n",
+        b"*2\r\n$-1\r\n$1\r\na\r\n",
+    ],
+)
 def test_an_improper_value_is_read_whole(value):
     assert read(value + Client.command(b"PING"))[0] == [IMPROPER, [b"PING"]]
 
 
-@pytest.mark.parametrize("bad", [
-    b"*1000000000\r\n", b"*4294967295\r\n", b"*17\r\n", b"*2\r\n*1000000\r\n", b"*9\r\n*9\r\n", b"*x\r\n",
-    b"*\r\n", b"*1\r\n$600000000\r\n", b"*1\r\n$-5\r\n", b"*1\r\n$1\r\nabc\r\n", b"GET / HTTP/1.1\r\n",
-    b"\x00\x16\x03", b"+" + b"x" * 5000, b"*2\r\n$%d\r\n" % (MAX_REQUEST + 1),
-    b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n"])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"*1000000000\r\n",
+        b"*4294967295\r\n",
+        b"*17\r\n",
+        b"*2\r\n*1000000\r\n",
+        b"*9\r\n*9\r\n",
+        b"*x\r\n",
+        b"*\r\n",
+        b"*1\r\n$600000000\r\n",
+        b"*1\r\n$-5\r\n",
+        b"*1\r\n$1\r\nabc\r\n",
+        b"GET / HTTP/1.1\r\n",
+        b"\x00\x16\x03",
+        b"+" + b"x" * 5000,
+        b"*2\r\n$%d\r\n" % (MAX_REQUEST + 1),
+        b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n",
+    ],
+)
 def test_what_cannot_be_read_or_is_too_large_is_turned_down_at_its_announcement(bad):
     with pytest.raises(ProtocolError):
         read(bad)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -194,6 +194,7 @@
 
 # The journal's time. A process that reads it finds a wall clock that was set meanwhile.
 
+
 @pytest.mark.parametrize("step_s", [-3600, 3600])
 def test_a_wall_clock_that_steps_between_two_processes_moves_no_times(tmp_path, monkeypatch, step_s):
     async def run():
@@ -210,6 +211,7 @@
             assert (await e.call())[1]["x-request-id"] == "waits"
             ended = await fleet.discovery.final()
             assert ended["id"] == "nowhere" and time.monotonic() - began < 3.5
+
     asyncio.run(run())
 
 
@@ -332,10 +334,21 @@
     assert done.stderr.count("\n") == 1
 
 
-@pytest.mark.parametrize("bad", [
-    frame(["take", 1]), frame(5), frame([]), frame({"a": 1}), frame(["try", 7, 1.0]), frame(["known", 1]),
-    frame(["known", "x", {}, {}]), FRAME.pack(1, zlib.crc32(b"\xc1")) + b"\xc1",
-    b"\0" * 4096, b"\xff" * 4096])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        frame(["take", 1]),
+        frame(5),
+        frame([]),
+        frame({"a": 1}),
+        frame(["try", 7, 1.0]),
+        frame(["known", 1]),
+        frame(["known", "x", {}, {}]),
+        FRAME.pack(1, zlib.crc32(b"\xc1")) + b"\xc1",
+        b"\0" * 4096,
+        b"\xff" * 4096,
+    ],
+)
 def test_a_bad_record_does_not_keep_the_courier_from_starting(tmp_path, bad):
     good = Held(3, "m3", 0, 0, 7, "", time.time() + 9, False, b"x")
     (tmp_path / "messages.journal").write_bytes(frame(good.record()) + bad)
@@ -370,8 +383,15 @@
     journal.close()
 
 
-@given(st.lists(st.tuples(st.sampled_from(["take", "again", "try", "final", "failed final", "told", "done"]),
-                          st.integers(1, 5)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["take", "again", "try", "final", "failed final", "told", "done"]),
+            st.integers(1, 5),
+        ),
+        max_size=40,
+    )
+)
 def test_open_messages_are_counted_as_they_are(steps):
     with tempfile.TemporaryDirectory() as folder:
         journal = Journal(Path(folder), 10**6)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,25 @@
 from hopmill.policy.courier import Courier
 from hopmill.policy.pacing import WINDOW_SHARE
 from hopmill.interface import (
-    AttemptEnded, Effect, EndpointsListed, EndpointState, Fail, Kind, ListEntry, ListForm, MessageArrived,
-    MessageClass, MessageGone, Refuse, Result, Send, SetTimer, Settings, Tenant, TimerDue)
+    AttemptEnded,
+    Effect,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageClass,
+    MessageGone,
+    Refuse,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Tenant,
+    TimerDue,
+)
 
 S = 1_000_000
 TICK = 5_000
@@ -21,14 +38,25 @@
     keyed = {"effect": Effect.KEYED, "key_window_us": 4 * S, "key_scope": r.choice(("all", "zone"))}
     ordered = r.random() < 0.5
     return Settings(
-        classes=(MessageClass("s", S, 5 * S, worth=2.0),
-                 MessageClass("k", S, 8 * S, ordered=ordered, **keyed),
-                 MessageClass("u", 2 * S, 9 * S, effect=Effect.UNSAFE, late_share=0.4, ordered=ordered)),
-        kinds=(Kind("a", r.random() < 0.5, r.choice((1, 4))), Kind("b")), slots=r.randint(1, 12),
-        max_held=30, tenants=(Tenant("t", 0.5, 3.0),) if r.random() < 0.5 else (), couriers=r.randint(1, 4),
-        max_attempts=r.randint(1, 8), rates_listed=r.random() < 0.5, zone_fees=(0.1, 0.0),
-        max_retry_after_us=S, key_rest_us=S // 2, answer_slack_us=20_000, tick_us=TICK,
-        clients_mark_retries=r.random() < 0.5)
+        classes=(
+            MessageClass("s", S, 5 * S, worth=2.0),
+            MessageClass("k", S, 8 * S, ordered=ordered, **keyed),
+            MessageClass("u", 2 * S, 9 * S, effect=Effect.UNSAFE, late_share=0.4, ordered=ordered),
+        ),
+        kinds=(Kind("a", r.random() < 0.5, r.choice((1, 4))), Kind("b")),
+        slots=r.randint(1, 12),
+        max_held=30,
+        tenants=(Tenant("t", 0.5, 3.0),) if r.random() < 0.5 else (),
+        couriers=r.randint(1, 4),
+        max_attempts=r.randint(1, 8),
+        rates_listed=r.random() < 0.5,
+        zone_fees=(0.1, 0.0),
+        max_retry_after_us=S,
+        key_rest_us=S // 2,
+        answer_slack_us=20_000,
+        tick_us=TICK,
+        clients_mark_retries=r.random() < 0.5,
+    )
 
 
 @examples(max_examples=40, derandomize=True, deadline=None)
@@ -109,8 +137,11 @@
                         assert now < ran[0][2] + c.key_window_us
                         assert c.key_scope == "all" or places[a.endpoint][1] == places[ran[0][1]][1]
                 if m.order_key:
-                    before = [x for x in order[:order.index(a.message)]
-                              if (live.get(x) or ended[x]).order_key == m.order_key]
+                    before = [
+                        x
+                        for x in order[: order.index(a.message)]
+                        if (live.get(x) or ended[x]).order_key == m.order_key
+                    ]
                     assert not [x for x in before if x in live or [k for k in out if k[0] == x]]
                     assert history[a.message] or now >= rest.get(m.order_key, 0)
                 end = now + min(a.timeout_us, m.valid_until_us - now)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -85,6 +85,7 @@
             other = await Client().open(fleet.port)
             assert await other.send(PING) == "+PONG"
             other.writer.close()
+
     senders = [asyncio.create_task(traffic(n)) for n in range(4)]
     for _ in range(3):
         await fleet.upgrade()
@@ -194,6 +195,7 @@
         except NotHandedOver:
             left.append("stayed")
         link.close()
+
     thread = threading.Thread(target=run)
     thread.start()
     return thread
@@ -231,6 +233,7 @@
         peer.close()
         link.close()
         owner.close()
+
     thread = threading.Thread(target=broken)
     thread.start()
     new, cargo = become_owner(tmp_path, takes_over=True)  # it starts by itself once the owner is gone
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,12 +16,25 @@
         {"name": "a", "goalTimeUs": 1000000, "deadlineUs": 6000000, "idempotency": "read_like", "worth": 2.0},
         {"name": "b", "goalTimeUs": 2000000, "deadlineUs": 9000000, "idempotency": "non_idempotent"},
     ],
-    "contract": {"coldShare": 0.2, "coldUs": 9000000, "drainGraceUs": 500000, "fallMultiple": 2.5,
-                 "fallUs": 2000000},
+    "contract": {
+        "coldShare": 0.2,
+        "coldUs": 9000000,
+        "drainGraceUs": 500000,
+        "fallMultiple": 2.5,
+        "fallUs": 2000000,
+    },
     "familyInfo": {"maxCalls": 6, "kindApart": [True], "kindBatch": [3]},
-    "policyLimits": {"attemptsCap": 9, "connIdleUs": 1, "connectTimeoutUs": 2, "maxOpen": 50,
-                     "retryAfter": True, "maxRetryAfterUs": 7},
-    "shapes": ["k"], "weightSource": "nominal", "somethingNew": {"x": 1},
+    "policyLimits": {
+        "attemptsCap": 9,
+        "connIdleUs": 1,
+        "connectTimeoutUs": 2,
+        "maxOpen": 50,
+        "retryAfter": True,
+        "maxRetryAfterUs": 7,
+    },
+    "shapes": ["k"],
+    "weightSource": "nominal",
+    "somethingNew": {"x": 1},
 }
 ADDRESS = 0x0A124A07
 
@@ -40,19 +53,30 @@
     entry = struct.pack(">IHHBfQBH", ADDRESS, 9003, 57, 1, 4.0, 0, 0, 0)
     records = [record("BBII", 6, 2, 0, 1)]
     for n in instances:
-        records += [record("BH", 1, n), record("BQII", 7, 77 + n, len(entry), len(text)),
-                    record("BBQB", 5, 2, 1, 2)]
+        records += [
+            record("BH", 1, n),
+            record("BQII", 7, 77 + n, len(entry), len(text)),
+            record("BBQB", 5, 2, 1, 2),
+        ]
     return batch(records, entry + text, seq, now)
 
 
 def arrival(ident, seq, now, instance=3, cls=0):
-    return batch([record("BH", 1, instance),
-                  record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)], seq=seq, now=now)
+    return batch(
+        [record("BH", 1, instance), record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)],
+        seq=seq,
+        now=now,
+    )
 
 
 def run(data, **env):
-    return subprocess.run([sys.executable, "-m", "hopmill.simhost"], input=data, capture_output=True,
-                          env={**os.environ, **env}, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "hopmill.simhost"],
+        input=data,
+        capture_output=True,
+        env={**os.environ, **env},
+        timeout=60,
+    )
 
 
 def events(data):
@@ -69,30 +93,61 @@
 def test_begin_list_and_arrival():
     got = events(begin_batch())
     assert got[0][0] == 3 and got[0][1].seed == 80
-    assert got[1][1] == i.EndpointsListed(i.ListForm.CACHED, (
-        i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),))
+    assert got[1][1] == i.EndpointsListed(
+        i.ListForm.CACHED,
+        (i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
+    )
     assert events(arrival(9, 2, 10))[0][1] == i.MessageArrived(9, 0, 57, 6_000_010, 0, 0, True)
 
 
 def test_a_list_number_used_again_means_the_newer_list():
     entry = struct.pack(">IHHBfQBH", ADDRESS, 1, 1, 1, 0, 0, 0, 0)
     other = struct.pack(">IHHBfQBH", ADDRESS, 2, 1, 0, 0, 0, 0, 0)
-    got = events(batch([record("BH", 1, 0), record("BBII", 6, 4, 0, 1), record("BBQB", 5, 4, 1, 0),
-                        record("BBII", 6, 4, 24, 1), record("BBQB", 5, 4, 2, 1)], entry + other))
+    got = events(
+        batch(
+            [
+                record("BH", 1, 0),
+                record("BBII", 6, 4, 0, 1),
+                record("BBQB", 5, 4, 1, 0),
+                record("BBII", 6, 4, 24, 1),
+                record("BBQB", 5, 4, 2, 1),
+            ],
+            entry + other,
+        )
+    )
     assert [e.entries[0].endpoint & 0xFFFF for _, e in got] == [1, 2]
     assert got[1][1].entries[0].state is i.EndpointState.GONE
 
 
 def test_outcomes_probes_notes_and_the_rest():
-    got = [e for _, e in events(batch([
-        record("BH", 1, 3), record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
-        record("BIHIH", 3, 1400, 200, ADDRESS, 9003), record("BIII", 11, 2, 0, 4), record("BI", 10, 5),
-        record("BQ", 4, 77), record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9), record("BBQB", 5, 0, 3, 3)],
-        b"hi 7"))]
+    got = [
+        e
+        for _, e in events(
+            batch(
+                [
+                    record("BH", 1, 3),
+                    record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
+                    record("BIHIH", 3, 1400, 200, ADDRESS, 9003),
+                    record("BIII", 11, 2, 0, 4),
+                    record("BI", 10, 5),
+                    record("BQ", 4, 77),
+                    record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9),
+                    record("BBQB", 5, 0, 3, 3),
+                ],
+                b"hi 7",
+            )
+        )
+    ]
     ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
-                   i.ProbeEnded(ep, i.Result.OK, 1400), i.PeerNote(2, b"hi 7"), i.MessageGone(5),
-                   i.TimerDue(77), i.AttemptAnswering(5, 1, ep), i.EndpointsListed(i.ListForm.FAILED)]
+    assert got == [
+        i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
+        i.ProbeEnded(ep, i.Result.OK, 1400),
+        i.PeerNote(2, b"hi 7"),
+        i.MessageGone(5),
+        i.TimerDue(77),
+        i.AttemptAnswering(5, 1, ep),
+        i.EndpointsListed(i.ListForm.FAILED),
+    ]
 
 
 def test_actions_are_packed_as_the_page_shows():
@@ -103,14 +158,28 @@
     reply.instance(5)
     reply.action(i.Log("two servers known"))
     assert reply.pack(12).hex() == (
-        "0000000c" "00000005" "00000061"
-        "0d0003" + "00" * 13 + "015d3a91c40a124a07232b0001388000" "050007a120000000000000004d000000"
-        "0d0005" + "00" * 13 + "09000000000000001100000000000000" + b"two servers known".hex())
-
-
-@pytest.mark.parametrize("action, code", [
-    (i.Refuse(1, 2), 2), (i.Fail(1), 3), (i.Cancel(1, 0), 4), (i.Probe(1), 6), (i.CloseIdle(1), 7),
-    (i.SendNote(None, b"x"), 8), (i.Subscribe(), 11), (i.FetchList(), 12)])
+        "0000000c"
+        "00000005"
+        "00000061"
+        "0d0003" + "00" * 13 + "015d3a91c40a124a07232b0001388000"
+        "050007a120000000000000004d000000"
+        "0d0005" + "00" * 13 + "09000000000000001100000000000000" + b"two servers known".hex()
+    )
+
+
+@pytest.mark.parametrize(
+    "action, code",
+    [
+        (i.Refuse(1, 2), 2),
+        (i.Fail(1), 3),
+        (i.Cancel(1, 0), 4),
+        (i.Probe(1), 6),
+        (i.CloseIdle(1), 7),
+        (i.SendNote(None, b"x"), 8),
+        (i.Subscribe(), 11),
+        (i.FetchList(), 12),
+    ],
+)
 def test_every_action_has_its_code(action, code):
     reply = wire.Reply()
     reply.action(action)
@@ -120,17 +189,20 @@
 LACKING = {k: v for k, v in SETTINGS.items() if k != "contract"}
 
 
-@pytest.mark.parametrize("data, said", [
-    (b"\0\0\0\1", "short batch header"),
-    (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
-    (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
-    (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
-    (batch([record("BQ", 4, 1)]), "before any instance"),
-    (batch([], count=3), "do not fit"),
-    (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
-    (begin_batch(settings=LACKING), "'contract'"),
-    (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
-])
+@pytest.mark.parametrize(
+    "data, said",
+    [
+        (b"\0\0\0\1", "short batch header"),
+        (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
+        (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
+        (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
+        (batch([record("BQ", 4, 1)]), "before any instance"),
+        (batch([], count=3), "do not fit"),
+        (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
+        (begin_batch(settings=LACKING), "'contract'"),
+        (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
+    ],
+)
 def test_malformed_input_ends_with_one_plain_line(data, said):
     done = run(data)
     assert done.returncode != 0 and said in done.stderr.decode()
@@ -139,6 +211,7 @@
 
 def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
     from hopmill import simhost
+
     monkeypatch.setattr(simhost.Courier, "handle", lambda *a: 1 / 0)
     data = begin_batch()
     reply = simhost.answer(1, 5, data[20:], 4, {}, {})
@@ -152,6 +225,7 @@
             for n in instances:
                 data += arrival(k, k * 10 + n, 5_000_000 + k * 500_000, n, k % 2)
         return data
+
     both = run(day((3, 4)), PYTHONHASHSEED="1")
     assert both.returncode == 0 and both.stdout == run(day((3, 4)), PYTHONHASHSEED="2").stdout
 
@@ -159,8 +233,9 @@
         found = {}
         while out:
             seq, _, size = struct.unpack(">III", out[:12])
-            found[seq], out = out[12:12 + size], out[12 + size:]
+            found[seq], out = out[12 : 12 + size], out[12 + size :]
         return found
+
     together = replies(both.stdout)
     assert len(together) == 1 + 2 * 38 and sum(map(len, together.values())) > 1500
     for n in (3, 4):
@@ -168,9 +243,16 @@
         assert len(alone) == 39 and all(together[seq] == body for seq, body in alone.items() if seq > 1)
 
 
-@pytest.mark.parametrize("field, change", [
-    ("slots", {"slots": 0}), ("cold_share", {"cold_share": 1.5}), ("cold_us", {"cold_us": -1}),
-    ("classes", {"classes": ()}), ("max_attempts", {"max_attempts": 0})])
+@pytest.mark.parametrize(
+    "field, change",
+    [
+        ("slots", {"slots": 0}),
+        ("cold_share", {"cold_share": 1.5}),
+        ("cold_us", {"cold_us": -1}),
+        ("classes", {"classes": ()}),
+        ("max_attempts", {"max_attempts": 0}),
+    ],
+)
 def test_invalid_settings_name_the_field(field, change):
     good = {"classes": (i.MessageClass("a", 1, 2),), "slots": 1, "max_held": 1}
     i.Settings(**good)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,9 +10,27 @@
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import (
-    AttemptEnded, CloseIdle, Connections, Effect, EndpointsListed, EndpointState, Fail, Kind, ListEntry,
-    ListForm, Log, MessageArrived, MessageClass, Refuse, Result, Send, SetByHand, Settings, SetZoneByHand,
-    ZoneCarried)
+    AttemptEnded,
+    CloseIdle,
+    Connections,
+    Effect,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    Log,
+    MessageArrived,
+    MessageClass,
+    Refuse,
+    Result,
+    Send,
+    SetByHand,
+    Settings,
+    SetZoneByHand,
+    ZoneCarried,
+)
 from hopmill.net.state import Journal
 from hopmill.policy.zones import Zones
 
@@ -22,8 +40,15 @@
 def two_zones(*zones, **changes):
     """Endpoints 100, 101, ... of one destination, one in each of these zones."""
     h = Host(endpoints=0, **{"cold_us": COLD, "cold_share": 0.2, **changes})
-    h.do(EndpointsListed(ListForm.FULL, tuple(
-        ListEntry(100 + n, 1, EndpointState.READY, 0.0, 0, zone) for n, zone in enumerate(zones or (0, 1)))))
+    h.do(
+        EndpointsListed(
+            ListForm.FULL,
+            tuple(
+                ListEntry(100 + n, 1, EndpointState.READY, 0.0, 0, zone)
+                for n, zone in enumerate(zones or (0, 1))
+            ),
+        )
+    )
     return h
 
 
@@ -140,8 +165,15 @@
 def test_an_endpoint_that_changes_its_zone_goes_by_the_new_one():
     h = two_zones()
     h.do(SetZoneByHand(0, True))
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.READY, 0.0, 0, 1),
-                                          ListEntry(101, 1, EndpointState.READY, 0.0, 0, 0))))
+    h.do(
+        EndpointsListed(
+            ListForm.DELTA,
+            (
+                ListEntry(100, 1, EndpointState.READY, 0.0, 0, 1),
+                ListEntry(101, 1, EndpointState.READY, 0.0, 0, 0),
+            ),
+        )
+    )
     assert set(served(h, 10)) == {100}
 
 
@@ -153,10 +185,11 @@
 
 
 def test_what_may_only_be_repeated_in_the_zone_is_not_sent_elsewhere_while_that_is_out():
-    keyed = MessageClass("keyed", aim_us=S, deadline_us=5 * S, effect=Effect.KEYED, key_window_us=5 * S,
-                         key_scope="zone")
+    keyed = MessageClass(
+        "keyed", aim_us=S, deadline_us=5 * S, effect=Effect.KEYED, key_window_us=5 * S, key_scope="zone"
+    )
     h = two_zones(classes=(keyed,))
-    send, = of(Send, h.do(MessageArrived(1, 0, 1, h.now + 5 * S)))
+    (send,) = of(Send, h.do(MessageArrived(1, 0, 1, h.now + 5 * S)))
     zone = h.courier.book.endpoints[send.endpoint].zone
     h.do(SetZoneByHand(zone, True))
     acts = h.end(1, Result.ERROR, after=50_000, endpoint=send.endpoint) + h.idle(5)
@@ -191,6 +224,7 @@
         else:
             h.courier.turn.random.seed(7)
         return got + served(h, 100)
+
     assert day(False) == day(True)
 
 
@@ -198,11 +232,22 @@
     """Hand-made events: a destination of 40 calls a second, an endpoint in each of two zones. What all send
     to the zone as it returns stays under the fall multiple of what it can do at that moment, in each 2 s."""
     couriers, rate, cold, multiple, now = 40, 40.0, 0.2, 2.0, 1000 * S
-    given = dict(classes=CLASSES, slots=4, max_held=50, couriers=couriers, rates_listed=True, cold_us=COLD,
-                 cold_share=cold, fall_multiple=multiple, tick_us=5000, kinds=(Kind("k"),))
+    given = dict(
+        classes=CLASSES,
+        slots=4,
+        max_held=50,
+        couriers=couriers,
+        rates_listed=True,
+        cold_us=COLD,
+        cold_share=cold,
+        fall_multiple=multiple,
+        tick_us=5000,
+        kinds=(Kind("k"),),
+    )
     all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    told = EndpointsListed(ListForm.CACHED, tuple(ListEntry(100 + z, 1, EndpointState.READY, rate, 0, z)
-                                                  for z in range(2)))
+    told = EndpointsListed(
+        ListForm.CACHED, tuple(ListEntry(100 + z, 1, EndpointState.READY, rate, 0, z) for z in range(2))
+    )
     for c in all_:
         c.handle(now, [told, SetZoneByHand(0, True)])
     chance, calls, sent, start = random.Random(3), [], [], now + 10 * S
@@ -240,7 +285,10 @@
     client = await fleet.inside()
     status, said = await call(fleet.door, "GET", "/zones")
     assert status == 200 and [(z["zone"], z["state"], z["endpoints"]) for z in said["zones"]] == [
-        ("here", "serving", 1), ("there", "serving", 0), ("annex", "serving", 1)]
+        ("here", "serving", 1),
+        ("there", "serving", 0),
+        ("annex", "serving", 1),
+    ]
     assert (await call(fleet.door, "POST", "/zones/here/maint"))[0] == 200
     row = (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]
     assert (row["state"], row["share"], row["reason"]) == ("out", 0.0, "left out by an operator")
