--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,6 +25,8 @@
 @courier
 async def test_an_upgrade_goes_on_with_all_that_is_open(fleet):
     hold_socket(fleet)
+    # A first call may last as long as a connection may take: longer than a slow start of the next process.
+    fleet.raw["policyLimits"]["connectTimeoutUs"] = 6_000_000
     gate = asyncio.Event()
     e = await fleet.endpoint("a", dest=1)
     slow, bundles = await fleet.endpoint("b", dest=2), await fleet.endpoint("c", dest=3, kind="bundles")
