--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -312,6 +312,8 @@
 @courier
 async def test_a_zone_out_lasts_over_a_restart_a_rewritten_journal_and_an_upgrade(fleet):
     hold_socket(fleet)
+    # The zone is on its way back for longer than a slow start of the next process.
+    fleet.raw["contract"]["coldUs"] = 6_000_000
     a = await fleet.endpoint("a")
     await fleet.outside()
     assert (await call(fleet.door, "POST", "/zones/here/maint"))[0] == 200
