--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -11,6 +11,7 @@
 import subprocess
 import sys
 import time
+from collections import Counter
 from pathlib import Path
 
 import pytest
@@ -18,7 +19,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from hopmill.bench.subject import Subject
-from hopmill.bench.world import World
+from hopmill.bench.world import Endpoint, World
 from hopmill.cli import door, journal
 from hopmill.cli import top as top_
 from hopmill.net import state
@@ -418,13 +419,23 @@
 
 def test_logs_at_debug_under_load_to_a_pipe_that_nobody_reads(tmp_path, monkeypatch):
     reader, writer = os.pipe()
-    launch = asyncio.create_subprocess_exec
+    launch, answer_call = asyncio.create_subprocess_exec, Endpoint._answer
     monkeypatch.setattr(
         asyncio, "create_subprocess_exec", lambda *args, **more: launch(*args, **{**more, "stderr": writer})
     )
+    world = World(partners=4, latency_s=0.01)
+    tries = world.settings()["policyLimits"]["attemptsCap"]
+    calls, answered, noted = Counter(), set(), {}  # by id: calls; those with a 200 written; what notices say
+
+    def counted(endpoint, ident):
+        calls[ident] += 1
+        if not endpoint.transport.is_closing():
+            answered.add(ident)
+        answer_call(endpoint, ident)
+
+    monkeypatch.setattr(Endpoint, "_answer", counted)
 
     async def run():
-        world = World(partners=4, latency_s=0.01)
         await world.start()
         subject = Subject(
             "n0",
@@ -437,7 +448,14 @@
         )
         try:
             await subject.start()
-            return await world.load(subject.port, 1000, 1.5, connections=20)
+            load = await world.load(subject.port, 1000, 1.5, connections=20)
+            while not world.discovery.finals.empty():
+                _, notice = world.discovery.finals.get_nowait()
+                noted.setdefault(notice["id"], set()).add((notice["status"], notice.get("again_ms", 0)))
+            # Partners live in this process: while it gets no CPU, calls time out, and after the last try the
+            # message is deferred. Each of those calls has been written, so it is read in the end.
+            await until(lambda: all(calls[ident] >= tries for ident in noted))
+            return load
         finally:
             await subject.stop()
             await world.stop()
@@ -445,5 +463,10 @@
     load = asyncio.run(run())
     os.close(reader)
     os.close(writer)
-    assert load.delivered + load.refused + load.failed == load.offered and load.lost == 0
+    # Each message has one end: the courier's own word where it gave one, else the 200 that its partner wrote.
+    deferred, delivered = set(noted), answered - set(noted)
+    assert len(delivered) + len(deferred) + load.refused + load.failed == load.offered and load.lost == 0
+    assert deferred | delivered == world.done <= set(world.due) and load.late_ends == 0
+    assert all(len(said) == 1 and {status for status, _ in said} == {"deferred"} for said in noted.values())
+    assert all(calls[ident] == tries for ident in deferred) and max(calls.values()) <= tries
     assert load.delivered > 0.5 * load.offered  # one core, and all that is written is dropped
