--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -59,14 +59,15 @@
     """For each lane the sum of the couriers' parts of its limit, and of their paces, at this moment."""
     sums: dict[str, list[float]] = {}
     for courier in world.couriers:
-        book = getattr(courier.module, "book", courier.module)  # earlier builds hold these themselves
-        dests = getattr(book, "dests", None) or {}
+        # Earlier builds: `book` for the state, or all of it in the courier itself.
+        state = getattr(courier.module, "state", None) or getattr(courier.module, "book", courier.module)
+        dests = getattr(state, "destinations", None) or getattr(state, "dests", None) or {}
         for dest in dests.values():
             for lane in getattr(dest, "lanes", ()):
                 endpoint = world.endpoints.get(next(iter(lane.endpoints), 0))
                 if endpoint is None:
                     continue
                 row = sums.setdefault(endpoint.target.name, [0.0, 0.0])
-                row[0] += getattr(lane, "listed", 0.0)
-                row[1] += getattr(lane, "rate", 0.0)
+                row[0] += getattr(lane, "limit_share_per_s", getattr(lane, "listed", 0.0))
+                row[1] += getattr(lane, "pace_per_s", getattr(lane, "rate", 0.0))
     return {name: {"parts": round(a, 3), "pace": round(b, 3)} for name, (a, b) in sorted(sums.items())}
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -180,4 +180,4 @@
     def _zones_returning(self) -> list[tuple[str, int, int]]:
         """By name: the next process may number them otherwise."""
         names = {number: name for name, number in self.host.roster.zones.items()}
-        return [(names[zone], *span) for zone, span in self.host.courier.zones.back.items()]
+        return [(names[zone], *span) for zone, span in self.host.courier.zones.returning.items()]
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -118,7 +118,7 @@
                 "Notices that the platform has not accepted.",
                 len(host.notices.waiting),
             ),
-            ("hopmill_slots_used", "Calls in flight.", host.courier.book.out),
+            ("hopmill_slots_used", "Calls in flight.", host.courier.state.calls_in_flight),
             ("hopmill_slots", "Calls that may be in flight.", host.s.slots),
             ("hopmill_journal_bytes", "Size of the journal.", host.journal.size),
             ("hopmill_journal_limit_bytes", "What the folder may hold.", host.journal.limit),
@@ -127,7 +127,9 @@
         ):
             yield GaugeMetricFamily(name, text, value=value)
         yield from self._lanes()
-        yield from self._by("hopmill_circuits", "Circuits by state.", "state", observe.circuits(host.courier))
+        yield from self._by(
+            "hopmill_circuits", "Circuits by state.", "state", observe.breaker_counts(host.courier)
+        )
         yield from self._zones()
         yield from self._connections()
         if host.peers:
@@ -171,15 +173,19 @@
             (GaugeMetricFamily(f"hopmill_lane_{name}", text, labels=names), value)
             for name, text, value in (
                 ("queued", "Messages that wait, of the whole partner.", lambda row: row.queued),
-                ("out", "Calls in flight.", lambda row: row.out),
+                ("out", "Calls in flight.", lambda row: row.calls_in_flight),
                 (
                     "window",
                     "Calls that may be in flight; 0 where a pace holds instead.",
                     lambda row: row.window,
                 ),
-                ("pace", "Calls a second it is held to, 0 if none.", lambda row: row.pace),
-                ("part", "This courier's part of the limit, calls a second.", lambda row: row.part),
-                ("refused_ratio", "Share of its calls refused lately.", lambda row: row.refused),
+                ("pace", "Calls a second it is held to, 0 if none.", lambda row: row.pace_per_s),
+                (
+                    "part",
+                    "This courier's part of the limit, calls a second.",
+                    lambda row: row.limit_share_per_s,
+                ),
+                ("refused_ratio", "Share of its calls refused lately.", lambda row: row.refused_share),
                 ("wait_seconds", "Until a told wait ends.", lambda row: row.wait_us / 1e6),
             )
         ]
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -91,11 +91,11 @@
                     "partner": row.partner,
                     "endpoint": None if row.endpoint is None else self.roster.uid(row.endpoint),
                     "queued": row.queued,
-                    "out": row.out,
+                    "out": row.calls_in_flight,
                     "window": round(row.window, 2),
-                    "pace": round(row.pace, 3),
-                    "part": round(row.part, 3),
-                    "refused": round(row.refused, 3),
+                    "pace": round(row.pace_per_s, 3),
+                    "part": round(row.limit_share_per_s, 3),
+                    "refused": round(row.refused_share, 3),
                     "wait_ms": row.wait_us // 1000,
                 }
                 for row in rows[:MOST_ROWS]
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -17,14 +17,14 @@
 
 class Circuits:
     def __init__(self, turn: Turn) -> None:
-        self.turn, self.s = turn, turn.s
+        self.turn, self.settings = turn, turn.settings
 
     def warm(self, circuit: Circuit) -> float:
         """Share of its usual calls that a returning endpoint may get."""
-        c = self.s.cold_share
+        c = self.settings.cold_share
         since = self.turn.now if circuit.open else circuit.ramp_from
-        warm = c + (1 - c) * (self.turn.now - since) / max(1, self.s.cold_us)
-        return min(1.0, RAMP * self.s.fall_multiple * warm)
+        warm = c + (1 - c) * (self.turn.now - since) / max(1, self.settings.cold_us)
+        return min(1.0, RAMP * self.settings.fall_multiple * warm)
 
     def arrival(self, c: Circuit, lanes: int) -> None:
         """A returning destination gets a share of what comes in anew: summed over a large fleet it follows
@@ -36,9 +36,9 @@
         # A lane that fails over and over shows few successes: its warm rate is the best one seen. But the
         # floors of hundreds of couriers add up: there it is the own traffic, whose sum follows the total.
         turn = self.turn
-        own = ep.lane.dest.arrivals / max(turn.now - turn.start, self.s.cold_us, 1) * 1e6
-        floor = max(ep.c.base, ep.lane.listed or ep.lane.seen * SPARE, 0.5)
-        ep.c.base = (ep.lane.listed or own) if turn.thin else floor
+        own = ep.lane.dest.arrivals / max(turn.now - turn.start, self.settings.cold_us, 1) * 1e6
+        floor = max(ep.c.base, ep.lane.limit_share_per_s or ep.lane.seen * SPARE, 0.5)
+        ep.c.base = (ep.lane.limit_share_per_s or own) if turn.thin else floor
 
     def start_cold(self, ep: Endpoint) -> None:
         """It was away by hand, and was restarted meanwhile."""
@@ -62,7 +62,9 @@
 
     def dirt(self, ep: Endpoint) -> float:
         """Share of its calls that failed though they may have run."""
-        return ep.dirty * max(0.0, 1 - (self.turn.now - ep.dirty_at) / max(1.0, DIRTY_FADE * self.s.cold_us))
+        return ep.dirty * max(
+            0.0, 1 - (self.turn.now - ep.dirty_at) / max(1.0, DIRTY_FADE * self.settings.cold_us)
+        )
 
     def soiled(self, ep: Endpoint) -> None:
         ep.dirty, ep.dirty_at = self.dirt(ep) + MEMORY * (1 - self.dirt(ep)), self.turn.now
@@ -109,7 +111,7 @@
                     ep.c.tokens = 1.0
                 self.turn.log(f"endpoint {ep.id} answers again: slow start")
             ep.c.gap, ep.c.bad = 0, min(ep.c.bad, STRUCK * 0.8)
-        elif 0 <= ep.c.ramp_from <= now - self.s.cold_us or thin and self.warm(ep.c) >= 1:
+        elif 0 <= ep.c.ramp_from <= now - self.settings.cold_us or thin and self.warm(ep.c) >= 1:
             ep.c.ramp_from = -1
 
     def allows(self, ep: Endpoint, quick: bool) -> bool:
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -36,7 +36,7 @@
                 return
             if now - ep.last_ok < FRESH_US:
                 others = not told and ep.reused_ok > call.sent_at - FRESH_US and self.pacing.room_left(lane)
-                if others and ep.links.refused(call.idle_us < 0):
+                if others and ep.connection_budget.refused(call.idle_us < 0):
                     self.connections.table_full(ep)
                 return
         elif result is Result.TIMEOUT:
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -18,18 +18,22 @@
     def __init__(self, idle_us: int, chance: random.Random) -> None:
         """idle_us: for how long an endpoint lets a connection stand idle."""
         self.idle_us, self.chance = max(1, idle_us), chance
-        self.idle: list[int] = []  # when each came free, oldest first: as told last, less what was lent since
+        self.idle_since_us: list[
+            int
+        ] = []  # when each came free, oldest first: as told last, less what was lent since
         self.calls, self.counted_at, self.first_at = 0.0, 0, -1  # fading count of calls
         self.part = math.inf  # this courier's part of a table that was seen full
         self.bound: float = math.inf  # the same as a whole number
         self.cut_at = self.grow_at = 0
         self.new_fulls = 0  # refusals on new connections in a row
-        self.told = -1  # how many the pool was told to keep
+        self.announced = -1  # how many the pool was told to keep
 
     def lend(self, now: int, oldest: int) -> int:
         """The most recently used one goes out: how long it was idle, -1 where a new one is opened."""
-        idle_us = now - self.idle[-1] if self.idle and self.idle[-1] > oldest else -1
-        self.idle = [t for t in self.idle if t > oldest][:-1]
+        idle_us = (
+            now - self.idle_since_us[-1] if self.idle_since_us and self.idle_since_us[-1] > oldest else -1
+        )
+        self.idle_since_us = [t for t in self.idle_since_us if t > oldest][:-1]
         self._fade(now)
         self.calls += 1
         if self.first_at < 0:
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -4,7 +4,7 @@
 
 from hopmill.policy.connections import Connections
 from hopmill.policy.gate import Gate
-from hopmill.policy.state import Book, Destination, Endpoint, Message
+from hopmill.policy.state import CourierState, Destination, Endpoint, Message
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 from hopmill.policy.worth import Worth
@@ -20,32 +20,32 @@
     def __init__(
         self,
         turn: Turn,
-        book: Book,
+        state: CourierState,
         gate: Gate,
         worth: Worth,
         timeouts: Timeouts,
         connections: Connections,
         zones: Zones,
     ) -> None:
-        self.turn, self.s, self.book, self.gate, self.worth = turn, turn.s, book, gate, worth
+        self.turn, self.settings, self.state, self.gate, self.worth = turn, turn.settings, state, gate, worth
         self.timeouts, self.connections, self.zones = timeouts, connections, zones
 
     def pick(self, dest: Destination) -> Pick | None:
         """The message that loses most by waiting, and the endpoint for it."""
-        now, book = self.turn.now, self.book
+        now, state = self.turn.now, self.state
         quick = self.turn.thin and any(m.quick and m.ready_at <= now for m in dest.queue)
         free = [ep for lane in dest.lanes for ep in lane.endpoints.values() if self.gate.free(ep, quick)]
-        if self.zones.back:
+        if self.zones.returning:
             free = self.returning(dest, free)
         if not free:
             return None
-        rate = sum(lane.rate or lane.seen or 1.0 for lane in dest.lanes)
+        rate = sum(lane.pace_per_s or lane.seen or 1.0 for lane in dest.lanes)
         mean = max(lane.mean for lane in dest.lanes)
         soon = now + mean
         # Where slots are short, what waits for them waits for all calls queued, and one that holds its slot
         # long costs others theirs: hung and slow lanes get what is left (they had eaten all slots).
         hold = min(ep.lane.hold for ep in free)
-        short = self.timeouts.hold * max(0, len(book.messages) - book.out) / self.s.slots
+        short = self.timeouts.hold * max(0, len(state.messages) - state.calls_in_flight) / self.settings.slots
         late = soon + max(len(dest.queue) / rate * 1e6, LASTS * short)
         best: Pick | None = None
         for m in dest.queue:
@@ -58,22 +58,24 @@
         """Without what returning zones may not have yet, where the destination has another choice. The chance
         is taken each time that a message could go, so it is the share of those."""
         other = any(
-            self.gate.serves(ep) and ep.zone not in self.zones.back and not ep.c.open
+            self.gate.serves(ep) and ep.zone not in self.zones.returning and not ep.c.open
             for lane in dest.lanes
             for ep in lane.endpoints.values()
         )
         if not other:
             return free
         chance, now = self.turn.random, self.turn.now
-        kept = {z for z in list(self.zones.back) if chance.random() >= self.zones.share(z, now)}
+        kept = {z for z in list(self.zones.returning) if chance.random() >= self.zones.share(z, now)}
         return [ep for ep in free if ep.zone not in kept]
 
     def rank(self, ep: Endpoint, m: Message) -> tuple:
         """Healthy first, then not the one that just failed, one with an idle connection, the cheap one."""
-        fee = self.s.zone_fees[ep.zone] if ep.zone < len(self.s.zone_fees) else 0.0
+        fee = self.settings.zone_fees[ep.zone] if ep.zone < len(self.settings.zone_fees) else 0.0
         warm = self.connections.warm(ep)
         if self.turn.thin:  # couriers that rank alike pile onto one route: by chance, as the rates
-            fee = self.turn.random.expovariate((ep.lane.listed or 1.0) * (1.05 - ep.lane.refused))
+            fee = self.turn.random.expovariate(
+                (ep.lane.limit_share_per_s or 1.0) * (1.05 - ep.lane.refused_share)
+            )
         quickest = min((x.mean for x in ep.lane.dest.lanes if x.mean), default=0.0)
         slow = ep.lane.mean > SLOW_X * quickest  # its calls hold the destination's slots from a quick route
         return (ep.c.open, ep is m.last, int(ep.bad * 4), slow, not warm, fee, len(ep.out), ep.id)
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -26,7 +26,7 @@
     """One endpoint and what its calls showed."""
 
     def __init__(self, ident: int, lane: Lane, zone: int, links: Links) -> None:
-        self.id, self.lane, self.zone, self.links = ident, lane, zone, links
+        self.id, self.lane, self.zone, self.connection_budget = ident, lane, zone, links
         self.state = EndpointState.READY
         self.out: dict[int, Call] = {}  # calls in flight, oldest first
         self.bad, self.dirty, self.dirty_at, self.last_ok = 0.0, 0.0, 0, 0
@@ -41,10 +41,12 @@
         self.dest, self.circuit = dest, circuit
         self.endpoints: dict[int, Endpoint] = {}
         self.hint = 0.0  # the listed rate, 0 if none
-        self.listed = 0.0  # this courier's part of the limit, as listed or told by answers since, 0 if none
-        self.rate = self.brink = 0.0  # calls a second that it is paced to, 0 = not; pace last refused
-        self.tokens, self.stamp, self.wait_until, self.cut_at = 1.0, 0, 0, 0
-        self.refused = 0.0  # share of calls refused as full
+        self.limit_share_per_s = (
+            0.0  # this courier's part of the limit, as listed or told by answers since, 0 if none
+        )
+        self.pace_per_s = self.brink = 0.0  # calls a second that it is paced to, 0 = not; pace last refused
+        self.tokens, self.stamp, self.wait_until_us, self.cut_at = 1.0, 0, 0, 0
+        self.refused_share = 0.0  # share of calls refused as full
         self.report: tuple[float, ...] = ()  # the newest that an answer brought
         self.steered = False  # its reports tell a limit
         self.window, self.out, self.fulls = 1.0, 0, 0
@@ -93,15 +95,15 @@
         self.idle_us = -1  # how long its connection had been idle, -1 for a new one
 
 
-class Book:
+class CourierState:
     """What is held and out. The courier writes it; all others read."""
 
     def __init__(self) -> None:
-        self.dests: dict[int, Destination] = {}
+        self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.messages: dict[int, Message] = {}
         self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}
-        self.out = 0  # calls in flight
-        self.by_hand: set[int] = set()  # endpoints that an operator leaves out
+        self.calls_in_flight = 0
+        self.excluded_endpoints: set[int] = set()  # endpoints that an operator leaves out
         self.keys: dict[int, list[Message]] = {}  # messages that go one at a time, in turn
         self.rests: dict[int, int] = {}  # keys that pause until then
--- a/hopmill/policy/timeouts.py
+++ b/hopmill/policy/timeouts.py
@@ -19,7 +19,7 @@
 
 class Timeouts:
     def __init__(self, turn: Turn) -> None:
-        self.turn, self.s = turn, turn.s
+        self.turn, self.settings = turn, turn.settings
         self.hold = 1e5  # time that a call takes a slot, over all calls
         self.loss = LOSS  # share of calls that are never answered though others are
 
@@ -52,7 +52,7 @@
     def shares(self, m: Message, x: Message, lane: Lane) -> bool:
         """Whether x may go in m's call, which ends with the first one's time: with less left than most calls
         take, one would end it too early for others."""
-        most = lane.mean + 2 * lane.dev if lane.mean else self.s.connect_timeout_us
+        most = lane.mean + 2 * lane.dev if lane.mean else self.settings.connect_timeout_us
         left, other = self.left(m), self.left(x)
         return other >= most if left >= most else left <= other < most
 
@@ -64,7 +64,7 @@
     def of_attempt(self, m: Message, ep: Endpoint, short: bool) -> int:
         left = self.left(m)
         timeout, lane = left, ep.lane
-        guess = self.of(lane) if lane.mean else max(self.s.connect_timeout_us, m.cls.aim_us)
+        guess = self.of(lane) if lane.mean else max(self.settings.connect_timeout_us, m.cls.aim_us)
         if m.cls.effect is Effect.UNSAFE:  # one long try; but where slots are short, lost calls take others'
             timeout = min(left, guess if short and self.loss >= LOSSY else max(guess, m.cls.aim_us))
         elif guess + lane.mean * 2 < left:
--- a/hopmill/policy/turn.py
+++ b/hopmill/policy/turn.py
@@ -13,7 +13,7 @@
 
 class Turn:
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s, self.random = settings, random.Random(seed)
+        self.settings, self.random = settings, random.Random(seed)
         self.now, self.start, self.closing = 0, -1, math.inf  # closing: no call may last past it
         self.actions: list[Action] = []
         self.timers: list[int] = []
@@ -32,7 +32,7 @@
 
     def wake(self, at: int) -> None:
         """Another turn then, if none comes before."""
-        at = max(at, self.now + self.s.tick_us)
+        at = max(at, self.now + self.settings.tick_us)
         if not self.timers or at < self.timers[0]:
             heapq.heappush(self.timers, at)
             self.actions.append(SetTimer(at - self.now, 0))
--- a/hopmill/policy/zones.py
+++ b/hopmill/policy/zones.py
@@ -17,37 +17,37 @@
         """cold_share, cold_us: the part of its capacity that what returns begins with, and until it has all.
         chance: from the courier's seed."""
         self.cold_share, self.cold_us, self.chance = cold_share, max(1, cold_us), chance
-        self.out: set[int] = set()
-        self.back: dict[int, tuple[int, int]] = {}  # zones on their way: since when, and until when
+        self.excluded: set[int] = set()
+        self.returning: dict[int, tuple[int, int]] = {}  # zones on their way: since when, and until when
 
     def leave(self, zone: int) -> None:
-        self.out.add(zone)
-        self.back.pop(zone, None)
+        self.excluded.add(zone)
+        self.returning.pop(zone, None)
 
     def bring_back(self, zone: int, now: int) -> bool:
         """Gradually, by real messages. False if it was not out."""
-        if zone not in self.out:
+        if zone not in self.excluded:
             return False
-        self.out.remove(zone)
-        self.back[zone] = now, now + int(self.cold_us * self.chance.uniform(1 - JITTER, 1 + JITTER))
+        self.excluded.remove(zone)
+        self.returning[zone] = now, now + int(self.cold_us * self.chance.uniform(1 - JITTER, 1 + JITTER))
         return True
 
     def share(self, zone: int, now: int) -> float:
-        if zone in self.out:
+        if zone in self.excluded:
             return 0.0
-        if zone not in self.back:
+        if zone not in self.returning:
             return 1.0
-        since, until = self.back[zone]
+        since, until = self.returning[zone]
         if now >= until:
-            del self.back[zone]
+            del self.returning[zone]
             return 1.0
         return self.cold_share + (1 - self.cold_share) * max(0, now - since) / (until - since)
 
     def state(self, zone: int, now: int) -> tuple[str, float, str]:
         """For staff: state, share and reason."""
         share = self.share(zone, now)
-        if zone in self.out:
+        if zone in self.excluded:
             return "out", share, "left out by an operator"
-        if zone in self.back:
+        if zone in self.returning:
             return "returning", share, "brought back by an operator"
         return "serving", share, ""
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -176,7 +176,7 @@
         h.end(h.next, Result.OK)
         h.end(lost, Result.TIMEOUT)
     h.idle(1)
-    (ep,) = h.courier.book.endpoints.values()
+    (ep,) = h.courier.state.endpoints.values()
     assert not ep.c.open and ep.c.ramp_from < 0
 
 
@@ -200,7 +200,7 @@
     h = Host(rate=8.0, cold_share=0.1, cold_us=10 * S, fall_multiple=2.5)
     serve(h, 5, Result.OK)
     down = serve(h, 6, how)
-    assert h.courier.book.endpoints[100].c.open and down < 20
+    assert h.courier.state.endpoints[100].c.open and down < 20
     first, _, last = serve(h, 4, Result.OK), serve(h, 8, Result.OK), serve(h, 4, Result.OK)
     # the budget of the contract: the multiple of the present share, which grows from 0.1 to 0.46 in that time
     assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
@@ -245,7 +245,7 @@
     sent = serve(h, 10, Result.ERROR)
     # more than trials with growing gaps would send, and inside the contract's budget for a cold destination
     assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
-    assert not h.courier.book.endpoints[100].c.open
+    assert not h.courier.state.endpoints[100].c.open
 
 
 def test_time_outs_are_short_where_many_calls_are_lost():
@@ -257,7 +257,7 @@
         for a in sends[1:]:
             h.end(a.message, Result.OK)
         h.end(sends[0].message, Result.TIMEOUT)
-    lane = h.courier.book.endpoints[100].lane
+    lane = h.courier.state.endpoints[100].lane
     lane.mean, lane.dev = 100_000.0, 75_000.0
     lossy = h.courier.timeouts.of(lane)
     assert h.courier.timeouts.loss > 10 * calm
@@ -272,10 +272,10 @@
         if refused:
             for a in of(Send, h.arrive() + h.idle(1)):
                 h.end(a.message, Result.FULL)
-        lane = h.courier.book.endpoints[100].lane
-        lane.brink = lane.rate = 2.0
+        lane = h.courier.state.endpoints[100].lane
+        lane.brink = lane.pace_per_s = 2.0
         serve(h, 3, Result.OK)
-        return lane.rate - 2.0
+        return lane.pace_per_s - 2.0
 
     assert 0 < growth(True) < 0.7 * growth(False)
 
@@ -294,7 +294,7 @@
 def test_a_bucket_is_smaller_where_refused_calls_are_priced():
     def at_once(price):
         h = Host(rate=10.0, slots=40, refused_price=price)
-        h.courier.book.endpoints[100].lane.window = 20.0
+        h.courier.state.endpoints[100].lane.window = 20.0
         h.idle(2)
         return sum(len(of(Send, h.arrive())) for _ in range(12))
 
@@ -307,8 +307,8 @@
     h.arrive()
     h.end(h.next, Result.ERROR, after=50_000)
     h.end(h.next, Result.ERROR, after=500_000) if of(Send, h.idle(0.3)) else None
-    h.courier.book.messages.clear()
-    h.courier.book.dests[1].queue.clear()
+    h.courier.state.messages.clear()
+    h.courier.state.destinations[1].queue.clear()
     early = of(Send, h.arrive(cls=2) + h.idle(1))
     late = of(Send, h.idle(6))
     assert not [a for a in early if a.message == h.next] and [a for a in late if a.message == h.next]
@@ -342,7 +342,7 @@
     first = of(Send, old.arrive(cls=2))[0]
     other = of(Send, old.arrive())
     old.end(other[0].message, Result.FULL, told=5 * S, endpoint=other[0].endpoint)
-    new = Courier(old.courier.s, 9)
+    new = Courier(old.courier.settings, 9)
     listed = EndpointsListed(
         ListForm.CACHED, tuple(ListEntry(100 + n, 1, EndpointState.READY, 100.0) for n in range(2))
     )
@@ -353,18 +353,18 @@
         old.now, [listed, *carried, begun, held, CallCarried(first.endpoint, old.now - S, (first.message,))]
     )
     assert not of(Send, acts) and not of(Fail, acts)  # the wait is kept, the unsafe one is not given up
-    assert new.book.out == 1
+    assert new.state.calls_in_flight == 1
     assert of(Send, new.handle(old.now + 6 * S, []))  # the held one, once the wait is over
     acts = new.handle(old.now + 6 * S, [AttemptEnded(first.message, 0, first.endpoint, Result.ERROR, 9 * S)])
-    assert [a.message for a in of(Fail, acts)] == [first.message] and new.book.out == 1
+    assert [a.message for a in of(Fail, acts)] == [first.message] and new.state.calls_in_flight == 1
 
 
 def test_a_carried_call_to_an_endpoint_that_has_gone_keeps_its_slot():
     new = Courier(Settings(classes=CLASSES, slots=8, max_held=100), 9)
     new.handle(0, [MessageArrived(1, 0, 1, 9 * S, tries=1, out=True), CallCarried(5, 0, (1, 2))])
-    assert new.book.out == 1
+    assert new.state.calls_in_flight == 1
     new.handle(S, [AttemptEnded(1, 0, 5, Result.OK, S, True)])
-    assert new.book.out == 0 and not new.book.messages
+    assert new.state.calls_in_flight == 0 and not new.state.messages
 
 
 def test_where_calls_are_lost_and_slots_are_short_an_unsafe_call_is_not_waited_for_in_vain():
@@ -390,7 +390,7 @@
     assert patience(h) == CLASSES[2].aim_us
     h.arrive()
     h.arrive(dest=2)
-    assert h.courier.book.out == 3
+    assert h.courier.state.calls_in_flight == 3
     assert patience(h) < CLASSES[2].aim_us * 0.8
 
 
@@ -416,13 +416,13 @@
         h.end(reused, Result.OK, after=20_000)  # two are idle now
         reused, answered = send(), send()
         lose(reused, answered)
-    assert (h.courier.connections.keep == h.courier.s.connection_idle_us) is new_ones_too
+    assert (h.courier.connections.keep == h.courier.settings.connection_idle_us) is new_ones_too
 
 
 def two_routes(**changes):
     """A partner with two routes: calls to 100 last 0.9 s, calls to 101 0.1 s."""
     h = Host(endpoints=2, kinds=(Kind("k", routes_apart=True),), **changes)
-    for ep in h.courier.book.endpoints.values():
+    for ep in h.courier.state.endpoints.values():
         ep.lane.window = 8.0
         ep.lane.mean = ep.lane.hold = 9e5 if ep.id == 100 else 1e5
     return h
@@ -435,7 +435,7 @@
         send = of(Send, h.arrive())[0]
         assert send.endpoint == 101
         h.end(send.message, Result.OK, endpoint=101)
-    h.courier.book.endpoints[101].lane.wait_until = h.now + S
+    h.courier.state.endpoints[101].lane.wait_until_us = h.now + S
     assert of(Send, h.arrive())[0].endpoint == 100  # but it is used
 
 
@@ -443,7 +443,7 @@
     h = two_routes(slots=1)
     h.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
     busy = of(Send, h.arrive(dest=2))[0]
-    other = h.courier.book.endpoints[200].lane
+    other = h.courier.state.endpoints[200].lane
     h.arrive(dest=2)
     waiting = h.next + 1
     h.arrive(dest=1)
@@ -462,7 +462,7 @@
         h.arrive(life=int(life * S))
         left[h.next] = h.now + int(life * S)
     sent = of(Send, h.end(1, Result.OK))
-    (lane,) = h.courier.book.dests[1].lanes
+    (lane,) = h.courier.state.destinations[1].lanes
     usual = lane.mean + 2 * lane.dev
     left = {m: until - h.now - h.courier.turn.margin for m, until in left.items()}
     assert sent and len({a.timeout_us for a in sent}) == 1
@@ -531,7 +531,7 @@
 def test_each_message_that_a_restart_found_untried_is_sent():
     h = Host(slots=4)
     h.do(*(MessageArrived(50 + n, 0, 1, h.now + 9 * S, restored=True) for n in range(30)))
-    while h.courier.book.calls:
-        message, _ = next(iter(h.courier.book.calls))
+    while h.courier.state.calls:
+        message, _ = next(iter(h.courier.state.calls))
         h.end(message, Result.OK)
     assert set(h.tries) == set(range(50, 80))
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -462,7 +462,7 @@
         patch.setattr(fleet.host.calls, "_start", lambda call: 1 / 0)
         assert await client.put("m1", kind="unsafe") == "+OK"
         assert (await fleet.discovery.final())["status"] == "deferred"
-    assert fleet.host.courier.book.out == 0
+    assert fleet.host.courier.state.calls_in_flight == 0
     await client.put("m2")
     assert (await fleet.endpoints["a"].call())[1]["x-request-id"] == "m2"
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,7 +40,7 @@
     h.arrive()
     assert not of(CloseIdle, h.end(1, Result.OK))
     assert of(Send, h.arrive(after=5 * S))
-    ((call, _),) = h.courier.book.calls.values()
+    ((call, _),) = h.courier.state.calls.values()
     assert call.idle_us == 5 * S
 
 
@@ -50,8 +50,8 @@
     def call(idle, result):
         h.connected.idle[100] = [h.now - idle]
         h.do(Connections(100, (h.now - idle,)))
-        c = h.courier.book.endpoints[100].c
-        c.open, c.ramp_from, c.trial, c.bad, h.courier.book.endpoints[100].dirty = False, -1, None, 0.0, 0.0
+        c = h.courier.state.endpoints[100].c
+        c.open, c.ramp_from, c.trial, c.bad, h.courier.state.endpoints[100].dirty = False, -1, None, 0.0, 0.0
         acts = h.arrive(cls=2)  # unsafe: tried once
         h.end(h.next, result)
         h.idle(1)
@@ -76,7 +76,7 @@
         for step in range(40):  # 2 s, the messages within the first 0.2 s
             now = S + step * 50_000
             events = [MessageArrived(step, 0, 1, now + 10 * S)] if step < 4 else []
-            events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in c.book.calls]
+            events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in c.state.calls]
             sent += len(of(Send, c.handle(now, events)))
     assert couriers <= sent <= couriers + 2 * rate
 
@@ -113,8 +113,8 @@
         for k in range(couriers) if step % 20 == 0 else sorted(inbox):
             for a in all_[k].handle(now, inbox.get(k, [])):
                 if isinstance(a, Send):
-                    sent.append((now, all_[k].book.endpoints[100].c.bad > 0))
-                    tries = all_[k].book.messages[a.message].tries - 1
+                    sent.append((now, all_[k].state.endpoints[100].c.bad > 0))
+                    tries = all_[k].state.messages[a.message].tries - 1
                     calls.append(((now + 50_000, k), ended(a.message, tries, how)))
     informed = sum(1 for at, seen in sent if seen and at > 1000 * S + 20 * S) / 20
     assert 0 < informed <= multiple * cold * rate
@@ -128,11 +128,11 @@
     h = fleet(rate=400.0)
     h.arrive()
     acts = h.end(1, Result.CONNECT_FAILED, latency=20_000)
-    assert h.courier.book.endpoints[100].c.open  # others wait for their share
+    assert h.courier.state.endpoints[100].c.open  # others wait for their share
     assert not [a for a in of(Send, acts + h.arrive() + h.arrive()) if a.message > 1]
     assert of(Send, acts + h.idle(0.5))
     h.end(1, Result.OK)
-    c = h.courier.book.endpoints[100].c
+    c = h.courier.state.endpoints[100].c
     assert not c.open and c.ramp_from < 0
 
 
@@ -142,7 +142,7 @@
     for _ in range(3):
         h.end(1, Result.CONNECT_FAILED, latency=20_000, endpoint=100)
         h.idle(1)
-    one, other = (h.courier.book.endpoints[100 + k] for k in (0, 1))
+    one, other = (h.courier.state.endpoints[100 + k] for k in (0, 1))
     assert one.c is other.c and one.c.open
     for _ in range(20):
         sends = of(Send, h.arrive(after=100_000))
@@ -254,7 +254,7 @@
             arrives = step % int(20 / each_per_s) == 0
             sent += self.do(
                 lambda c, step=step, arrives=arrives: [
-                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in c.book.calls],
+                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in c.state.calls],
                     *([MessageArrived(self.ident + step, 0, 1, self.now + 60 * S)] if arrives else []),
                 ]
             )
@@ -272,10 +272,10 @@
 
 def test_a_limit_told_within_chance_of_the_known_one_moves_the_pace_little():
     h = Host(rate=10.0, report_fields=("x0", "x1"))
-    lane = h.courier.book.endpoints[100].lane
+    lane = h.courier.state.endpoints[100].lane
     for k in range(30):
         h.courier.pacing.reported(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
-    assert 9 < lane.listed < 11
+    assert 9 < lane.limit_share_per_s < 11
 
 
 def test_survivors_take_up_the_parts_that_answers_tell_are_left_and_give_them_back():
@@ -306,11 +306,11 @@
 
 def test_one_report_that_many_answers_repeat_counts_once():
     h = Host(rate=10.0, report_fields=("x0", "x1"))
-    lane = h.courier.book.endpoints[100].lane
+    lane = h.courier.state.endpoints[100].lane
     for _ in range(20):
         h.arrive()
         h.courier.pacing.reported(lane, (0.9, 10.0))
-    assert lane.rate < 1.5 * 10
+    assert lane.pace_per_s < 1.5 * 10
 
 
 def test_couriers_that_were_in_step_fall_out_of_it():
@@ -347,7 +347,7 @@
     acts = []
     for _ in range(12):
         acts += h.arrive()
-    assert len(h.courier.book.messages) <= 8 and of(Refuse, acts)
+    assert len(h.courier.state.messages) <= 8 and of(Refuse, acts)
     assert of(Send, h.arrive(dest=2))
 
 
@@ -357,8 +357,8 @@
     for n in range(3000):
         h.do(EndpointsListed(ListForm.DELTA, (entry(101 + n), entry(100 + n, state=EndpointState.GONE))))
     c = h.courier
-    assert len(c.book.endpoints) == 1 and len(c.book.dests[1].lanes) <= 2
-    assert sum(len(x.endpoints) for x in c.book.dests[1].lanes) == 1
+    assert len(c.state.endpoints) == 1 and len(c.state.destinations[1].lanes) <= 2
+    assert sum(len(x.endpoints) for x in c.state.destinations[1].lanes) == 1
     assert of(Send, h.arrive())[0].endpoint == 3100
 
 
@@ -375,7 +375,7 @@
 def test_a_message_for_a_destination_without_endpoints_is_refused_in_time():
     h = Host()
     h.arrive(dest=9, life=2 * S)
-    assert of(Refuse, h.idle(2.1)) and not of(Fail, h.idle(0.1)) and not h.courier.book.messages
+    assert of(Refuse, h.idle(2.1)) and not of(Fail, h.idle(0.1)) and not h.courier.state.messages
 
 
 @pytest.mark.parametrize("field, change", [("couriers", {"couriers": 0}), ("me", {"couriers": 2, "me": 2})])
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -213,26 +213,26 @@
 
 
 def deaf_to_waits(inner, now, events, actions):
-    for dest in inner.book.dests.values():
+    for dest in inner.state.destinations.values():
         for lane in dest.lanes:
-            lane.wait_until = lane.refused = 0
-            lane.rate = lane.tokens = 1e9
+            lane.wait_until_us = lane.refused_share = 0
+            lane.pace_per_s = lane.tokens = 1e9
     return actions
 
 
 def deaf_to_the_list(inner, now, events, actions):
-    for ep in inner.book.endpoints.values():
+    for ep in inner.state.endpoints.values():
         ep.state = i.EndpointState.READY
     return actions
 
 
 def greedy(inner, now, events, actions):
-    inner.gate.s = inner.s = replace(inner.s, slots=10**6)
-    inner.pacing.cap = 10**6
-    for dest in inner.book.dests.values():
+    inner.gate.settings = inner.settings = replace(inner.settings, slots=10**6)
+    inner.pacing.max_calls_per_destination = 10**6
+    for dest in inner.state.destinations.values():
         for lane in dest.lanes:
             lane.window = 10**6
-            lane.rate = 0.0
+            lane.pace_per_s = 0.0
     return actions
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -90,7 +90,7 @@
 
 def busy(h, calls=4):
     """So many calls out at once, the first over a reused connection."""
-    h.courier.book.endpoints[100].lane.window = 8.0
+    h.courier.state.endpoints[100].lane.window = 8.0
     h.arrive()
     h.end(1, Result.OK, after=20_000)
     for _ in range(calls):
@@ -114,9 +114,9 @@
     busy(h)
     ended(h, 2, Result.OK, 1000)
     acts = ended(h, 3, Result.CONNECT_FAILED, -1)
-    links = h.courier.book.endpoints[100].links
+    links = h.courier.state.endpoints[100].connection_budget
     assert links.part < 4
-    assert not h.courier.book.endpoints[100].c.open and not h.courier.book.endpoints[100].bad
+    assert not h.courier.state.endpoints[100].c.open and not h.courier.state.endpoints[100].bad
     assert any("takes no more connections" in a.text for a in acts if hasattr(a, "text"))
 
 
@@ -124,7 +124,10 @@
     h = Host()
     h.arrive()
     h.end(1, Result.CONNECT_FAILED)
-    assert h.courier.book.endpoints[100].links.part == float("inf") and h.courier.book.endpoints[100].bad > 0
+    assert (
+        h.courier.state.endpoints[100].connection_budget.part == float("inf")
+        and h.courier.state.endpoints[100].bad > 0
+    )
 
 
 @pytest.mark.parametrize(
@@ -141,11 +144,11 @@
     h = Host(report_fields=("x0", "x1"))
     busy(h, 7)
     ended(h, 2, Result.OK, 1000)
-    assert h.courier.book.endpoints[100].links.part == float("inf")
+    assert h.courier.state.endpoints[100].connection_budget.part == float("inf")
     for message in (3, 4):
         ended(h, message, Result.FULL, idle_us, told, report)
         ended(h, message + 3, Result.OK, 1000, report=report)
-    assert (h.courier.book.endpoints[100].links.part < 8) is cut
+    assert (h.courier.state.endpoints[100].connection_budget.part < 8) is cut
 
 
 def served_by_a_table_for(room):
@@ -179,7 +182,7 @@
                 refused += full and burst >= 30 * couriers
                 back += [] if full else [now + 50_000]
                 served[k] += not full and burst >= 30 * couriers
-                attempt = max(t for m, t in all_[k].book.calls if m == message)
+                attempt = max(t for m, t in all_[k].state.calls if m == message)
                 ends.append(
                     AttemptEnded(
                         message,
@@ -231,7 +234,7 @@
 def test_nothing_is_opened_early_to_one_that_is_not_well(trouble):
     h = Host()
     h.do(WarmUp(True))
-    ep = h.courier.book.endpoints[100]
+    ep = h.courier.state.endpoints[100]
     assert of(OpenIdle, much(h))
     if trouble == "open":
         ep.c.open = True
@@ -242,8 +245,8 @@
     elif trouble == "drain":
         ep.state = EndpointState.DRAINING
     elif trouble == "kept":
-        ep.links.part = ep.links.bound = 0.0
-        ep.links.grow_at = h.now + 100 * S
+        ep.connection_budget.part = ep.connection_budget.bound = 0.0
+        ep.connection_budget.grow_at = h.now + 100 * S
     assert not of(OpenIdle, h.arrive(after=1_000))
 
 
@@ -252,12 +255,12 @@
     h.courier.connections.keep = 4 * S
     acts = h.do(Connections(100, (h.now - 6 * S,)), MessageArrived(99, 0, 1, h.now + 5 * S))
     assert of(CloseIdle, acts)
-    assert next(iter(h.courier.book.calls.values()))[0].idle_us == -1
+    assert next(iter(h.courier.state.calls.values()))[0].idle_us == -1
 
 
 def test_what_was_learned_of_a_full_table_passes_over_an_upgrade():
     h, new = Host(), Host()
-    h.courier.book.endpoints[100].links.full(h.now, 4, 0)
+    h.courier.state.endpoints[100].connection_budget.full(h.now, 4, 0)
     ((_, figures),) = h.courier.carry()
     new.do(Carried(100, figures))
-    assert new.courier.book.endpoints[100].links.part == 2
+    assert new.courier.state.endpoints[100].connection_budget.part == 2
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -524,7 +524,7 @@
 
 
 def policy(host, **changes):
-    s = host.courier.s
+    s = host.courier.settings
     return PolicySet(
         dataclasses.replace(s, **{k: v for k, v in changes.items() if hasattr(s, k)}),
         frozenset(changes.get("out", ())),
@@ -537,18 +537,23 @@
     host = Host(endpoints=2)
     host.do(policy(host, max_attempts=1, out=[100]))
     sent = [a.endpoint for n in range(4) for a in host.arrive() if isinstance(a, SendMessage)]
-    assert host.courier.tries == host.courier.gate.tries == host.courier.admission.tries == 1
+    assert (
+        host.courier.max_attempts
+        == host.courier.gate.max_attempts
+        == host.courier.admission.max_attempts
+        == 1
+    )
     parts = host.courier.turn, host.courier.pacing, host.courier.gate, host.courier.ranking
-    assert all(part.s.max_attempts == 1 for part in parts)
-    assert host.courier.book.by_hand == {100} and set(sent) == {101}
+    assert all(part.settings.max_attempts == 1 for part in parts)
+    assert host.courier.state.excluded_endpoints == {100} and set(sent) == {101}
     host.do(policy(host, out=[101]))
-    assert host.courier.book.by_hand == {101}
+    assert host.courier.state.excluded_endpoints == {101}
 
 
 @pytest.mark.parametrize(("ceiling", "most"), [((0, 0.0), 6), ((2, 0.0), 2), ((0, 1.0), 1)])
 def test_a_ceiling_bounds_what_a_partner_gets(ceiling, most):
     host = Host(endpoints=1)
-    lane = next(iter(host.courier.book.dests.values())).lanes[0]
+    lane = next(iter(host.courier.state.destinations.values())).lanes[0]
     lane.window = 6.0
     host.do(policy(host, ceilings={1: ceiling}))
     done = host.do(*(MessageArrived(n, 0, 1, host.now + 10 * S) for n in range(12)))
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -423,7 +423,7 @@
 
     def agree():
         host.turn()
-        known = host.courier.book.endpoints[number].links.idle
+        known = host.courier.state.endpoints[number].connection_budget.idle_since_us
         return known == [int(k.idle_at * 1e6) for k in host.pool.places[number].idle]
 
     for n in range(3):
@@ -458,7 +458,7 @@
         "opened": 1,
         "reused": 2,
         "closed": {},
-        "kept_at_most": fleet.host.courier.book.endpoints[1].links.told,
+        "kept_at_most": fleet.host.courier.state.endpoints[1].connection_budget.announced,
     }
     assert await at_door(fleet.door, "GET", "/connections/a") == (200, row)
     assert (await at_door(fleet.door, "GET", "/connections/b"))[0] == 404
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -54,7 +54,7 @@
 
 def forget_idle(h):
     h.connected.idle.clear()
-    h.do(*(Connections(e, ()) for e in h.courier.book.endpoints))
+    h.do(*(Connections(e, ()) for e in h.courier.state.endpoints))
 
 
 def served(h, calls, **more):
@@ -92,13 +92,13 @@
 def test_repeats_and_a_zone_that_was_not_out_change_nothing():
     h = two_zones()
     h.do(SetZoneByHand(0, False))
-    assert not h.courier.zones.back
+    assert not h.courier.zones.returning
     for _ in range(3):
         h.do(SetZoneByHand(0, True))
     h.do(SetZoneByHand(0, False))
-    back = dict(h.courier.zones.back)
+    back = dict(h.courier.zones.returning)
     h.do(SetZoneByHand(0, False))
-    assert h.courier.zones.back == back
+    assert h.courier.zones.returning == back
 
 
 def test_out_again_while_it_returns():
@@ -106,7 +106,7 @@
     h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     h.do(SetZoneByHand(0, True))
     h.idle(20)
-    assert set(served(h, 20)) == {101} and not h.courier.zones.back
+    assert set(served(h, 20)) == {101} and not h.courier.zones.returning
 
 
 def test_let_back_while_it_still_fails():
@@ -132,7 +132,7 @@
     assert of(Refuse, h.idle(3.1))
     h.do(SetZoneByHand(0, False))
     got = served(h, 100)  # no other choice: a slow start, as after an outage
-    assert got and h.courier.book.endpoints[100].c.ramp_from >= 0
+    assert got and h.courier.state.endpoints[100].c.ramp_from >= 0
 
 
 def test_without_another_choice_the_slow_start_alone_holds_back():
@@ -147,11 +147,11 @@
     # In a large fleet a destination's endpoints share one: the other zones are well.
     h = two_zones(couriers=100, slots=4)
     h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    one, other = (h.courier.book.endpoints[100 + n] for n in (0, 1))
+    one, other = (h.courier.state.endpoints[100 + n] for n in (0, 1))
     assert one.c is other.c and one.c.ramp_from < 0
     alone = two_zones(0, couriers=100, slots=4)
     alone.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    assert alone.courier.book.endpoints[100].c.ramp_from >= 0
+    assert alone.courier.state.endpoints[100].c.ramp_from >= 0
 
 
 def test_all_zones_out_and_a_zone_that_no_list_named():
@@ -190,7 +190,7 @@
     )
     h = two_zones(classes=(keyed,))
     (send,) = of(Send, h.do(MessageArrived(1, 0, 1, h.now + 5 * S)))
-    zone = h.courier.book.endpoints[send.endpoint].zone
+    zone = h.courier.state.endpoints[send.endpoint].zone
     h.do(SetZoneByHand(zone, True))
     acts = h.end(1, Result.ERROR, after=50_000, endpoint=send.endpoint) + h.idle(5)
     assert not of(Send, acts) and len(of(Fail, acts)) == 1
@@ -210,7 +210,7 @@
         zones = Zones(0.2, COLD, random.Random(seed))
         zones.leave(1)
         assert zones.bring_back(1, 0)
-        ends.add(zones.back[1][1])
+        ends.add(zones.returning[1][1])
     assert len(ends) == 50 and max(ends) - min(ends) > COLD / 4
 
 
@@ -219,7 +219,7 @@
         h, got = two_zones(0, 1, 1), []
         if touch:
             h.do(SetZoneByHand(5, True), SetZoneByHand(5, False))
-            h.courier.zones.back.clear()
+            h.courier.zones.returning.clear()
             h.courier.turn.random.seed(7)
         else:
             h.courier.turn.random.seed(7)
@@ -265,7 +265,7 @@
             for a in of(Send, all_[k].handle(now, events)):
                 if a.endpoint == 100:
                     sent.append(now)
-                attempt = max(t for m, t in all_[k].book.calls if m == a.message)
+                attempt = max(t for m, t in all_[k].state.calls if m == a.message)
                 done = AttemptEnded(a.message, attempt, a.endpoint, Result.OK, 50_000, True)
                 calls.append((now + 50_000, k, done))
     assert not [t for t in sent if t < start]
@@ -303,7 +303,7 @@
     limit, fleet.host.journal.limit = fleet.host.journal.limit, 0
     assert (await call(fleet.door, "POST", "/zones/annex/maint"))[0] == 503
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 503
-    assert fleet.host.courier.zones.out == {0}  # with nothing changed
+    assert fleet.host.courier.zones.excluded == {0}  # with nothing changed
     fleet.host.journal.limit = limit
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 200
     assert (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]["state"] == "returning"
