--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import importlib
+from types import ModuleType
 from typing import Any
 
 import msgspec
@@ -16,16 +17,34 @@
 from hopmill.lab.world import World
 
 
+# Former paths of constants, which command lines and recorded comparisons still name.
+CONSTANT_ALIASES = {
+    "policy.links.HALF": "policy.links.FULL_TABLE_FACTOR",
+    "policy.pacing.BASE_US": "policy.pacing.FIRST_BACKOFF_US",
+    "policy.pacing.BURST_PRICED_S": "policy.pacing.PRICED_BURST_S",
+    "policy.pacing.FLOOR": "policy.pacing.MIN_LIMIT_SHARE",
+    "policy.pacing.GROW": "policy.pacing.GROWTH_SHARE",
+    "policy.turn.TICKS": "policy.turn.DEADLINE_MARGIN_TICKS",
+}
+
+
 def override(changes: dict[str, str]) -> None:
-    """'policy.pacing.GROW': '0.2' sets that name of a module under hopmill. KeyError: there is none."""
+    """'policy.pacing.GROWTH_SHARE': '0.2' sets that name of a module under hopmill. KeyError: unknown."""
     for path, text in changes.items():
-        where, _, name = path.rpartition(".")
-        module = importlib.import_module(f"hopmill.{where}")
-        if not hasattr(module, name):
-            raise KeyError(path)
+        module, name = _constant(path)
         setattr(module, name, msgspec.json.decode(text))
 
 
+def _constant(path: str) -> tuple[ModuleType, str]:
+    """The module and the name in it. A former path stands for the present one if its name is gone."""
+    for candidate in (path, CONSTANT_ALIASES.get(path, path)):
+        where, _, name = candidate.rpartition(".")
+        module = importlib.import_module(f"hopmill.{where}")
+        if hasattr(module, name):
+            return module, name
+    raise KeyError(path)
+
+
 def play(scenario: Scenario, seed: int, more: bool = False) -> dict[str, Any]:
     """A broken rule or a failed module is a result too: `broken` says which, and `g` is 0.
 
--- a/hopmill/observe.py
+++ b/hopmill/observe.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from hopmill.policy.courier import Courier
-from hopmill.policy.state import Circuit, Lane
+from hopmill.policy.state import CircuitBreaker, Lane
 
 
 @dataclass(frozen=True)
@@ -27,14 +27,14 @@
 
 def lanes(courier: Courier, now_us: int) -> Iterator[LaneRow]:
     """One row a lane."""
-    for dest in courier.state.destinations.values():
-        apart = courier.settings.kinds[dest.kind].routes_apart
-        for lane in dest.lanes:
+    for destination in courier.state.destinations.values():
+        apart = courier.settings.kinds[destination.kind].routes_apart
+        for lane in destination.lanes:
             yield LaneRow(
-                dest.number,
+                destination.number,
                 next(iter(lane.endpoints), None) if apart else None,
-                len(dest.queue),
-                lane.out,
+                len(destination.queue),
+                lane.calls_in_flight,
                 0.0 if lane.pace_per_s else lane.window,
                 lane.pace_per_s,
                 lane.limit_share_per_s,
@@ -43,16 +43,16 @@
             )
 
 
-def circuit_state(circuit: Circuit) -> str:
+def breaker_state(breaker: CircuitBreaker) -> str:
     """'open' lets trials only through, 'slow_start' a growing share, 'closed' all."""
-    return "open" if circuit.open else "slow_start" if circuit.ramp_from >= 0 else "closed"
+    return "open" if breaker.is_open else "slow_start" if breaker.slow_start_began_us >= 0 else "closed"
 
 
 def breaker_counts(courier: Courier) -> Counter[str]:
     """Circuits by state; one that several endpoints share counts once."""
-    distinct = {id(ep.c): ep.c for ep in courier.state.endpoints.values()}
+    distinct = {id(endpoint.breaker): endpoint.breaker for endpoint in courier.state.endpoints.values()}
     states = Counter({"open": 0, "slow_start": 0, "closed": 0})
-    states.update(map(circuit_state, distinct.values()))
+    states.update(map(breaker_state, distinct.values()))
     return states
 
 
@@ -60,18 +60,18 @@
     """For staff: each endpoint of the list with its partner, zone number, state and calls."""
     return [
         {
-            "endpoint": name(ep.id),
-            "partner": _partner(ep.lane),
-            "zone": ep.zone,
-            "state": ep.state.name.lower(),
-            "circuit": circuit_state(ep.c),
-            "out": len(ep.out),
-            "failing_share": round(ep.bad, 3),
-            "out_by_hand": ep.id in courier.state.excluded_endpoints,
+            "endpoint": name(endpoint.id),
+            "partner": _partner(endpoint.lane),
+            "zone": endpoint.zone,
+            "state": endpoint.state.name.lower(),
+            "circuit": breaker_state(endpoint.breaker),
+            "out": len(endpoint.calls_in_flight),
+            "failing_share": round(endpoint.failure_share, 3),
+            "out_by_hand": endpoint.id in courier.state.excluded_endpoints,
         }
-        for ep in courier.state.endpoints.values()
+        for endpoint in courier.state.endpoints.values()
     ]
 
 
 def _partner(lane: Lane) -> int:
-    return lane.dest.number
+    return lane.destination.number
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -3,136 +3,210 @@
 from __future__ import annotations
 
 from hopmill.interface import EndpointState, Result
-from hopmill.policy.pacing import SPARE
-from hopmill.policy.state import Circuit, Endpoint
+from hopmill.policy.pacing import SPARE_FACTOR
+from hopmill.policy.state import CircuitBreaker, Endpoint
 from hopmill.policy.turn import Turn
 
-MEMORY = 0.25  # weight of the newest outcome in the failing share
-STRUCK = 0.5  # failing share at which an endpoint counts as in trouble: three failures in a row from none
-TWICE = 0.4  # failing share after two failures in a row
-GAP_US, GAP_CAP_US = 400_000, 2_500_000  # first and longest ceiling of the gap between half-open trials
-DIRTY_FADE = 0.6  # the share of may-have-run failures fades by itself in this part of the cold time
-RAMP = 0.8  # share of the contract's fall multiple that recovery uses: the rest is for chance
-
-
-class Circuits:
+OUTCOME_WEIGHT = 0.25  # weight of the newest outcome in the failing share
+OPENING_SHARE = (
+    0.5  # failing share at which an endpoint counts as in trouble: three failures in a row from none
+)
+TWO_FAILURES_SHARE = 0.4  # failing share after two failures in a row
+FIRST_TRIAL_GAP_US, MAX_TRIAL_GAP_US = (
+    400_000,
+    2_500_000,
+)  # first and longest ceiling of the gap between half-open trials
+AMBIGUOUS_FADE_FACTOR = (
+    0.6  # the share of may-have-run failures fades by itself in this part of the cold time
+)
+RECOVERY_FACTOR = 0.8  # share of the contract's fall multiple that recovery uses: the rest is for chance
+
+
+class CircuitBreakers:
     def __init__(self, turn: Turn) -> None:
         self.turn, self.settings = turn, turn.settings
 
-    def warm(self, circuit: Circuit) -> float:
+    def warm_share(self, breaker: CircuitBreaker) -> float:
         """Share of its usual calls that a returning endpoint may get."""
-        c = self.settings.cold_share
-        since = self.turn.now if circuit.open else circuit.ramp_from
-        warm = c + (1 - c) * (self.turn.now - since) / max(1, self.settings.cold_us)
-        return min(1.0, RAMP * self.settings.fall_multiple * warm)
+        cold_share = self.settings.cold_share
+        since_us = self.turn.now_us if breaker.is_open else breaker.slow_start_began_us
+        share = cold_share + (1 - cold_share) * (self.turn.now_us - since_us) / max(1, self.settings.cold_us)
+        return min(1.0, RECOVERY_FACTOR * self.settings.fall_multiple * share)
 
-    def arrival(self, c: Circuit, lanes: int) -> None:
+    def record_arrival(self, breaker: CircuitBreaker, lane_count: int) -> None:
         """A returning destination gets a share of what comes in anew: summed over a large fleet it follows
         the total, whoever gets it. None is saved up: all told to wait come back in the same moment."""
-        if c.open or c.ramp_from >= 0:
-            c.tokens = min(1.0, c.tokens + self.warm(c) / lanes)
+        if breaker.is_open or breaker.slow_start_began_us >= 0:
+            breaker.tokens = min(1.0, breaker.tokens + self.warm_share(breaker) / lane_count)
 
-    def base(self, ep: Endpoint) -> None:
+    def set_warm_rate(self, endpoint: Endpoint) -> None:
         # A lane that fails over and over shows few successes: its warm rate is the best one seen. But the
         # floors of hundreds of couriers add up: there it is the own traffic, whose sum follows the total.
         turn = self.turn
-        own = ep.lane.dest.arrivals / max(turn.now - turn.start, self.settings.cold_us, 1) * 1e6
-        floor = max(ep.c.base, ep.lane.limit_share_per_s or ep.lane.seen * SPARE, 0.5)
-        ep.c.base = (ep.lane.limit_share_per_s or own) if turn.thin else floor
+        own_rate_per_s = (
+            endpoint.lane.destination.arrivals
+            / max(turn.now_us - turn.started_us, self.settings.cold_us, 1)
+            * 1e6
+        )
+        best_rate_per_s = max(
+            endpoint.breaker.warm_rate_per_s,
+            endpoint.lane.limit_share_per_s or endpoint.lane.success_rate_per_s * SPARE_FACTOR,
+            0.5,
+        )
+        endpoint.breaker.warm_rate_per_s = (
+            (endpoint.lane.limit_share_per_s or own_rate_per_s) if turn.is_large_fleet else best_rate_per_s
+        )
 
-    def start_cold(self, ep: Endpoint) -> None:
+    def start_cold(self, endpoint: Endpoint) -> None:
         """It was away by hand, and was restarted meanwhile."""
-        self.base(ep)
-        ep.bad = ep.dirty = ep.c.bad = 0.0
-        ep.c.open, ep.c.trial, ep.c.gap, ep.c.tokens = False, None, 0, 1.0
-        ep.c.ramp_from = ep.c.stamp = self.turn.now
-        self.turn.log(f"endpoint {ep.id} may serve again: slow start")
-
-    def trip(self, ep: Endpoint, sign: str) -> None:
+        self.set_warm_rate(endpoint)
+        endpoint.failure_share = endpoint.ambiguous_share = endpoint.breaker.failure_share = 0.0
+        (
+            endpoint.breaker.is_open,
+            endpoint.breaker.trial_call,
+            endpoint.breaker.trial_gap_us,
+            endpoint.breaker.tokens,
+        ) = False, None, 0, 1.0
+        endpoint.breaker.slow_start_began_us = endpoint.breaker.refilled_us = self.turn.now_us
+        self.turn.log(f"endpoint {endpoint.id} may serve again: slow start")
+
+    def trip(self, endpoint: Endpoint, reason: str) -> None:
         """Open the circuit: only trials, with growing jittered gaps."""
         turn = self.turn
-        if not ep.c.open:
-            self.base(ep)
-            if turn.thin and ep.c.ramp_from < 0:
-                ep.c.tokens = turn.random.random()  # chance sets who may try first
-            turn.log(f"endpoint {ep.id} in trouble ({sign}): trials only")
-        ep.c.open, ep.c.ramp_from = True, -1
-        ep.c.gap = min(GAP_CAP_US, ep.c.gap * 2 or GAP_US)
-        ep.c.trial_at = turn.now + int(turn.random.uniform(0.5, 1) * ep.c.gap)
-
-    def dirt(self, ep: Endpoint) -> float:
+        if not endpoint.breaker.is_open:
+            self.set_warm_rate(endpoint)
+            if turn.is_large_fleet and endpoint.breaker.slow_start_began_us < 0:
+                endpoint.breaker.tokens = turn.rng.random()  # chance sets who may try first
+            turn.log(f"endpoint {endpoint.id} in trouble ({reason}): trials only")
+        endpoint.breaker.is_open, endpoint.breaker.slow_start_began_us = True, -1
+        endpoint.breaker.trial_gap_us = min(
+            MAX_TRIAL_GAP_US, endpoint.breaker.trial_gap_us * 2 or FIRST_TRIAL_GAP_US
+        )
+        endpoint.breaker.next_trial_us = turn.now_us + int(
+            turn.rng.uniform(0.5, 1) * endpoint.breaker.trial_gap_us
+        )
+
+    def ambiguous_share(self, endpoint: Endpoint) -> float:
         """Share of its calls that failed though they may have run."""
-        return ep.dirty * max(
-            0.0, 1 - (self.turn.now - ep.dirty_at) / max(1.0, DIRTY_FADE * self.settings.cold_us)
+        return endpoint.ambiguous_share * max(
+            0.0,
+            1
+            - (self.turn.now_us - endpoint.ambiguous_updated_us)
+            / max(1.0, AMBIGUOUS_FADE_FACTOR * self.settings.cold_us),
         )
 
-    def soiled(self, ep: Endpoint) -> None:
-        ep.dirty, ep.dirty_at = self.dirt(ep) + MEMORY * (1 - self.dirt(ep)), self.turn.now
+    def record_ambiguous_failure(self, endpoint: Endpoint) -> None:
+        endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
+            self.ambiguous_share(endpoint) + OUTCOME_WEIGHT * (1 - self.ambiguous_share(endpoint)),
+            self.turn.now_us,
+        )
 
-    def shut(self, ep: Endpoint) -> None:
+    def record_outage_wait(self, endpoint: Endpoint) -> None:
         """Told so long a wait that it is no end of a rate's span."""
-        ep.bad = ep.c.bad = 1.0
-        self.trip(ep, "shut")
+        endpoint.failure_share = endpoint.breaker.failure_share = 1.0
+        self.trip(endpoint, "shut")
 
-    def failed(self, ep: Endpoint, result: Result, trial: bool, weight: float) -> None:
+    def record_failure(self, endpoint: Endpoint, result: Result, is_trial: bool, weight: float) -> None:
         """weight: of this failure as evidence, from 0 to 1."""
-        thin = self.turn.thin
-        ep.bad += MEMORY * (1 - ep.bad) * weight
-        ep.c.bad += MEMORY * (1 - ep.c.bad) * weight
-        if ep.c.ramp_from >= 0 and ep.c.bad >= STRUCK / 2:
-            ep.c.ramp_from = self.turn.now
+        is_large_fleet = self.turn.is_large_fleet
+        endpoint.failure_share += OUTCOME_WEIGHT * (1 - endpoint.failure_share) * weight
+        endpoint.breaker.failure_share += OUTCOME_WEIGHT * (1 - endpoint.breaker.failure_share) * weight
+        if endpoint.breaker.slow_start_began_us >= 0 and endpoint.breaker.failure_share >= OPENING_SHARE / 2:
+            endpoint.breaker.slow_start_began_us = self.turn.now_us
         # In a large fleet one failure opens it, or two lost calls: three each of hundreds of couriers are
         # more than a cold destination bears. One may be chance: the next answer closes it.
-        first = thin and result is not Result.FULL
-        first = first and (result is not Result.TIMEOUT or ep.c.bad >= TWICE)
-        if ep.c.bad >= STRUCK or ep.c.open and trial or first:
-            if result is not Result.ERROR or thin:
-                self.trip(ep, result.value)
+        opens_at_once = is_large_fleet and result is not Result.FULL
+        opens_at_once = opens_at_once and (
+            result is not Result.TIMEOUT or endpoint.breaker.failure_share >= TWO_FAILURES_SHARE
+        )
+        if (
+            endpoint.breaker.failure_share >= OPENING_SHARE
+            or endpoint.breaker.is_open
+            and is_trial
+            or opens_at_once
+        ):
+            if result is not Result.ERROR or is_large_fleet:
+                self.trip(endpoint, result.value)
                 return
             # It answers, but with errors: some calls still get through, so it goes on at a cold start's pace,
             # which it can take when they stop. Trials alone lost what half-failing ones still deliver.
-            if ep.c.ramp_from < 0:
-                self.turn.log(f"endpoint {ep.id} answers with errors: cold pace")
-            self.base(ep)
-            ep.c.open, ep.c.gap, ep.c.ramp_from = False, 0, self.turn.now
-
-    def answered(self, ep: Endpoint) -> None:
-        ep.bad, ep.c.bad = ep.bad * (1 - MEMORY), ep.c.bad * (1 - MEMORY)
-        ep.dirty, ep.dirty_at = self.dirt(ep) * (1 - MEMORY), self.turn.now
+            if endpoint.breaker.slow_start_began_us < 0:
+                self.turn.log(f"endpoint {endpoint.id} answers with errors: cold pace")
+            self.set_warm_rate(endpoint)
+            endpoint.breaker.is_open, endpoint.breaker.trial_gap_us, endpoint.breaker.slow_start_began_us = (
+                False,
+                0,
+                self.turn.now_us,
+            )
+
+    def record_answer(self, endpoint: Endpoint) -> None:
+        endpoint.failure_share, endpoint.breaker.failure_share = (
+            endpoint.failure_share * (1 - OUTCOME_WEIGHT),
+            endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT),
+        )
+        endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
+            self.ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT),
+            self.turn.now_us,
+        )
 
-    def closes(self, ep: Endpoint) -> None:
+    def record_delivery(self, endpoint: Endpoint) -> None:
         """After a delivery: trials end, or the slow start does."""
-        now, thin = self.turn.now, self.turn.thin
-        if ep.c.open:
-            ep.c.open = False
-            if not thin or ep.c.bad >= TWICE * (1 - MEMORY):  # one failure was no outage
-                ep.c.ramp_from = ep.c.stamp = now
-                if not thin:
-                    ep.c.tokens = 1.0
-                self.turn.log(f"endpoint {ep.id} answers again: slow start")
-            ep.c.gap, ep.c.bad = 0, min(ep.c.bad, STRUCK * 0.8)
-        elif 0 <= ep.c.ramp_from <= now - self.settings.cold_us or thin and self.warm(ep.c) >= 1:
-            ep.c.ramp_from = -1
-
-    def allows(self, ep: Endpoint, quick: bool) -> bool:
+        now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
+        if endpoint.breaker.is_open:
+            endpoint.breaker.is_open = False
+            if not is_large_fleet or endpoint.breaker.failure_share >= TWO_FAILURES_SHARE * (
+                1 - OUTCOME_WEIGHT
+            ):  # one failure was no outage
+                endpoint.breaker.slow_start_began_us = endpoint.breaker.refilled_us = now_us
+                if not is_large_fleet:
+                    endpoint.breaker.tokens = 1.0
+                self.turn.log(f"endpoint {endpoint.id} answers again: slow start")
+            endpoint.breaker.trial_gap_us, endpoint.breaker.failure_share = (
+                0,
+                min(endpoint.breaker.failure_share, OPENING_SHARE * 0.8),
+            )
+        elif (
+            0 <= endpoint.breaker.slow_start_began_us <= now_us - self.settings.cold_us
+            or is_large_fleet
+            and self.warm_share(endpoint.breaker) >= 1
+        ):
+            endpoint.breaker.slow_start_began_us = -1
+
+    def allows(self, endpoint: Endpoint, has_quick_retry: bool) -> bool:
         """quick: a message waits that failed so soon that it may be tried again, outage or not."""
-        now, thin = self.turn.now, self.turn.thin
-        if ep.c.open:
-            if ep.c.trial is not None or thin and ep.c.tokens < 1.0 and not quick:
+        now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
+        if endpoint.breaker.is_open:
+            if (
+                endpoint.breaker.trial_call is not None
+                or is_large_fleet
+                and endpoint.breaker.tokens < 1.0
+                and not has_quick_retry
+            ):
                 return False
-            if not thin and now < ep.c.trial_at:
-                self.turn.wake(ep.c.trial_at)
+            if not is_large_fleet and now_us < endpoint.breaker.next_trial_us:
+                self.turn.wake_at(endpoint.breaker.next_trial_us)
                 return False
-        elif ep.c.ramp_from >= 0:
-            ready = sum(1 for x in ep.lane.endpoints.values() if x.state is EndpointState.READY)
-            rate = self.warm(ep.c) * ep.c.base / (1 if thin else ready)
-            rate = max(rate, 0.001 if thin else 0.05)
-            ep.c.tokens, ep.c.stamp = min(1.0, ep.c.tokens + rate * (now - ep.c.stamp) / 1e6), now
-            if ep.c.tokens < 1.0:
-                self.turn.wake(now + int((1 - ep.c.tokens) / rate * 1e6) + 1)
+        elif endpoint.breaker.slow_start_began_us >= 0:
+            ready_count = sum(
+                1 for other in endpoint.lane.endpoints.values() if other.state is EndpointState.READY
+            )
+            rate_per_s = (
+                self.warm_share(endpoint.breaker)
+                * endpoint.breaker.warm_rate_per_s
+                / (1 if is_large_fleet else ready_count)
+            )
+            rate_per_s = max(rate_per_s, 0.001 if is_large_fleet else 0.05)
+            endpoint.breaker.tokens, endpoint.breaker.refilled_us = (
+                min(
+                    1.0, endpoint.breaker.tokens + rate_per_s * (now_us - endpoint.breaker.refilled_us) / 1e6
+                ),
+                now_us,
+            )
+            if endpoint.breaker.tokens < 1.0:
+                self.turn.wake_at(now_us + int((1 - endpoint.breaker.tokens) / rate_per_s * 1e6) + 1)
                 return False
         return True
 
-    def spend(self, ep: Endpoint) -> None:
-        if ep.c.ramp_from >= 0 or ep.c.open and self.turn.thin:
-            ep.c.tokens -= 1.0
+    def spend_token(self, endpoint: Endpoint) -> None:
+        if endpoint.breaker.slow_start_began_us >= 0 or endpoint.breaker.is_open and self.turn.is_large_fleet:
+            endpoint.breaker.tokens -= 1.0
--- a/hopmill/policy/connections.py
+++ b/hopmill/policy/connections.py
@@ -3,76 +3,99 @@
 from __future__ import annotations
 
 from hopmill.interface import CloseIdle, Keep, OpenIdle, Result
-from hopmill.policy.state import FRESH_US, Call, Endpoint
-from hopmill.policy.timeouts import LOSS_MEMORY, LOSSY
+from hopmill.policy.state import RECENT_SUCCESS_US, Call, Endpoint
+from hopmill.policy.timeouts import LOSS_WEIGHT, HIGH_LOSS_SHARE
 from hopmill.policy.turn import Turn
 
-REAP, REGROW = 0.5, 1.25  # idle connections are trusted for this part of the age at which one failed
+TRUSTED_AGE_FACTOR, TRUST_GROWTH_FACTOR = (
+    0.5,
+    1.25,
+)  # idle connections are trusted for this part of the age at which one failed
 
 
 class Connections:
     def __init__(self, turn: Turn) -> None:
         self.turn, self.settings = turn, turn.settings
-        self.keep = turn.settings.connection_idle_us  # idle connections are used up to this age
-        self.reaped = 0  # calls lost on idle connections
-        self.new_lost = 0.0  # share of calls on new connections that are lost
+        self.max_idle_us = turn.settings.connection_idle_us  # idle connections are used up to this age
+        self.idle_losses = 0  # calls lost on idle connections
+        self.new_loss_share = 0.0  # share of calls on new connections that are lost
         self.warm_up = False  # connections may be opened before a message needs them
 
-    def judge(self, ep: Endpoint, result: Result, call: Call) -> None:
+    def record_outcome(self, endpoint: Endpoint, result: Result, call: Call) -> None:
         """What an outcome says of the connection that it came over."""
-        if call.idle_us < 0:
-            alone = result is Result.TIMEOUT and ep.last_ok > call.sent_at  # others were answered meanwhile
-            self.new_lost += (alone - self.new_lost) * LOSS_MEMORY
+        if call.connection_idle_us < 0:
+            is_alone = (
+                result is Result.TIMEOUT and endpoint.last_success_us > call.sent_us
+            )  # others were answered meanwhile
+            self.new_loss_share += (is_alone - self.new_loss_share) * LOSS_WEIGHT
         elif result in (Result.TIMEOUT, Result.RESET):
             # A connection dropped unseen while it was idle: older ones are closed before a call. But where
             # calls on new ones are lost as well, it is not their idling.
-            self.reaped += 1
-            if self.reaped > 1 and self.new_lost < LOSSY:
-                self.keep = min(self.keep, int(REAP * max(call.idle_us, 2 * ep.lane.mean)))
+            self.idle_losses += 1
+            if self.idle_losses > 1 and self.new_loss_share < HIGH_LOSS_SHARE:
+                self.max_idle_us = min(
+                    self.max_idle_us,
+                    int(TRUSTED_AGE_FACTOR * max(call.connection_idle_us, 2 * endpoint.lane.mean_latency_us)),
+                )
         if result is Result.OK:
-            if call.idle_us < 0:
-                ep.connection_budget.new_fulls = 0
+            if call.connection_idle_us < 0:
+                endpoint.connection_budget.consecutive_new_refusals = 0
             else:
-                ep.reused_ok = self.turn.now
-            if call.idle_us > REAP * REAP * self.keep:
-                self.reaped, self.keep = 0, min(self.settings.connection_idle_us, int(self.keep * REGROW))
+                endpoint.last_reuse_success_us = self.turn.now_us
+            if call.connection_idle_us > TRUSTED_AGE_FACTOR * TRUSTED_AGE_FACTOR * self.max_idle_us:
+                self.idle_losses, self.max_idle_us = (
+                    0,
+                    min(self.settings.connection_idle_us, int(self.max_idle_us * TRUST_GROWTH_FACTOR)),
+                )
 
-    def warm(self, ep: Endpoint) -> bool:
+    def has_warm(self, endpoint: Endpoint) -> bool:
         """Whether an idle one can be used."""
-        return any(t > self.turn.now - self.keep for t in ep.connection_budget.idle_since_us)
+        return any(
+            since_us > self.turn.now_us - self.max_idle_us
+            for since_us in endpoint.connection_budget.idle_since_us
+        )
 
-    def lend(self, ep: Endpoint, call: Call) -> None:
-        now, oldest = self.turn.now, self.turn.now - self.keep
+    def check_out(self, endpoint: Endpoint, call: Call) -> None:
+        now_us, oldest_us = self.turn.now_us, self.turn.now_us - self.max_idle_us
         if (
-            ep.connection_budget.idle_since_us
-            and now - self.settings.connection_idle_us < ep.connection_budget.idle_since_us[-1] <= oldest
+            endpoint.connection_budget.idle_since_us
+            and now_us - self.settings.connection_idle_us
+            < endpoint.connection_budget.idle_since_us[-1]
+            <= oldest_us
         ):
-            self.turn.actions.append(CloseIdle(ep.id))
-        call.idle_us = ep.connection_budget.lend(now, oldest)
-        self.size(ep)
+            self.turn.actions.append(CloseIdle(endpoint.id))
+        call.connection_idle_us = endpoint.connection_budget.check_out(now_us, oldest_us)
+        self.announce_size(endpoint)
 
-    def size(self, ep: Endpoint) -> None:
+    def announce_size(self, endpoint: Endpoint) -> None:
         """Tell the pool how many connections the endpoint is worth; open the next where that is wanted."""
-        most = ep.connection_budget.most(self.turn.now, ep.lane.hold, int(ep.lane.window))
-        if most != ep.connection_budget.announced:
-            ep.connection_budget.announced = most
-            self.turn.actions.append(Keep(ep.id, most))
+        max_idle = endpoint.connection_budget.max_idle(
+            self.turn.now_us, endpoint.lane.slot_time_us, int(endpoint.lane.window)
+        )
+        if max_idle != endpoint.connection_budget.announced:
+            endpoint.connection_budget.announced = max_idle
+            self.turn.actions.append(Keep(endpoint.id, max_idle))
         # Only to one that answers calls now: it can't show anything of the endpoint, so it is no probe.
-        well = not ep.c.open and ep.c.ramp_from < 0 and self.turn.now - ep.last_ok < FRESH_US
+        is_healthy = (
+            not endpoint.breaker.is_open
+            and endpoint.breaker.slow_start_began_us < 0
+            and self.turn.now_us - endpoint.last_success_us < RECENT_SUCCESS_US
+        )
         if (
             self.warm_up
-            and well
-            and not ep.connection_budget.idle_since_us
-            and len(ep.out) < min(most, ep.connection_budget.bound)
+            and is_healthy
+            and not endpoint.connection_budget.idle_since_us
+            and len(endpoint.calls_in_flight) < min(max_idle, endpoint.connection_budget.max_connections)
         ):
-            self.turn.actions.append(OpenIdle(ep.id))
+            self.turn.actions.append(OpenIdle(endpoint.id))
 
-    def table_full(self, ep: Endpoint) -> None:
+    def record_full_table(self, endpoint: Endpoint) -> None:
         """The endpoint serves, but takes no further connection: this courier keeps fewer there."""
-        held, pause = (
-            len(ep.out) + len(ep.connection_budget.idle_since_us),
-            max(int(ep.lane.mean), 2 * self.settings.tick_us),
+        connections, pause_us = (
+            len(endpoint.calls_in_flight) + len(endpoint.connection_budget.idle_since_us),
+            max(int(endpoint.lane.mean_latency_us), 2 * self.settings.tick_us),
         )
-        if ep.connection_budget.full(self.turn.now, held, pause):
-            self.turn.log(f"endpoint {ep.id} takes no more connections: {ep.connection_budget.bound} kept")
-            self.size(ep)
+        if endpoint.connection_budget.record_full_table(self.turn.now_us, connections, pause_us):
+            kept = endpoint.connection_budget.max_connections
+            self.turn.log(f"endpoint {endpoint.id} takes no more connections: {kept} kept")
+            self.announce_size(endpoint)
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -35,68 +35,73 @@
     WarmUp,
     ZoneCarried,
 )
-from hopmill.interface import Connections as ConnectionsTold
+from hopmill.interface import Connections as ConnectionsReport
 from hopmill.policy.admission import Admission
-from hopmill.policy.circuit import Circuits
+from hopmill.policy.circuit import CircuitBreakers
 from hopmill.policy.connections import Connections
 from hopmill.policy.evidence import Evidence
 from hopmill.policy.gate import Gate
-from hopmill.policy.links import Links
+from hopmill.policy.links import ConnectionBudget
 from hopmill.policy.pacing import Pacing
 from hopmill.policy.ranking import Ranking
-from hopmill.policy.state import CourierState, Call, Circuit, Destination, Endpoint, Lane, Message
+from hopmill.policy.state import CourierState, Call, CircuitBreaker, Destination, Endpoint, Lane, Message
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 from hopmill.policy.worth import Worth
 from hopmill.policy.zones import Zones
 
-TRIES = 3  # attempts of one message, first included (the note's default)
-ROOM = 2  # places kept free for new messages
-QUICK_US = 200_000  # a failure that came this soon may be tried again at once, outage or not
+DEFAULT_MAX_ATTEMPTS = 3  # attempts of one message, first included (the note's default)
+RESERVED_MESSAGES = 2  # places kept free for new messages
+QUICK_FAILURE_US = 200_000  # a failure that came this soon may be tried again at once, outage or not
 # What an upgrade hands on of an endpoint, its circuit and its lane, and of all calls: outer name, attribute.
 CARRIED = {
-    "ep": {"bad": "bad", "dirty": "dirty", "dirty_at": "dirty_at", "last_ok": "last_ok"},
+    "ep": {
+        "bad": "failure_share",
+        "dirty": "ambiguous_share",
+        "dirty_at": "ambiguous_updated_us",
+        "last_ok": "last_success_us",
+    },
     "circuit": {
-        "bad": "bad",
-        "open": "open",
-        "trial_at": "trial_at",
-        "gap": "gap",
-        "ramp_from": "ramp_from",
-        "base": "base",
+        "bad": "failure_share",
+        "open": "is_open",
+        "trial_at": "next_trial_us",
+        "gap": "trial_gap_us",
+        "ramp_from": "slow_start_began_us",
+        "base": "warm_rate_per_s",
         "tokens": "tokens",
-        "stamp": "stamp",
+        "stamp": "refilled_us",
     },
     "lane": {
         "rate": "pace_per_s",
-        "brink": "brink",
+        "brink": "last_refused_rate_per_s",
         "tokens": "tokens",
-        "stamp": "stamp",
+        "stamp": "refilled_us",
         "wait_until": "wait_until_us",
-        "cut_at": "cut_at",
+        "cut_at": "next_cut_us",
         "refused": "refused_share",
         "window": "window",
-        "fulls": "fulls",
-        "mean": "mean",
-        "dev": "dev",
-        "hold": "hold",
-        "seen": "seen",
-        "seen_at": "seen_at",
+        "fulls": "consecutive_refusals",
+        "mean": "mean_latency_us",
+        "dev": "latency_deviation_us",
+        "hold": "slot_time_us",
+        "seen": "success_rate_per_s",
+        "seen_at": "last_success_us",
     },
     "links": {
-        "calls": "calls",
-        "counted_at": "counted_at",
-        "first_at": "first_at",
-        "part": "part",
-        "bound": "bound",
-        "grow_at": "grow_at",
+        "calls": "recent_calls",
+        "counted_at": "counted_us",
+        "first_at": "first_call_us",
+        "part": "table_share",
+        "bound": "max_connections",
+        "grow_at": "next_growth_us",
     },
     "all": {
-        "hold": "hold",
-        "loss": "loss",
-        "new_lost": "new_lost",
-        "keep": "keep",
-        "reaped": "reaped",
-        "unreturned": "unreturned",
+        "hold": "mean_slot_time_us",
+        "loss": "loss_share",
+        "new_lost": "new_loss_share",
+        "keep": "max_idle_us",
+        "reaped": "idle_losses",
+        "unreturned": "unreturned_refusals",
     },
 }
 
@@ -107,20 +112,20 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.turn = turn = Turn(settings, seed)
-        self.max_attempts = min(TRIES, settings.max_attempts)
+        self.max_attempts = min(DEFAULT_MAX_ATTEMPTS, settings.max_attempts)
         self.state = CourierState()
-        self.zones = Zones(settings.cold_share, settings.cold_us, turn.random)
-        self.pacing, self.timeouts, self.circuits = Pacing(turn), Timeouts(turn), Circuits(turn)
+        self.zones = Zones(settings.cold_share, settings.cold_us, turn.rng)
+        self.pacing, self.timeouts, self.breakers = Pacing(turn), Timeouts(turn), CircuitBreakers(turn)
         self.connections, self.worth = Connections(turn), Worth(turn)
         self.admission = Admission(turn, self.pacing, self.max_attempts)
-        self.evidence = Evidence(turn, self.pacing, self.circuits, self.timeouts, self.connections)
+        self.evidence = Evidence(turn, self.pacing, self.breakers, self.timeouts, self.connections)
         self.gate = Gate(
-            turn, self.state, self.pacing, self.circuits, self.timeouts, self.zones, self.max_attempts
+            turn, self.state, self.pacing, self.breakers, self.timeouts, self.zones, self.max_attempts
         )
         self.ranking = Ranking(
             turn, self.state, self.gate, self.worth, self.timeouts, self.connections, self.zones
         )
-        self.seq, self.holding = 0, False
+        self.sequence, self.is_holding = 0, False
         self.expiries: list[tuple[int, int]] = []
 
     # Events
@@ -128,366 +133,434 @@
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         """now_us: monotonic. Actions are in the order in which they are to be carried out."""
         turn, state = self.turn, self.state
-        first = turn.start < 0
+        first = turn.started_us < 0
         turn.begin(now_us)
         if first and self.settings.list_on_request:
             turn.actions.append(Subscribe())
-        for e in events:
-            if isinstance(e, MessageArrived):
-                self._arrived(e)
-            elif isinstance(e, AttemptEnded):
-                self._ended(e)
-            elif isinstance(e, EndpointsListed):
-                self._listed(e)
-            elif isinstance(e, MessageGone) and (m := state.messages.get(e.message)):
-                self._close(m)
-            elif isinstance(e, Closing):
-                turn.closing = e.until_us
-            elif isinstance(e, ConnectionsTold) and (ep := state.endpoints.get(e.endpoint)):
-                ep.connection_budget.idle_since_us = list(e.idle_since)
-            elif isinstance(e, SetByHand):
-                self._set_by_hand(e)
-            elif isinstance(e, SetZoneByHand):
-                self._set_zone_by_hand(e)
-            elif isinstance(e, ZoneCarried):
-                self.zones.returning[e.zone] = e.since_us, e.until_us
-            elif isinstance(e, PolicySet):
-                self._set_policy(e)
-            elif isinstance(e, Hold):
-                self.holding = e.on
-            elif isinstance(e, WarmUp):
-                self.connections.warm_up = e.on
-            elif isinstance(e, Carried) and (ep := state.endpoints.get(e.endpoint)):
-                self._learn(ep, e)
-            elif isinstance(e, CallCarried):
-                self._call_carried(e)
-            elif isinstance(e, AttemptAnswering) and (m := state.messages.get(e.message)):
-                m.streaming = True
-        turn.timers_due()
+        for event in events:
+            if isinstance(event, MessageArrived):
+                self._on_message_arrived(event)
+            elif isinstance(event, AttemptEnded):
+                self._on_attempt_ended(event)
+            elif isinstance(event, EndpointsListed):
+                self._on_endpoints_listed(event)
+            elif isinstance(event, MessageGone) and (message := state.messages.get(event.message)):
+                self._close(message)
+            elif isinstance(event, Closing):
+                turn.shutdown_deadline_us = event.until_us
+            elif isinstance(event, ConnectionsReport) and (endpoint := state.endpoints.get(event.endpoint)):
+                endpoint.connection_budget.idle_since_us = list(event.idle_since)
+            elif isinstance(event, SetByHand):
+                self._on_set_by_hand(event)
+            elif isinstance(event, SetZoneByHand):
+                self._on_set_zone_by_hand(event)
+            elif isinstance(event, ZoneCarried):
+                self.zones.returning[event.zone] = event.since_us, event.until_us
+            elif isinstance(event, PolicySet):
+                self._on_policy_set(event)
+            elif isinstance(event, Hold):
+                self.is_holding = event.on
+            elif isinstance(event, WarmUp):
+                self.connections.warm_up = event.on
+            elif isinstance(event, Carried) and (endpoint := state.endpoints.get(event.endpoint)):
+                self._on_carried(endpoint, event)
+            elif isinstance(event, CallCarried):
+                self._on_call_carried(event)
+            elif isinstance(event, AttemptAnswering) and (message := state.messages.get(event.message)):
+                message.is_streaming = True
+        turn.drop_due_timers()
         self._expire()
-        self._pump()
+        self._send_ready()
         self._make_room()
         if self.expiries:
-            turn.wake(self.expiries[0][0])
+            turn.wake_at(self.expiries[0][0])
         return turn.actions
 
     def come_back_us(self) -> int:
         """When to come again, for a message that the courier has no room for."""
         return self.admission.come_back_us()
 
-    def may_serve(self, endpoint: int, zone: int) -> bool:
+    def may_serve(self, endpoint_id: int, zone: int) -> bool:
         """Whether operators let it have calls, and connections for them."""
-        return self.gate.may_serve(endpoint, zone)
+        return self.gate.may_serve(endpoint_id, zone)
 
     # Operators
 
-    def _set_by_hand(self, e: SetByHand) -> None:
+    def _on_set_by_hand(self, event: SetByHand) -> None:
         """Kept apart from the list's state, so that no news of the list lifts it."""
-        by_hand = self.state.excluded_endpoints
-        if e.out:
-            by_hand.add(e.endpoint)
-            self.turn.actions.append(CloseIdle(e.endpoint))
-        elif e.endpoint in by_hand:
-            by_hand.remove(e.endpoint)
-            if ep := self.state.endpoints.get(e.endpoint):
-                self.circuits.start_cold(ep)
-
-    def _set_zone_by_hand(self, e: SetZoneByHand) -> None:
-        there = [ep for ep in self.state.endpoints.values() if ep.zone == e.zone]
-        if e.out:
-            self.zones.leave(e.zone)
-            self.turn.actions += [CloseIdle(ep.id) for ep in there]
-        elif self.zones.bring_back(e.zone, self.turn.now):
-            for ep in there:
+        excluded = self.state.excluded_endpoints
+        if event.out:
+            excluded.add(event.endpoint)
+            self.turn.actions.append(CloseIdle(event.endpoint))
+        elif event.endpoint in excluded:
+            excluded.remove(event.endpoint)
+            if endpoint := self.state.endpoints.get(event.endpoint):
+                self.breakers.start_cold(endpoint)
+
+    def _on_set_zone_by_hand(self, event: SetZoneByHand) -> None:
+        in_zone = [endpoint for endpoint in self.state.endpoints.values() if endpoint.zone == event.zone]
+        if event.out:
+            self.zones.exclude(event.zone)
+            self.turn.actions += [CloseIdle(endpoint.id) for endpoint in in_zone]
+        elif self.zones.bring_back(event.zone, self.turn.now_us):
+            for endpoint in in_zone:
                 # A circuit that others share goes on for these: chance alone keeps the share small there.
-                others = [x for x in ep.lane.endpoints.values() if x.c is ep.c and x.zone != e.zone]
-                if ep.id not in self.state.excluded_endpoints and not any(
-                    self.gate.serves(x) for x in others
+                others = [
+                    other
+                    for other in endpoint.lane.endpoints.values()
+                    if other.breaker is endpoint.breaker and other.zone != event.zone
+                ]
+                if endpoint.id not in self.state.excluded_endpoints and not any(
+                    self.gate.is_serving(other) for other in others
                 ):
-                    self.circuits.start_cold(ep)
-        state, share, why = self.zones.state(e.zone, self.turn.now)
-        self.turn.log(f"zone {e.zone}: {state}, share {share:.2f}, {why}, {len(there)} endpoints")
+                    self.breakers.start_cold(endpoint)
+        state, share, reason = self.zones.state(event.zone, self.turn.now_us)
+        self.turn.log(f"zone {event.zone}: {state}, share {share:.2f}, {reason}, {len(in_zone)} endpoints")
 
-    def _set_policy(self, e: PolicySet) -> None:
+    def _on_policy_set(self, event: PolicySet) -> None:
         """All of it in one event: no turn decides by half of one."""
         for part in (
             self,
             self.turn,
             self.pacing,
             self.timeouts,
-            self.circuits,
+            self.breakers,
             self.connections,
             self.worth,
             self.admission,
             self.gate,
             self.ranking,
         ):
-            part.settings = e.settings
+            part.settings = event.settings
         self.max_attempts = self.gate.max_attempts = self.admission.max_attempts = min(
-            TRIES, e.settings.max_attempts
+            DEFAULT_MAX_ATTEMPTS, event.settings.max_attempts
         )
-        self.zones.cold_share, self.zones.cold_us = e.settings.cold_share, max(1, e.settings.cold_us)
-        self.pacing.ceilings = e.ceilings
-        for endpoint in sorted(self.state.excluded_endpoints ^ e.endpoints_out):
-            self._set_by_hand(SetByHand(endpoint, endpoint in e.endpoints_out))
-        for zone in sorted(self.zones.excluded ^ e.zones_out):
-            self._set_zone_by_hand(SetZoneByHand(zone, zone in e.zones_out))
+        self.zones.cold_share, self.zones.cold_us = event.settings.cold_share, max(1, event.settings.cold_us)
+        self.pacing.ceilings = event.ceilings
+        for endpoint_id in sorted(self.state.excluded_endpoints ^ event.endpoints_out):
+            self._on_set_by_hand(SetByHand(endpoint_id, endpoint_id in event.endpoints_out))
+        for zone in sorted(self.zones.excluded ^ event.zones_out):
+            self._on_set_zone_by_hand(SetZoneByHand(zone, zone in event.zones_out))
 
     # Upgrades
 
-    def _carriers(self, ep: Endpoint) -> dict[str, tuple[object, ...]]:
+    def _carried_owners(self, endpoint: Endpoint) -> dict[str, tuple[object, ...]]:
         """The owners of what CARRIED names."""
-        everywhere = (self.timeouts, self.connections, self.admission)
+        owners_of_all = (self.timeouts, self.connections, self.admission)
         return {
-            "ep": (ep,),
-            "circuit": (ep.c,),
-            "lane": (ep.lane,),
-            "links": (ep.connection_budget,),
-            "all": everywhere,
+            "ep": (endpoint,),
+            "circuit": (endpoint.breaker,),
+            "lane": (endpoint.lane,),
+            "links": (endpoint.connection_budget,),
+            "all": owners_of_all,
         }
 
-    def _carried(self, ep: Endpoint) -> Iterable[tuple[str, object, str]]:
-        for part, owners in self._carriers(ep).items():
-            for outer, name in CARRIED[part].items():
-                yield f"{part}.{outer}", next(owner for owner in owners if hasattr(owner, name)), name
+    def _carried_attributes(self, endpoint: Endpoint) -> Iterable[tuple[str, object, str]]:
+        for part, owners in self._carried_owners(endpoint).items():
+            for outer, attribute in CARRIED[part].items():
+                yield (
+                    f"{part}.{outer}",
+                    next(owner for owner in owners if hasattr(owner, attribute)),
+                    attribute,
+                )
 
     def carry(self) -> list[tuple[int, dict[str, float]]]:
         """What was learned of each endpoint, for the process that takes over."""
         return [
-            (ep.id, {path: getattr(owner, name) for path, owner, name in self._carried(ep)})
-            for ep in self.state.endpoints.values()
+            (
+                endpoint.id,
+                {
+                    outer_path: getattr(owner, attribute)
+                    for outer_path, owner, attribute in self._carried_attributes(endpoint)
+                },
+            )
+            for endpoint in self.state.endpoints.values()
         ]
 
-    def _learn(self, ep: Endpoint, e: Carried) -> None:
-        for path, owner, name in self._carried(ep):
-            now = getattr(owner, name)
-            setattr(owner, name, type(now)(e.figures.get(path, now)))
+    def _on_carried(self, endpoint: Endpoint, event: Carried) -> None:
+        for outer_path, owner, attribute in self._carried_attributes(endpoint):
+            current = getattr(owner, attribute)
+            setattr(owner, attribute, type(current)(event.figures.get(outer_path, current)))
 
-    def _call_carried(self, e: CallCarried) -> None:
-        messages = [m for n in e.messages if (m := self.state.messages.get(n)) and not m.out]
+    def _on_call_carried(self, event: CallCarried) -> None:
+        messages = [
+            message
+            for number in event.messages
+            if (message := self.state.messages.get(number)) and not message.attempts_in_flight
+        ]
         if not messages:
             return
-        dest = messages[0].dest
-        ep = self.state.endpoints.get(e.endpoint)
-        if ep is None:  # it has gone from the list since
-            ep = self._add(ListEntry(e.endpoint, dest.number, EndpointState.GONE, kind=dest.kind))
-            ep.state = EndpointState.GONE
-        call = self._call(ep, e.sent_at_us)
-        if ep.c.open:
-            ep.c.trial = call
-        for m in messages:
-            self._join(m, call, m.tries - 1)
+        destination = messages[0].destination
+        endpoint = self.state.endpoints.get(event.endpoint)
+        if endpoint is None:  # it has gone from the list since
+            endpoint = self._add_endpoint(
+                ListEntry(event.endpoint, destination.number, EndpointState.GONE, kind=destination.kind)
+            )
+            endpoint.state = EndpointState.GONE
+        call = self._begin_call(endpoint, event.sent_at_us)
+        if endpoint.breaker.is_open:
+            endpoint.breaker.trial_call = call
+        for message in messages:
+            self._add_attempt(message, call, message.attempts - 1)
 
     # The list
 
-    def _listed(self, e: EndpointsListed) -> None:
-        if e.form is ListForm.FAILED:
+    def _on_endpoints_listed(self, event: EndpointsListed) -> None:
+        if event.form is ListForm.FAILED:
             self.turn.actions.append(Subscribe())
             return
         endpoints, named = self.state.endpoints, {}
-        for entry in e.entries:
+        for entry in event.entries:
             named[entry.endpoint] = True
-            ep = endpoints.get(entry.endpoint)
-            if ep and ep.lane.dest.number != entry.destination:  # it moved: what was known of it is void
-                ep.state, ep = EndpointState.GONE, ep.lane.endpoints.pop(ep.id) and None
-            if ep is None and entry.state is not EndpointState.GONE:
-                ep = self._add(entry)
-            if ep is not None:
-                ep.state, ep.zone = entry.state, entry.zone
-                self.pacing.listed(ep.lane, entry.rate_per_s)
-        for ident, ep in list(endpoints.items()):
-            if e.form is not ListForm.DELTA and ident not in named:
-                ep.state = EndpointState.GONE
-            if ep.state is EndpointState.GONE and not ep.out:  # forgotten, or replacements would pile up
-                del endpoints[ident], ep.lane.endpoints[ident]
-                if not ep.lane.endpoints and len(ep.lane.dest.lanes) > 1:
-                    ep.lane.dest.lanes.remove(ep.lane)
-
-    def _add(self, entry: ListEntry) -> Endpoint:
-        dest = self.state.destinations.setdefault(entry.destination, Destination(entry.destination))
-        dest.kind = min(entry.kind, len(self.settings.kinds) - 1)
-        if not dest.lanes or self.settings.kinds[dest.kind].routes_apart:
-            dest.lanes.append(Lane(dest, Circuit() if self.turn.thin else None))
-        links = Links(self.settings.connection_idle_us, self.turn.random)
-        ep = Endpoint(entry.endpoint, dest.lanes[-1], entry.zone, links)
-        ep.lane.endpoints[ep.id] = self.state.endpoints[ep.id] = ep
-        return ep
+            endpoint = endpoints.get(entry.endpoint)
+            if (
+                endpoint and endpoint.lane.destination.number != entry.destination
+            ):  # it moved: what was known of it is void
+                endpoint.state, endpoint = (
+                    EndpointState.GONE,
+                    endpoint.lane.endpoints.pop(endpoint.id) and None,
+                )
+            if endpoint is None and entry.state is not EndpointState.GONE:
+                endpoint = self._add_endpoint(entry)
+            if endpoint is not None:
+                endpoint.state, endpoint.zone = entry.state, entry.zone
+                self.pacing.record_listed_rate(endpoint.lane, entry.rate_per_s)
+        for endpoint_id, endpoint in list(endpoints.items()):
+            if event.form is not ListForm.DELTA and endpoint_id not in named:
+                endpoint.state = EndpointState.GONE
+            if (
+                endpoint.state is EndpointState.GONE and not endpoint.calls_in_flight
+            ):  # forgotten, or replacements would pile up
+                del endpoints[endpoint_id], endpoint.lane.endpoints[endpoint_id]
+                if not endpoint.lane.endpoints and len(endpoint.lane.destination.lanes) > 1:
+                    endpoint.lane.destination.lanes.remove(endpoint.lane)
+
+    def _add_endpoint(self, entry: ListEntry) -> Endpoint:
+        destination = self.state.destinations.setdefault(entry.destination, Destination(entry.destination))
+        destination.kind = min(entry.kind, len(self.settings.kinds) - 1)
+        if not destination.lanes or self.settings.kinds[destination.kind].routes_apart:
+            destination.lanes.append(
+                Lane(destination, CircuitBreaker() if self.turn.is_large_fleet else None)
+            )
+        connection_budget = ConnectionBudget(self.settings.connection_idle_us, self.turn.rng)
+        endpoint = Endpoint(entry.endpoint, destination.lanes[-1], entry.zone, connection_budget)
+        endpoint.lane.endpoints[endpoint.id] = self.state.endpoints[endpoint.id] = endpoint
+        return endpoint
 
     # Messages
 
-    def _arrived(self, e: MessageArrived) -> None:
-        state, now = self.state, self.turn.now
-        if e.message in state.messages:
+    def _on_message_arrived(self, event: MessageArrived) -> None:
+        state, now_us = self.state, self.turn.now_us
+        if event.message in state.messages:
             return
-        self.seq += 1
-        if e.resubmitted:
-            self.admission.unreturned = 0
-        dest = state.destinations.setdefault(e.destination, Destination(e.destination))
-        m = Message(e.message, self.settings.classes[e.message_class], e, self.seq, now, dest)
-        dest.arrivals += 1
-        for lane in dest.lanes:
-            if lane.circuit and now >= lane.wait_until_us:
-                self.circuits.arrival(lane.circuit, len(dest.lanes))
-        m.weight = m.cls.worth * self.worth.share(e.tenant)
-        state.messages[m.id] = m
-        self.admission.held(len(state.messages), state.calls_in_flight)
-        dest.queue.append(m)
-        if m.key:
-            state.keys.setdefault(m.key, []).append(m)
-        refused = not e.restored and self.admission.refuses(m)  # what was taken on is tried
-        if (refused or self.admission.spent(m)) and not e.out:
-            self._finish(m, self.settings.max_retry_after_us)
+        self.sequence += 1
+        if event.resubmitted:
+            self.admission.unreturned_refusals = 0
+        destination = state.destinations.setdefault(event.destination, Destination(event.destination))
+        message = Message(
+            event.message,
+            self.settings.classes[event.message_class],
+            event,
+            self.sequence,
+            now_us,
+            destination,
+        )
+        destination.arrivals += 1
+        for lane in destination.lanes:
+            if lane.breaker and now_us >= lane.wait_until_us:
+                self.breakers.record_arrival(lane.breaker, len(destination.lanes))
+        message.weight = message.message_class.worth * self.worth.tenant_factor(event.tenant)
+        state.messages[message.id] = message
+        self.admission.record_load(len(state.messages), state.calls_in_flight)
+        destination.queue.append(message)
+        if message.order_key:
+            state.order_queues.setdefault(message.order_key, []).append(message)
+        is_refused = not event.restored and self.admission.should_refuse(
+            message
+        )  # what was taken on is tried
+        if (is_refused or self.admission.is_spent(message)) and not event.out:
+            self._finish(message, self.settings.max_retry_after_us)
             return
-        heapq.heappush(self.expiries, (m.last_at(self.turn.margin), m.id))
+        heapq.heappush(self.expiries, (message.last_send_us(self.turn.deadline_margin_us), message.id))
 
-    def _ended(self, e: AttemptEnded) -> None:
-        found = self.state.calls.pop((e.message, e.attempt), None)
-        if found is None:
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        pending = self.state.calls.pop((event.message, event.attempt), None)
+        if pending is None:
             return
-        call, m = found
-        ep, call.left = call.endpoint, call.left - 1
-        if call.left == 0:
+        call, message = pending
+        endpoint, call.open_attempts = call.endpoint, call.open_attempts - 1
+        if call.open_attempts == 0:
             self.state.calls_in_flight -= 1
-            ep.lane.out -= 1
-            ep.lane.dest.out -= 1
-            ep.out.pop(id(call), None)
-        m.out -= 1
-        if e.idle_us is not None:
-            call.idle_us = e.idle_us
-        if e.report and not call.judged:
-            self.pacing.reported(ep.lane, e.report)
-        if e.retry_after_us:
-            self.pacing.told_wait(ep.lane, e.retry_after_us)
-        if not call.judged:
-            call.judged = True
-            if e.result not in (Result.FULL, Result.MOOT):
-                self.timeouts.held(ep.lane, e.latency_us)
-            self.evidence.judge(ep, e.result, call, e.latency_us, e.retry_after_us)
-        if call.left == 0 and ep.c.trial is call:
-            ep.c.trial = None
+            endpoint.lane.calls_in_flight -= 1
+            endpoint.lane.destination.calls_in_flight -= 1
+            endpoint.calls_in_flight.pop(id(call), None)
+        message.attempts_in_flight -= 1
+        if event.idle_us is not None:
+            call.connection_idle_us = event.idle_us
+        if event.report and not call.is_judged:
+            self.pacing.record_report(endpoint.lane, event.report)
+        if event.retry_after_us:
+            self.pacing.record_retry_after(endpoint.lane, event.retry_after_us)
+        if not call.is_judged:
+            call.is_judged = True
+            if event.result not in (Result.FULL, Result.MOOT):
+                self.timeouts.record_slot_time(endpoint.lane, event.latency_us)
+            self.evidence.record_outcome(endpoint, event.result, call, event.latency_us, event.retry_after_us)
+        if call.open_attempts == 0 and endpoint.breaker.trial_call is call:
+            endpoint.breaker.trial_call = None
         if (
-            e.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-            and m.key
+            event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+            and message.order_key
             and self.settings.key_rest_us
         ):
-            self.state.rests[m.key] = self.turn.now + self.settings.key_rest_us
-        if m.closed or e.closed or m.streaming:
-            self._close(m)
+            self.state.order_pauses_us[message.order_key] = self.turn.now_us + self.settings.key_rest_us
+        if message.is_closed or event.closed or message.is_streaming:
+            self._close(message)
             return
-        if e.result not in (Result.FULL, Result.CONNECT_FAILED, Result.MOOT) and m.ran_at < 0:
-            m.ran_at, m.ran_zone = call.sent_at, ep.zone
-        if not m.out:
-            self._again(m, e)
+        if (
+            event.result not in (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
+            and message.may_have_run_since_us < 0
+        ):
+            message.may_have_run_since_us, message.may_have_run_zone = call.sent_us, endpoint.zone
+        if not message.attempts_in_flight:
+            self._retry_or_finish(message, event)
 
-    def _again(self, m: Message, e: AttemptEnded) -> None:
+    def _retry_or_finish(self, message: Message, event: AttemptEnded) -> None:
         """The next attempt after a jittered wait, or the end."""
-        now = self.turn.now
-        wait = 0 if e.result is Result.MOOT else self.pacing.backoff(m.tries - 1)
-        last_at = m.last_at(self.turn.margin)
-        if e.result is Result.FULL and not self.admission.stays(m):
-            self._finish(m, e.retry_after_us)
-        elif m.tries >= self.max_attempts or now + wait >= last_at:
-            self._finish(m, 0)
+        now_us = self.turn.now_us
+        wait_us = 0 if event.result is Result.MOOT else self.pacing.backoff_us(message.attempts - 1)
+        last_send_us = message.last_send_us(self.turn.deadline_margin_us)
+        if event.result is Result.FULL and not self.admission.should_wait(message):
+            self._finish(message, event.retry_after_us)
+        elif message.attempts >= self.max_attempts or now_us + wait_us >= last_send_us:
+            self._finish(message, 0)
         else:
-            m.ready_at = now + wait
-            m.quick = m.tries == 1 and e.latency_us < QUICK_US
-            m.dest.queue.append(m)
-            heapq.heappush(self.expiries, (last_at, m.id))
+            message.ready_us = now_us + wait_us
+            message.failed_quickly = message.attempts == 1 and event.latency_us < QUICK_FAILURE_US
+            message.destination.queue.append(message)
+            heapq.heappush(self.expiries, (last_send_us, message.id))
 
-    def _finish(self, m: Message, wait: int) -> None:
+    def _finish(self, message: Message, wait_us: int) -> None:
         """The one place that ends a message: refuse if earlier attempts prove that a new try is harmless."""
-        e, now = m.cls.effect, self.turn.now
-        harmless = m.ran_at < 0 and not m.out or e is Effect.KEYED and m.cls.key_scope == "all"
-        if e is Effect.SAFE or harmless:
-            if m.until - now > max(self.settings.max_retry_after_us, m.cls.aim_us):
-                self.admission.unreturned += 1
+        effect, now_us = message.message_class.effect, self.turn.now_us
+        is_harmless = (
+            message.may_have_run_since_us < 0
+            and not message.attempts_in_flight
+            or effect is Effect.KEYED
+            and message.message_class.key_scope == "all"
+        )
+        if effect is Effect.SAFE or is_harmless:
+            if message.valid_until_us - now_us > max(
+                self.settings.max_retry_after_us, message.message_class.aim_us
+            ):
+                self.admission.unreturned_refusals += 1
             # None was told: half the longest wait that clients heed, where that leaves the message some time.
-            if not wait and m.until - now > self.settings.max_retry_after_us:
-                wait = self.settings.max_retry_after_us // 2
-            self.turn.actions.append(Refuse(m.id, min(wait, self.settings.max_retry_after_us)))
+            if not wait_us and message.valid_until_us - now_us > self.settings.max_retry_after_us:
+                wait_us = self.settings.max_retry_after_us // 2
+            self.turn.actions.append(Refuse(message.id, min(wait_us, self.settings.max_retry_after_us)))
         else:
-            self.turn.actions.append(Fail(m.id))
-        self._close(m)
-
-    def _close(self, m: Message) -> None:
-        if not m.closed:
-            m.closed = True
-            if m in m.dest.queue:
-                m.dest.queue.remove(m)
-        if not m.out:
-            self.state.messages.pop(m.id, None)
-            keys = self.state.keys
-            if m.key and m in keys.get(m.key, ()):
-                keys[m.key].remove(m)
-                if not keys[m.key]:
-                    del keys[m.key]
+            self.turn.actions.append(Fail(message.id))
+        self._close(message)
+
+    def _close(self, message: Message) -> None:
+        if not message.is_closed:
+            message.is_closed = True
+            if message in message.destination.queue:
+                message.destination.queue.remove(message)
+        if not message.attempts_in_flight:
+            self.state.messages.pop(message.id, None)
+            queues = self.state.order_queues
+            if message.order_key and message in queues.get(message.order_key, ()):
+                queues[message.order_key].remove(message)
+                if not queues[message.order_key]:
+                    del queues[message.order_key]
 
     def _expire(self) -> None:
-        now = self.turn.now
-        while self.expiries and self.expiries[0][0] <= now:
-            m = self.state.messages.get(heapq.heappop(self.expiries)[1])
-            if m and not m.closed and not m.streaming:
-                if m.out and now < m.until:  # its attempt's time-out is due in a moment and answers
-                    heapq.heappush(self.expiries, (m.until, m.id))
-                elif now >= m.last_at(self.turn.margin):
-                    self._finish(m, 0)
+        now_us = self.turn.now_us
+        while self.expiries and self.expiries[0][0] <= now_us:
+            message = self.state.messages.get(heapq.heappop(self.expiries)[1])
+            if message and not message.is_closed and not message.is_streaming:
+                if (
+                    message.attempts_in_flight and now_us < message.valid_until_us
+                ):  # its attempt's time-out is due in a moment and answers
+                    heapq.heappush(self.expiries, (message.valid_until_us, message.id))
+                elif now_us >= message.last_send_us(self.turn.deadline_margin_us):
+                    self._finish(message, 0)
 
     def _make_room(self) -> None:
         """Hand back what waits for one in trouble before it keeps out what could be sent at once."""
-        while len(self.state.messages) > max(1, self.settings.max_held - ROOM):
-            dest = max(self.state.destinations.values(), key=lambda d: len(d.queue))
-            if len(dest.queue) < 2:
+        while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_MESSAGES):
+            destination = max(self.state.destinations.values(), key=lambda d: len(d.queue))
+            if len(destination.queue) < 2:
                 return
-            now = self.turn.now
-            self._finish(min(dest.queue, key=lambda m: (m.ran_at >= 0, self.worth.at(m, now), -m.seq)), 0)
+            now_us = self.turn.now_us
+            self._finish(
+                min(
+                    destination.queue,
+                    key=lambda message: (
+                        message.may_have_run_since_us >= 0,
+                        self.worth.at(message, now_us),
+                        -message.sequence,
+                    ),
+                ),
+                0,
+            )
 
     # Sending
 
-    def _pump(self) -> None:
+    def _send_ready(self) -> None:
         """Send what the gate lets through, the most urgent first, while slots are free."""
-        dests, pick = self.state.destinations, self.ranking.pick
-        picks = {d.number: p for d in dests.values() if d.queue and not self.holding and (p := pick(d))}
+        destinations, pick = self.state.destinations, self.ranking.pick
+        picks = {
+            d.number: p for d in destinations.values() if d.queue and not self.is_holding and (p := pick(d))
+        }
         while picks and self.state.calls_in_flight < self.settings.slots:
             number = min(picks, key=lambda n: picks[n][:2])
-            _, _, m, ep = picks.pop(number)
-            self._send(m, ep)
-            dest = dests[number]
-            if dest.queue and self.settings.kinds[dest.kind].batch == 1 and (p := pick(dest)):
+            _, _, message, endpoint = picks.pop(number)
+            self._send(message, endpoint)
+            destination = destinations[number]
+            if (
+                destination.queue
+                and self.settings.kinds[destination.kind].batch == 1
+                and (p := pick(destination))
+            ):
                 picks[number] = p
 
-    def _send(self, m: Message, ep: Endpoint) -> None:
-        call = self._call(ep, self.turn.now)
-        self.connections.lend(ep, call)
-        self.pacing.spend(ep.lane)
-        if ep.c.open:
-            ep.c.trial = call
-        self.circuits.spend(ep)
-        going, most = [m], self.settings.kinds[ep.lane.dest.kind].batch
-        if most > 1 and not ep.c.open:  # a trial carries one
-            going += [
-                x
-                for x in sorted(m.dest.queue, key=lambda x: x.seq)
-                if x is not m and self.timeouts.shares(m, x, ep.lane) and self.gate.may(x, ep)
-            ][: most - 1]
-        timeout = self.timeouts.of_call(
-            going, ep, self.state.calls_in_flight >= self.pacing.max_calls_per_destination
+    def _send(self, message: Message, endpoint: Endpoint) -> None:
+        call = self._begin_call(endpoint, self.turn.now_us)
+        self.connections.check_out(endpoint, call)
+        self.pacing.spend_token(endpoint.lane)
+        if endpoint.breaker.is_open:
+            endpoint.breaker.trial_call = call
+        self.breakers.spend_token(endpoint)
+        messages, max_messages = [message], self.settings.kinds[endpoint.lane.destination.kind].batch
+        if max_messages > 1 and not endpoint.breaker.is_open:  # a trial carries one
+            messages += [
+                other
+                for other in sorted(message.destination.queue, key=lambda other: other.sequence)
+                if other is not message
+                and self.timeouts.may_share_call(message, other, endpoint.lane)
+                and self.gate.may_send(other, endpoint)
+            ][: max_messages - 1]
+        timeout_us = self.timeouts.for_call(
+            messages, endpoint, self.state.calls_in_flight >= self.pacing.max_calls_per_destination
         )
-        for x in going:
-            self._join(x, call, x.tries)
-            x.tries += 1
-            self.turn.actions.append(Send(x.id, ep.id, timeout))
+        for other in messages:
+            self._add_attempt(other, call, other.attempts)
+            other.attempts += 1
+            self.turn.actions.append(Send(other.id, endpoint.id, timeout_us))
 
-    def _call(self, ep: Endpoint, sent_at: int) -> Call:
+    def _begin_call(self, endpoint: Endpoint, sent_us: int) -> Call:
         """A call that takes a slot."""
-        call = Call(ep, sent_at)
+        call = Call(endpoint, sent_us)
         self.state.calls_in_flight += 1
-        ep.lane.out += 1
-        ep.lane.dest.out += 1
-        ep.out[id(call)] = call
+        endpoint.lane.calls_in_flight += 1
+        endpoint.lane.destination.calls_in_flight += 1
+        endpoint.calls_in_flight[id(call)] = call
         return call
 
-    def _join(self, m: Message, call: Call, attempt: int) -> None:
-        m.dest.queue.remove(m)
-        self.state.calls[(m.id, attempt)] = (call, m)
-        call.left += 1
-        m.out, m.last = m.out + 1, call.endpoint
+    def _add_attempt(self, message: Message, call: Call, attempt: int) -> None:
+        message.destination.queue.remove(message)
+        self.state.calls[(message.id, attempt)] = (call, message)
+        call.open_attempts += 1
+        message.attempts_in_flight, message.last_endpoint = message.attempts_in_flight + 1, call.endpoint
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -3,63 +3,78 @@
 from __future__ import annotations
 
 from hopmill.interface import Result
-from hopmill.policy.circuit import Circuits
+from hopmill.policy.circuit import CircuitBreakers
 from hopmill.policy.connections import Connections
 from hopmill.policy.pacing import Pacing
-from hopmill.policy.state import FRESH_US, Call, Endpoint
+from hopmill.policy.state import RECENT_SUCCESS_US, Call, Endpoint
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 
-LONG_WAIT_US = 2_500_000  # a told wait over this is a shut destination, not the end of a rate span
+OUTAGE_RETRY_AFTER_US = 2_500_000  # a told wait over this is a shut destination, not the end of a rate span
 
 
 class Evidence:
     def __init__(
-        self, turn: Turn, pacing: Pacing, circuits: Circuits, timeouts: Timeouts, connections: Connections
+        self,
+        turn: Turn,
+        pacing: Pacing,
+        breakers: CircuitBreakers,
+        timeouts: Timeouts,
+        connections: Connections,
     ) -> None:
-        self.turn, self.pacing, self.circuits = turn, pacing, circuits
+        self.turn, self.pacing, self.breakers = turn, pacing, breakers
         self.timeouts, self.connections = timeouts, connections
 
-    def judge(self, ep: Endpoint, result: Result, call: Call, latency: int, told: int) -> None:
+    def record_outcome(
+        self, endpoint: Endpoint, result: Result, call: Call, latency_us: int, retry_after_us: int
+    ) -> None:
         """Once for each call. told: the wait that came with it, in us."""
-        lane, now = ep.lane, self.turn.now
-        self.connections.judge(ep, result, call)
+        lane, now_us = endpoint.lane, self.turn.now_us
+        self.connections.record_outcome(endpoint, result, call)
         if result is Result.OK:
-            self.succeeded(ep, latency)
+            self.record_success(endpoint, latency_us)
             return
         if result in (Result.CANCELLED, Result.MOOT):
             return
         if result is Result.FULL:
-            self.pacing.overloaded(lane, told)
-            if told > LONG_WAIT_US:
-                self.circuits.shut(ep)
+            self.pacing.record_overload(lane, retry_after_us)
+            if retry_after_us > OUTAGE_RETRY_AFTER_US:
+                self.breakers.record_outage_wait(endpoint)
                 return
-            if now - ep.last_ok < FRESH_US:
-                others = not told and ep.reused_ok > call.sent_at - FRESH_US and self.pacing.room_left(lane)
-                if others and ep.connection_budget.refused(call.idle_us < 0):
-                    self.connections.table_full(ep)
+            if now_us - endpoint.last_success_us < RECENT_SUCCESS_US:
+                is_turned_away = (
+                    not retry_after_us
+                    and endpoint.last_reuse_success_us > call.sent_us - RECENT_SUCCESS_US
+                    and self.pacing.has_limit_left(lane)
+                )
+                if is_turned_away and endpoint.connection_budget.record_refusal(call.connection_idle_us < 0):
+                    self.connections.record_full_table(endpoint)
                 return
         elif result is Result.TIMEOUT:
             # Calls sent with it or later were answered: a lost call, not an outage: a spell of losses must
             # not put whole lanes into recovery.
-            answered = ep.last_ok > call.sent_at
-            self.pacing.timed_out(lane, answered)
-            if answered:
-                self.timeouts.lost()
+            others_answered = endpoint.last_success_us > call.sent_us
+            self.pacing.record_timeout(lane, others_answered)
+            if others_answered:
+                self.timeouts.record_loss()
                 return
-        elif result is Result.CONNECT_FAILED and now - ep.last_ok < FRESH_US and ep.out:
-            self.connections.table_full(ep)  # and no dead endpoint
+        elif (
+            result is Result.CONNECT_FAILED
+            and now_us - endpoint.last_success_us < RECENT_SUCCESS_US
+            and endpoint.calls_in_flight
+        ):
+            self.connections.record_full_table(endpoint)  # and no dead endpoint
             return
         if result in (Result.ERROR, Result.TIMEOUT, Result.RESET):
-            self.circuits.soiled(ep)
-        lost = self.timeouts.no_evidence() if result is Result.TIMEOUT else 0.0
-        self.circuits.failed(ep, result, call is ep.c.trial, 1 - lost)
+            self.breakers.record_ambiguous_failure(endpoint)
+        discount = self.timeouts.loss_discount() if result is Result.TIMEOUT else 0.0
+        self.breakers.record_failure(endpoint, result, call is endpoint.breaker.trial_call, 1 - discount)
 
-    def succeeded(self, ep: Endpoint, latency: int) -> None:
+    def record_success(self, endpoint: Endpoint, latency_us: int) -> None:
         """latency: 0 where it is not told."""
-        ep.last_ok = self.turn.now
-        self.circuits.answered(ep)
-        if latency:
-            self.timeouts.answered(ep.lane, latency)
-        self.pacing.succeeded(ep.lane)
-        self.circuits.closes(ep)
+        endpoint.last_success_us = self.turn.now_us
+        self.breakers.record_answer(endpoint)
+        if latency_us:
+            self.timeouts.record_latency(endpoint.lane, latency_us)
+        self.pacing.record_success(endpoint.lane)
+        self.breakers.record_delivery(endpoint)
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -5,15 +5,15 @@
 import math
 
 from hopmill.interface import Effect, EndpointState
-from hopmill.policy.circuit import Circuits
+from hopmill.policy.circuit import CircuitBreakers
 from hopmill.policy.pacing import Pacing
 from hopmill.policy.state import CourierState, Endpoint, Message
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 from hopmill.policy.zones import Zones
 
-DIRTY = 0.15  # share of may-have-run failures over which unsafe messages wait
-DIRTY_WAIT_US = 250_000  # until such a message looks again
+MAX_AMBIGUOUS_SHARE = 0.15  # share of may-have-run failures over which unsafe messages wait
+AMBIGUOUS_WAIT_US = 250_000  # until such a message looks again
 
 
 class Gate:
@@ -22,58 +22,83 @@
         turn: Turn,
         state: CourierState,
         pacing: Pacing,
-        circuits: Circuits,
+        breakers: CircuitBreakers,
         timeouts: Timeouts,
         zones: Zones,
-        tries: int,
+        max_attempts: int,
     ) -> None:
         """tries: attempts of one message, at most."""
-        self.turn, self.settings, self.state, self.max_attempts = turn, turn.settings, state, tries
-        self.pacing, self.circuits, self.timeouts, self.zones = pacing, circuits, timeouts, zones
+        self.turn, self.settings, self.state, self.max_attempts = turn, turn.settings, state, max_attempts
+        self.pacing, self.breakers, self.timeouts, self.zones = pacing, breakers, timeouts, zones
 
-    def may_serve(self, endpoint: int, zone: int) -> bool:
+    def may_serve(self, endpoint_id: int, zone: int) -> bool:
         """Whether operators let it have calls, and connections for them."""
-        return endpoint not in self.state.excluded_endpoints and zone not in self.zones.excluded
+        return endpoint_id not in self.state.excluded_endpoints and zone not in self.zones.excluded
 
-    def serves(self, ep: Endpoint) -> bool:
-        return ep.state is EndpointState.READY and self.may_serve(ep.id, ep.zone)
+    def is_serving(self, endpoint: Endpoint) -> bool:
+        return endpoint.state is EndpointState.READY and self.may_serve(endpoint.id, endpoint.zone)
 
-    def free(self, ep: Endpoint, quick: bool = False) -> bool:
+    def has_capacity(self, endpoint: Endpoint, has_quick_retry: bool = False) -> bool:
         """The lane's side: drain, wait, slots, windows, pace, circuit, recovery budget."""
-        lane, state, most = ep.lane, self.state, self.pacing.most_out(ep.lane.dest)
-        busy = (
+        lane, state, max_calls = endpoint.lane, self.state, self.pacing.max_calls(endpoint.lane.destination)
+        is_busy = (
             state.calls_in_flight >= self.settings.slots
-            or lane.dest.out >= most
-            or lane.out >= int(lane.window)
+            or lane.destination.calls_in_flight >= max_calls
+            or lane.calls_in_flight >= int(lane.window)
         )
-        if busy or not self.serves(ep):
+        if is_busy or not self.is_serving(endpoint):
             return False
-        if self.turn.now < lane.wait_until_us:
-            self.turn.wake(lane.wait_until_us)
+        if self.turn.now_us < lane.wait_until_us:
+            self.turn.wake_at(lane.wait_until_us)
             return False
-        return self.circuits.allows(ep, quick) and self.pacing.allows(lane)
+        return self.breakers.allows(endpoint, has_quick_retry) and self.pacing.allows(lane)
 
-    def may(self, m: Message, ep: Endpoint) -> bool:
+    def may_send(self, message: Message, endpoint: Endpoint) -> bool:
         """The message's side: attempts, effect class, key order, deadline."""
-        turn, state, now = self.turn, self.state, self.turn.now
-        left = min(m.until, turn.closing) - now - turn.margin
-        if turn.closing < math.inf and left < self.timeouts.of(ep.lane):  # it might be cut off at the end
+        turn, state, now_us = self.turn, self.state, self.turn.now_us
+        left_us = min(message.valid_until_us, turn.shutdown_deadline_us) - now_us - turn.deadline_margin_us
+        if turn.shutdown_deadline_us < math.inf and left_us < self.timeouts.for_lane(
+            endpoint.lane
+        ):  # it might be cut off at the end
             return False
-        if m.closed or m.out or m.tries >= self.max_attempts or left <= 0 or now >= m.last_at(turn.margin):
+        if (
+            message.is_closed
+            or message.attempts_in_flight
+            or message.attempts >= self.max_attempts
+            or left_us <= 0
+            or now_us >= message.last_send_us(turn.deadline_margin_us)
+        ):
             return False
-        if now < m.ready_at:
-            turn.wake(m.ready_at)
+        if now_us < message.ready_us:
+            turn.wake_at(message.ready_us)
             return False
-        if turn.thin and ep.c.open and ep.c.tokens < 1.0 and not m.quick:
+        if (
+            turn.is_large_fleet
+            and endpoint.breaker.is_open
+            and endpoint.breaker.tokens < 1.0
+            and not message.failed_quickly
+        ):
             return False
-        if m.ran_at >= 0 and m.zone_bound and ep.zone != m.ran_zone:
+        if (
+            message.may_have_run_since_us >= 0
+            and message.is_zone_bound
+            and endpoint.zone != message.may_have_run_zone
+        ):
             return False
-        if m.key and (state.keys[m.key][0] is not m or m.tries == 0 and now < state.rests.get(m.key, 0)):
-            if m.tries == 0 and state.rests.get(m.key, 0) > now:
-                turn.wake(state.rests[m.key])
+        if message.order_key and (
+            state.order_queues[message.order_key][0] is not message
+            or message.attempts == 0
+            and now_us < state.order_pauses_us.get(message.order_key, 0)
+        ):
+            if message.attempts == 0 and state.order_pauses_us.get(message.order_key, 0) > now_us:
+                turn.wake_at(state.order_pauses_us[message.order_key])
             return False
         # An unsafe message lost to an error is lost for good: it waits while calls there fail that way.
-        if m.cls.effect is Effect.UNSAFE and self.circuits.dirt(ep) > DIRTY and left > 4 * ep.lane.mean:
-            turn.wake(now + DIRTY_WAIT_US)
+        if (
+            message.message_class.effect is Effect.UNSAFE
+            and self.breakers.ambiguous_share(endpoint) > MAX_AMBIGUOUS_SHARE
+            and left_us > 4 * endpoint.lane.mean_latency_us
+        ):
+            turn.wake_at(now_us + AMBIGUOUS_WAIT_US)
             return False
         return True
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -10,8 +10,10 @@
 from hopmill.policy.worth import Worth
 from hopmill.policy.zones import Zones
 
-SLOW_X = 3.0  # a route whose calls last this many times the quickest one's is used after that
-LASTS = 2.0  # what is put off for want of slots waits this many times the queue: new messages come first
+SLOW_ROUTE_FACTOR = 3.0  # a route whose calls last this many times the quickest one's is used after that
+SHORTAGE_WAIT_FACTOR = (
+    2.0  # what is put off for want of slots waits this many times the queue: new messages come first
+)
 
 Pick = tuple[float, int, Message, Endpoint]
 
@@ -30,52 +32,90 @@
         self.turn, self.settings, self.state, self.gate, self.worth = turn, turn.settings, state, gate, worth
         self.timeouts, self.connections, self.zones = timeouts, connections, zones
 
-    def pick(self, dest: Destination) -> Pick | None:
+    def pick(self, destination: Destination) -> Pick | None:
         """The message that loses most by waiting, and the endpoint for it."""
-        now, state = self.turn.now, self.state
-        quick = self.turn.thin and any(m.quick and m.ready_at <= now for m in dest.queue)
-        free = [ep for lane in dest.lanes for ep in lane.endpoints.values() if self.gate.free(ep, quick)]
+        now_us, state = self.turn.now_us, self.state
+        has_quick_retry = self.turn.is_large_fleet and any(
+            message.failed_quickly and message.ready_us <= now_us for message in destination.queue
+        )
+        free = [
+            endpoint
+            for lane in destination.lanes
+            for endpoint in lane.endpoints.values()
+            if self.gate.has_capacity(endpoint, has_quick_retry)
+        ]
         if self.zones.returning:
-            free = self.returning(dest, free)
+            free = self.without_returning_zones(destination, free)
         if not free:
             return None
-        rate = sum(lane.pace_per_s or lane.seen or 1.0 for lane in dest.lanes)
-        mean = max(lane.mean for lane in dest.lanes)
-        soon = now + mean
+        rate_per_s = sum(lane.pace_per_s or lane.success_rate_per_s or 1.0 for lane in destination.lanes)
+        mean_latency_us = max(lane.mean_latency_us for lane in destination.lanes)
+        soon_us = now_us + mean_latency_us
         # Where slots are short, what waits for them waits for all calls queued, and one that holds its slot
         # long costs others theirs: hung and slow lanes get what is left (they had eaten all slots).
-        hold = min(ep.lane.hold for ep in free)
-        short = self.timeouts.hold * max(0, len(state.messages) - state.calls_in_flight) / self.settings.slots
-        late = soon + max(len(dest.queue) / rate * 1e6, LASTS * short)
+        slot_time_us = min(endpoint.lane.slot_time_us for endpoint in free)
+        shortage_us = (
+            self.timeouts.mean_slot_time_us
+            * max(0, len(state.messages) - state.calls_in_flight)
+            / self.settings.slots
+        )
+        late_us = soon_us + max(len(destination.queue) / rate_per_s * 1e6, SHORTAGE_WAIT_FACTOR * shortage_us)
         best: Pick | None = None
-        for m in dest.queue:
-            key = ((self.worth.at(m, late) - self.worth.at(m, soon)) / hold, m.seq)
-            if (best is None or key < best[:2]) and (fit := [ep for ep in free if self.gate.may(m, ep)]):
-                best = (*key, m, min(fit, key=lambda ep, m=m: self.rank(ep, m)))
+        for message in destination.queue:
+            key = (
+                (self.worth.at(message, late_us) - self.worth.at(message, soon_us)) / slot_time_us,
+                message.sequence,
+            )
+            if (best is None or key < best[:2]) and (
+                usable := [endpoint for endpoint in free if self.gate.may_send(message, endpoint)]
+            ):
+                best = (
+                    *key,
+                    message,
+                    min(usable, key=lambda endpoint, message=message: self.rank(endpoint, message)),
+                )
         return best
 
-    def returning(self, dest: Destination, free: list[Endpoint]) -> list[Endpoint]:
+    def without_returning_zones(self, destination: Destination, free: list[Endpoint]) -> list[Endpoint]:
         """Without what returning zones may not have yet, where the destination has another choice. The chance
         is taken each time that a message could go, so it is the share of those."""
-        other = any(
-            self.gate.serves(ep) and ep.zone not in self.zones.returning and not ep.c.open
-            for lane in dest.lanes
-            for ep in lane.endpoints.values()
+        has_other_zone = any(
+            self.gate.is_serving(endpoint)
+            and endpoint.zone not in self.zones.returning
+            and not endpoint.breaker.is_open
+            for lane in destination.lanes
+            for endpoint in lane.endpoints.values()
         )
-        if not other:
+        if not has_other_zone:
             return free
-        chance, now = self.turn.random, self.turn.now
-        kept = {z for z in list(self.zones.returning) if chance.random() >= self.zones.share(z, now)}
-        return [ep for ep in free if ep.zone not in kept]
+        rng, now_us = self.turn.rng, self.turn.now_us
+        kept = {zone for zone in list(self.zones.returning) if rng.random() >= self.zones.share(zone, now_us)}
+        return [endpoint for endpoint in free if endpoint.zone not in kept]
 
-    def rank(self, ep: Endpoint, m: Message) -> tuple:
+    def rank(self, endpoint: Endpoint, message: Message) -> tuple:
         """Healthy first, then not the one that just failed, one with an idle connection, the cheap one."""
-        fee = self.settings.zone_fees[ep.zone] if ep.zone < len(self.settings.zone_fees) else 0.0
-        warm = self.connections.warm(ep)
-        if self.turn.thin:  # couriers that rank alike pile onto one route: by chance, as the rates
-            fee = self.turn.random.expovariate(
-                (ep.lane.limit_share_per_s or 1.0) * (1.05 - ep.lane.refused_share)
+        route_cost = (
+            self.settings.zone_fees[endpoint.zone] if endpoint.zone < len(self.settings.zone_fees) else 0.0
+        )
+        has_warm = self.connections.has_warm(endpoint)
+        if self.turn.is_large_fleet:  # couriers that rank alike pile onto one route: by chance, as the rates
+            route_cost = self.turn.rng.expovariate(
+                (endpoint.lane.limit_share_per_s or 1.0) * (1.05 - endpoint.lane.refused_share)
             )
-        quickest = min((x.mean for x in ep.lane.dest.lanes if x.mean), default=0.0)
-        slow = ep.lane.mean > SLOW_X * quickest  # its calls hold the destination's slots from a quick route
-        return (ep.c.open, ep is m.last, int(ep.bad * 4), slow, not warm, fee, len(ep.out), ep.id)
+        quickest_us = min(
+            (other.mean_latency_us for other in endpoint.lane.destination.lanes if other.mean_latency_us),
+            default=0.0,
+        )
+        is_slow = (
+            endpoint.lane.mean_latency_us > SLOW_ROUTE_FACTOR * quickest_us
+        )  # its calls hold the destination's slots from a quick route
+        return (
+            endpoint.breaker.is_open,
+            endpoint is message.last_endpoint,
+            int(endpoint.failure_share * 4),
+            is_slow,
+            not has_warm,
+            route_cost,
+            len(endpoint.calls_in_flight),
+            endpoint.id,
+        )
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -3,56 +3,67 @@
 from __future__ import annotations
 
 from hopmill.interface import Effect, EndpointState, MessageArrived, MessageClass
-from hopmill.policy.links import Links
+from hopmill.policy.links import ConnectionBudget
 
-FRESH_US = 1_000_000  # an endpoint that answered this lately is not down: a failed connect is a full table
+RECENT_SUCCESS_US = (
+    1_000_000  # an endpoint that answered this lately is not down: a failed connect is a full table
+)
 
 
-class Circuit:
+class CircuitBreaker:
     """Whether calls may go, and how many: of an endpoint. In a large fleet of a lane: outages mostly take all
     endpoints, and so few calls go there that one endpoint's own would never gather the evidence."""
 
     def __init__(self) -> None:
-        self.bad = 0.0  # failing share
-        self.open = False  # trials only
-        self.trial: Call | None = None
-        self.trial_at = self.gap = 0
-        self.ramp_from = -1  # start of the slow start, -1 when warm
-        self.base = 0.0  # this courier's part of the warm rate
-        self.tokens, self.stamp = 1.0, 0
+        self.failure_share = 0.0  # failing share
+        self.is_open = False  # trials only
+        self.trial_call: Call | None = None
+        self.next_trial_us = self.trial_gap_us = 0
+        self.slow_start_began_us = -1  # start of the slow start, -1 when warm
+        self.warm_rate_per_s = 0.0  # this courier's part of the warm rate
+        self.tokens, self.refilled_us = 1.0, 0
 
 
 class Endpoint:
     """One endpoint and what its calls showed."""
 
-    def __init__(self, ident: int, lane: Lane, zone: int, links: Links) -> None:
-        self.id, self.lane, self.zone, self.connection_budget = ident, lane, zone, links
+    def __init__(self, number: int, lane: Lane, zone: int, connection_budget: ConnectionBudget) -> None:
+        self.id, self.lane, self.zone, self.connection_budget = number, lane, zone, connection_budget
         self.state = EndpointState.READY
-        self.out: dict[int, Call] = {}  # calls in flight, oldest first
-        self.bad, self.dirty, self.dirty_at, self.last_ok = 0.0, 0.0, 0, 0
-        self.reused_ok = -FRESH_US  # when a call on a reused connection was last delivered
-        self.c = lane.circuit or Circuit()
+        self.calls_in_flight: dict[int, Call] = {}  # calls in flight, oldest first
+        self.failure_share, self.ambiguous_share, self.ambiguous_updated_us, self.last_success_us = (
+            0.0,
+            0.0,
+            0,
+            0,
+        )
+        self.last_reuse_success_us = (
+            -RECENT_SUCCESS_US
+        )  # when a call on a reused connection was last delivered
+        self.breaker = lane.breaker or CircuitBreaker()
 
 
 class Lane:
     """What shares one limit: a destination, or one route of it."""
 
-    def __init__(self, dest: Destination, circuit: Circuit | None) -> None:
-        self.dest, self.circuit = dest, circuit
+    def __init__(self, destination: Destination, breaker: CircuitBreaker | None) -> None:
+        self.destination, self.breaker = destination, breaker
         self.endpoints: dict[int, Endpoint] = {}
-        self.hint = 0.0  # the listed rate, 0 if none
+        self.listed_rate_per_s = 0.0  # the listed rate, 0 if none
         self.limit_share_per_s = (
             0.0  # this courier's part of the limit, as listed or told by answers since, 0 if none
         )
-        self.pace_per_s = self.brink = 0.0  # calls a second that it is paced to, 0 = not; pace last refused
-        self.tokens, self.stamp, self.wait_until_us, self.cut_at = 1.0, 0, 0, 0
+        self.pace_per_s = self.last_refused_rate_per_s = (
+            0.0  # calls a second that it is paced to, 0 = not; pace last refused
+        )
+        self.tokens, self.refilled_us, self.wait_until_us, self.next_cut_us = 1.0, 0, 0, 0
         self.refused_share = 0.0  # share of calls refused as full
-        self.report: tuple[float, ...] = ()  # the newest that an answer brought
-        self.steered = False  # its reports tell a limit
-        self.window, self.out, self.fulls = 1.0, 0, 0
-        self.mean = self.dev = 0.0  # latency
-        self.hold = 1e5  # time that a call takes a slot, failed ones included
-        self.seen, self.seen_at = 0.0, 0  # successes a second
+        self.last_report: tuple[float, ...] = ()  # the newest that an answer brought
+        self.has_reported_limit = False  # its reports tell a limit
+        self.window, self.calls_in_flight, self.consecutive_refusals = 1.0, 0, 0
+        self.mean_latency_us = self.latency_deviation_us = 0.0  # latency
+        self.slot_time_us = 1e5  # time that a call takes a slot, failed ones included
+        self.success_rate_per_s, self.last_success_us = 0.0, 0  # successes a second
 
 
 class Destination:
@@ -60,39 +71,64 @@
         self.number, self.kind = number, 0
         self.lanes: list[Lane] = []
         self.queue: list[Message] = []
-        self.out = self.arrivals = 0
+        self.calls_in_flight = self.arrivals = 0
 
 
 class Message:
     def __init__(
-        self, ident: int, cls: MessageClass, event: MessageArrived, seq: int, now: int, dest: Destination
+        self,
+        number: int,
+        message_class: MessageClass,
+        event: MessageArrived,
+        sequence: int,
+        now_us: int,
+        destination: Destination,
     ) -> None:
-        self.id, self.cls, self.seq, self.dest = ident, cls, seq, dest
-        self.key = event.order_key if cls.ordered else 0
-        self.until, self.born = event.valid_until_us, event.valid_until_us - cls.deadline_us
-        self.tries, self.out = event.tries, 0
-        self.ran_at, self.ran_zone = event.ran_at_us, event.ran_zone  # of the first that may have run
-        self.ready_at = now
-        self.last: Endpoint | None = None
-        self.closed = self.streaming = self.quick = False
+        self.id, self.message_class, self.sequence, self.destination = (
+            number,
+            message_class,
+            sequence,
+            destination,
+        )
+        self.order_key = event.order_key if message_class.ordered else 0
+        self.valid_until_us, self.created_us = (
+            event.valid_until_us,
+            event.valid_until_us - message_class.deadline_us,
+        )
+        self.attempts, self.attempts_in_flight = event.tries, 0
+        self.may_have_run_since_us, self.may_have_run_zone = (
+            event.ran_at_us,
+            event.ran_zone,
+        )  # of the first that may have run
+        self.ready_us = now_us
+        self.last_endpoint: Endpoint | None = None
+        self.is_closed = self.is_streaming = self.failed_quickly = False
         self.weight = 1.0
 
-        self.zone_bound = cls.effect is Effect.KEYED and cls.key_scope == "zone"
+        self.is_zone_bound = message_class.effect is Effect.KEYED and message_class.key_scope == "zone"
 
-    def last_at(self, margin: int) -> int:
+    def last_send_us(self, margin_us: int) -> int:
         """Until when it may be sent: its time, and what its class allows once an attempt may have run."""
-        if self.ran_at < 0 or self.cls.effect is Effect.SAFE:
-            return self.until - margin
-        repeats = self.cls.effect is Effect.KEYED and not (self.zone_bound and self.ran_zone < 0)
-        return min(self.until, self.ran_at + (self.cls.key_window_us if repeats else 0)) - margin
+        if self.may_have_run_since_us < 0 or self.message_class.effect is Effect.SAFE:
+            return self.valid_until_us - margin_us
+        may_repeat = self.message_class.effect is Effect.KEYED and not (
+            self.is_zone_bound and self.may_have_run_zone < 0
+        )
+        return (
+            min(
+                self.valid_until_us,
+                self.may_have_run_since_us + (self.message_class.key_window_us if may_repeat else 0),
+            )
+            - margin_us
+        )
 
 
 class Call:
     """One call in flight; a batched one carries several messages."""
 
-    def __init__(self, endpoint: Endpoint, now: int) -> None:
-        self.endpoint, self.sent_at, self.left, self.judged = endpoint, now, 0, False
-        self.idle_us = -1  # how long its connection had been idle, -1 for a new one
+    def __init__(self, endpoint: Endpoint, now_us: int) -> None:
+        self.endpoint, self.sent_us, self.open_attempts, self.is_judged = endpoint, now_us, 0, False
+        self.connection_idle_us = -1  # how long its connection had been idle, -1 for a new one
 
 
 class CourierState:
@@ -105,5 +141,5 @@
         self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}
         self.calls_in_flight = 0
         self.excluded_endpoints: set[int] = set()  # endpoints that an operator leaves out
-        self.keys: dict[int, list[Message]] = {}  # messages that go one at a time, in turn
-        self.rests: dict[int, int] = {}  # keys that pause until then
+        self.order_queues: dict[int, list[Message]] = {}  # messages that go one at a time, in turn
+        self.order_pauses_us: dict[int, int] = {}  # keys that pause until then
--- a/hopmill/policy/turn.py
+++ b/hopmill/policy/turn.py
@@ -8,34 +8,38 @@
 
 from hopmill.interface import Action, Log, SetTimer, Settings
 
-TICKS = 3  # ticks kept free before a deadline
+DEADLINE_MARGIN_TICKS = 3  # ticks kept free before a deadline
 
 
 class Turn:
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.random = settings, random.Random(seed)
-        self.now, self.start, self.closing = 0, -1, math.inf  # closing: no call may last past it
+        self.settings, self.rng = settings, random.Random(seed)
+        self.now_us, self.started_us, self.shutdown_deadline_us = (
+            0,
+            -1,
+            math.inf,
+        )  # closing: no call may last past it
         self.actions: list[Action] = []
         self.timers: list[int] = []
-        self.margin = TICKS * settings.tick_us
+        self.deadline_margin_us = DEADLINE_MARGIN_TICKS * settings.tick_us
         # Many small couriers: each meets a destination so rarely that its equal part of anything says little.
-        self.thin = settings.couriers > settings.slots
+        self.is_large_fleet = settings.couriers > settings.slots
 
     def begin(self, now_us: int) -> None:
-        self.now, self.actions = now_us, []
-        if self.start < 0:
-            self.start = now_us
+        self.now_us, self.actions = now_us, []
+        if self.started_us < 0:
+            self.started_us = now_us
 
-    def timers_due(self) -> None:
-        while self.timers and self.timers[0] <= self.now:
+    def drop_due_timers(self) -> None:
+        while self.timers and self.timers[0] <= self.now_us:
             heapq.heappop(self.timers)
 
-    def wake(self, at: int) -> None:
+    def wake_at(self, at_us: int) -> None:
         """Another turn then, if none comes before."""
-        at = max(at, self.now + self.settings.tick_us)
-        if not self.timers or at < self.timers[0]:
-            heapq.heappush(self.timers, at)
-            self.actions.append(SetTimer(at - self.now, 0))
+        at_us = max(at_us, self.now_us + self.settings.tick_us)
+        if not self.timers or at_us < self.timers[0]:
+            heapq.heappush(self.timers, at_us)
+            self.actions.append(SetTimer(at_us - self.now_us, 0))
 
     def log(self, text: str) -> None:
         self.actions.append(Log(text))
--- a/hopmill/policy/worth.py
+++ b/hopmill/policy/worth.py
@@ -9,27 +9,40 @@
 class Worth:
     def __init__(self, turn: Turn) -> None:
         self.turn, self.settings = turn, turn.settings
-        self.quota = [[t.quota_per_s / turn.settings.couriers, 1.0, 0] for t in turn.settings.tenants]
+        self.tenant_buckets = [
+            [tenant_settings.quota_per_s / turn.settings.couriers, 1.0, 0]
+            for tenant_settings in turn.settings.tenants
+        ]
 
-    def share(self, tenant: int) -> float:
+    def tenant_factor(self, tenant: int) -> float:
         """Of a new message: traffic over its tenant's share is worth little."""
-        if tenant >= len(self.quota):
+        if tenant >= len(self.tenant_buckets):
             return 1.0
-        q, now = self.quota[tenant], self.turn.now
-        q[1], q[2] = min(max(1.0, q[0]), q[1] + q[0] * (now - q[2]) / 1e6), now
-        if q[1] < 1.0:
+        bucket, now_us = self.tenant_buckets[tenant], self.turn.now_us
+        bucket[1], bucket[2] = (
+            min(max(1.0, bucket[0]), bucket[1] + bucket[0] * (now_us - bucket[2]) / 1e6),
+            now_us,
+        )
+        if bucket[1] < 1.0:
             return self.settings.over_share_worth
-        q[1] -= 1.0
+        bucket[1] -= 1.0
         return 1.0
 
-    def at(self, m: Message, at: float) -> float:
+    def at(self, message: Message, at_us: float) -> float:
         """Worth of delivering m at that time."""
-        c = m.cls
-        age = at - m.born
-        if age <= c.aim_us:
-            return m.weight
-        if at >= m.until:
+        message_class = message.message_class
+        age_us = at_us - message.created_us
+        if age_us <= message_class.aim_us:
+            return message.weight
+        if at_us >= message.valid_until_us:
             return 0.0
         if self.settings.late_halves:
-            return m.weight * max(c.late_share, 0.5 ** ((age - c.aim_us) / c.aim_us))
-        return m.weight * (1 - (1 - c.late_share) * (age - c.aim_us) / max(1, c.deadline_us - c.aim_us))
+            return message.weight * max(
+                message_class.late_share, 0.5 ** ((age_us - message_class.aim_us) / message_class.aim_us)
+            )
+        return message.weight * (
+            1
+            - (1 - message_class.late_share)
+            * (age_us - message_class.aim_us)
+            / max(1, message_class.deadline_us - message_class.aim_us)
+        )
--- a/hopmill/policy/zones.py
+++ b/hopmill/policy/zones.py
@@ -7,45 +7,50 @@
 
 import random
 
-JITTER = 0.25  # a return lasts so much longer or shorter by chance: couriers don't come back in step
+RETURN_JITTER_SHARE = (
+    0.25  # a return lasts so much longer or shorter by chance: couriers don't come back in step
+)
 
 
 class Zones:
     """The zones that staff have left out, and those on their way back."""
 
-    def __init__(self, cold_share: float, cold_us: int, chance: random.Random) -> None:
+    def __init__(self, cold_share: float, cold_us: int, rng: random.Random) -> None:
         """cold_share, cold_us: the part of its capacity that what returns begins with, and until it has all.
         chance: from the courier's seed."""
-        self.cold_share, self.cold_us, self.chance = cold_share, max(1, cold_us), chance
+        self.cold_share, self.cold_us, self.rng = cold_share, max(1, cold_us), rng
         self.excluded: set[int] = set()
         self.returning: dict[int, tuple[int, int]] = {}  # zones on their way: since when, and until when
 
-    def leave(self, zone: int) -> None:
+    def exclude(self, zone: int) -> None:
         self.excluded.add(zone)
         self.returning.pop(zone, None)
 
-    def bring_back(self, zone: int, now: int) -> bool:
+    def bring_back(self, zone: int, now_us: int) -> bool:
         """Gradually, by real messages. False if it was not out."""
         if zone not in self.excluded:
             return False
         self.excluded.remove(zone)
-        self.returning[zone] = now, now + int(self.cold_us * self.chance.uniform(1 - JITTER, 1 + JITTER))
+        self.returning[zone] = (
+            now_us,
+            now_us + int(self.cold_us * self.rng.uniform(1 - RETURN_JITTER_SHARE, 1 + RETURN_JITTER_SHARE)),
+        )
         return True
 
-    def share(self, zone: int, now: int) -> float:
+    def share(self, zone: int, now_us: int) -> float:
         if zone in self.excluded:
             return 0.0
         if zone not in self.returning:
             return 1.0
-        since, until = self.returning[zone]
-        if now >= until:
+        since_us, until_us = self.returning[zone]
+        if now_us >= until_us:
             del self.returning[zone]
             return 1.0
-        return self.cold_share + (1 - self.cold_share) * max(0, now - since) / (until - since)
+        return self.cold_share + (1 - self.cold_share) * max(0, now_us - since_us) / (until_us - since_us)
 
-    def state(self, zone: int, now: int) -> tuple[str, float, str]:
+    def state(self, zone: int, now_us: int) -> tuple[str, float, str]:
         """For staff: state, share and reason."""
-        share = self.share(zone, now)
+        share = self.share(zone, now_us)
         if zone in self.excluded:
             return "out", share, "left out by an operator"
         if zone in self.returning:
--- a/hopmill/simhost.py
+++ b/hopmill/simhost.py
@@ -5,82 +5,102 @@
 import sys
 from typing import Any, BinaryIO
 
-from hopmill import interface as i
-from hopmill import wire
+from hopmill import interface, wire
 from hopmill.policy.courier import Courier
 
-BACK = (i.Result.OK, i.Result.ERROR, i.Result.FULL)  # a call that ends so leaves its connection idle
+REUSABLE_RESULTS = (
+    interface.Result.OK,
+    interface.Result.ERROR,
+    interface.Result.FULL,
+)  # a call that ends so leaves its connection idle
 
 
-class Connected:
+class SimulatedHost:
     """A courier on the wire, and its idle connections. The simulator opens these by itself and tells nothing
     of them: the account that the real host gets from its pool is inferred here from the calls."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
-        self.s, self.courier = settings, Courier(settings, seed)
-        self.kinds: dict[int, int] = {}  # of the endpoints listed
-        self.idle: dict[int, list[int]] = {}  # when each connection came free
-        self.calls: dict[tuple[int, int], list[int]] = {}  # by message and attempt: the call's open ones
-        self.attempts: dict[int, int] = {}  # the next of each message
-
-    def handle(self, now: int, events: list[i.Event]) -> list[i.Action]:
-        changed = {e.endpoint: None for e in events if self._heard(now, e)}
-        told = [i.Connections(e, tuple(self.idle.get(e, ()))) for e in changed]
-        actions = self.courier.handle(now, [*told, *events])
-        self._acted(now, actions)
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
+        self.settings, self.courier = settings, Courier(settings, seed)
+        self.kind_by_endpoint: dict[int, int] = {}  # of the endpoints listed
+        self.idle_since_us: dict[int, list[int]] = {}  # when each connection came free
+        self.open_attempts: dict[
+            tuple[int, int], list[int]
+        ] = {}  # by message and attempt: the call's open ones
+        self.next_attempt: dict[int, int] = {}  # the next of each message
+
+    def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]:
+        changed = {event.endpoint: None for event in events if self._observe_event(now_us, event)}
+        reports = [
+            interface.Connections(endpoint, tuple(self.idle_since_us.get(endpoint, ())))
+            for endpoint in changed
+        ]
+        actions = self.courier.handle(now_us, [*reports, *events])
+        self._apply_actions(now_us, actions)
         return actions
 
-    def _heard(self, now: int, e: i.Event) -> bool:
+    def _observe_event(self, now_us: int, event: interface.Event) -> bool:
         """Whether it changes an endpoint's idle connections."""
-        if isinstance(e, i.EndpointsListed):
-            self.kinds.update((entry.endpoint, entry.kind) for entry in e.entries)
-        if not isinstance(e, i.AttemptEnded):
+        if isinstance(event, interface.EndpointsListed):
+            self.kind_by_endpoint.update((entry.endpoint, entry.kind) for entry in event.entries)
+        if not isinstance(event, interface.AttemptEnded):
             return False
-        if e.closed:
-            self.attempts.pop(e.message, None)
-        call = self.calls.pop((e.message, e.attempt), [0])
+        if event.closed:
+            self.next_attempt.pop(event.message, None)
+        call = self.open_attempts.pop((event.message, event.attempt), [0])
         call[0] -= 1
-        if e.result is i.Result.CONNECT_FAILED:
-            self.idle.pop(e.endpoint, None)
-        elif call[0] == 0 and e.result in BACK:
-            self.idle.setdefault(e.endpoint, []).append(now)
+        if event.result is interface.Result.CONNECT_FAILED:
+            self.idle_since_us.pop(event.endpoint, None)
+        elif call[0] == 0 and event.result in REUSABLE_RESULTS:
+            self.idle_since_us.setdefault(event.endpoint, []).append(now_us)
         return True
 
-    def _acted(self, now: int, actions: list[i.Action]) -> None:
+    def _apply_actions(self, now_us: int, actions: list[interface.Action]) -> None:
         open_calls: dict[int, list[int]] = {}  # what travels together in this round
-        for a in actions:
-            if isinstance(a, i.Send):
-                call = open_calls.get(a.endpoint)
-                if call is None or call[0] >= self.s.kinds[self.kinds.get(a.endpoint, 0)].batch:
-                    call = open_calls[a.endpoint] = [0]
-                    oldest = now - self.s.connection_idle_us
-                    self.idle[a.endpoint] = [t for t in self.idle.get(a.endpoint, ()) if t > oldest][:-1]
+        for action in actions:
+            if isinstance(action, interface.Send):
+                call = open_calls.get(action.endpoint)
+                if (
+                    call is None
+                    or call[0] >= self.settings.kinds[self.kind_by_endpoint.get(action.endpoint, 0)].batch
+                ):
+                    call = open_calls[action.endpoint] = [0]
+                    oldest_us = now_us - self.settings.connection_idle_us
+                    self.idle_since_us[action.endpoint] = [
+                        since_us
+                        for since_us in self.idle_since_us.get(action.endpoint, ())
+                        if since_us > oldest_us
+                    ][:-1]
                 call[0] += 1
-                attempt = self.attempts.get(a.message, 0)
-                self.attempts[a.message] = attempt + 1
-                self.calls[a.message, attempt] = call
-            elif isinstance(a, i.CloseIdle):
-                self.idle.pop(a.endpoint, None)
-            elif isinstance(a, (i.Refuse, i.Fail)):
-                self.attempts.pop(a.message, None)
+                attempt = self.next_attempt.get(action.message, 0)
+                self.next_attempt[action.message] = attempt + 1
+                self.open_attempts[action.message, attempt] = call
+            elif isinstance(action, interface.CloseIdle):
+                self.idle_since_us.pop(action.endpoint, None)
+            elif isinstance(action, (interface.Refuse, interface.Fail)):
+                self.next_attempt.pop(action.message, None)
 
 
 def answer(
-    sequence: int, now_us: int, body: bytes, count: int, couriers: dict[int, Connected], pages: dict[int, Any]
+    sequence: int,
+    now_us: int,
+    body: bytes,
+    count: int,
+    couriers: dict[int, SimulatedHost],
+    numbered_lists: dict[int, Any],
 ) -> bytes:
     """The reply to one batch."""
-    inbox: dict[int, list[Any]] = {}
-    for instance, event in wire.read_events(body, count, pages):
-        events = inbox.setdefault(instance, [])
+    events_by_instance: dict[int, list[Any]] = {}
+    for instance, event in wire.read_events(body, count, numbered_lists):
+        events = events_by_instance.setdefault(instance, [])
         if isinstance(event, wire.Begin):
-            couriers[instance] = Connected(event.settings, event.seed)
+            couriers[instance] = SimulatedHost(event.settings, event.seed)
         elif isinstance(event, wire.Shutdown):
             couriers.pop(instance, None)
             events.clear()
         else:
             events.append(event)
     reply = wire.Reply()
-    for instance, events in inbox.items():
+    for instance, events in events_by_instance.items():
         courier = couriers.get(instance)
         if courier is None:
             continue
@@ -99,14 +119,14 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer every batch until the input ends."""
-    couriers: dict[int, Connected] = {}
-    pages: dict[int, Any] = {}
+    couriers: dict[int, SimulatedHost] = {}
+    numbered_lists: dict[int, Any] = {}
     while header := source.read(wire.BATCH_HEADER.size):
         sequence, size, now_us, count = wire.split_header(header)
         body = source.read(size)
         if len(body) != size:
-            raise wire.Malformed(f"truncated batch: {len(body)} of {size} bytes")
-        sink.write(answer(sequence, now_us, body, count, couriers, pages))
+            raise wire.MalformedFrameError(f"truncated batch: {len(body)} of {size} bytes")
+        sink.write(answer(sequence, now_us, body, count, couriers, numbered_lists))
         sink.flush()
 
 
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from hopmill import interface as i
+from hopmill import interface
 
 BATCH_HEADER = struct.Struct(">IIQI")
 REPLY_HEADER = struct.Struct(">III")
@@ -16,18 +16,27 @@
 MAX_U32 = 0xFFFFFFFF
 
 RESULTS = {
-    200: i.Result.OK,
-    502: i.Result.ERROR,
-    429: i.Result.FULL,
-    408: i.Result.TIMEOUT,
-    521: i.Result.CONNECT_FAILED,
-    520: i.Result.RESET,
-    444: i.Result.CANCELLED,
-    409: i.Result.MOOT,
+    200: interface.Result.OK,
+    502: interface.Result.ERROR,
+    429: interface.Result.FULL,
+    408: interface.Result.TIMEOUT,
+    521: interface.Result.CONNECT_FAILED,
+    520: interface.Result.RESET,
+    444: interface.Result.CANCELLED,
+    409: interface.Result.MOOT,
+}
+FORMS = (
+    interface.ListForm.DELTA,
+    interface.ListForm.FULL,
+    interface.ListForm.CACHED,
+    interface.ListForm.FAILED,
+)
+STATES = (interface.EndpointState.GONE, interface.EndpointState.READY, interface.EndpointState.DRAINING)
+EFFECTS = {
+    "read_like": interface.Effect.SAFE,
+    "idempotency_key": interface.Effect.KEYED,
+    "non_idempotent": interface.Effect.UNSAFE,
 }
-FORMS = (i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.CACHED, i.ListForm.FAILED)
-STATES = (i.EndpointState.GONE, i.EndpointState.READY, i.EndpointState.DRAINING)
-EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
 
 _ARRIVAL = struct.Struct(">xIBIQQIfH")
 _HEALTH = struct.Struct(">xIHIHB4f")
@@ -41,7 +50,7 @@
 _U16, _U32, _U64 = struct.Struct(">xH"), struct.Struct(">xI"), struct.Struct(">xQ")
 
 
-class Malformed(ValueError):
+class MalformedFrameError(ValueError):
     """A frame that does not follow the wire's description."""
 
 
@@ -50,7 +59,7 @@
 
     __slots__ = ("seed", "settings")
 
-    def __init__(self, seed: int, settings: i.Settings) -> None:
+    def __init__(self, seed: int, settings: interface.Settings) -> None:
         self.seed, self.settings = seed, settings
 
 
@@ -68,59 +77,67 @@
     try:
         return table[code]
     except (KeyError, IndexError):
-        raise Malformed(f"unknown {what} {code}") from None
+        raise MalformedFrameError(f"unknown {what} {code}") from None
 
 
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
-        raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
+        raise MalformedFrameError(
+            f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}"
+        )
     return tail[offset : offset + size]
 
 
-def read_settings(text: bytes | memoryview | str) -> i.Settings:
+def read_settings(text: bytes | memoryview | str) -> interface.Settings:
     """The settings JSON as Settings; unknown keys are ignored, a needed one that lacks is named."""
     try:
         raw = json.loads(bytes(text) if isinstance(text, memoryview) else text)
     except ValueError as error:
-        raise Malformed(f"settings are not JSON: {error}") from None
+        raise MalformedFrameError(f"settings are not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise Malformed("settings are not a JSON object")
+        raise MalformedFrameError("settings are not a JSON object")
     try:
         return _settings(raw)
     except KeyError as error:
-        raise Malformed(f"settings lack the key {error.args[0]!r}") from None
+        raise MalformedFrameError(f"settings lack the key {error.args[0]!r}") from None
     except (TypeError, AttributeError) as error:
-        raise Malformed(f"settings are of the wrong form: {error}") from None
+        raise MalformedFrameError(f"settings are of the wrong form: {error}") from None
 
 
-def _settings(raw: dict[str, Any]) -> i.Settings:
+def _settings(raw: dict[str, Any]) -> interface.Settings:
     family, limits, contract = raw.get("familyInfo", {}), raw["policyLimits"], raw["contract"]
     report = raw.get("report", {})
     classes = tuple(
-        i.MessageClass(
-            name=c.get("name", str(k)),
-            aim_us=int(c["goalTimeUs"]),
-            deadline_us=int(c["deadlineUs"]),
-            effect=_choice(EFFECTS, c["idempotency"], "classes.idempotency"),
-            worth=float(c.get("worth", 1.0)),
-            late_share=float(c.get("lateShare", 0.0)),
-            key_scope=c.get("keyScope", "all"),
-            key_window_us=int(c.get("keyTtlUs", 0)),
-            ordered=bool(c.get("sequential", False)),
+        interface.MessageClass(
+            name=given.get("name", str(index)),
+            aim_us=int(given["goalTimeUs"]),
+            deadline_us=int(given["deadlineUs"]),
+            effect=_choice(EFFECTS, given["idempotency"], "classes.idempotency"),
+            worth=float(given.get("worth", 1.0)),
+            late_share=float(given.get("lateShare", 0.0)),
+            key_scope=given.get("keyScope", "all"),
+            key_window_us=int(given.get("keyTtlUs", 0)),
+            ordered=bool(given.get("sequential", False)),
         )
-        for k, c in enumerate(raw["classes"])
+        for index, given in enumerate(raw["classes"])
     )
-    names = raw.get("shapes") or ["any"]
-    apart, batch = family.get("kindApart", []), family.get("kindBatch", [])
+    kind_names = raw.get("shapes") or ["any"]
+    routes_apart, batch_sizes = family.get("kindApart", []), family.get("kindBatch", [])
     kinds = tuple(
-        i.Kind(n, bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1)
-        for k, n in enumerate(names)
+        interface.Kind(
+            name,
+            bool(routes_apart[index]) if index < len(routes_apart) else False,
+            int(batch_sizes[index]) if index < len(batch_sizes) else 1,
+        )
+        for index, name in enumerate(kind_names)
     )
     tenants = tuple(
-        i.Tenant(t.get("name", ""), float(t.get("fraction", 0.0)), float(t.get("quotaPerS", 0.0)))
-        for t in raw.get("tenants", [])
+        interface.Tenant(
+            tenant.get("name", ""), float(tenant.get("fraction", 0.0)), float(tenant.get("quotaPerS", 0.0))
+        )
+        for tenant in raw.get("tenants", [])
     )
-    return i.Settings(
+    return interface.Settings(
         classes=classes,
         kinds=kinds,
         tenants=tenants,
@@ -151,32 +168,37 @@
         late_halves=family.get("late") == "halves",
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
         refused_price=float(family.get("refusedPrice", 0.0)),
-        zone_fees=tuple(float(f) for f in family.get("carriage", [])),
+        zone_fees=tuple(float(fee) for fee in family.get("carriage", [])),
     )
 
 
-def read_entries(data: memoryview) -> tuple[i.ListEntry, ...]:
+def read_entries(data: memoryview) -> tuple[interface.ListEntry, ...]:
     return tuple(
-        i.ListEntry(
-            endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate, kind, zone
+        interface.ListEntry(
+            endpoint_id(address, port),
+            destination,
+            _choice(STATES, state, "endpoint condition"),
+            rate,
+            kind,
+            zone,
         )
-        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data)
+        for address, port, destination, state, rate, _, kind, zone in _ENTRY.iter_unpack(data)
     )
 
 
 def split_header(header: bytes) -> tuple[int, int, int, int]:
     """(sequence number, body length, clock, record count) of a batch."""
     if len(header) != BATCH_HEADER.size:
-        raise Malformed(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
+        raise MalformedFrameError(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
     return BATCH_HEADER.unpack(header)
 
 
 def read_events(
-    body: bytes, count: int, pages: dict[int, tuple[i.ListEntry, ...]]
+    body: bytes, count: int, numbered_lists: dict[int, tuple[interface.ListEntry, ...]]
 ) -> Iterator[tuple[int, Any]]:
     """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
     if count * EVENT_SIZE > len(body):
-        raise Malformed(f"{count} records do not fit a body of {len(body)} bytes")
+        raise MalformedFrameError(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
     tail, instance = view[count * EVENT_SIZE :], None
     for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
@@ -185,52 +207,78 @@
             (instance,) = _U16.unpack_from(view, at)
             continue
         if code == 6:
-            page, offset, n = _REGISTER.unpack_from(view, at)
-            pages[page] = read_entries(_slice(tail, offset, n * ENTRY_SIZE, "a list"))
+            list_number, offset, entry_count = _REGISTER.unpack_from(view, at)
+            numbered_lists[list_number] = read_entries(
+                _slice(tail, offset, entry_count * ENTRY_SIZE, "a list")
+            )
             continue
         if instance is None:
-            raise Malformed(f"record {code} before any instance was named")
-        yield instance, _event(code, view, at, tail, pages)
+            raise MalformedFrameError(f"record {code} before any instance was named")
+        yield instance, _event(code, view, at, tail, numbered_lists)
 
 
-def _event(code: int, view: memoryview, at: int, tail: memoryview, pages: dict[int, Any]) -> Any:
+def _event(code: int, view: memoryview, at: int, tail: memoryview, numbered_lists: dict[int, Any]) -> Any:
     if code == 2:
-        ident, cls, team, key, until, _, dest, flags = _ARRIVAL.unpack_from(view, at)
-        return i.MessageArrived(ident, cls, int(dest), until, team, key, bool(flags & 2))
+        message, message_class, tenant, key, valid_until_us, _, destination, flags = _ARRIVAL.unpack_from(
+            view, at
+        )
+        return interface.MessageArrived(
+            message, message_class, int(destination), valid_until_us, tenant, key, bool(flags & 2)
+        )
     if code == 3:
-        latency, result, address, port, *_ = _HEALTH.unpack_from(view, at)
-        return i.ProbeEnded(endpoint_id(address, port), _choice(RESULTS, result, "result"), latency)
+        latency_us, result, address, port, *_ = _HEALTH.unpack_from(view, at)
+        return interface.ProbeEnded(
+            endpoint_id(address, port), _choice(RESULTS, result, "result"), latency_us
+        )
     if code == 4:
-        return i.TimerDue(_U64.unpack_from(view, at)[0])
+        return interface.TimerDue(_U64.unpack_from(view, at)[0])
     if code == 5:
-        page, _, form = _DISCOVERY.unpack_from(view, at)
+        list_number, _, form = _DISCOVERY.unpack_from(view, at)
         kind = _choice(FORMS, form, "list form")
-        if kind is i.ListForm.FAILED:
-            return i.EndpointsListed(kind)
-        if page not in pages:
-            raise Malformed(f"list {page} was never declared")
-        return i.EndpointsListed(kind, pages[page])
+        if kind is interface.ListForm.FAILED:
+            return interface.EndpointsListed(kind)
+        if list_number not in numbered_lists:
+            raise MalformedFrameError(f"list {list_number} was never declared")
+        return interface.EndpointsListed(kind, numbered_lists[list_number])
     if code == 7:
         seed, offset, size = _BEGIN.unpack_from(view, at)
         return Begin(seed, read_settings(_slice(tail, offset, size, "the settings")))
     if code == 8:
-        ident, attempt, address, port, result, latency, last, hold, n, *load = _ANSWER.unpack_from(view, at)
+        (
+            message,
+            attempt,
+            address,
+            port,
+            result,
+            latency_us,
+            is_closed,
+            retry_after_ms,
+            report_count,
+            *report,
+        ) = _ANSWER.unpack_from(view, at)
         kind = _choice(RESULTS, result, "result")
-        wait = hold * 1000 if kind is i.Result.FULL else 0
-        return i.AttemptEnded(
-            ident, attempt, endpoint_id(address, port), kind, latency, bool(last), wait, tuple(load[:n])
+        retry_after_us = retry_after_ms * 1000 if kind is interface.Result.FULL else 0
+        return interface.AttemptEnded(
+            message,
+            attempt,
+            endpoint_id(address, port),
+            kind,
+            latency_us,
+            bool(is_closed),
+            retry_after_us,
+            tuple(report[:report_count]),
         )
     if code == 9:
         return Shutdown()
     if code == 10:
-        return i.MessageGone(_U32.unpack_from(view, at)[0])
+        return interface.MessageGone(_U32.unpack_from(view, at)[0])
     if code == 11:
         author, offset, size = _PEER.unpack_from(view, at)
-        return i.PeerNote(author, bytes(_slice(tail, offset, size, "a note")))
+        return interface.PeerNote(author, bytes(_slice(tail, offset, size, "a note")))
     if code == 12:
-        ident, address, port, attempt, _ = _OPENED.unpack_from(view, at)
-        return i.AttemptAnswering(ident, attempt, endpoint_id(address, port))
-    raise Malformed(f"unknown event code {code}")
+        message, address, port, attempt, _ = _OPENED.unpack_from(view, at)
+        return interface.AttemptAnswering(message, attempt, endpoint_id(address, port))
+    raise MalformedFrameError(f"unknown event code {code}")
 
 
 class Reply:
@@ -240,45 +288,55 @@
         self.records: list[bytes] = []
         self.tail = bytearray()
 
-    def _add(self, form: str, *values: Any) -> None:
+    def _add_record(self, form: str, *values: Any) -> None:
         self.records.append(struct.pack(">" + form, *values).ljust(ACTION_SIZE, b"\0"))
 
-    def _place(self, data: bytes) -> tuple[int, int]:
+    def _append_to_tail(self, data: bytes) -> tuple[int, int]:
         offset = len(self.tail)
         self.tail += data
         return offset, len(data)
 
     def instance(self, number: int) -> None:
-        self._add("BH", 13, number)
+        self._add_record("BH", 13, number)
 
     def fault(self, text: str) -> None:
-        self._add("BII", 10, *self._place(text.encode()))
-
-    def action(self, a: i.Action) -> None:
-        if isinstance(a, i.Send):
-            self._add(
-                "BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF, min(a.timeout_us, MAX_U32)
+        self._add_record("BII", 10, *self._append_to_tail(text.encode()))
+
+    def action(self, action: interface.Action) -> None:
+        if isinstance(action, interface.Send):
+            self._add_record(
+                "BIIHI",
+                1,
+                action.message,
+                action.endpoint >> 16,
+                action.endpoint & 0xFFFF,
+                min(action.timeout_us, MAX_U32),
+            )
+        elif isinstance(action, interface.SetTimer):
+            self._add_record("BIQ", 5, min(action.delay_us, MAX_U32), action.token)
+        elif isinstance(action, interface.Refuse):
+            self._add_record("BII", 2, action.message, min(action.retry_after_us, MAX_U32))
+        elif isinstance(action, interface.Fail):
+            self._add_record("BI", 3, action.message)
+        elif isinstance(action, interface.Cancel):
+            self._add_record("BIB", 4, action.message, action.attempt)
+        elif isinstance(action, interface.Probe):
+            self._add_record("BIH", 6, action.endpoint >> 16, action.endpoint & 0xFFFF)
+        elif isinstance(action, interface.CloseIdle):
+            self._add_record("BIH", 7, action.endpoint >> 16, action.endpoint & 0xFFFF)
+        elif isinstance(action, interface.SendNote):
+            self._add_record(
+                "BIII",
+                8,
+                ALL_PEERS if action.peer is None else action.peer,
+                *self._append_to_tail(action.data),
             )
-        elif isinstance(a, i.SetTimer):
-            self._add("BIQ", 5, min(a.delay_us, MAX_U32), a.token)
-        elif isinstance(a, i.Refuse):
-            self._add("BII", 2, a.message, min(a.retry_after_us, MAX_U32))
-        elif isinstance(a, i.Fail):
-            self._add("BI", 3, a.message)
-        elif isinstance(a, i.Cancel):
-            self._add("BIB", 4, a.message, a.attempt)
-        elif isinstance(a, i.Probe):
-            self._add("BIH", 6, a.endpoint >> 16, a.endpoint & 0xFFFF)
-        elif isinstance(a, i.CloseIdle):
-            self._add("BIH", 7, a.endpoint >> 16, a.endpoint & 0xFFFF)
-        elif isinstance(a, i.SendNote):
-            self._add("BIII", 8, ALL_PEERS if a.peer is None else a.peer, *self._place(a.data))
-        elif isinstance(a, i.Log):
-            self._add("BII", 9, *self._place(a.text.encode()))
-        elif isinstance(a, i.Subscribe):
-            self._add("BB", 11, int(a.on))
-        elif isinstance(a, i.FetchList):
-            self._add("B", 12)
+        elif isinstance(action, interface.Log):
+            self._add_record("BII", 9, *self._append_to_tail(action.text.encode()))
+        elif isinstance(action, interface.Subscribe):
+            self._add_record("BB", 11, int(action.on))
+        elif isinstance(action, interface.FetchList):
+            self._add_record("B", 12)
         # Keep and OpenIdle: the simulator opens and keeps connections by itself.
 
     def pack(self, sequence: int) -> bytes:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -23,7 +23,7 @@
     SetByHand,
     Settings,
 )
-from hopmill.simhost import Connected
+from hopmill.simhost import SimulatedHost
 
 S = 1_000_000
 CLASSES = (
@@ -48,8 +48,8 @@
             "tick_us": 5000,
         }
         given.update(changes)
-        self.connected = Connected(Settings(**given), 7)  # it tells the module of connections
-        self.courier = self.connected.courier
+        self.simulated = SimulatedHost(Settings(**given), 7)  # it tells the module of connections
+        self.courier = self.simulated.courier
         self.now, self.next, self.tries = 1000 * S, 0, {}
         self.do(
             EndpointsListed(
@@ -60,7 +60,7 @@
 
     def do(self, *events, after=0):
         self.now += after
-        acts = self.connected.handle(self.now, list(events))
+        acts = self.simulated.handle(self.now, list(events))
         for a in acts:
             if isinstance(a, Send):
                 self.tries[a.message] = self.tries.get(a.message, -1) + 1
@@ -177,7 +177,7 @@
         h.end(lost, Result.TIMEOUT)
     h.idle(1)
     (ep,) = h.courier.state.endpoints.values()
-    assert not ep.c.open and ep.c.ramp_from < 0
+    assert not ep.breaker.is_open and ep.breaker.slow_start_began_us < 0
 
 
 def serve(h, seconds, result, per_s=10):
@@ -200,7 +200,7 @@
     h = Host(rate=8.0, cold_share=0.1, cold_us=10 * S, fall_multiple=2.5)
     serve(h, 5, Result.OK)
     down = serve(h, 6, how)
-    assert h.courier.state.endpoints[100].c.open and down < 20
+    assert h.courier.state.endpoints[100].breaker.is_open and down < 20
     first, _, last = serve(h, 4, Result.OK), serve(h, 8, Result.OK), serve(h, 4, Result.OK)
     # the budget of the contract: the multiple of the present share, which grows from 0.1 to 0.46 in that time
     assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
@@ -245,24 +245,24 @@
     sent = serve(h, 10, Result.ERROR)
     # more than trials with growing gaps would send, and inside the contract's budget for a cold destination
     assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
-    assert not h.courier.state.endpoints[100].c.open
+    assert not h.courier.state.endpoints[100].breaker.is_open
 
 
 def test_time_outs_are_short_where_many_calls_are_lost():
     h = Host(slots=40)
     warm(h, 40)
-    calm = h.courier.timeouts.loss
+    calm = h.courier.timeouts.loss_share
     for _ in range(10):
         sends = of(Send, h.arrive(after=300_000) + h.arrive())
         for a in sends[1:]:
             h.end(a.message, Result.OK)
         h.end(sends[0].message, Result.TIMEOUT)
     lane = h.courier.state.endpoints[100].lane
-    lane.mean, lane.dev = 100_000.0, 75_000.0
-    lossy = h.courier.timeouts.of(lane)
-    assert h.courier.timeouts.loss > 10 * calm
-    h.courier.timeouts.loss = calm
-    assert lossy < 0.7 * h.courier.timeouts.of(lane)
+    lane.mean_latency_us, lane.latency_deviation_us = 100_000.0, 75_000.0
+    lossy = h.courier.timeouts.for_lane(lane)
+    assert h.courier.timeouts.loss_share > 10 * calm
+    h.courier.timeouts.loss_share = calm
+    assert lossy < 0.7 * h.courier.timeouts.for_lane(lane)
 
 
 def test_pace_grows_slowly_near_the_rate_that_was_refused_last():
@@ -273,7 +273,7 @@
             for a in of(Send, h.arrive() + h.idle(1)):
                 h.end(a.message, Result.FULL)
         lane = h.courier.state.endpoints[100].lane
-        lane.brink = lane.pace_per_s = 2.0
+        lane.last_refused_rate_per_s = lane.pace_per_s = 2.0
         serve(h, 3, Result.OK)
         return lane.pace_per_s - 2.0
 
@@ -282,7 +282,7 @@
 
 def test_a_full_message_waits_here_where_no_client_comes_again():
     h = Host(clients_mark_retries=True, classes=CLASSES)
-    h.courier.admission.unreturned = 20
+    h.courier.admission.unreturned_refusals = 20
     h.arrive()
     acts = h.end(1, Result.FULL, told=S)
     assert not of(Refuse, acts) and not of(Send, acts + h.idle(0.95)) and of(Send, h.idle(4))
@@ -359,6 +359,63 @@
     assert [a.message for a in of(Fail, acts)] == [first.message] and new.state.calls_in_flight == 1
 
 
+def carried_by_hand(courier):
+    """The value of each carried name, by the attribute that it has to arrive in."""
+    endpoint = courier.state.endpoints[100]
+    lane, breaker, budget = endpoint.lane, endpoint.breaker, endpoint.connection_budget
+    return {
+        "ep.bad": endpoint.failure_share,
+        "ep.dirty": endpoint.ambiguous_share,
+        "ep.dirty_at": endpoint.ambiguous_updated_us,
+        "ep.last_ok": endpoint.last_success_us,
+        "circuit.bad": breaker.failure_share,
+        "circuit.open": breaker.is_open,
+        "circuit.trial_at": breaker.next_trial_us,
+        "circuit.gap": breaker.trial_gap_us,
+        "circuit.ramp_from": breaker.slow_start_began_us,
+        "circuit.base": breaker.warm_rate_per_s,
+        "circuit.tokens": breaker.tokens,
+        "circuit.stamp": breaker.refilled_us,
+        "lane.rate": lane.pace_per_s,
+        "lane.brink": lane.last_refused_rate_per_s,
+        "lane.tokens": lane.tokens,
+        "lane.stamp": lane.refilled_us,
+        "lane.wait_until": lane.wait_until_us,
+        "lane.cut_at": lane.next_cut_us,
+        "lane.refused": lane.refused_share,
+        "lane.window": lane.window,
+        "lane.fulls": lane.consecutive_refusals,
+        "lane.mean": lane.mean_latency_us,
+        "lane.dev": lane.latency_deviation_us,
+        "lane.hold": lane.slot_time_us,
+        "lane.seen": lane.success_rate_per_s,
+        "lane.seen_at": lane.last_success_us,
+        "links.calls": budget.recent_calls,
+        "links.counted_at": budget.counted_us,
+        "links.first_at": budget.first_call_us,
+        "links.part": budget.table_share,
+        "links.bound": budget.max_connections,
+        "links.grow_at": budget.next_growth_us,
+        "all.hold": courier.timeouts.mean_slot_time_us,
+        "all.loss": courier.timeouts.loss_share,
+        "all.new_lost": courier.connections.new_loss_share,
+        "all.keep": courier.connections.max_idle_us,
+        "all.reaped": courier.connections.idle_losses,
+        "all.unreturned": courier.admission.unreturned_refusals,
+    }
+
+
+@pytest.mark.parametrize("couriers", [1, 100])
+def test_carried_figures_keep_their_outer_names_and_arrive_in_their_attributes(couriers):
+    # An upgrade exchanges these names with other builds, whatever the attributes are called there.
+    old, new = (Host(couriers=couriers, slots=4).courier for _ in range(2))
+    ((_, figures),) = old.carry()
+    assert figures == carried_by_hand(old)
+    figures = {name: 1 if name == "circuit.open" else n for n, name in enumerate(sorted(figures), start=2)}
+    new.handle(2000 * S, [Carried(100, figures)])
+    assert carried_by_hand(new) == figures and new.carry() == [(100, figures)]
+
+
 def test_a_carried_call_to_an_endpoint_that_has_gone_keeps_its_slot():
     new = Courier(Settings(classes=CLASSES, slots=8, max_held=100), 9)
     new.handle(0, [MessageArrived(1, 0, 1, 9 * S, tries=1, out=True), CallCarried(5, 0, (1, 2))])
@@ -416,7 +473,7 @@
         h.end(reused, Result.OK, after=20_000)  # two are idle now
         reused, answered = send(), send()
         lose(reused, answered)
-    assert (h.courier.connections.keep == h.courier.settings.connection_idle_us) is new_ones_too
+    assert (h.courier.connections.max_idle_us == h.courier.settings.connection_idle_us) is new_ones_too
 
 
 def two_routes(**changes):
@@ -424,7 +481,7 @@
     h = Host(endpoints=2, kinds=(Kind("k", routes_apart=True),), **changes)
     for ep in h.courier.state.endpoints.values():
         ep.lane.window = 8.0
-        ep.lane.mean = ep.lane.hold = 9e5 if ep.id == 100 else 1e5
+        ep.lane.mean_latency_us = ep.lane.slot_time_us = 9e5 if ep.id == 100 else 1e5
     return h
 
 
@@ -447,7 +504,7 @@
     h.arrive(dest=2)
     waiting = h.next + 1
     h.arrive(dest=1)
-    other.mean = other.hold = 5e5
+    other.mean_latency_us = other.slot_time_us = 5e5
     acts = h.do(AttemptEnded(busy.message, 0, 200, Result.MOOT, 0, True))
     assert [s.message for s in of(Send, acts)] == [waiting]
 
@@ -463,8 +520,8 @@
         left[h.next] = h.now + int(life * S)
     sent = of(Send, h.end(1, Result.OK))
     (lane,) = h.courier.state.destinations[1].lanes
-    usual = lane.mean + 2 * lane.dev
-    left = {m: until - h.now - h.courier.turn.margin for m, until in left.items()}
+    usual = lane.mean_latency_us + 2 * lane.latency_deviation_us
+    left = {m: until - h.now - h.courier.turn.deadline_margin_us for m, until in left.items()}
     assert sent and len({a.timeout_us for a in sent}) == 1
     assert sent[0].timeout_us <= min(left[a.message] for a in sent)
     together = {a.message for a in sent}
@@ -522,7 +579,7 @@
 def test_what_a_restart_found_untried_is_not_given_up_for_its_pace(restored, given_up):
     # New ones that the pace can't reach in their life are turned away at once; these were taken on already.
     h = Host(couriers=100, slots=4, rate=5.0)  # a part of a call in 20 s
-    h.courier.pacing.spread = 0.0
+    h.courier.pacing.token_jitter = 0.0
     h.arrive()
     acts = h.do(*(MessageArrived(50 + n, 0, 1, h.now + 9 * S, restored=restored) for n in range(10)))
     assert len(of(Refuse, acts)) == given_up
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -41,28 +41,34 @@
     assert not of(CloseIdle, h.end(1, Result.OK))
     assert of(Send, h.arrive(after=5 * S))
     ((call, _),) = h.courier.state.calls.values()
-    assert call.idle_us == 5 * S
+    assert call.connection_idle_us == 5 * S
 
 
 def test_idle_connections_that_die_unseen_are_closed_before_use_after_two_lost_calls():
     h = Host()
 
     def call(idle, result):
-        h.connected.idle[100] = [h.now - idle]
+        h.simulated.idle_since_us[100] = [h.now - idle]
         h.do(Connections(100, (h.now - idle,)))
-        c = h.courier.state.endpoints[100].c
-        c.open, c.ramp_from, c.trial, c.bad, h.courier.state.endpoints[100].dirty = False, -1, None, 0.0, 0.0
+        c = h.courier.state.endpoints[100].breaker
+        (
+            c.is_open,
+            c.slow_start_began_us,
+            c.trial_call,
+            c.failure_share,
+            h.courier.state.endpoints[100].ambiguous_share,
+        ) = False, -1, None, 0.0, 0.0
         acts = h.arrive(cls=2)  # unsafe: tried once
         h.end(h.next, result)
         h.idle(1)
         return len(of(CloseIdle, acts))
 
     assert not call(6 * S, Result.OK)
-    assert not call(4 * S, Result.RESET) and h.courier.connections.keep == 10 * S  # it may be chance
-    assert not call(4 * S, Result.RESET) and h.courier.connections.keep < 4 * S
-    trusted = h.courier.connections.keep
+    assert not call(4 * S, Result.RESET) and h.courier.connections.max_idle_us == 10 * S  # it may be chance
+    assert not call(4 * S, Result.RESET) and h.courier.connections.max_idle_us < 4 * S
+    trusted = h.courier.connections.max_idle_us
     assert call(4 * S, Result.OK) == 1
-    assert not call(trusted // 2, Result.OK) and h.courier.connections.keep > trusted
+    assert not call(trusted // 2, Result.OK) and h.courier.connections.max_idle_us > trusted
 
 
 def test_a_clump_met_by_all_couriers_at_once_passes_a_listed_limit_by_a_call_each_at_most():
@@ -113,8 +119,8 @@
         for k in range(couriers) if step % 20 == 0 else sorted(inbox):
             for a in all_[k].handle(now, inbox.get(k, [])):
                 if isinstance(a, Send):
-                    sent.append((now, all_[k].state.endpoints[100].c.bad > 0))
-                    tries = all_[k].state.messages[a.message].tries - 1
+                    sent.append((now, all_[k].state.endpoints[100].breaker.failure_share > 0))
+                    tries = all_[k].state.messages[a.message].attempts - 1
                     calls.append(((now + 50_000, k), ended(a.message, tries, how)))
     informed = sum(1 for at, seen in sent if seen and at > 1000 * S + 20 * S) / 20
     assert 0 < informed <= multiple * cold * rate
@@ -128,12 +134,12 @@
     h = fleet(rate=400.0)
     h.arrive()
     acts = h.end(1, Result.CONNECT_FAILED, latency=20_000)
-    assert h.courier.state.endpoints[100].c.open  # others wait for their share
+    assert h.courier.state.endpoints[100].breaker.is_open  # others wait for their share
     assert not [a for a in of(Send, acts + h.arrive() + h.arrive()) if a.message > 1]
     assert of(Send, acts + h.idle(0.5))
     h.end(1, Result.OK)
-    c = h.courier.state.endpoints[100].c
-    assert not c.open and c.ramp_from < 0
+    c = h.courier.state.endpoints[100].breaker
+    assert not c.is_open and c.slow_start_began_us < 0
 
 
 def test_a_real_outage_ends_in_a_slow_start_for_all_endpoints_of_the_lane():
@@ -143,20 +149,20 @@
         h.end(1, Result.CONNECT_FAILED, latency=20_000, endpoint=100)
         h.idle(1)
     one, other = (h.courier.state.endpoints[100 + k] for k in (0, 1))
-    assert one.c is other.c and one.c.open
+    assert one.breaker is other.breaker and one.breaker.is_open
     for _ in range(20):
         sends = of(Send, h.arrive(after=100_000))
         if sends:
             h.end(sends[0].message, Result.OK)
             break
-    assert not one.c.open and one.c.ramp_from >= 0
+    assert not one.breaker.is_open and one.breaker.slow_start_began_us >= 0
 
 
 def test_credit_is_not_saved_up_while_told_to_wait():
     starts = 0
     for seed in range(40):
         h = fleet(rate=10.0)
-        h.courier.turn.random.seed(seed)
+        h.courier.turn.rng.seed(seed)
         h.arrive()
         h.end(1, Result.FULL, told=8 * S)  # so long a wait is a shut destination's
         acts = []
@@ -274,7 +280,7 @@
     h = Host(rate=10.0, report_fields=("x0", "x1"))
     lane = h.courier.state.endpoints[100].lane
     for k in range(30):
-        h.courier.pacing.reported(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
+        h.courier.pacing.record_report(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
     assert 9 < lane.limit_share_per_s < 11
 
 
@@ -309,7 +315,7 @@
     lane = h.courier.state.endpoints[100].lane
     for _ in range(20):
         h.arrive()
-        h.courier.pacing.reported(lane, (0.9, 10.0))
+        h.courier.pacing.record_report(lane, (0.9, 10.0))
     assert lane.pace_per_s < 1.5 * 10
 
 
@@ -333,7 +339,7 @@
 
 def test_what_can_be_reached_within_its_life_is_held_and_not_handed_back():
     h = fleet(rate=20.0)  # a part of a call in 5 s
-    h.courier.pacing.spread = 0.0
+    h.courier.pacing.token_jitter = 0.0
     h.arrive()
     h.end(h.next, Result.OK)
     assert not of(Refuse, h.arrive(life=6 * S))  # its turn comes at four fifths of its life
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,6 @@
 """The laboratory: is it true, does it stay the same, and does it catch what it must."""
 
+import importlib
 import json
 import math
 import os
@@ -158,6 +159,32 @@
     assert found[0].a != found[0].b
 
 
+FORMER_CONSTANTS = {
+    "policy.links.HALF",
+    "policy.pacing.BASE_US",
+    "policy.pacing.BURST_PRICED_S",
+    "policy.pacing.FLOOR",
+    "policy.pacing.GROW",
+    "policy.turn.TICKS",
+}
+
+
+def test_a_constant_is_set_by_its_former_path_as_by_its_present_one(monkeypatch):
+    # Command lines and recorded comparisons name constants by the paths that they had before a renaming.
+    assert set(play.CONSTANT_ALIASES) == FORMER_CONSTANTS
+    for former, present in play.CONSTANT_ALIASES.items():
+        where, _, name = present.rpartition(".")
+        module = importlib.import_module(f"hopmill.{where}")
+        assert not hasattr(module, former.rpartition(".")[2])
+        monkeypatch.setattr(module, name, getattr(module, name))  # restores it afterwards
+        for value, path in enumerate((former, present), start=17):
+            play.override({path: str(value)})
+            assert getattr(module, name) == value
+    for unknown in ("policy.pacing.NOTHING", "policy.turn.GROW"):
+        with pytest.raises(KeyError):
+            play.override({unknown: "1"})
+
+
 def test_a_full_table_turns_away_on_new_connections_alone():
     clock = Clock()
     place = endpoint(clock, Kind(name="k", errors=0.0), 50, 50)
@@ -346,7 +373,7 @@
 def test_a_checkout_plays_its_own_module(tmp_path):
     (tmp_path / "hopmill" / "policy").mkdir(parents=True)
     for path in (ROOT / "hopmill" / "policy").glob("*.py"):
-        text = path.read_text().replace("TRIES = 3 ", "TRIES = 1 ")
+        text = path.read_text().replace("DEFAULT_MAX_ATTEMPTS = 3 ", "DEFAULT_MAX_ATTEMPTS = 1 ")
         (tmp_path / "hopmill" / "policy" / path.name).write_text(text)
     for name in ("__init__.py", "interface.py"):
         (tmp_path / "hopmill" / name).write_text((ROOT / "hopmill" / name).read_text())
@@ -392,8 +419,8 @@
     path = tmp_path / "turns.jsonl"
     assert replay.record(small("herd", 6), 1, 2, path) > 20
     assert replay.first_difference(path) is None
-    monkeypatch.setattr("hopmill.policy.pacing.BASE_US", 5)
-    monkeypatch.setattr("hopmill.policy.turn.TICKS", 400)
+    monkeypatch.setattr("hopmill.policy.pacing.FIRST_BACKOFF_US", 5)
+    monkeypatch.setattr("hopmill.policy.turn.DEADLINE_MARGIN_TICKS", 400)
     found = replay.first_difference(path)
     assert found and found.startswith("at ") and "recorded" in found
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -23,15 +23,15 @@
     Settings,
     WarmUp,
 )
-from hopmill.policy.links import Links
+from hopmill.policy.links import ConnectionBudget
 
 IDLE = 10 * S
 
 
 def steady(per_s, seconds=60):
-    links = Links(IDLE, random.Random(1))
+    links = ConnectionBudget(IDLE, random.Random(1))
     for n in range(int(per_s * seconds)):
-        links.lend(int(n * S / per_s), 0)
+        links.check_out(int(n * S / per_s), 0)
     return links, seconds * S
 
 
@@ -46,35 +46,35 @@
 )
 def test_what_is_kept_follows_from_calls_a_second_times_the_time_that_each_takes(per_s, hold_us, most):
     links, now = steady(per_s)
-    assert links.most(now, hold_us, 100) == most
-    assert links.most(now, hold_us, 3) == min(most, 3)  # more could not be used
+    assert links.max_idle(now, hold_us, 100) == most
+    assert links.max_idle(now, hold_us, 3) == min(most, 3)  # more could not be used
 
 
 def test_the_first_calls_count_in_full():
     # A fading count alone would take 10 s until it knew of a busy endpoint.
-    links = Links(IDLE, random.Random(1))
+    links = ConnectionBudget(IDLE, random.Random(1))
     for n in range(20):
-        links.lend(n * 50_000, 0)
-    assert links.at_once(S, 400_000) == pytest.approx(8, rel=0.1)
+        links.check_out(n * 50_000, 0)
+    assert links.mean_calls_in_flight(S, 400_000) == pytest.approx(8, rel=0.1)
 
 
 def test_what_is_not_called_any_more_needs_less():
     links, now = steady(20)
-    assert links.most(now + 3 * IDLE, 400_000, 100) < 5
+    assert links.max_idle(now + 3 * IDLE, 400_000, 100) < 5
 
 
 def test_a_full_table_halves_what_is_kept_once_a_round_trip_and_it_comes_back_with_jitter():
     back = []
     for seed in range(40):
-        links = Links(IDLE, random.Random(seed))
+        links = ConnectionBudget(IDLE, random.Random(seed))
         now = 100 * S
-        assert links.full(now, 8, 400_000) and links.part == 4
-        assert not links.full(now + 1, 8, 400_000)  # the same round
-        assert links.full(now + 500_000, 4, 400_000) and links.part == 2
-        while links.most(now, 400_000, 100) < 6:  # it needs 14 at 20 calls a second
+        assert links.record_full_table(now, 8, 400_000) and links.table_share == 4
+        assert not links.record_full_table(now + 1, 8, 400_000)  # the same round
+        assert links.record_full_table(now + 500_000, 4, 400_000) and links.table_share == 2
+        while links.max_idle(now, 400_000, 100) < 6:  # it needs 14 at 20 calls a second
             assert now < 300 * S
             now += 50_000
-            links.lend(now, 0)
+            links.check_out(now, 0)
         back.append(now)
     assert min(back) > 112 * S and max(back) - min(back) > 5 * S  # gradually, and not in step
 
@@ -82,9 +82,9 @@
 def test_below_one_each_a_chance_decides_which_couriers_keep_one():
     kept = 0
     for seed in range(400):
-        links = Links(IDLE, random.Random(seed))
-        links.full(S, 1, 0)
-        kept += links.most(S, 400_000, 10)
+        links = ConnectionBudget(IDLE, random.Random(seed))
+        links.record_full_table(S, 1, 0)
+        kept += links.max_idle(S, 400_000, 10)
     assert 160 < kept < 240
 
 
@@ -115,8 +115,11 @@
     ended(h, 2, Result.OK, 1000)
     acts = ended(h, 3, Result.CONNECT_FAILED, -1)
     links = h.courier.state.endpoints[100].connection_budget
-    assert links.part < 4
-    assert not h.courier.state.endpoints[100].c.open and not h.courier.state.endpoints[100].bad
+    assert links.table_share < 4
+    assert (
+        not h.courier.state.endpoints[100].breaker.is_open
+        and not h.courier.state.endpoints[100].failure_share
+    )
     assert any("takes no more connections" in a.text for a in acts if hasattr(a, "text"))
 
 
@@ -125,8 +128,8 @@
     h.arrive()
     h.end(1, Result.CONNECT_FAILED)
     assert (
-        h.courier.state.endpoints[100].connection_budget.part == float("inf")
-        and h.courier.state.endpoints[100].bad > 0
+        h.courier.state.endpoints[100].connection_budget.table_share == float("inf")
+        and h.courier.state.endpoints[100].failure_share > 0
     )
 
 
@@ -144,11 +147,11 @@
     h = Host(report_fields=("x0", "x1"))
     busy(h, 7)
     ended(h, 2, Result.OK, 1000)
-    assert h.courier.state.endpoints[100].connection_budget.part == float("inf")
+    assert h.courier.state.endpoints[100].connection_budget.table_share == float("inf")
     for message in (3, 4):
         ended(h, message, Result.FULL, idle_us, told, report)
         ended(h, message + 3, Result.OK, 1000, report=report)
-    assert (h.courier.state.endpoints[100].connection_budget.part < 8) is cut
+    assert (h.courier.state.endpoints[100].connection_budget.table_share < 8) is cut
 
 
 def served_by_a_table_for(room):
@@ -206,7 +209,7 @@
 def test_forty_couriers_come_to_share_a_full_table(room, monkeypatch):
     # Without it those that came first kept all of it, idle most of the time, and the others got nothing.
     served, refused = served_by_a_table_for(room)
-    monkeypatch.setattr(Links, "full", lambda *args: False)
+    monkeypatch.setattr(ConnectionBudget, "record_full_table", lambda *args: False)
     before, _ = served_by_a_table_for(room)
     assert sum(served) > 1.5 * sum(before) and min(served) > min(before)
     assert refused < 30 * 40  # it comes back gradually: less than one a second for each courier
@@ -237,30 +240,30 @@
     ep = h.courier.state.endpoints[100]
     assert of(OpenIdle, much(h))
     if trouble == "open":
-        ep.c.open = True
+        ep.breaker.is_open = True
     elif trouble == "cold":
-        ep.c.ramp_from = h.now
+        ep.breaker.slow_start_began_us = h.now
     elif trouble == "silent":
-        ep.last_ok -= 2 * S
+        ep.last_success_us -= 2 * S
     elif trouble == "drain":
         ep.state = EndpointState.DRAINING
     elif trouble == "kept":
-        ep.connection_budget.part = ep.connection_budget.bound = 0.0
-        ep.connection_budget.grow_at = h.now + 100 * S
+        ep.connection_budget.table_share = ep.connection_budget.max_connections = 0.0
+        ep.connection_budget.next_growth_us = h.now + 100 * S
     assert not of(OpenIdle, h.arrive(after=1_000))
 
 
 def test_a_connection_too_old_to_be_trusted_is_closed_before_a_call():
     h = Host()
-    h.courier.connections.keep = 4 * S
+    h.courier.connections.max_idle_us = 4 * S
     acts = h.do(Connections(100, (h.now - 6 * S,)), MessageArrived(99, 0, 1, h.now + 5 * S))
     assert of(CloseIdle, acts)
-    assert next(iter(h.courier.state.calls.values()))[0].idle_us == -1
+    assert next(iter(h.courier.state.calls.values()))[0].connection_idle_us == -1
 
 
 def test_what_was_learned_of_a_full_table_passes_over_an_upgrade():
     h, new = Host(), Host()
-    h.courier.state.endpoints[100].connection_budget.full(h.now, 4, 0)
+    h.courier.state.endpoints[100].connection_budget.record_full_table(h.now, 4, 0)
     ((_, figures),) = h.courier.carry()
     new.do(Carried(100, figures))
-    assert new.courier.state.endpoints[100].connection_budget.part == 2
+    assert new.courier.state.endpoints[100].connection_budget.table_share == 2
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hopmill.policy.courier import Courier
-from hopmill.policy.pacing import WINDOW_SHARE
+from hopmill.policy.pacing import MAX_DESTINATION_SLOT_SHARE
 from hopmill.interface import (
     AttemptEnded,
     Effect,
@@ -165,7 +165,7 @@
             assert len(out) <= s.slots
             for d in range(3):
                 busy = len([1 for e, *_ in out.values() if places[e][0] == d])
-                assert busy <= max(1, int(WINDOW_SHARE * s.slots))
+                assert busy <= max(1, int(MAX_DESTINATION_SLOT_SHARE * s.slots))
         inbox = []
         assert all(now <= m.valid_until_us + s.answer_slack_us for m in live.values()), "no final answer"
     assert ident > 20  # the day was not empty
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -53,7 +53,7 @@
 
 
 def forget_idle(h):
-    h.connected.idle.clear()
+    h.simulated.idle_since_us.clear()
     h.do(*(Connections(e, ()) for e in h.courier.state.endpoints))
 
 
@@ -132,13 +132,13 @@
     assert of(Refuse, h.idle(3.1))
     h.do(SetZoneByHand(0, False))
     got = served(h, 100)  # no other choice: a slow start, as after an outage
-    assert got and h.courier.state.endpoints[100].c.ramp_from >= 0
+    assert got and h.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
 
 
 def test_without_another_choice_the_slow_start_alone_holds_back():
     for seed in range(20):  # no chance is taken on top of it
         h = two_zones(0)
-        h.courier.turn.random.seed(seed)
+        h.courier.turn.rng.seed(seed)
         h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
         assert of(Send, h.arrive())
 
@@ -148,10 +148,10 @@
     h = two_zones(couriers=100, slots=4)
     h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     one, other = (h.courier.state.endpoints[100 + n] for n in (0, 1))
-    assert one.c is other.c and one.c.ramp_from < 0
+    assert one.breaker is other.breaker and one.breaker.slow_start_began_us < 0
     alone = two_zones(0, couriers=100, slots=4)
     alone.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    assert alone.courier.state.endpoints[100].c.ramp_from >= 0
+    assert alone.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
 
 
 def test_all_zones_out_and_a_zone_that_no_list_named():
@@ -208,7 +208,7 @@
     ends = set()
     for seed in range(50):
         zones = Zones(0.2, COLD, random.Random(seed))
-        zones.leave(1)
+        zones.exclude(1)
         assert zones.bring_back(1, 0)
         ends.add(zones.returning[1][1])
     assert len(ends) == 50 and max(ends) - min(ends) > COLD / 4
@@ -220,9 +220,9 @@
         if touch:
             h.do(SetZoneByHand(5, True), SetZoneByHand(5, False))
             h.courier.zones.returning.clear()
-            h.courier.turn.random.seed(7)
+            h.courier.turn.rng.seed(7)
         else:
-            h.courier.turn.random.seed(7)
+            h.courier.turn.rng.seed(7)
         return got + served(h, 100)
 
     assert day(False) == day(True)
