--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -512,7 +512,9 @@
         """Send what the gate lets through, the most urgent first, while slots are free."""
         destinations, pick = self.state.destinations, self.ranking.pick
         picks = {
-            d.number: p for d in destinations.values() if d.queue and not self.is_holding and (p := pick(d))
+            destination.number: picked
+            for destination in destinations.values()
+            if destination.queue and not self.is_holding and (picked := pick(destination))
         }
         while picks and self.state.calls_in_flight < self.settings.slots:
             number = min(picks, key=lambda n: picks[n][:2])
@@ -522,9 +524,9 @@
             if (
                 destination.queue
                 and self.settings.kinds[destination.kind].batch == 1
-                and (p := pick(destination))
+                and (picked := pick(destination))
             ):
-                picks[number] = p
+                picks[number] = picked
 
     def _send(self, message: Message, endpoint: Endpoint) -> None:
         call = self._begin_call(endpoint, self.turn.now_us)
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -48,7 +48,7 @@
         self.recent_calls *= math.exp(-max(0, now_us - self.counted_us) / self.idle_limit_us)
         self.counted_us = now_us
 
-    def mean_calls_in_flight(self, now_us: int, hold_us: float) -> float:
+    def mean_calls_in_flight(self, now_us: int, slot_time_us: float) -> float:
         """Calls out at once in the mean: calls a second times the time that each takes."""
         if self.first_call_us < 0:
             return 0.0
@@ -57,12 +57,12 @@
         return (
             self.recent_calls
             / (self.idle_limit_us * (1 - math.exp(-observed_us / self.idle_limit_us)))
-            * hold_us
+            * slot_time_us
         )
 
-    def max_idle(self, now_us: int, hold_us: float, window: int) -> int:
+    def max_idle(self, now_us: int, slot_time_us: float, window: int) -> int:
         """How many idle ones to keep: what it needs, within the window and its part of a full table."""
-        mean_calls = self.mean_calls_in_flight(now_us, hold_us)
+        mean_calls = self.mean_calls_in_flight(now_us, slot_time_us)
         needed = max(1, min(window, math.ceil(mean_calls + CONCURRENCY_DEVIATIONS * math.sqrt(mean_calls))))
         self._grow(now_us, needed)
         return int(min(needed, self.max_connections))
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -49,8 +49,10 @@
 
     def _policy_limit_per_s(self, lane: Lane) -> float:
         """This courier's part of what the policy lets a partner have a second; inf: all that it takes."""
-        rate = self.ceilings[lane.destination.number][1] if lane.destination.number in self.ceilings else 0.0
-        return rate / self.settings.couriers / len(lane.destination.lanes) if rate else math.inf
+        limit_per_s = (
+            self.ceilings[lane.destination.number][1] if lane.destination.number in self.ceilings else 0.0
+        )
+        return limit_per_s / self.settings.couriers / len(lane.destination.lanes) if limit_per_s else math.inf
 
     def record_listed_rate(self, lane: Lane, rate_per_s: float) -> None:
         """The list names its rate."""
@@ -68,25 +70,28 @@
     def current_pace_per_s(self, lane: Lane) -> float:
         """Calls a second. After a refusal it comes back to the equal part by itself: one of many couriers
         hears of a lane so seldom that answers alone left it down for as long as the limit was lowered."""
-        since = self.turn.now_us - lane.next_cut_us
-        calm = (
-            min(1.0, MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * since / RECOVERY_US)
+        since_us = self.turn.now_us - lane.next_cut_us
+        recovered_share = (
+            min(1.0, MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * since_us / RECOVERY_US)
             if lane.has_reported_limit
             else 0.0
         )
-        pace, top = max(lane.pace_per_s, lane.limit_share_per_s * calm), self._policy_limit_per_s(lane)
-        return pace if top == math.inf else min(pace or top, top)
+        pace_per_s, max_pace_per_s = (
+            max(lane.pace_per_s, lane.limit_share_per_s * recovered_share),
+            self._policy_limit_per_s(lane),
+        )
+        return pace_per_s if max_pace_per_s == math.inf else min(pace_per_s or max_pace_per_s, max_pace_per_s)
 
     def refill(self, lane: Lane) -> float:
         if not lane.pace_per_s and self._policy_limit_per_s(lane) == math.inf:
             return 1.0
         if self.turn.now_us > lane.refilled_us:
-            rate, burst = (
+            pace_per_s, burst_s = (
                 self.current_pace_per_s(lane),
                 PRICED_BURST_S if self.settings.refused_price else BURST_S,
             )
-            tokens = lane.tokens + rate * (self.turn.now_us - lane.refilled_us) / 1e6
-            lane.tokens, lane.refilled_us = min(tokens, max(1.0, rate * burst)), self.turn.now_us
+            tokens = lane.tokens + pace_per_s * (self.turn.now_us - lane.refilled_us) / 1e6
+            lane.tokens, lane.refilled_us = min(tokens, max(1.0, pace_per_s * burst_s)), self.turn.now_us
         return lane.tokens
 
     def spend_token(self, lane: Lane) -> None:
@@ -119,27 +124,29 @@
             return
         lane.last_report = report
         reported = dict(zip(self.settings.report_fields, report, strict=False))
-        limit, left_share = (
+        reported_share_per_s, left_share = (
             reported.get("x1", 0.0) / self.settings.couriers,
             min(1.0, max(0.0, reported.get("x0", 0.0))),
         )
-        lane.has_reported_limit = limit > 0
+        lane.has_reported_limit = reported_share_per_s > 0
         if not lane.has_reported_limit:
             return
-        known = lane.limit_share_per_s or limit
-        share = (
-            limit
-            if abs(limit - known) > LIMIT_STEP_SHARE * known
-            else known + (limit - known) * REPORT_WEIGHT
+        known_share_per_s = lane.limit_share_per_s or reported_share_per_s
+        share_per_s = (
+            reported_share_per_s
+            if abs(reported_share_per_s - known_share_per_s) > LIMIT_STEP_SHARE * known_share_per_s
+            else known_share_per_s + (reported_share_per_s - known_share_per_s) * REPORT_WEIGHT
         )
-        lane.pace_per_s = (lane.pace_per_s or share) * share / known
-        lane.limit_share_per_s = share
+        lane.pace_per_s = (lane.pace_per_s or share_per_s) * share_per_s / known_share_per_s
+        lane.limit_share_per_s = share_per_s
         # Of a limit that is all used, half is left in the mean over its span. While more is, parts that
         # others leave idle are taken up; while less is, back towards the equal part, whose sum is the limit.
         # In small steps: all of them hear the same news, and what they send too much together is refused and
         # paid back out of the limit.
-        rate = lane.pace_per_s + GROWTH_SHARE * share * (2 * left_share - 1)
-        lane.pace_per_s = min(max(rate, min(lane.pace_per_s, share)), share * self.settings.couriers)
+        pace_per_s = lane.pace_per_s + GROWTH_SHARE * share_per_s * (2 * left_share - 1)
+        lane.pace_per_s = min(
+            max(pace_per_s, min(lane.pace_per_s, share_per_s)), share_per_s * self.settings.couriers
+        )
 
     def has_limit_left(self, lane: Lane) -> bool:
         """Whether the limit is not used up, as far as answers tell it."""
@@ -156,18 +163,20 @@
         self.refused_share_by_kind[lane.destination.kind] *= 1 - KIND_REFUSAL_WEIGHT
         lane.window = min(self.max_calls_per_destination, lane.window + 1)
         if lane.pace_per_s and not lane.has_reported_limit:
-            top = lane.limit_share_per_s * self.settings.couriers or math.inf
+            max_pace_per_s = lane.limit_share_per_s * self.settings.couriers or math.inf
             # Fast up to where it was last refused, then slowly, the faster the longer ago that was: growth at
             # one pace met a refusal in ten calls.
             is_near = lane.pace_per_s >= NEAR_REFUSAL_SHARE * lane.last_refused_rate_per_s
-            step = (
+            growth_share = (
                 GROWTH_SHARE * min(1.0, max(0.1, (now_us - lane.next_cut_us) / RECOVERY_US))
                 if is_near
                 else GROWTH_SHARE
             )
-            lane.pace_per_s = min(top, lane.pace_per_s + step * (lane.limit_share_per_s or lane.pace_per_s))
+            lane.pace_per_s = min(
+                max_pace_per_s, lane.pace_per_s + growth_share * (lane.limit_share_per_s or lane.pace_per_s)
+            )
 
-    def record_overload(self, lane: Lane, reported: int) -> None:
+    def record_overload(self, lane: Lane, retry_after_us: int) -> None:
         """A refusal as full: pace down, close the window, and wait as told (or a jittered wait)."""
         now_us, turn = self.turn.now_us, self.turn
         lane.refused_share += (1 - lane.refused_share) * LANE_REFUSAL_WEIGHT
@@ -179,17 +188,19 @@
             lane.window = max(1.0, lane.window / 2)
             lane.last_refused_rate_per_s = lane.pace_per_s or lane.success_rate_per_s * SPARE_FACTOR
             if lane.pace_per_s:
-                cut = min(
+                cut_pace_per_s = min(
                     lane.pace_per_s * CUT_FACTOR, lane.limit_share_per_s or math.inf
                 )  # the equal parts sum to the limit
                 lane.pace_per_s = max(
-                    cut, lane.limit_share_per_s * MIN_LIMIT_SHARE, 0.0 if turn.is_large_fleet else 0.2
+                    cut_pace_per_s,
+                    lane.limit_share_per_s * MIN_LIMIT_SHARE,
+                    0.0 if turn.is_large_fleet else 0.2,
                 )
             elif not turn.is_large_fleet:  # a floor for each of many couriers would add up
                 lane.pace_per_s = max(0.5, lane.success_rate_per_s * CUT_FACTOR)
             lane.consecutive_refusals += 1
         lane.wait_until_us = max(
-            lane.wait_until_us, now_us + (reported or self.backoff_us(lane.consecutive_refusals))
+            lane.wait_until_us, now_us + (retry_after_us or self.backoff_us(lane.consecutive_refusals))
         )
         self.refill(lane)
         lane.tokens = min(lane.tokens, turn.rng.random() if self.settings.couriers > 1 else 1.0)
