--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -12,10 +12,8 @@
     0.5  # failing share at which an endpoint counts as in trouble: three failures in a row from none
 )
 TWO_FAILURES_SHARE = 0.4  # failing share after two failures in a row
-FIRST_TRIAL_GAP_US, MAX_TRIAL_GAP_US = (
-    400_000,
-    2_500_000,
-)  # first and longest ceiling of the gap between half-open trials
+FIRST_TRIAL_GAP_US = 400_000
+MAX_TRIAL_GAP_US = 2_500_000  # first and longest ceiling of the gap between half-open trials
 AMBIGUOUS_FADE_FACTOR = (
     0.6  # the share of may-have-run failures fades by itself in this part of the cold time
 )
--- a/hopmill/policy/connections.py
+++ b/hopmill/policy/connections.py
@@ -7,10 +7,8 @@
 from hopmill.policy.timeouts import LOSS_WEIGHT, HIGH_LOSS_SHARE
 from hopmill.policy.turn import Turn
 
-TRUSTED_AGE_FACTOR, TRUST_GROWTH_FACTOR = (
-    0.5,
-    1.25,
-)  # idle connections are trusted for this part of the age at which one failed
+TRUSTED_AGE_FACTOR = 0.5
+TRUST_GROWTH_FACTOR = 1.25  # idle connections are trusted for this part of the age at which one failed
 
 
 class Connections:
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -115,8 +115,11 @@
         self.max_attempts = min(DEFAULT_MAX_ATTEMPTS, settings.max_attempts)
         self.state = CourierState()
         self.zones = Zones(settings.cold_share, settings.cold_us, turn.rng)
-        self.pacing, self.timeouts, self.breakers = Pacing(turn), Timeouts(turn), CircuitBreakers(turn)
-        self.connections, self.worth = Connections(turn), Worth(turn)
+        self.pacing = Pacing(turn)
+        self.timeouts = Timeouts(turn)
+        self.breakers = CircuitBreakers(turn)
+        self.connections = Connections(turn)
+        self.worth = Worth(turn)
         self.admission = Admission(turn, self.pacing, self.max_attempts)
         self.evidence = Evidence(turn, self.pacing, self.breakers, self.timeouts, self.connections)
         self.gate = Gate(
@@ -125,7 +128,8 @@
         self.ranking = Ranking(
             turn, self.state, self.gate, self.worth, self.timeouts, self.connections, self.zones
         )
-        self.sequence, self.is_holding = 0, False
+        self.sequence = 0
+        self.is_holding = False
         self.expiries: list[tuple[int, int]] = []
 
     # Events
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -22,8 +22,11 @@
         timeouts: Timeouts,
         connections: Connections,
     ) -> None:
-        self.turn, self.pacing, self.breakers = turn, pacing, breakers
-        self.timeouts, self.connections = timeouts, connections
+        self.turn = turn
+        self.pacing = pacing
+        self.breakers = breakers
+        self.timeouts = timeouts
+        self.connections = connections
 
     def record_outcome(
         self, endpoint: Endpoint, result: Result, call: Call, latency_us: int, retry_after_us: int
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -29,7 +29,10 @@
     ) -> None:
         """tries: attempts of one message, at most."""
         self.turn, self.settings, self.state, self.max_attempts = turn, turn.settings, state, max_attempts
-        self.pacing, self.breakers, self.timeouts, self.zones = pacing, breakers, timeouts, zones
+        self.pacing = pacing
+        self.breakers = breakers
+        self.timeouts = timeouts
+        self.zones = zones
 
     def may_serve(self, endpoint_id: int, zone: int) -> bool:
         """Whether operators let it have calls, and connections for them."""
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -19,11 +19,14 @@
 
     def __init__(self, idle_us: int, rng: random.Random) -> None:
         """idle_us: for how long an endpoint lets a connection stand idle."""
-        self.idle_limit_us, self.rng = max(1, idle_us), rng
+        self.idle_limit_us = max(1, idle_us)
+        self.rng = rng
         self.idle_since_us: list[
             int
         ] = []  # when each came free, oldest first: as told last, less what was lent since
-        self.recent_calls, self.counted_us, self.first_call_us = 0.0, 0, -1  # fading count of calls
+        self.recent_calls = 0.0
+        self.counted_us = 0
+        self.first_call_us = -1  # fading count of calls
         self.table_share = math.inf  # this courier's part of a table that was seen full
         self.max_connections: float = math.inf  # the same as a whole number
         self.next_cut_us = self.next_growth_us = 0
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -10,21 +10,16 @@
 FIRST_BACKOFF_US = 100_000  # first ceiling of the jittered wait (the note's default)
 MAX_BACKOFF_US = 3_000_000  # highest ceiling (the note's default)
 MAX_DESTINATION_SLOT_SHARE = 0.75  # a destination's calls stay under this share of the slots
-LANE_REFUSAL_WEIGHT, KIND_REFUSAL_WEIGHT = (
-    0.5,
-    1 / 16,
-)  # weight of the newest call in the share refused: lane, kind
-BURST_S, PRICED_BURST_S = 0.8, 0.4  # a bucket holds this much of its rate; less where refusals are priced
+LANE_REFUSAL_WEIGHT = 0.5
+KIND_REFUSAL_WEIGHT = 1 / 16  # weight of the newest call in the share refused: lane, kind
+BURST_S = 0.8
+PRICED_BURST_S = 0.4  # a bucket holds this much of its rate; less where refusals are priced
 CUT_FACTOR = 0.75  # on overload the rate shrinks by this, once a round trip
 GROWTH_SHARE = 0.1  # and a success adds this share of the listed (or first learned) rate
-NEAR_REFUSAL_SHARE, RECOVERY_US = (
-    0.9,
-    5_000_000,
-)  # near the last refused pace it grows slowly, until this long after
-LIMIT_STEP_SHARE, REPORT_WEIGHT = (
-    0.25,
-    0.2,
-)  # a told limit this far off is a new one; else it is chance, and has this weight
+NEAR_REFUSAL_SHARE = 0.9
+RECOVERY_US = 5_000_000  # near the last refused pace it grows slowly, until this long after
+LIMIT_STEP_SHARE = 0.25
+REPORT_WEIGHT = 0.2  # a told limit this far off is a new one; else it is chance, and has this weight
 MIN_LIMIT_SHARE = 0.4  # but a listed rate is not left further than this behind
 SPARE_FACTOR = 2.0  # an unlisted capacity is taken for this multiple of the traffic that it was seen to take
 
@@ -32,7 +27,8 @@
 class Pacing:
     def __init__(self, turn: Turn) -> None:
         settings = turn.settings
-        self.turn, self.settings = turn, settings
+        self.turn = turn
+        self.settings = settings
         self.max_calls_per_destination = max(1, int(MAX_DESTINATION_SLOT_SHARE * settings.slots))
         self.ceilings: dict[int, tuple[int, float]] = {}  # by destination, as the policy in force has them
         # Buckets that many couriers empty together refill together, seconds later where each has a call in
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -30,7 +30,9 @@
         zones: Zones,
     ) -> None:
         self.turn, self.settings, self.state, self.gate, self.worth = turn, turn.settings, state, gate, worth
-        self.timeouts, self.connections, self.zones = timeouts, connections, zones
+        self.timeouts = timeouts
+        self.connections = connections
+        self.zones = zones
 
     def pick(self, destination: Destination) -> Pick | None:
         """The message that loses most by waiting, and the endpoint for it."""
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -21,22 +21,24 @@
         self.next_trial_us = self.trial_gap_us = 0
         self.slow_start_began_us = -1  # start of the slow start, -1 when warm
         self.warm_rate_per_s = 0.0  # this courier's part of the warm rate
-        self.tokens, self.refilled_us = 1.0, 0
+        self.tokens = 1.0
+        self.refilled_us = 0
 
 
 class Endpoint:
     """One endpoint and what its calls showed."""
 
     def __init__(self, number: int, lane: Lane, zone: int, connection_budget: ConnectionBudget) -> None:
-        self.id, self.lane, self.zone, self.connection_budget = number, lane, zone, connection_budget
+        self.id = number
+        self.lane = lane
+        self.zone = zone
+        self.connection_budget = connection_budget
         self.state = EndpointState.READY
         self.calls_in_flight: dict[int, Call] = {}  # calls in flight, oldest first
-        self.failure_share, self.ambiguous_share, self.ambiguous_updated_us, self.last_success_us = (
-            0.0,
-            0.0,
-            0,
-            0,
-        )
+        self.failure_share = 0.0
+        self.ambiguous_share = 0.0
+        self.ambiguous_updated_us = 0
+        self.last_success_us = 0
         self.last_reuse_success_us = (
             -RECENT_SUCCESS_US
         )  # when a call on a reused connection was last delivered
@@ -47,7 +49,8 @@
     """What shares one limit: a destination, or one route of it."""
 
     def __init__(self, destination: Destination, breaker: CircuitBreaker | None) -> None:
-        self.destination, self.breaker = destination, breaker
+        self.destination = destination
+        self.breaker = breaker
         self.endpoints: dict[int, Endpoint] = {}
         self.listed_rate_per_s = 0.0  # the listed rate, 0 if none
         self.limit_share_per_s = (
@@ -56,19 +59,26 @@
         self.pace_per_s = self.last_refused_rate_per_s = (
             0.0  # calls a second that it is paced to, 0 = not; pace last refused
         )
-        self.tokens, self.refilled_us, self.wait_until_us, self.next_cut_us = 1.0, 0, 0, 0
+        self.tokens = 1.0
+        self.refilled_us = 0
+        self.wait_until_us = 0
+        self.next_cut_us = 0
         self.refused_share = 0.0  # share of calls refused as full
         self.last_report: tuple[float, ...] = ()  # the newest that an answer brought
         self.has_reported_limit = False  # its reports tell a limit
-        self.window, self.calls_in_flight, self.consecutive_refusals = 1.0, 0, 0
+        self.window = 1.0
+        self.calls_in_flight = 0
+        self.consecutive_refusals = 0
         self.mean_latency_us = self.latency_deviation_us = 0.0  # latency
         self.slot_time_us = 1e5  # time that a call takes a slot, failed ones included
-        self.success_rate_per_s, self.last_success_us = 0.0, 0  # successes a second
+        self.success_rate_per_s = 0.0
+        self.last_success_us = 0  # successes a second
 
 
 class Destination:
     def __init__(self, number: int) -> None:
-        self.number, self.kind = number, 0
+        self.number = number
+        self.kind = 0
         self.lanes: list[Lane] = []
         self.queue: list[Message] = []
         self.calls_in_flight = self.arrivals = 0
@@ -84,22 +94,19 @@
         now_us: int,
         destination: Destination,
     ) -> None:
-        self.id, self.message_class, self.sequence, self.destination = (
-            number,
-            message_class,
-            sequence,
-            destination,
-        )
+        self.id = number
+        self.message_class = message_class
+        self.sequence = sequence
+        self.destination = destination
         self.order_key = event.order_key if message_class.ordered else 0
         self.valid_until_us, self.created_us = (
             event.valid_until_us,
             event.valid_until_us - message_class.deadline_us,
         )
-        self.attempts, self.attempts_in_flight = event.tries, 0
-        self.may_have_run_since_us, self.may_have_run_zone = (
-            event.ran_at_us,
-            event.ran_zone,
-        )  # of the first that may have run
+        self.attempts = event.tries
+        self.attempts_in_flight = 0
+        self.may_have_run_since_us = event.ran_at_us
+        self.may_have_run_zone = event.ran_zone  # of the first that may have run
         self.ready_us = now_us
         self.last_endpoint: Endpoint | None = None
         self.is_closed = self.is_streaming = self.failed_quickly = False
@@ -127,7 +134,10 @@
     """One call in flight; a batched one carries several messages."""
 
     def __init__(self, endpoint: Endpoint, now_us: int) -> None:
-        self.endpoint, self.sent_us, self.open_attempts, self.is_judged = endpoint, now_us, 0, False
+        self.endpoint = endpoint
+        self.sent_us = now_us
+        self.open_attempts = 0
+        self.is_judged = False
         self.connection_idle_us = -1  # how long its connection had been idle, -1 for a new one
 
 
--- a/hopmill/policy/timeouts.py
+++ b/hopmill/policy/timeouts.py
@@ -10,9 +10,11 @@
 
 # A call is given up once it is likely lost: with a share p of calls lost and a tail that shrinks by e for
 # each TAIL_X deviations, the odds that it still comes are ALIVE after TAIL_X * ln(1 / (ALIVE * p)) of them.
-TAIL_DEVIATIONS, GIVE_UP_ODDS = 1.35, 0.1
+TAIL_DEVIATIONS = 1.35
+GIVE_UP_ODDS = 0.1
 LOSS_DISCOUNT_FACTOR = 4.0  # at 1/LOST_X lost, time-outs are no evidence
-MIN_LOSS_SHARE, LOSS_WEIGHT = 0.002, 1 / 32  # least share of calls taken as lost, weight of the newest call
+MIN_LOSS_SHARE = 0.002
+LOSS_WEIGHT = 1 / 32  # least share of calls taken as lost, weight of the newest call
 HIGH_LOSS_SHARE = 0.01  # over this share, calls are being lost, and not only slow
 TRIAL_TIMEOUT_FACTOR = 0.6  # a half-open trial gets this share of the time-out
 
--- a/hopmill/policy/turn.py
+++ b/hopmill/policy/turn.py
@@ -13,12 +13,11 @@
 
 class Turn:
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.rng = settings, random.Random(seed)
-        self.now_us, self.started_us, self.shutdown_deadline_us = (
-            0,
-            -1,
-            math.inf,
-        )  # closing: no call may last past it
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.now_us = 0
+        self.started_us = -1
+        self.shutdown_deadline_us = math.inf  # closing: no call may last past it
         self.actions: list[Action] = []
         self.timers: list[int] = []
         self.deadline_margin_us = DEADLINE_MARGIN_TICKS * settings.tick_us
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -11,7 +11,9 @@
 
 BATCH_HEADER = struct.Struct(">IIQI")
 REPLY_HEADER = struct.Struct(">III")
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 40, 16, 24
+EVENT_SIZE = 40
+ACTION_SIZE = 16
+ENTRY_SIZE = 24
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
 
@@ -47,7 +49,9 @@
 _PEER = struct.Struct(">xIII")
 _OPENED = struct.Struct(">xIIHBI")
 _ENTRY = struct.Struct(">IHHBfQBH")
-_U16, _U32, _U64 = struct.Struct(">xH"), struct.Struct(">xI"), struct.Struct(">xQ")
+_U16 = struct.Struct(">xH")
+_U32 = struct.Struct(">xI")
+_U64 = struct.Struct(">xQ")
 
 
 class MalformedFrameError(ValueError):
@@ -60,7 +64,8 @@
     __slots__ = ("seed", "settings")
 
     def __init__(self, seed: int, settings: interface.Settings) -> None:
-        self.seed, self.settings = seed, settings
+        self.seed = seed
+        self.settings = settings
 
 
 class Shutdown:
