--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -15,7 +15,10 @@
 class Admission:
     def __init__(self, turn: Turn, pacing: Pacing, max_attempts: int) -> None:
         """tries: attempts of one message, at most."""
-        self.turn, self.settings, self.pacing, self.max_attempts = turn, turn.settings, pacing, max_attempts
+        self.turn = turn
+        self.settings = turn.settings
+        self.pacing = pacing
+        self.max_attempts = max_attempts
         self.is_full = False
         self.unreturned_refusals = 0  # refusals since one came again
 
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -22,7 +22,8 @@
 
 class CircuitBreakers:
     def __init__(self, turn: Turn) -> None:
-        self.turn, self.settings = turn, turn.settings
+        self.turn = turn
+        self.settings = turn.settings
 
     def warm_share(self, breaker: CircuitBreaker) -> float:
         """Share of its usual calls that a returning endpoint may get."""
--- a/hopmill/policy/connections.py
+++ b/hopmill/policy/connections.py
@@ -13,7 +13,8 @@
 
 class Connections:
     def __init__(self, turn: Turn) -> None:
-        self.turn, self.settings = turn, turn.settings
+        self.turn = turn
+        self.settings = turn.settings
         self.max_idle_us = turn.settings.connection_idle_us  # idle connections are used up to this age
         self.idle_losses = 0  # calls lost on idle connections
         self.new_loss_share = 0.0  # share of calls on new connections that are lost
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -28,7 +28,10 @@
         max_attempts: int,
     ) -> None:
         """tries: attempts of one message, at most."""
-        self.turn, self.settings, self.state, self.max_attempts = turn, turn.settings, state, max_attempts
+        self.turn = turn
+        self.settings = turn.settings
+        self.state = state
+        self.max_attempts = max_attempts
         self.pacing = pacing
         self.breakers = breakers
         self.timeouts = timeouts
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -29,7 +29,11 @@
         connections: Connections,
         zones: Zones,
     ) -> None:
-        self.turn, self.settings, self.state, self.gate, self.worth = turn, turn.settings, state, gate, worth
+        self.turn = turn
+        self.settings = turn.settings
+        self.state = state
+        self.gate = gate
+        self.worth = worth
         self.timeouts = timeouts
         self.connections = connections
         self.zones = zones
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -99,10 +99,8 @@
         self.sequence = sequence
         self.destination = destination
         self.order_key = event.order_key if message_class.ordered else 0
-        self.valid_until_us, self.created_us = (
-            event.valid_until_us,
-            event.valid_until_us - message_class.deadline_us,
-        )
+        self.valid_until_us = event.valid_until_us
+        self.created_us = event.valid_until_us - message_class.deadline_us
         self.attempts = event.tries
         self.attempts_in_flight = 0
         self.may_have_run_since_us = event.ran_at_us
--- a/hopmill/policy/timeouts.py
+++ b/hopmill/policy/timeouts.py
@@ -21,7 +21,8 @@
 
 class Timeouts:
     def __init__(self, turn: Turn) -> None:
-        self.turn, self.settings = turn, turn.settings
+        self.turn = turn
+        self.settings = turn.settings
         self.mean_slot_time_us = 1e5  # time that a call takes a slot, over all calls
         self.loss_share = MIN_LOSS_SHARE  # share of calls that are never answered though others are
 
--- a/hopmill/policy/worth.py
+++ b/hopmill/policy/worth.py
@@ -8,7 +8,8 @@
 
 class Worth:
     def __init__(self, turn: Turn) -> None:
-        self.turn, self.settings = turn, turn.settings
+        self.turn = turn
+        self.settings = turn.settings
         self.tenant_buckets = [
             [tenant_settings.quota_per_s / turn.settings.couriers, 1.0, 0]
             for tenant_settings in turn.settings.tenants
--- a/hopmill/policy/zones.py
+++ b/hopmill/policy/zones.py
@@ -18,7 +18,9 @@
     def __init__(self, cold_share: float, cold_us: int, rng: random.Random) -> None:
         """cold_share, cold_us: the part of its capacity that what returns begins with, and until it has all.
         chance: from the courier's seed."""
-        self.cold_share, self.cold_us, self.rng = cold_share, max(1, cold_us), rng
+        self.cold_share = cold_share
+        self.cold_us = max(1, cold_us)
+        self.rng = rng
         self.excluded: set[int] = set()
         self.returning: dict[int, tuple[int, int]] = {}  # zones on their way: since when, and until when
 
--- a/hopmill/simhost.py
+++ b/hopmill/simhost.py
@@ -20,7 +20,8 @@
     of them: the account that the real host gets from its pool is inferred here from the calls."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
-        self.settings, self.courier = settings, Courier(settings, seed)
+        self.settings = settings
+        self.courier = Courier(settings, seed)
         self.kind_by_endpoint: dict[int, int] = {}  # of the endpoints listed
         self.idle_since_us: dict[int, list[int]] = {}  # when each connection came free
         self.open_attempts: dict[
