--- a/hopmill/__init__.py
+++ b/hopmill/__init__.py
@@ -1,4 +1,4 @@
-"""hopmill: the decisions of a relay that hands messages on to destinations outside its control."""
+"""hopmill: a courier that delivers messages to destinations outside its control."""
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import Settings
--- a/hopmill/__main__.py
+++ b/hopmill/__main__.py
@@ -1,4 +1,4 @@
-"""The command. Without arguments it serves, and reads nothing that serving does not need."""
+"""The command `hopmill`. Without arguments it serves, and imports nothing that serving does not need."""
 
 from __future__ import annotations
 
--- a/hopmill/observe.py
+++ b/hopmill/observe.py
@@ -1,4 +1,4 @@
-"""What a running decision module looks like from outside, as plain rows. Reads only; decides nothing."""
+"""The state of a running courier as plain rows, for metrics and the operator API. Reads only."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True)
 class LaneRow:
-    """What shares one limit: a partner, or one route of it."""
+    """The endpoints that share one rate limit: those of a partner, or of one route of it."""
 
     partner: int
-    endpoint: int | None  # of a route apart; None for a whole partner
-    queued: int  # messages that wait, of the whole partner
-    calls_in_flight: int  # calls in flight
-    window: float  # calls that may be in flight, 0 for a lane that is paced instead
-    pace_per_s: float  # calls a second that it is held to, 0 if none
-    limit_share_per_s: float  # this courier's part of the limit, calls a second, 0 if none is known
-    refused_share: float  # share of its calls refused lately
-    wait_us: int  # until a told wait ends
+    endpoint: int | None  # of a separate route; None for a whole partner
+    queued: int  # messages waiting, of the whole partner
+    calls_in_flight: int
+    window: float  # calls that may be in flight; 0 for a lane that is paced instead
+    pace_per_s: float  # calls per second that the lane is held to; 0 if none
+    limit_share_per_s: float  # this courier's share of the limit in calls per second; 0 if none is known
+    refused_share: float  # moving share of calls refused as full
+    wait_us: int  # until an announced wait or a backoff ends
 
 
 def lanes(courier: Courier, now_us: int) -> Iterator[LaneRow]:
-    """One row a lane."""
+    """One row per lane."""
     for destination in courier.state.destinations.values():
         apart = courier.settings.kinds[destination.kind].routes_apart
         for lane in destination.lanes:
@@ -44,12 +44,12 @@
 
 
 def breaker_state(breaker: CircuitBreaker) -> str:
-    """'open' lets trials only through, 'slow_start' a growing share, 'closed' all."""
+    """'open': half-open trial calls only; 'slow_start': a growing share of calls; 'closed': all calls."""
     return "open" if breaker.is_open else "slow_start" if breaker.slow_start_began_us >= 0 else "closed"
 
 
 def breaker_counts(courier: Courier) -> Counter[str]:
-    """Circuits by state; one that several endpoints share counts once."""
+    """Circuit breakers by state. One that several endpoints share counts once."""
     distinct = {id(endpoint.breaker): endpoint.breaker for endpoint in courier.state.endpoints.values()}
     states = Counter({"open": 0, "slow_start": 0, "closed": 0})
     states.update(map(breaker_state, distinct.values()))
@@ -57,7 +57,7 @@
 
 
 def endpoint_rows(courier: Courier, name: Callable[[int], str]) -> list[dict[str, object]]:
-    """For staff: each endpoint of the list with its partner, zone number, state and calls."""
+    """For the operator API: each listed endpoint with its partner, zone number, state and calls."""
     return [
         {
             "endpoint": name(endpoint.id),
--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -1,4 +1,4 @@
-"""Which new messages are turned away unsent, and when their clients are told to come again."""
+"""Which new messages are refused before any attempt, and when their clients may resubmit them."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from hopmill.policy.state import Destination, Message
 from hopmill.policy.turn import Turn
 
-UNRETURNED_LIMIT = 20  # after this many refusals with no client coming again, clients are taken not to do so
-MAX_UNSENT_SHARE = 0.9  # at most this share of new messages is refused unsent
+UNRETURNED_LIMIT = 20  # after this many refusals without a resubmission, clients are assumed not to resubmit
+MAX_UNSENT_SHARE = 0.9  # of new messages that are refused before any attempt
 
 
 class Admission:
     def __init__(self, turn: Turn, pacing: Pacing, max_attempts: int) -> None:
-        """tries: attempts of one message, at most."""
+        """max_attempts: of one message, the first included."""
         self.turn = turn
         self.settings = turn.settings
         self.pacing = pacing
         self.max_attempts = max_attempts
         self.is_full = False
-        self.unreturned_refusals = 0  # refusals since one came again
+        self.unreturned_refusals = 0  # since the last resubmission
 
     def is_spent(self, message: Message) -> bool:
-        """With no attempt left: its final answer is due at once."""
+        """Whether no attempt is left: the final answer is due at once."""
         return message.attempts >= self.max_attempts or self.turn.now_us >= message.last_send_us(
             self.turn.deadline_margin_us
         )
 
     def come_back_us(self) -> int:
-        """When to come again, for a message that the courier has no room for: spread by chance."""
+        """Jittered retry-after for a message that the courier has no room for."""
         return int(self.settings.max_retry_after_us * self.turn.rng.uniform(0.5, 1))
 
     def refusal_share(self, destination: Destination, lifetime_us: int) -> float:
-        """Share of a destination's new messages that are refused unsent: as many as of its calls are.
+        """Share of new messages to refuse unsent: the share of the destination's calls refused as full.
 
-        Where refused calls use up the limit too, a destination of many couriers refuses nearly all once the
-        calls pass its limit, and what clients hand in again keeps it there. One courier sees too few refusals
-        there to pace itself, but a share by chance adds up.
+        Where refused calls use up the limit too, a destination of many couriers refuses nearly all calls once
+        they exceed its limit, and resubmissions keep it there. One courier sees too few refusals to pace
+        itself, but a random share, taken by all of them, adds up.
         """
         pacing = self.pacing
         if destination.lanes and all(lane.pace_per_s for lane in destination.lanes):
@@ -45,9 +45,8 @@
             call_count = math.ceil(len(destination.queue) / self.settings.kinds[destination.kind].batch)
             calls_ahead = call_count - sum(pacing.refill(lane) for lane in destination.lanes)
             return float(calls_ahead / pace_per_s * 1e6 > lifetime_us)
-        kind_share = (
-            pacing.refused_share_by_kind[destination.kind] ** 2
-        )  # to lanes without calls, if most of the kind are refused
+        # For lanes without calls; counts only if most calls to the kind are refused.
+        kind_share = pacing.refused_share_by_kind[destination.kind] ** 2
         shares = [
             lane.refused_share if lane.refused_share or lane.last_success_us else kind_share
             for lane in destination.lanes
@@ -61,17 +60,19 @@
         )
 
     def record_load(self, messages: int, calls_in_flight: int) -> None:
-        """So many messages and calls now: a change between full and room is logged."""
+        """Log when the room for messages runs out or is there again."""
         is_full = messages >= self.settings.max_held - 1
         if is_full != self.is_full and (is_full or messages < self.settings.max_held * 0.8):
             self.is_full = is_full
             self.turn.log(
-                f"held: {'full' if is_full else 'room'}; {calls_in_flight}/{self.settings.slots} slots"
+                f"held: {'full' if is_full else 'room'}; {calls_in_flight}/{self.settings.slots} slots used"
             )
 
     def should_wait(self, message: Message) -> bool:
-        """Overload ends a message, passing on the told wait. But where clients mark what they hand in again
-        and many were refused with nothing coming back, a refusal is a loss: it waits here instead."""
+        """Whether a message refused as full waits here instead of being handed back with the retry-after.
+
+        It does where clients mark resubmissions and many refusals brought none: there a refusal is a loss.
+        """
         return (
             self.settings.clients_mark_retries
             and self.unreturned_refusals >= UNRETURNED_LIMIT
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -1,4 +1,4 @@
-"""Whether calls may go where they failed, and how many to what returns: trials, then a slow start."""
+"""Circuit breakers: they stop calls to failing endpoints, then let trial calls and a slow start through."""
 
 from __future__ import annotations
 
@@ -7,17 +7,13 @@
 from hopmill.policy.state import CircuitBreaker, Endpoint
 from hopmill.policy.turn import Turn
 
-OUTCOME_WEIGHT = 0.25  # weight of the newest outcome in the failing share
-OPENING_SHARE = (
-    0.5  # failing share at which an endpoint counts as in trouble: three failures in a row from none
-)
-TWO_FAILURES_SHARE = 0.4  # failing share after two failures in a row
-FIRST_TRIAL_GAP_US = 400_000
-MAX_TRIAL_GAP_US = 2_500_000  # first and longest ceiling of the gap between half-open trials
-AMBIGUOUS_FADE_FACTOR = (
-    0.6  # the share of may-have-run failures fades by itself in this part of the cold time
-)
-RECOVERY_FACTOR = 0.8  # share of the contract's fall multiple that recovery uses: the rest is for chance
+OUTCOME_WEIGHT = 0.25  # of the newest outcome in the moving failure share
+OPENING_SHARE = 0.5  # failure share that opens a breaker: three failures in a row after none
+TWO_FAILURES_SHARE = 0.4  # failure share after two failures in a row
+FIRST_TRIAL_GAP_US = 400_000  # upper bound of the jittered gap before the first half-open trial call
+MAX_TRIAL_GAP_US = 2_500_000
+AMBIGUOUS_FADE_FACTOR = 0.6  # the ambiguous share fades to 0 within this multiple of Settings.cold_us
+RECOVERY_FACTOR = 0.8  # of Settings.fall_multiple that recovery uses; the rest allows for random variation
 
 
 class CircuitBreakers:
@@ -26,21 +22,26 @@
         self.settings = turn.settings
 
     def warm_share(self, breaker: CircuitBreaker) -> float:
-        """Share of its usual calls that a returning endpoint may get."""
+        """Share of the warm rate that a returning endpoint may get, from 0 to 1."""
         cold_share = self.settings.cold_share
         since_us = self.turn.now_us if breaker.is_open else breaker.slow_start_began_us
         share = cold_share + (1 - cold_share) * (self.turn.now_us - since_us) / max(1, self.settings.cold_us)
         return min(1.0, RECOVERY_FACTOR * self.settings.fall_multiple * share)
 
     def record_arrival(self, breaker: CircuitBreaker, lane_count: int) -> None:
-        """A returning destination gets a share of what comes in anew: summed over a large fleet it follows
-        the total, whoever gets it. None is saved up: all told to wait come back in the same moment."""
+        """A new message for a lane whose breaker the whole lane shares.
+
+        A returning destination gets a share of new messages: summed over a large fleet it follows the total,
+        whichever courier gets them. At most one token is kept, since all couriers that were told to wait
+        return in the same moment.
+        """
         if breaker.is_open or breaker.slow_start_began_us >= 0:
             breaker.tokens = min(1.0, breaker.tokens + self.warm_share(breaker) / lane_count)
 
     def set_warm_rate(self, endpoint: Endpoint) -> None:
-        # A lane that fails over and over shows few successes: its warm rate is the best one seen. But the
-        # floors of hundreds of couriers add up: there it is the own traffic, whose sum follows the total.
+        # A lane that fails repeatedly has few successes, so the highest rate seen counts. In a large fleet
+        # the minimum rates of hundreds of couriers add up: there it is the courier's own traffic, since the
+        # sum of that over the fleet follows the total.
         turn = self.turn
         own_rate_per_s = (
             endpoint.lane.destination.arrivals
@@ -57,7 +58,7 @@
         )
 
     def start_cold(self, endpoint: Endpoint) -> None:
-        """It was away by hand, and was restarted meanwhile."""
+        """Begin a slow start: an operator had excluded the endpoint, and it may have been restarted."""
         self.set_warm_rate(endpoint)
         endpoint.failure_share = endpoint.ambiguous_share = endpoint.breaker.failure_share = 0.0
         (
@@ -70,13 +71,13 @@
         self.turn.log(f"endpoint {endpoint.id} may serve again: slow start")
 
     def trip(self, endpoint: Endpoint, reason: str) -> None:
-        """Open the circuit: only trials, with growing jittered gaps."""
+        """Open the breaker: half-open trial calls only, with growing jittered gaps."""
         turn = self.turn
         if not endpoint.breaker.is_open:
             self.set_warm_rate(endpoint)
             if turn.is_large_fleet and endpoint.breaker.slow_start_began_us < 0:
-                endpoint.breaker.tokens = turn.rng.random()  # chance sets who may try first
-            turn.log(f"endpoint {endpoint.id} in trouble ({reason}): trials only")
+                endpoint.breaker.tokens = turn.rng.random()  # random, so that couriers do not try in step
+            turn.log(f"endpoint {endpoint.id}: circuit opened ({reason}), half-open trial calls only")
         endpoint.breaker.is_open, endpoint.breaker.slow_start_began_us = True, -1
         endpoint.breaker.trial_gap_us = min(
             MAX_TRIAL_GAP_US, endpoint.breaker.trial_gap_us * 2 or FIRST_TRIAL_GAP_US
@@ -86,7 +87,7 @@
         )
 
     def ambiguous_share(self, endpoint: Endpoint) -> float:
-        """Share of its calls that failed though they may have run."""
+        """Moving share of calls that failed but may have run, faded by the time since."""
         return endpoint.ambiguous_share * max(
             0.0,
             1
@@ -101,19 +102,20 @@
         )
 
     def record_outage_wait(self, endpoint: Endpoint) -> None:
-        """Told so long a wait that it is no end of a rate's span."""
+        """A refusal came with a retry-after too long for the end of a rate-limit window: an outage."""
         endpoint.failure_share = endpoint.breaker.failure_share = 1.0
-        self.trip(endpoint, "shut")
+        self.trip(endpoint, "long retry-after")
 
     def record_failure(self, endpoint: Endpoint, result: Result, is_trial: bool, weight: float) -> None:
-        """weight: of this failure as evidence, from 0 to 1."""
+        """A call failed. `weight`, from 0 to 1, says how much the failure counts as evidence."""
         is_large_fleet = self.turn.is_large_fleet
         endpoint.failure_share += OUTCOME_WEIGHT * (1 - endpoint.failure_share) * weight
         endpoint.breaker.failure_share += OUTCOME_WEIGHT * (1 - endpoint.breaker.failure_share) * weight
         if endpoint.breaker.slow_start_began_us >= 0 and endpoint.breaker.failure_share >= OPENING_SHARE / 2:
             endpoint.breaker.slow_start_began_us = self.turn.now_us
-        # In a large fleet one failure opens it, or two lost calls: three each of hundreds of couriers are
-        # more than a cold destination bears. One may be chance: the next answer closes it.
+        # In a large fleet one failure opens the breaker, or two lost calls: three from each of hundreds of
+        # couriers are more than a cold destination can take. One failure may be random: the next answer
+        # closes it.
         opens_at_once = is_large_fleet and result is not Result.FULL
         opens_at_once = opens_at_once and (
             result is not Result.TIMEOUT or endpoint.breaker.failure_share >= TWO_FAILURES_SHARE
@@ -127,10 +129,11 @@
             if result is not Result.ERROR or is_large_fleet:
                 self.trip(endpoint, result.value)
                 return
-            # It answers, but with errors: some calls still get through, so it goes on at a cold start's pace,
-            # which it can take when they stop. Trials alone lost what half-failing ones still deliver.
+            # The endpoint answers, but with errors. Trial calls alone would lose what an endpoint that fails
+            # half its calls still delivers, so it continues at the pace of a slow start, which it can take
+            # when the errors stop.
             if endpoint.breaker.slow_start_began_us < 0:
-                self.turn.log(f"endpoint {endpoint.id} answers with errors: cold pace")
+                self.turn.log(f"endpoint {endpoint.id} answers with errors: slow start")
             self.set_warm_rate(endpoint)
             endpoint.breaker.is_open, endpoint.breaker.trial_gap_us, endpoint.breaker.slow_start_began_us = (
                 False,
@@ -149,17 +152,18 @@
         )
 
     def record_delivery(self, endpoint: Endpoint) -> None:
-        """After a delivery: trials end, or the slow start does."""
+        """After a delivery: an open breaker closes, and a slow start ends if its time is over."""
         now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
         if endpoint.breaker.is_open:
             endpoint.breaker.is_open = False
+            # In a large fleet a single failure opened it: that was no outage and needs no slow start.
             if not is_large_fleet or endpoint.breaker.failure_share >= TWO_FAILURES_SHARE * (
                 1 - OUTCOME_WEIGHT
-            ):  # one failure was no outage
+            ):
                 endpoint.breaker.slow_start_began_us = endpoint.breaker.refilled_us = now_us
                 if not is_large_fleet:
                     endpoint.breaker.tokens = 1.0
-                self.turn.log(f"endpoint {endpoint.id} answers again: slow start")
+                self.turn.log(f"endpoint {endpoint.id} answers again: circuit closed, slow start")
             endpoint.breaker.trial_gap_us, endpoint.breaker.failure_share = (
                 0,
                 min(endpoint.breaker.failure_share, OPENING_SHARE * 0.8),
@@ -172,7 +176,11 @@
             endpoint.breaker.slow_start_began_us = -1
 
     def allows(self, endpoint: Endpoint, has_quick_retry: bool) -> bool:
-        """quick: a message waits that failed so soon that it may be tried again, outage or not."""
+        """Whether the breaker lets a call through now; if not, asks for a turn when it may.
+
+        has_quick_retry: a message waits whose first attempt failed so soon that it may be repeated during an
+        outage.
+        """
         now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
         if endpoint.breaker.is_open:
             if (
--- a/hopmill/policy/connections.py
+++ b/hopmill/policy/connections.py
@@ -1,4 +1,4 @@
-"""Which connections are trusted, how many are kept, and what a full table looks like."""
+"""Which idle connections are trusted, how many are kept, and what follows from an endpoint's full table."""
 
 from __future__ import annotations
 
@@ -7,29 +7,28 @@
 from hopmill.policy.timeouts import LOSS_WEIGHT, HIGH_LOSS_SHARE
 from hopmill.policy.turn import Turn
 
-TRUSTED_AGE_FACTOR = 0.5
-TRUST_GROWTH_FACTOR = 1.25  # idle connections are trusted for this part of the age at which one failed
+TRUSTED_AGE_FACTOR = 0.5  # idle connections are used up to this part of the age at which one failed
+TRUST_GROWTH_FACTOR = 1.25  # of that age, after a success on a connection idle for long
 
 
 class Connections:
     def __init__(self, turn: Turn) -> None:
         self.turn = turn
         self.settings = turn.settings
-        self.max_idle_us = turn.settings.connection_idle_us  # idle connections are used up to this age
-        self.idle_losses = 0  # calls lost on idle connections
-        self.new_loss_share = 0.0  # share of calls on new connections that are lost
+        self.max_idle_us = turn.settings.connection_idle_us  # older idle connections are not used
+        self.idle_losses = 0  # calls lost on idle connections, since the last success on one idle for long
+        self.new_loss_share = 0.0  # moving share of calls lost on new connections
         self.warm_up = False  # connections may be opened before a message needs them
 
     def record_outcome(self, endpoint: Endpoint, result: Result, call: Call) -> None:
-        """What an outcome says of the connection that it came over."""
+        """Learn from an outcome about the connection that the call used."""
         if call.connection_idle_us < 0:
-            is_alone = (
-                result is Result.TIMEOUT and endpoint.last_success_us > call.sent_us
-            )  # others were answered meanwhile
+            # Lost while other calls were answered.
+            is_alone = result is Result.TIMEOUT and endpoint.last_success_us > call.sent_us
             self.new_loss_share += (is_alone - self.new_loss_share) * LOSS_WEIGHT
         elif result in (Result.TIMEOUT, Result.RESET):
-            # A connection dropped unseen while it was idle: older ones are closed before a call. But where
-            # calls on new ones are lost as well, it is not their idling.
+            # The connection was dropped without notice while idle, so older ones are closed before a call. If
+            # calls on new connections are lost as well, idle time is not the reason.
             self.idle_losses += 1
             if self.idle_losses > 1 and self.new_loss_share < HIGH_LOSS_SHARE:
                 self.max_idle_us = min(
@@ -48,7 +47,7 @@
                 )
 
     def has_warm(self, endpoint: Endpoint) -> bool:
-        """Whether an idle one can be used."""
+        """Whether an idle connection can be used."""
         return any(
             since_us > self.turn.now_us - self.max_idle_us
             for since_us in endpoint.connection_budget.idle_since_us
@@ -67,14 +66,14 @@
         self.announce_size(endpoint)
 
     def announce_size(self, endpoint: Endpoint) -> None:
-        """Tell the pool how many connections the endpoint is worth; open the next where that is wanted."""
+        """Tell the pool how many connections to keep; open the next one if warm-up is on."""
         max_idle = endpoint.connection_budget.max_idle(
             self.turn.now_us, endpoint.lane.slot_time_us, int(endpoint.lane.window)
         )
         if max_idle != endpoint.connection_budget.announced:
             endpoint.connection_budget.announced = max_idle
             self.turn.actions.append(Keep(endpoint.id, max_idle))
-        # Only to one that answers calls now: it can't show anything of the endpoint, so it is no probe.
+        # Only to an endpoint that answers calls now: opening a connection must not serve as a probe.
         is_healthy = (
             not endpoint.breaker.is_open
             and endpoint.breaker.slow_start_began_us < 0
@@ -89,7 +88,7 @@
             self.turn.actions.append(OpenIdle(endpoint.id))
 
     def record_full_table(self, endpoint: Endpoint) -> None:
-        """The endpoint serves, but takes no further connection: this courier keeps fewer there."""
+        """The endpoint serves but takes no further connection: keep fewer connections to it."""
         connections, pause_us = (
             len(endpoint.calls_in_flight) + len(endpoint.connection_budget.idle_since_us),
             max(int(endpoint.lane.mean_latency_us), 2 * self.settings.tick_us),
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -1,4 +1,4 @@
-"""One courier's turn: events in, each to the part that it concerns; then what may be sent, and what ends."""
+"""One courier's turn: events go to the modules that they concern, then messages are sent or ended."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 from hopmill.policy.worth import Worth
 from hopmill.policy.zones import Zones
 
-DEFAULT_MAX_ATTEMPTS = 3  # attempts of one message, first included (the note's default)
+DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; the retry note's default
 RESERVED_MESSAGES = 2  # places kept free for new messages
-QUICK_FAILURE_US = 200_000  # a failure that came this soon may be tried again at once, outage or not
-# What an upgrade hands on of an endpoint, its circuit and its lane, and of all calls: outer name, attribute.
+QUICK_FAILURE_US = 200_000  # after a faster failure a message may be repeated even during an outage
+# What an upgrade hands over, by part: the name that other builds know, and the attribute that holds it.
 CARRIED = {
     "ep": {
         "bad": "failure_share",
@@ -107,7 +107,7 @@
 
 
 class Courier:
-    """Decides for one courier: handle() takes the events of a turn and returns its actions."""
+    """Decides for one courier: `handle` takes the events of a turn and returns its actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -130,12 +130,12 @@
         )
         self.sequence = 0
         self.is_holding = False
-        self.expiries: list[tuple[int, int]] = []
+        self.expiries: list[tuple[int, int]] = []  # heap of (time, message)
 
     # Events
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """now_us: monotonic. Actions are in the order in which they are to be carried out."""
+        """Handle the events of a turn at `now_us` (monotonic clock); returns the actions in order."""
         turn, state = self.turn, self.state
         first = turn.started_us < 0
         turn.begin(now_us)
@@ -181,17 +181,17 @@
         return turn.actions
 
     def come_back_us(self) -> int:
-        """When to come again, for a message that the courier has no room for."""
+        """Retry-after in microseconds for a message that the courier has no room for."""
         return self.admission.come_back_us()
 
     def may_serve(self, endpoint_id: int, zone: int) -> bool:
-        """Whether operators let it have calls, and connections for them."""
+        """Whether operators let the endpoint have calls, and connections for them."""
         return self.gate.may_serve(endpoint_id, zone)
 
     # Operators
 
     def _on_set_by_hand(self, event: SetByHand) -> None:
-        """Kept apart from the list's state, so that no news of the list lifts it."""
+        """Exclude or readmit an endpoint; kept apart from its listed state, so no list change undoes it."""
         excluded = self.state.excluded_endpoints
         if event.out:
             excluded.add(event.endpoint)
@@ -208,7 +208,8 @@
             self.turn.actions += [CloseIdle(endpoint.id) for endpoint in in_zone]
         elif self.zones.bring_back(event.zone, self.turn.now_us):
             for endpoint in in_zone:
-                # A circuit that others share goes on for these: chance alone keeps the share small there.
+                # A breaker shared with serving endpoints of other zones stays as it is: the random choice of
+                # Ranking.without_returning_zones already limits what these endpoints get.
                 others = [
                     other
                     for other in endpoint.lane.endpoints.values()
@@ -222,7 +223,7 @@
         self.turn.log(f"zone {event.zone}: {state}, share {share:.2f}, {reason}, {len(in_zone)} endpoints")
 
     def _on_policy_set(self, event: PolicySet) -> None:
-        """All of it in one event: no turn decides by half of one."""
+        """Apply a policy as a whole: no turn decides by half of it."""
         for part in (
             self,
             self.turn,
@@ -249,7 +250,7 @@
     # Upgrades
 
     def _carried_owners(self, endpoint: Endpoint) -> dict[str, tuple[object, ...]]:
-        """The owners of what CARRIED names."""
+        """The objects that hold the attributes of each part of CARRIED."""
         owners_of_all = (self.timeouts, self.connections, self.admission)
         return {
             "ep": (endpoint,),
@@ -269,7 +270,7 @@
                 )
 
     def carry(self) -> list[tuple[int, dict[str, float]]]:
-        """What was learned of each endpoint, for the process that takes over."""
+        """What was learned of each endpoint, for the process that takes over: [(endpoint, {name: value})]."""
         return [
             (
                 endpoint.id,
@@ -296,7 +297,7 @@
             return
         destination = messages[0].destination
         endpoint = self.state.endpoints.get(event.endpoint)
-        if endpoint is None:  # it has gone from the list since
+        if endpoint is None:  # it has left the list since
             endpoint = self._add_endpoint(
                 ListEntry(event.endpoint, destination.number, EndpointState.GONE, kind=destination.kind)
             )
@@ -307,7 +308,7 @@
         for message in messages:
             self._add_attempt(message, call, message.attempts - 1)
 
-    # The list
+    # Endpoint list
 
     def _on_endpoints_listed(self, event: EndpointsListed) -> None:
         if event.form is ListForm.FAILED:
@@ -317,9 +318,8 @@
         for entry in event.entries:
             named[entry.endpoint] = True
             endpoint = endpoints.get(entry.endpoint)
-            if (
-                endpoint and endpoint.lane.destination.number != entry.destination
-            ):  # it moved: what was known of it is void
+            # The endpoint moved to another destination: what was learned about it no longer holds.
+            if endpoint and endpoint.lane.destination.number != entry.destination:
                 endpoint.state, endpoint = (
                     EndpointState.GONE,
                     endpoint.lane.endpoints.pop(endpoint.id) and None,
@@ -332,9 +332,8 @@
         for endpoint_id, endpoint in list(endpoints.items()):
             if event.form is not ListForm.DELTA and endpoint_id not in named:
                 endpoint.state = EndpointState.GONE
-            if (
-                endpoint.state is EndpointState.GONE and not endpoint.calls_in_flight
-            ):  # forgotten, or replacements would pile up
+            # Removed, since replaced endpoints would pile up.
+            if endpoint.state is EndpointState.GONE and not endpoint.calls_in_flight:
                 del endpoints[endpoint_id], endpoint.lane.endpoints[endpoint_id]
                 if not endpoint.lane.endpoints and len(endpoint.lane.destination.lanes) > 1:
                     endpoint.lane.destination.lanes.remove(endpoint.lane)
@@ -379,9 +378,8 @@
         destination.queue.append(message)
         if message.order_key:
             state.order_queues.setdefault(message.order_key, []).append(message)
-        is_refused = not event.restored and self.admission.should_refuse(
-            message
-        )  # what was taken on is tried
+        # A message restored after a restart was taken on before: it is tried.
+        is_refused = not event.restored and self.admission.should_refuse(message)
         if (is_refused or self.admission.is_spent(message)) and not event.out:
             self._finish(message, self.settings.max_retry_after_us)
             return
@@ -430,7 +428,7 @@
             self._retry_or_finish(message, event)
 
     def _retry_or_finish(self, message: Message, event: AttemptEnded) -> None:
-        """The next attempt after a jittered wait, or the end."""
+        """Make the message ready for its next attempt after a jittered backoff, or end it."""
         now_us = self.turn.now_us
         wait_us = 0 if event.result is Result.MOOT else self.pacing.backoff_us(message.attempts - 1)
         last_send_us = message.last_send_us(self.turn.deadline_margin_us)
@@ -445,7 +443,10 @@
             heapq.heappush(self.expiries, (last_send_us, message.id))
 
     def _finish(self, message: Message, wait_us: int) -> None:
-        """The one place that ends a message: refuse if earlier attempts prove that a new try is harmless."""
+        """End a message; nothing else does. Refuse if a resubmission is known to be harmless, else fail.
+
+        wait_us: the announced wait, 0 if none.
+        """
         effect, now_us = message.message_class.effect, self.turn.now_us
         is_harmless = (
             message.may_have_run_since_us < 0
@@ -458,7 +459,8 @@
                 self.settings.max_retry_after_us, message.message_class.aim_us
             ):
                 self.admission.unreturned_refusals += 1
-            # None was told: half the longest wait that clients heed, where that leaves the message some time.
+            # Without an announced wait: half the longest one that clients respect, if the message has that
+            # time.
             if not wait_us and message.valid_until_us - now_us > self.settings.max_retry_after_us:
                 wait_us = self.settings.max_retry_after_us // 2
             self.turn.actions.append(Refuse(message.id, min(wait_us, self.settings.max_retry_after_us)))
@@ -484,15 +486,14 @@
         while self.expiries and self.expiries[0][0] <= now_us:
             message = self.state.messages.get(heapq.heappop(self.expiries)[1])
             if message and not message.is_closed and not message.is_streaming:
-                if (
-                    message.attempts_in_flight and now_us < message.valid_until_us
-                ):  # its attempt's time-out is due in a moment and answers
+                # The time-out of the attempt in flight is due soon and gives the answer.
+                if message.attempts_in_flight and now_us < message.valid_until_us:
                     heapq.heappush(self.expiries, (message.valid_until_us, message.id))
                 elif now_us >= message.last_send_us(self.turn.deadline_margin_us):
                     self._finish(message, 0)
 
     def _make_room(self) -> None:
-        """Hand back what waits for one in trouble before it keeps out what could be sent at once."""
+        """Hand back messages of the longest queue before they keep out others that could be sent at once."""
         while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_MESSAGES):
             destination = max(self.state.destinations.values(), key=lambda d: len(d.queue))
             if len(destination.queue) < 2:
@@ -513,7 +514,7 @@
     # Sending
 
     def _send_ready(self) -> None:
-        """Send what the gate lets through, the most urgent first, while slots are free."""
+        """Send what the gate lets through while slots are free, most urgent first."""
         destinations, pick = self.state.destinations, self.ranking.pick
         picks = {
             destination.number: picked
@@ -540,7 +541,7 @@
             endpoint.breaker.trial_call = call
         self.breakers.spend_token(endpoint)
         messages, max_messages = [message], self.settings.kinds[endpoint.lane.destination.kind].batch
-        if max_messages > 1 and not endpoint.breaker.is_open:  # a trial carries one
+        if max_messages > 1 and not endpoint.breaker.is_open:  # a trial call carries one message
             messages += [
                 other
                 for other in sorted(message.destination.queue, key=lambda other: other.sequence)
@@ -557,7 +558,7 @@
             self.turn.actions.append(Send(other.id, endpoint.id, timeout_us))
 
     def _begin_call(self, endpoint: Endpoint, sent_us: int) -> Call:
-        """A call that takes a slot."""
+        """Open a call, which occupies a slot."""
         call = Call(endpoint, sent_us)
         self.state.calls_in_flight += 1
         endpoint.lane.calls_in_flight += 1
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -1,4 +1,4 @@
-"""What the outcome of a call shows: each part is told what concerns it."""
+"""What the outcome of a call shows, passed on to each module that learns from it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 
-OUTAGE_RETRY_AFTER_US = 2_500_000  # a told wait over this is a shut destination, not the end of a rate span
+OUTAGE_RETRY_AFTER_US = 2_500_000  # a longer retry-after means an outage, not the end of a rate-limit window
 
 
 class Evidence:
@@ -31,7 +31,7 @@
     def record_outcome(
         self, endpoint: Endpoint, result: Result, call: Call, latency_us: int, retry_after_us: int
     ) -> None:
-        """Once for each call. told: the wait that came with it, in us."""
+        """Record the outcome of a call, once per call. retry_after_us: the announced wait, 0 if none."""
         lane, now_us = endpoint.lane, self.turn.now_us
         self.connections.record_outcome(endpoint, result, call)
         if result is Result.OK:
@@ -54,8 +54,8 @@
                     self.connections.record_full_table(endpoint)
                 return
         elif result is Result.TIMEOUT:
-            # Calls sent with it or later were answered: a lost call, not an outage: a spell of losses must
-            # not put whole lanes into recovery.
+            # If calls sent at the same time or later were answered, this call was lost and there is no
+            # outage: a period of losses must not put whole lanes into recovery.
             others_answered = endpoint.last_success_us > call.sent_us
             self.pacing.record_timeout(lane, others_answered)
             if others_answered:
@@ -66,7 +66,7 @@
             and now_us - endpoint.last_success_us < RECENT_SUCCESS_US
             and endpoint.calls_in_flight
         ):
-            self.connections.record_full_table(endpoint)  # and no dead endpoint
+            self.connections.record_full_table(endpoint)  # the endpoint itself answers
             return
         if result in (Result.ERROR, Result.TIMEOUT, Result.RESET):
             self.breakers.record_ambiguous_failure(endpoint)
@@ -74,7 +74,7 @@
         self.breakers.record_failure(endpoint, result, call is endpoint.breaker.trial_call, 1 - discount)
 
     def record_success(self, endpoint: Endpoint, latency_us: int) -> None:
-        """latency: 0 where it is not told."""
+        """Record a delivery. latency_us: 0 if it is not known."""
         endpoint.last_success_us = self.turn.now_us
         self.breakers.record_answer(endpoint)
         if latency_us:
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint may get a call now, and whether a message may be sent there."""
+"""Whether an endpoint may get a call now, and whether a message may be sent to it."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from hopmill.policy.turn import Turn
 from hopmill.policy.zones import Zones
 
-MAX_AMBIGUOUS_SHARE = 0.15  # share of may-have-run failures over which unsafe messages wait
-AMBIGUOUS_WAIT_US = 250_000  # until such a message looks again
+MAX_AMBIGUOUS_SHARE = 0.15  # of calls that failed but may have run; above it unsafe messages wait
+AMBIGUOUS_WAIT_US = 250_000  # until such a message is looked at again
 
 
 class Gate:
@@ -27,7 +27,7 @@
         zones: Zones,
         max_attempts: int,
     ) -> None:
-        """tries: attempts of one message, at most."""
+        """max_attempts: of one message, the first included."""
         self.turn = turn
         self.settings = turn.settings
         self.state = state
@@ -38,14 +38,14 @@
         self.zones = zones
 
     def may_serve(self, endpoint_id: int, zone: int) -> bool:
-        """Whether operators let it have calls, and connections for them."""
+        """Whether operators let the endpoint have calls, and connections for them."""
         return endpoint_id not in self.state.excluded_endpoints and zone not in self.zones.excluded
 
     def is_serving(self, endpoint: Endpoint) -> bool:
         return endpoint.state is EndpointState.READY and self.may_serve(endpoint.id, endpoint.zone)
 
     def has_capacity(self, endpoint: Endpoint, has_quick_retry: bool = False) -> bool:
-        """The lane's side: drain, wait, slots, windows, pace, circuit, recovery budget."""
+        """The lane's side: drain, retry-after, slots, windows, pace, circuit breaker."""
         lane, state, max_calls = endpoint.lane, self.state, self.pacing.max_calls(endpoint.lane.destination)
         is_busy = (
             state.calls_in_flight >= self.settings.slots
@@ -63,9 +63,8 @@
         """The message's side: attempts, effect class, key order, deadline."""
         turn, state, now_us = self.turn, self.state, self.turn.now_us
         left_us = min(message.valid_until_us, turn.shutdown_deadline_us) - now_us - turn.deadline_margin_us
-        if turn.shutdown_deadline_us < math.inf and left_us < self.timeouts.for_lane(
-            endpoint.lane
-        ):  # it might be cut off at the end
+        # Before a shutdown the call has to end in time.
+        if turn.shutdown_deadline_us < math.inf and left_us < self.timeouts.for_lane(endpoint.lane):
             return False
         if (
             message.is_closed
@@ -99,7 +98,7 @@
             if message.attempts == 0 and state.order_pauses_us.get(message.order_key, 0) > now_us:
                 turn.wake_at(state.order_pauses_us[message.order_key])
             return False
-        # An unsafe message lost to an error is lost for good: it waits while calls there fail that way.
+        # An unsafe message that may have run cannot be repeated: it waits while calls there fail that way.
         if (
             message.message_class.effect is Effect.UNSAFE
             and self.breakers.ambiguous_share(endpoint) > MAX_AMBIGUOUS_SHARE
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -1,40 +1,40 @@
-"""How many connections an endpoint is worth keeping, from what its calls showed. No I/O, no clock."""
+"""How many connections to keep to an endpoint, from what its calls showed. No I/O, no clock."""
 
 from __future__ import annotations
 
 import math
 import random
 
-CONCURRENCY_DEVIATIONS = (
-    2.0  # calls out at once stay under mean + SPREAD * sqrt(mean) but for one time in fifty
-)
-MIN_OBSERVED_US = 1_000_000  # the first calls are taken as the traffic of this time at least
-FULL_TABLE_FACTOR = 0.5  # a full table halves this courier's part of it
-MIN_TABLE_SHARE = 0.25  # below one it is a chance: of many couriers, so many keep one
-FULL_TABLE_REFUSALS = 2  # refusals of new connections in a row that show a full table: one may be chance
+CONCURRENCY_DEVIATIONS = 2.0  # calls in flight exceed mean + this * sqrt(mean) one time in fifty
+MIN_OBSERVED_US = 1_000_000  # the first calls count as the traffic of this time at least
+FULL_TABLE_FACTOR = 0.5  # of this courier's share of a table that turns out to be full
+MIN_TABLE_SHARE = 0.25  # a share below 1 is the probability of keeping one connection
+FULL_TABLE_REFUSALS = 2  # refusals of new connections in a row that show a full table; one may be random
 
 
 class ConnectionBudget:
-    """One endpoint's connections, as its courier sees them."""
+    """One endpoint's connections as its courier sees them."""
 
     def __init__(self, idle_us: int, rng: random.Random) -> None:
-        """idle_us: for how long an endpoint lets a connection stand idle."""
+        """idle_us: how long the endpoint leaves a connection open while it is idle."""
         self.idle_limit_us = max(1, idle_us)
         self.rng = rng
-        self.idle_since_us: list[
-            int
-        ] = []  # when each came free, oldest first: as told last, less what was lent since
-        self.recent_calls = 0.0
+        # When each idle connection came free, oldest first: as last reported, less those checked out since.
+        self.idle_since_us: list[int] = []
+        self.recent_calls = 0.0  # exponentially fading count of calls, at counted_us
         self.counted_us = 0
-        self.first_call_us = -1  # fading count of calls
-        self.table_share = math.inf  # this courier's part of a table that was seen full
-        self.max_connections: float = math.inf  # the same as a whole number
+        self.first_call_us = -1
+        self.table_share = math.inf  # this courier's share of a table that was full; inf: no limit known
+        self.max_connections: float = math.inf  # table_share, randomly rounded
         self.next_cut_us = self.next_growth_us = 0
-        self.consecutive_new_refusals = 0  # refusals on new connections in a row
-        self.announced = -1  # how many the pool was told to keep
+        self.consecutive_new_refusals = 0
+        self.announced = -1  # how many connections the pool was last told to keep
 
     def check_out(self, now_us: int, oldest_us: int) -> int:
-        """The most recently used one goes out: how long it was idle, -1 where a new one is opened."""
+        """Take the most recently used connection; returns how long it was idle, -1 for a new one.
+
+        Connections idle since `oldest_us` or before are not used.
+        """
         idle_us = (
             now_us - self.idle_since_us[-1]
             if self.idle_since_us and self.idle_since_us[-1] > oldest_us
@@ -52,7 +52,7 @@
         self.counted_us = now_us
 
     def mean_calls_in_flight(self, now_us: int, slot_time_us: float) -> float:
-        """Calls out at once in the mean: calls a second times the time that each takes."""
+        """Mean calls in flight by Little's law: rate of calls times the time that each occupies a slot."""
         if self.first_call_us < 0:
             return 0.0
         self._fade_count(now_us)
@@ -64,22 +64,28 @@
         )
 
     def max_idle(self, now_us: int, slot_time_us: float, window: int) -> int:
-        """How many idle ones to keep: what it needs, within the window and its part of a full table."""
+        """How many idle connections to keep: as needed, within the window and the share of a full table."""
         mean_calls = self.mean_calls_in_flight(now_us, slot_time_us)
         needed = max(1, min(window, math.ceil(mean_calls + CONCURRENCY_DEVIATIONS * math.sqrt(mean_calls))))
         self._grow(now_us, needed)
         return int(min(needed, self.max_connections))
 
-    # A full table: many couriers hold few connections each, and none knows of the others'
+    # A full connection table: many couriers hold a few connections each and know nothing of each other's.
 
     def record_refusal(self, is_new: bool) -> bool:
-        """A call was turned away though others are served and the limit is not used up: the sign of a full
-        table where it happens to new connections alone."""
+        """A call was refused though others are served and the limit is not used up.
+
+        Returns whether the connection table seems to be full: refusals happen on new connections only.
+        """
         self.consecutive_new_refusals = self.consecutive_new_refusals + 1 if is_new else 0
         return self.consecutive_new_refusals >= FULL_TABLE_REFUSALS
 
     def record_full_table(self, now_us: int, connections: int, pause_us: int) -> bool:
-        """Keep half of what is held, once for what was under way together. Each that hears of it does."""
+        """Keep half of what is held. Each courier that notices a full table does.
+
+        Returns False for a further sign within `pause_us`, which belongs to calls that were in flight
+        already.
+        """
         if now_us < self.next_cut_us:
             return False
         self.next_cut_us = now_us + pause_us
@@ -90,7 +96,7 @@
         return True
 
     def _grow(self, now_us: int, needed: int) -> None:
-        """Back by one each time that idle connections turn over, by chance sooner or later: not in step."""
+        """Allow one more per turnover of idle connections, jittered so that couriers do not grow in step."""
         while self.table_share < math.inf and now_us >= self.next_growth_us:
             self.table_share += 1.0
             self._round_share(self.next_growth_us)
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -1,4 +1,4 @@
-"""How much a lane may get: its pace and part of the limit, its window, and the waits it was told."""
+"""How much a lane may get: its pace and share of the limit, its window, and announced waits."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from hopmill.policy.state import Destination, Lane
 from hopmill.policy.turn import Turn
 
-FIRST_BACKOFF_US = 100_000  # first ceiling of the jittered wait (the note's default)
-MAX_BACKOFF_US = 3_000_000  # highest ceiling (the note's default)
-MAX_DESTINATION_SLOT_SHARE = 0.75  # a destination's calls stay under this share of the slots
-LANE_REFUSAL_WEIGHT = 0.5
-KIND_REFUSAL_WEIGHT = 1 / 16  # weight of the newest call in the share refused: lane, kind
-BURST_S = 0.8
-PRICED_BURST_S = 0.4  # a bucket holds this much of its rate; less where refusals are priced
-CUT_FACTOR = 0.75  # on overload the rate shrinks by this, once a round trip
-GROWTH_SHARE = 0.1  # and a success adds this share of the listed (or first learned) rate
-NEAR_REFUSAL_SHARE = 0.9
-RECOVERY_US = 5_000_000  # near the last refused pace it grows slowly, until this long after
-LIMIT_STEP_SHARE = 0.25
-REPORT_WEIGHT = 0.2  # a told limit this far off is a new one; else it is chance, and has this weight
-MIN_LIMIT_SHARE = 0.4  # but a listed rate is not left further than this behind
-SPARE_FACTOR = 2.0  # an unlisted capacity is taken for this multiple of the traffic that it was seen to take
+FIRST_BACKOFF_US = 100_000  # upper bound of the first jittered wait; the retry note's default
+MAX_BACKOFF_US = 3_000_000  # highest upper bound; the retry note's default
+MAX_DESTINATION_SLOT_SHARE = 0.75  # of the courier's slots, for the calls of one destination
+LANE_REFUSAL_WEIGHT = 0.5  # of the newest call in a lane's moving share of refused calls
+KIND_REFUSAL_WEIGHT = 1 / 16  # the same, over all calls to a kind of destination
+BURST_S = 0.8  # a token bucket holds the tokens of this time at the lane's pace
+PRICED_BURST_S = 0.4  # the same where refused calls cost something
+CUT_FACTOR = 0.75  # of the pace that is left after an overload, once per round trip
+GROWTH_SHARE = 0.1  # of the limit share (of the pace, if none is known) that a success adds to the pace
+NEAR_REFUSAL_SHARE = 0.9  # of the last refused rate: above it the pace grows slowly
+RECOVERY_US = 5_000_000  # time after a cut in which growth near the refused rate returns to full speed
+LIMIT_STEP_SHARE = 0.25  # a reported limit that differs by more is a new limit; less is random variation
+REPORT_WEIGHT = 0.2  # of a reported limit that differs by less
+MIN_LIMIT_SHARE = 0.4  # of the limit share: a cut leaves at least this, and recovery starts from it
+SPARE_FACTOR = 2.0  # assumed capacity of an unlisted lane, as a multiple of its rate of successes
 
 
 class Pacing:
@@ -30,28 +30,29 @@
         self.turn = turn
         self.settings = settings
         self.max_calls_per_destination = max(1, int(MAX_DESTINATION_SLOT_SHARE * settings.slots))
-        self.ceilings: dict[int, tuple[int, float]] = {}  # by destination, as the policy in force has them
-        # Buckets that many couriers empty together refill together, seconds later where each has a call in
-        # seconds: a call costs a token more or less by chance, so that they fall out of step.
+        self.ceilings: dict[int, tuple[int, float]] = {}  # by destination: PolicySet.ceilings
+        # Buckets that many couriers empty at the same time also refill at the same time, seconds later where
+        # each courier has one call in several seconds. A call therefore costs a random amount around one
+        # token.
         self.token_jitter = max(0.0, 1 - settings.slots / settings.couriers)
-        self.refused_share_by_kind = [0.0] * len(settings.kinds)  # as the lanes', over all calls to a kind
+        self.refused_share_by_kind = [0.0] * len(settings.kinds)  # moving share of calls refused
 
     def max_calls(self, destination: Destination) -> int:
-        """Calls at once."""
+        """Calls to the destination that may be in flight at once."""
         return min(
             self.max_calls_per_destination,
             self.ceilings.get(destination.number, (0, 0.0))[0] or self.max_calls_per_destination,
         )
 
     def _policy_limit_per_s(self, lane: Lane) -> float:
-        """This courier's part of what the policy lets a partner have a second; inf: all that it takes."""
+        """This courier's share of the policy's rate limit per lane of a destination; inf: none."""
         limit_per_s = (
             self.ceilings[lane.destination.number][1] if lane.destination.number in self.ceilings else 0.0
         )
         return limit_per_s / self.settings.couriers / len(lane.destination.lanes) if limit_per_s else math.inf
 
     def record_listed_rate(self, lane: Lane, rate_per_s: float) -> None:
-        """The list names its rate."""
+        """Take a lane's rate from the endpoint list as the limit, if it has changed."""
         if self.settings.rates_listed and rate_per_s > 0 and lane.listed_rate_per_s != rate_per_s:
             lane.listed_rate_per_s = rate_per_s
             lane.limit_share_per_s = lane.pace_per_s = lane.last_refused_rate_per_s = (
@@ -61,11 +62,14 @@
     def backoff_us(self, retry: int) -> int:
         return int(self.turn.rng.uniform(0, min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(retry, 30))))
 
-    # The pace
+    # Token bucket
 
     def current_pace_per_s(self, lane: Lane) -> float:
-        """Calls a second. After a refusal it comes back to the equal part by itself: one of many couriers
-        hears of a lane so seldom that answers alone left it down for as long as the limit was lowered."""
+        """Calls per second that the lane is held to now.
+
+        After a refusal the pace returns to the equal share by itself: one of many couriers gets answers of a
+        lane so rarely that answers alone would keep it down for as long as the limit had been lowered.
+        """
         since_us = self.turn.now_us - lane.next_cut_us
         recovered_share = (
             min(1.0, MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * since_us / RECOVERY_US)
@@ -104,19 +108,25 @@
             return False
         return True
 
-    # What answers tell
+    # Evidence from answers
 
     def record_retry_after(self, lane: Lane, wait_us: int) -> None:
-        """Heeded for each message: those of one batched call were told different waits. A told wait comes
-        in cut milliseconds, so one more keeps a send from falling just inside its end."""
+        """Wait as announced. Counted for each message: those of one batched call may get different waits.
+
+        An announced wait is cut to whole milliseconds, so one more keeps a call from being sent just before
+        its end.
+        """
         lane.wait_until_us = max(lane.wait_until_us, self.turn.now_us + wait_us + 1_000)
 
     def record_report(self, lane: Lane, report: tuple[float, ...]) -> None:
-        """Answers, refusals too, tell the limit in force, where the list goes on naming the usual one, and
-        how much of it is left: the one thing that tells a courier what all the others send."""
-        if (
-            report == lane.last_report
-        ):  # endpoints renew theirs a few times a second at most: each counts once
+        """Take the limit in force, and how much of it is left, from the load report of an answer or refusal.
+
+        The endpoint list keeps naming the usual limit. What is left is the only sign of what all other
+        couriers send.
+        """
+        # Endpoints renew their reports a few times per second at most; many answers repeat one. Each counts
+        # once.
+        if report == lane.last_report:
             return
         lane.last_report = report
         reported = dict(zip(self.settings.report_fields, report, strict=False))
@@ -135,17 +145,17 @@
         )
         lane.pace_per_s = (lane.pace_per_s or share_per_s) * share_per_s / known_share_per_s
         lane.limit_share_per_s = share_per_s
-        # Of a limit that is all used, half is left in the mean over its span. While more is, parts that
-        # others leave idle are taken up; while less is, back towards the equal part, whose sum is the limit.
-        # In small steps: all of them hear the same news, and what they send too much together is refused and
-        # paid back out of the limit.
+        # Of a limit that is fully used, half is left on average over its window. While more is left, this
+        # courier takes up shares that others leave idle; while less is left, it returns towards its equal
+        # share (the equal shares sum to the limit). The steps are small: all couriers see the same reports,
+        # and calls above the limit are refused and count against it.
         pace_per_s = lane.pace_per_s + GROWTH_SHARE * share_per_s * (2 * left_share - 1)
         lane.pace_per_s = min(
             max(pace_per_s, min(lane.pace_per_s, share_per_s)), share_per_s * self.settings.couriers
         )
 
     def has_limit_left(self, lane: Lane) -> bool:
-        """Whether the limit is not used up, as far as answers tell it."""
+        """Whether part of the limit is left, as far as reports say."""
         reported = dict(zip(self.settings.report_fields, lane.last_report, strict=False))
         return not lane.has_reported_limit or reported.get("x0", 0.0) > 0
 
@@ -160,8 +170,8 @@
         lane.window = min(self.max_calls_per_destination, lane.window + 1)
         if lane.pace_per_s and not lane.has_reported_limit:
             max_pace_per_s = lane.limit_share_per_s * self.settings.couriers or math.inf
-            # Fast up to where it was last refused, then slowly, the faster the longer ago that was: growth at
-            # one pace met a refusal in ten calls.
+            # Fast growth up to the rate that was last refused, then slow growth, faster the longer ago that
+            # was: growth at one speed had one refusal in ten calls.
             is_near = lane.pace_per_s >= NEAR_REFUSAL_SHARE * lane.last_refused_rate_per_s
             growth_share = (
                 GROWTH_SHARE * min(1.0, max(0.1, (now_us - lane.next_cut_us) / RECOVERY_US))
@@ -173,7 +183,7 @@
             )
 
     def record_overload(self, lane: Lane, retry_after_us: int) -> None:
-        """A refusal as full: pace down, close the window, and wait as told (or a jittered wait)."""
+        """A refusal as full: lower the pace, halve the window, and wait as announced, else with backoff."""
         now_us, turn = self.turn.now_us, self.turn
         lane.refused_share += (1 - lane.refused_share) * LANE_REFUSAL_WEIGHT
         self.refused_share_by_kind[lane.destination.kind] += (
@@ -184,15 +194,14 @@
             lane.window = max(1.0, lane.window / 2)
             lane.last_refused_rate_per_s = lane.pace_per_s or lane.success_rate_per_s * SPARE_FACTOR
             if lane.pace_per_s:
-                cut_pace_per_s = min(
-                    lane.pace_per_s * CUT_FACTOR, lane.limit_share_per_s or math.inf
-                )  # the equal parts sum to the limit
+                # At most the equal share: the equal shares of all couriers sum to the limit.
+                cut_pace_per_s = min(lane.pace_per_s * CUT_FACTOR, lane.limit_share_per_s or math.inf)
                 lane.pace_per_s = max(
                     cut_pace_per_s,
                     lane.limit_share_per_s * MIN_LIMIT_SHARE,
                     0.0 if turn.is_large_fleet else 0.2,
                 )
-            elif not turn.is_large_fleet:  # a floor for each of many couriers would add up
+            elif not turn.is_large_fleet:  # the minimum paces of many couriers would add up
                 lane.pace_per_s = max(0.5, lane.success_rate_per_s * CUT_FACTOR)
             lane.consecutive_refusals += 1
         lane.wait_until_us = max(
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -1,4 +1,4 @@
-"""Which message of a destination goes next, and to which endpoint."""
+"""Which message of a destination is sent next, and to which endpoint."""
 
 from __future__ import annotations
 
@@ -10,12 +10,10 @@
 from hopmill.policy.worth import Worth
 from hopmill.policy.zones import Zones
 
-SLOW_ROUTE_FACTOR = 3.0  # a route whose calls last this many times the quickest one's is used after that
-SHORTAGE_WAIT_FACTOR = (
-    2.0  # what is put off for want of slots waits this many times the queue: new messages come first
-)
+SLOW_ROUTE_FACTOR = 3.0  # a route with this many times the latency of the fastest one ranks behind it
+SHORTAGE_WAIT_FACTOR = 2.0  # of the expected wait for a slot, since newer messages may be sent first
 
-Pick = tuple[float, int, Message, Endpoint]
+Pick = tuple[float, int, Message, Endpoint]  # change of worth per slot time by waiting, sequence number
 
 
 class Ranking:
@@ -39,7 +37,7 @@
         self.zones = zones
 
     def pick(self, destination: Destination) -> Pick | None:
-        """The message that loses most by waiting, and the endpoint for it."""
+        """The message that loses most worth by waiting, and the best endpoint for it; None if none can go."""
         now_us, state = self.turn.now_us, self.state
         has_quick_retry = self.turn.is_large_fleet and any(
             message.failed_quickly and message.ready_us <= now_us for message in destination.queue
@@ -57,8 +55,9 @@
         rate_per_s = sum(lane.pace_per_s or lane.success_rate_per_s or 1.0 for lane in destination.lanes)
         mean_latency_us = max(lane.mean_latency_us for lane in destination.lanes)
         soon_us = now_us + mean_latency_us
-        # Where slots are short, what waits for them waits for all calls queued, and one that holds its slot
-        # long costs others theirs: hung and slow lanes get what is left (they had eaten all slots).
+        # When slots are short, a message waits for all calls queued before it, and a call that occupies a
+        # slot for long keeps others out. Worth is therefore counted per slot time: hung and slow lanes get
+        # the slots that are left, else they would take all of them.
         slot_time_us = min(endpoint.lane.slot_time_us for endpoint in free)
         shortage_us = (
             self.timeouts.mean_slot_time_us
@@ -83,8 +82,10 @@
         return best
 
     def without_returning_zones(self, destination: Destination, free: list[Endpoint]) -> list[Endpoint]:
-        """Without what returning zones may not have yet, where the destination has another choice. The chance
-        is taken each time that a message could go, so it is the share of those."""
+        """Leave out endpoints of returning zones at random, if the destination has another choice.
+
+        The random choice is made whenever a message could be sent, so that a zone gets its share of those.
+        """
         has_other_zone = any(
             self.gate.is_serving(endpoint)
             and endpoint.zone not in self.zones.returning
@@ -99,12 +100,14 @@
         return [endpoint for endpoint in free if endpoint.zone not in kept]
 
     def rank(self, endpoint: Endpoint, message: Message) -> tuple:
-        """Healthy first, then not the one that just failed, one with an idle connection, the cheap one."""
+        """Sort key: healthy, not the one that just failed, fast route, idle connection, cheap, few calls."""
         route_cost = (
             self.settings.zone_fees[endpoint.zone] if endpoint.zone < len(self.settings.zone_fees) else 0.0
         )
         has_warm = self.connections.has_warm(endpoint)
-        if self.turn.is_large_fleet:  # couriers that rank alike pile onto one route: by chance, as the rates
+        # Couriers that rank routes alike would all use the same one: choose at random, weighted by the
+        # limits.
+        if self.turn.is_large_fleet:
             route_cost = self.turn.rng.expovariate(
                 (endpoint.lane.limit_share_per_s or 1.0) * (1.05 - endpoint.lane.refused_share)
             )
@@ -112,9 +115,8 @@
             (other.mean_latency_us for other in endpoint.lane.destination.lanes if other.mean_latency_us),
             default=0.0,
         )
-        is_slow = (
-            endpoint.lane.mean_latency_us > SLOW_ROUTE_FACTOR * quickest_us
-        )  # its calls hold the destination's slots from a quick route
+        # Calls of a slow route occupy the destination's slots, which a fast route could use.
+        is_slow = endpoint.lane.mean_latency_us > SLOW_ROUTE_FACTOR * quickest_us
         return (
             endpoint.breaker.is_open,
             endpoint is message.last_endpoint,
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -1,28 +1,31 @@
-"""What a courier knows: destinations, their lanes and endpoints, the messages held and the calls out."""
+"""What a courier knows: destinations with their lanes and endpoints, messages held, calls in flight."""
 
 from __future__ import annotations
 
 from hopmill.interface import Effect, EndpointState, MessageArrived, MessageClass
 from hopmill.policy.links import ConnectionBudget
 
-RECENT_SUCCESS_US = (
-    1_000_000  # an endpoint that answered this lately is not down: a failed connect is a full table
-)
+# An endpoint that answered this recently is not down: a failed connect means that its connection table is
+# full.
+RECENT_SUCCESS_US = 1_000_000
 
 
 class CircuitBreaker:
-    """Whether calls may go, and how many: of an endpoint. In a large fleet of a lane: outages mostly take all
-    endpoints, and so few calls go there that one endpoint's own would never gather the evidence."""
+    """Whether calls may be sent, and how many: of an endpoint, in a large fleet of a lane.
+
+    A large fleet shares one among a lane's endpoints: most outages take all of them, and each endpoint gets
+    too few calls from one courier to show an outage by itself.
+    """
 
     def __init__(self) -> None:
-        self.failure_share = 0.0  # failing share
-        self.is_open = False  # trials only
-        self.trial_call: Call | None = None
+        self.failure_share = 0.0  # moving share of failed calls
+        self.is_open = False  # half-open trial calls only
+        self.trial_call: Call | None = None  # the half-open trial call in flight
         self.next_trial_us = self.trial_gap_us = 0
-        self.slow_start_began_us = -1  # start of the slow start, -1 when warm
-        self.warm_rate_per_s = 0.0  # this courier's part of the warm rate
+        self.slow_start_began_us = -1  # -1 outside a slow start
+        self.warm_rate_per_s = 0.0  # calls per second from this courier after the slow start
         self.tokens = 1.0
-        self.refilled_us = 0
+        self.refilled_us = 0  # when tokens were last added
 
 
 class Endpoint:
@@ -34,45 +37,41 @@
         self.zone = zone
         self.connection_budget = connection_budget
         self.state = EndpointState.READY
-        self.calls_in_flight: dict[int, Call] = {}  # calls in flight, oldest first
-        self.failure_share = 0.0
-        self.ambiguous_share = 0.0
+        self.calls_in_flight: dict[int, Call] = {}  # by id(), oldest first
+        self.failure_share = 0.0  # moving share of failed calls
+        self.ambiguous_share = 0.0  # share of calls that failed but may have run, at ambiguous_updated_us
         self.ambiguous_updated_us = 0
         self.last_success_us = 0
-        self.last_reuse_success_us = (
-            -RECENT_SUCCESS_US
-        )  # when a call on a reused connection was last delivered
+        self.last_reuse_success_us = -RECENT_SUCCESS_US  # last delivery over a reused connection
         self.breaker = lane.breaker or CircuitBreaker()
 
 
 class Lane:
-    """What shares one limit: a destination, or one route of it."""
+    """The endpoints that share one rate limit: those of a destination, or of one route of it."""
 
     def __init__(self, destination: Destination, breaker: CircuitBreaker | None) -> None:
         self.destination = destination
         self.breaker = breaker
         self.endpoints: dict[int, Endpoint] = {}
-        self.listed_rate_per_s = 0.0  # the listed rate, 0 if none
-        self.limit_share_per_s = (
-            0.0  # this courier's part of the limit, as listed or told by answers since, 0 if none
-        )
-        self.pace_per_s = self.last_refused_rate_per_s = (
-            0.0  # calls a second that it is paced to, 0 = not; pace last refused
-        )
+        self.listed_rate_per_s = 0.0  # of all couriers, from the endpoint list; 0 if none
+        # This courier's share of the limit, as listed or as reported by answers since; 0 if none is known.
+        self.limit_share_per_s = 0.0
+        # The pace that calls are held to (0: not paced), and the pace at which the lane was last refused.
+        self.pace_per_s = self.last_refused_rate_per_s = 0.0
         self.tokens = 1.0
         self.refilled_us = 0
-        self.wait_until_us = 0
-        self.next_cut_us = 0
-        self.refused_share = 0.0  # share of calls refused as full
-        self.last_report: tuple[float, ...] = ()  # the newest that an answer brought
-        self.has_reported_limit = False  # its reports tell a limit
-        self.window = 1.0
+        self.wait_until_us = 0  # no call before: retry-after or backoff
+        self.next_cut_us = 0  # the pace is not cut again before
+        self.refused_share = 0.0  # moving share of calls refused as full
+        self.last_report: tuple[float, ...] = ()  # load report of the newest answer that had one
+        self.has_reported_limit = False
+        self.window = 1.0  # calls that may be in flight
         self.calls_in_flight = 0
-        self.consecutive_refusals = 0
-        self.mean_latency_us = self.latency_deviation_us = 0.0  # latency
-        self.slot_time_us = 1e5  # time that a call takes a slot, failed ones included
+        self.consecutive_refusals = 0  # as full
+        self.mean_latency_us = self.latency_deviation_us = 0.0  # of answered calls; 0: none yet
+        self.slot_time_us = 1e5  # mean time that a call occupies a slot, failed calls included
         self.success_rate_per_s = 0.0
-        self.last_success_us = 0  # successes a second
+        self.last_success_us = 0
 
 
 class Destination:
@@ -98,22 +97,27 @@
         self.message_class = message_class
         self.sequence = sequence
         self.destination = destination
+        # Messages with the same key are delivered one at a time, in order of arrival; 0 for none.
         self.order_key = event.order_key if message_class.ordered else 0
         self.valid_until_us = event.valid_until_us
         self.created_us = event.valid_until_us - message_class.deadline_us
         self.attempts = event.tries
         self.attempts_in_flight = 0
+        # Of the first attempt that may have run: when it was sent, and to which zone; -1 if none or unknown.
         self.may_have_run_since_us = event.ran_at_us
-        self.may_have_run_zone = event.ran_zone  # of the first that may have run
-        self.ready_us = now_us
+        self.may_have_run_zone = event.ran_zone
+        self.ready_us = now_us  # no attempt before
         self.last_endpoint: Endpoint | None = None
         self.is_closed = self.is_streaming = self.failed_quickly = False
-        self.weight = 1.0
-
+        self.weight = 1.0  # worth when delivered in time
         self.is_zone_bound = message_class.effect is Effect.KEYED and message_class.key_scope == "zone"
 
     def last_send_us(self, margin_us: int) -> int:
-        """Until when it may be sent: its time, and what its class allows once an attempt may have run."""
+        """The latest time for a further attempt, `margin_us` before the limit.
+
+        The limit is the deadline; once an attempt may have run it is also what the message class allows for
+        repeats.
+        """
         if self.may_have_run_since_us < 0 or self.message_class.effect is Effect.SAFE:
             return self.valid_until_us - margin_us
         may_repeat = self.message_class.effect is Effect.KEYED and not (
@@ -129,25 +133,25 @@
 
 
 class Call:
-    """One call in flight; a batched one carries several messages."""
+    """One call in flight. A batched call carries several messages."""
 
     def __init__(self, endpoint: Endpoint, now_us: int) -> None:
         self.endpoint = endpoint
         self.sent_us = now_us
-        self.open_attempts = 0
-        self.is_judged = False
-        self.connection_idle_us = -1  # how long its connection had been idle, -1 for a new one
+        self.open_attempts = 0  # of its messages, not ended yet
+        self.is_judged = False  # its outcome has been recorded
+        self.connection_idle_us = -1  # how long its connection had been idle; -1: a new connection
 
 
 class CourierState:
-    """What is held and out. The courier writes it; all others read."""
+    """Everything held and in flight. Only the courier changes it; the other modules of the policy read it."""
 
     def __init__(self) -> None:
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.messages: dict[int, Message] = {}
-        self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}
+        self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}  # by message and attempt number
         self.calls_in_flight = 0
-        self.excluded_endpoints: set[int] = set()  # endpoints that an operator leaves out
-        self.order_queues: dict[int, list[Message]] = {}  # messages that go one at a time, in turn
-        self.order_pauses_us: dict[int, int] = {}  # keys that pause until then
+        self.excluded_endpoints: set[int] = set()  # by an operator
+        self.order_queues: dict[int, list[Message]] = {}  # by order key, the next to send first
+        self.order_pauses_us: dict[int, int] = {}  # by order key: no first attempt before
--- a/hopmill/policy/turn.py
+++ b/hopmill/policy/turn.py
@@ -1,4 +1,4 @@
-"""What all decisions of one turn share: its time, the courier's chances, and what comes of it."""
+"""One turn: a batch of events handled at one instant, with its time, random numbers and actions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hopmill.interface import Action, Log, SetTimer, Settings
 
-DEADLINE_MARGIN_TICKS = 3  # ticks kept free before a deadline
+DEADLINE_MARGIN_TICKS = 3  # between the last moment for an action and a deadline
 
 
 class Turn:
@@ -16,12 +16,13 @@
         self.settings = settings
         self.rng = random.Random(seed)
         self.now_us = 0
-        self.started_us = -1
-        self.shutdown_deadline_us = math.inf  # closing: no call may last past it
+        self.started_us = -1  # time of the first turn
+        self.shutdown_deadline_us = math.inf  # no call may last past it
         self.actions: list[Action] = []
-        self.timers: list[int] = []
+        self.timers: list[int] = []  # heap of the times for which a turn was asked
         self.deadline_margin_us = DEADLINE_MARGIN_TICKS * settings.tick_us
-        # Many small couriers: each meets a destination so rarely that its equal part of anything says little.
+        # With more couriers than slots each courier calls a destination so rarely that its equal share of
+        # anything says little.
         self.is_large_fleet = settings.couriers > settings.slots
 
     def begin(self, now_us: int) -> None:
@@ -34,7 +35,7 @@
             heapq.heappop(self.timers)
 
     def wake_at(self, at_us: int) -> None:
-        """Another turn then, if none comes before."""
+        """Ask for another turn at `at_us`, unless one is due before."""
         at_us = max(at_us, self.now_us + self.settings.tick_us)
         if not self.timers or at_us < self.timers[0]:
             heapq.heappush(self.timers, at_us)
--- a/hopmill/policy/worth.py
+++ b/hopmill/policy/worth.py
@@ -1,4 +1,4 @@
-"""What a message counts for: its class, its tenant's share of the traffic, and how late it is."""
+"""What delivering a message is worth: by its class, its tenant's share of the traffic, and its delay."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         ]
 
     def tenant_factor(self, tenant: int) -> float:
-        """Of a new message: traffic over its tenant's share is worth little."""
+        """Factor for the worth of a new message: traffic above its tenant's quota is worth less."""
         if tenant >= len(self.tenant_buckets):
             return 1.0
         bucket, now_us = self.tenant_buckets[tenant], self.turn.now_us
@@ -30,7 +30,7 @@
         return 1.0
 
     def at(self, message: Message, at_us: float) -> float:
-        """Worth of delivering m at that time."""
+        """Worth of delivering the message at `at_us`."""
         message_class = message.message_class
         age_us = at_us - message.created_us
         if age_us <= message_class.aim_us:
--- a/hopmill/policy/zones.py
+++ b/hopmill/policy/zones.py
@@ -1,35 +1,32 @@
 """How much of the traffic that has another choice a zone may get. No I/O, no clock.
 
-Zones are left and brought back by hand alone: no verdict is made here from what calls show.
+Zones are excluded and brought back by operators only: no decision is made here from the outcomes of calls.
 """
 
 from __future__ import annotations
 
 import random
 
-RETURN_JITTER_SHARE = (
-    0.25  # a return lasts so much longer or shorter by chance: couriers don't come back in step
-)
+RETURN_JITTER_SHARE = 0.25  # of the duration of a return, either way: couriers do not return in step
 
 
 class Zones:
-    """The zones that staff have left out, and those on their way back."""
+    """The zones that operators have excluded, and those that are returning."""
 
     def __init__(self, cold_share: float, cold_us: int, rng: random.Random) -> None:
-        """cold_share, cold_us: the part of its capacity that what returns begins with, and until it has all.
-        chance: from the courier's seed."""
+        """cold_share: of its capacity that a returning zone begins with. cold_us: until it has all of it."""
         self.cold_share = cold_share
         self.cold_us = max(1, cold_us)
         self.rng = rng
         self.excluded: set[int] = set()
-        self.returning: dict[int, tuple[int, int]] = {}  # zones on their way: since when, and until when
+        self.returning: dict[int, tuple[int, int]] = {}  # from when until when, in microseconds
 
     def exclude(self, zone: int) -> None:
         self.excluded.add(zone)
         self.returning.pop(zone, None)
 
     def bring_back(self, zone: int, now_us: int) -> bool:
-        """Gradually, by real messages. False if it was not out."""
+        """Let an excluded zone return gradually, with real messages. False if it was not excluded."""
         if zone not in self.excluded:
             return False
         self.excluded.remove(zone)
@@ -51,7 +48,7 @@
         return self.cold_share + (1 - self.cold_share) * max(0, now_us - since_us) / (until_us - since_us)
 
     def state(self, zone: int, now_us: int) -> tuple[str, float, str]:
-        """For staff: state, share and reason."""
+        """For operators: state, share and reason."""
         share = self.share(zone, now_us)
         if zone in self.excluded:
             return "out", share, "left out by an operator"
--- a/hopmill/simhost.py
+++ b/hopmill/simhost.py
@@ -1,4 +1,4 @@
-"""Runs couriers on the simulator's wire: one Courier for each instance, nothing shared between them."""
+"""Runs couriers on the simulator's wire: one Courier per instance, nothing shared between them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,25 @@
 from hopmill import interface, wire
 from hopmill.policy.courier import Courier
 
-REUSABLE_RESULTS = (
-    interface.Result.OK,
-    interface.Result.ERROR,
-    interface.Result.FULL,
-)  # a call that ends so leaves its connection idle
+# A call with one of these results leaves its connection idle.
+REUSABLE_RESULTS = (interface.Result.OK, interface.Result.ERROR, interface.Result.FULL)
 
 
 class SimulatedHost:
-    """A courier on the wire, and its idle connections. The simulator opens these by itself and tells nothing
-    of them: the account that the real host gets from its pool is inferred here from the calls."""
+    """A courier on the simulator's wire, and its idle connections.
+
+    The simulator opens connections by itself and reports nothing about them, so the account that the real
+    host gets from its pool is inferred from the calls.
+    """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings = settings
         self.courier = Courier(settings, seed)
-        self.kind_by_endpoint: dict[int, int] = {}  # of the endpoints listed
-        self.idle_since_us: dict[int, list[int]] = {}  # when each connection came free
-        self.open_attempts: dict[
-            tuple[int, int], list[int]
-        ] = {}  # by message and attempt: the call's open ones
-        self.next_attempt: dict[int, int] = {}  # the next of each message
+        self.kind_by_endpoint: dict[int, int] = {}  # of listed endpoints
+        self.idle_since_us: dict[int, list[int]] = {}  # when each idle connection came free, by endpoint
+        # By message and attempt: a list shared by the messages of a call, with the number not ended yet.
+        self.open_attempts: dict[tuple[int, int], list[int]] = {}
+        self.next_attempt: dict[int, int] = {}  # by message
 
     def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]:
         changed = {event.endpoint: None for event in events if self._observe_event(now_us, event)}
@@ -40,7 +39,7 @@
         return actions
 
     def _observe_event(self, now_us: int, event: interface.Event) -> bool:
-        """Whether it changes an endpoint's idle connections."""
+        """Account for an event; returns whether it changes an endpoint's idle connections."""
         if isinstance(event, interface.EndpointsListed):
             self.kind_by_endpoint.update((entry.endpoint, entry.kind) for entry in event.entries)
         if not isinstance(event, interface.AttemptEnded):
@@ -56,7 +55,7 @@
         return True
 
     def _apply_actions(self, now_us: int, actions: list[interface.Action]) -> None:
-        open_calls: dict[int, list[int]] = {}  # what travels together in this round
+        open_calls: dict[int, list[int]] = {}  # by endpoint: calls of this turn, which may take more messages
         for action in actions:
             if isinstance(action, interface.Send):
                 call = open_calls.get(action.endpoint)
@@ -89,7 +88,7 @@
     couriers: dict[int, SimulatedHost],
     numbered_lists: dict[int, Any],
 ) -> bytes:
-    """The reply to one batch."""
+    """The reply to one batch of events."""
     events_by_instance: dict[int, list[Any]] = {}
     for instance, event in wire.read_events(body, count, numbered_lists):
         events = events_by_instance.setdefault(instance, [])
@@ -107,7 +106,7 @@
             continue
         try:
             actions = courier.handle(now_us, events)
-        except Exception as error:  # the bench wants the text, whatever went wrong
+        except Exception as error:  # the simulator reports the text of any error
             reply.instance(instance)
             reply.fault(f"{type(error).__name__}: {error}")
             continue
@@ -119,7 +118,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every batch until the input ends."""
+    """Answer batches until the input ends."""
     couriers: dict[int, SimulatedHost] = {}
     numbered_lists: dict[int, Any] = {}
     while header := source.read(wire.BATCH_HEADER.size):
@@ -134,7 +133,7 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except ValueError as error:  # a malformed frame or settings that cannot be
+    except ValueError as error:  # malformed frame or invalid settings
         print(f"hopmill.simhost: {error}", file=sys.stderr)
         return 2
     return 0
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's binary frames and settings JSON, to and from the interface types. No decisions here."""
+"""Converts the simulator's binary frames and settings JSON to and from the interface types. No decisions."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
 
 
 class MalformedFrameError(ValueError):
-    """A frame that does not follow the wire's description."""
+    """A frame or settings that do not follow the wire's description."""
 
 
 class Begin:
-    """An instance begins with these settings and this seed."""
+    """An instance starts with these settings and this seed."""
 
     __slots__ = ("seed", "settings")
 
@@ -94,7 +94,7 @@
 
 
 def read_settings(text: bytes | memoryview | str) -> interface.Settings:
-    """The settings JSON as Settings; unknown keys are ignored, a needed one that lacks is named."""
+    """Parse the settings JSON. Unknown keys are ignored; MalformedFrameError names a missing one."""
     try:
         raw = json.loads(bytes(text) if isinstance(text, memoryview) else text)
     except ValueError as error:
@@ -192,7 +192,7 @@
 
 
 def split_header(header: bytes) -> tuple[int, int, int, int]:
-    """(sequence number, body length, clock, record count) of a batch."""
+    """Return (sequence number, body length, clock, record count) of a batch. Raises MalformedFrameError."""
     if len(header) != BATCH_HEADER.size:
         raise MalformedFrameError(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
     return BATCH_HEADER.unpack(header)
@@ -201,7 +201,10 @@
 def read_events(
     body: bytes, count: int, numbered_lists: dict[int, tuple[interface.ListEntry, ...]]
 ) -> Iterator[tuple[int, Any]]:
-    """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
+    """Yield (instance, event) for each record in order. Raises MalformedFrameError.
+
+    Numbered endpoint lists are kept in `numbered_lists` across batches.
+    """
     if count * EVENT_SIZE > len(body):
         raise MalformedFrameError(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
@@ -342,7 +345,7 @@
             self._add_record("BB", 11, int(action.on))
         elif isinstance(action, interface.FetchList):
             self._add_record("B", 12)
-        # Keep and OpenIdle: the simulator opens and keeps connections by itself.
+        # Keep and OpenIdle have no record: the simulator opens and keeps connections by itself.
 
     def pack(self, sequence: int) -> bytes:
         body = b"".join(self.records) + bytes(self.tail)
