--- a/hopmill/__main__.py
+++ b/hopmill/__main__.py
@@ -6,6 +6,7 @@
 
 
 def main() -> int:
+    """Run the courier, or a command if there are arguments; returns the exit status."""
     if len(sys.argv) == 1:
         from hopmill.serve import run
 
--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -13,6 +13,8 @@
 
 
 class Admission:
+    """Refuses new messages that have no prospect of being delivered."""
+
     def __init__(self, turn: Turn, pacing: Pacing, max_attempts: int) -> None:
         """max_attempts: of one message, the first included."""
         self.turn = turn
@@ -55,6 +57,7 @@
         return min(MAX_UNSENT_SHARE, sum(shares) / max(1, len(destination.lanes)))
 
     def should_refuse(self, message: Message) -> bool:
+        """Whether to refuse a new message, at random by the refusal share; in a large fleet only."""
         return self.turn.is_large_fleet and self.turn.rng.random() < self.refusal_share(
             message.destination, message.valid_until_us - self.turn.now_us
         )
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -17,6 +17,8 @@
 
 
 class CircuitBreakers:
+    """Opens and closes circuit breakers and meters the calls that they let through."""
+
     def __init__(self, turn: Turn) -> None:
         self.turn = turn
         self.settings = turn.settings
@@ -42,6 +44,7 @@
         # A lane that fails repeatedly has few successes, so the highest rate seen counts. In a large fleet
         # the minimum rates of hundreds of couriers add up: there it is the courier's own traffic, since the
         # sum of that over the fleet follows the total.
+        """Set the rate that the slow start leads to."""
         turn = self.turn
         own_rate_per_s = (
             endpoint.lane.destination.arrivals
@@ -96,6 +99,7 @@
         )
 
     def record_ambiguous_failure(self, endpoint: Endpoint) -> None:
+        """A call failed after which the message may have been processed all the same."""
         endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
             self.ambiguous_share(endpoint) + OUTCOME_WEIGHT * (1 - self.ambiguous_share(endpoint)),
             self.turn.now_us,
@@ -142,6 +146,7 @@
             )
 
     def record_answer(self, endpoint: Endpoint) -> None:
+        """A call succeeded: lower the failure shares."""
         endpoint.failure_share, endpoint.breaker.failure_share = (
             endpoint.failure_share * (1 - OUTCOME_WEIGHT),
             endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT),
@@ -215,5 +220,6 @@
         return True
 
     def spend_token(self, endpoint: Endpoint) -> None:
+        """Take the token of a call during a slow start or, in a large fleet, of a trial call."""
         if endpoint.breaker.slow_start_began_us >= 0 or endpoint.breaker.is_open and self.turn.is_large_fleet:
             endpoint.breaker.tokens -= 1.0
--- a/hopmill/policy/connections.py
+++ b/hopmill/policy/connections.py
@@ -12,6 +12,8 @@
 
 
 class Connections:
+    """Decides on the connections to all endpoints."""
+
     def __init__(self, turn: Turn) -> None:
         self.turn = turn
         self.settings = turn.settings
@@ -54,6 +56,7 @@
         )
 
     def check_out(self, endpoint: Endpoint, call: Call) -> None:
+        """Take a connection for a call; close the idle ones first if even the newest is too old to trust."""
         now_us, oldest_us = self.turn.now_us, self.turn.now_us - self.max_idle_us
         if (
             endpoint.connection_budget.idle_since_us
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -110,6 +110,7 @@
     """Decides for one courier: `handle` takes the events of a turn and returns its actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """The same settings, seed and events give the same actions."""
         self.settings = settings
         self.turn = turn = Turn(settings, seed)
         self.max_attempts = min(DEFAULT_MAX_ATTEMPTS, settings.max_attempts)
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -14,6 +14,8 @@
 
 
 class Evidence:
+    """Interprets the outcomes of calls."""
+
     def __init__(
         self,
         turn: Turn,
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -17,6 +17,8 @@
 
 
 class Gate:
+    """The conditions that a call has to meet before it is sent."""
+
     def __init__(
         self,
         turn: Turn,
@@ -42,6 +44,7 @@
         return endpoint_id not in self.state.excluded_endpoints and zone not in self.zones.excluded
 
     def is_serving(self, endpoint: Endpoint) -> bool:
+        """Whether the endpoint list and the operators let the endpoint have calls."""
         return endpoint.state is EndpointState.READY and self.may_serve(endpoint.id, endpoint.zone)
 
     def has_capacity(self, endpoint: Endpoint, has_quick_retry: bool = False) -> bool:
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -25,6 +25,8 @@
 
 
 class Pacing:
+    """Token buckets, windows and retry-after waits of all lanes."""
+
     def __init__(self, turn: Turn) -> None:
         settings = turn.settings
         self.turn = turn
@@ -60,6 +62,7 @@
             )
 
     def backoff_us(self, retry: int) -> int:
+        """Full-jitter exponential backoff before a retry, numbered from 0."""
         return int(self.turn.rng.uniform(0, min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(retry, 30))))
 
     # Token bucket
@@ -83,6 +86,7 @@
         return pace_per_s if max_pace_per_s == math.inf else min(pace_per_s or max_pace_per_s, max_pace_per_s)
 
     def refill(self, lane: Lane) -> float:
+        """Add the tokens of the time since the last refill; returns the tokens of the lane."""
         if not lane.pace_per_s and self._policy_limit_per_s(lane) == math.inf:
             return 1.0
         if self.turn.now_us > lane.refilled_us:
@@ -95,10 +99,12 @@
         return lane.tokens
 
     def spend_token(self, lane: Lane) -> None:
+        """Take the token of one call; a lane without a pace needs none."""
         if lane.pace_per_s or self._policy_limit_per_s(lane) < math.inf:
             lane.tokens -= 1.0 + self.turn.rng.uniform(-self.token_jitter, self.token_jitter)
 
     def allows(self, lane: Lane) -> bool:
+        """Whether a token is there; if not, asks for a turn when it will be."""
         if self.refill(lane) < 1.0:
             self.turn.wake_at(
                 max(self.turn.now_us, lane.refilled_us)
@@ -160,6 +166,7 @@
         return not lane.has_reported_limit or reported.get("x0", 0.0) > 0
 
     def record_success(self, lane: Lane) -> None:
+        """Widen the window and raise the pace."""
         now_us = self.turn.now_us
         lane.success_rate_per_s, lane.last_success_us = (
             lane.success_rate_per_s * max(0.0, 1 - (now_us - lane.last_success_us) / 4e6) + 0.25,
@@ -212,4 +219,5 @@
         lane.refilled_us = max(now_us, lane.wait_until_us)
 
     def record_timeout(self, lane: Lane, others_answered: bool) -> None:
+        """Narrow the window: by one if other calls were answered meanwhile, else by half."""
         lane.window = max(1.0, lane.window - 1 if others_answered else lane.window / 2)
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -17,6 +17,8 @@
 
 
 class Ranking:
+    """Picks the next message and endpoint of a destination."""
+
     def __init__(
         self,
         turn: Turn,
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -75,6 +75,8 @@
 
 
 class Destination:
+    """A partner's system with its lanes and the messages that wait for it."""
+
     def __init__(self, number: int) -> None:
         self.number = number
         self.kind = 0
@@ -84,6 +86,8 @@
 
 
 class Message:
+    """A message held, from its arrival until its last attempt has ended."""
+
     def __init__(
         self,
         number: int,
--- a/hopmill/policy/timeouts.py
+++ b/hopmill/policy/timeouts.py
@@ -23,6 +23,8 @@
 
 
 class Timeouts:
+    """Latencies and losses of calls, and the time-outs that follow from them."""
+
     def __init__(self, turn: Turn) -> None:
         self.turn = turn
         self.settings = turn.settings
@@ -30,6 +32,7 @@
         self.loss_share = MIN_LOSS_SHARE  # moving share of calls never answered while others are
 
     def for_lane(self, lane: Lane) -> int:
+        """Time-out in microseconds of a call in the lane, from its latencies and the share of lost calls."""
         return int(
             lane.mean_latency_us
             + max(
@@ -44,6 +47,7 @@
         self.mean_slot_time_us += (latency_us - self.mean_slot_time_us) / 32
 
     def record_latency(self, lane: Lane, latency_us: int) -> None:
+        """A call was answered: update the moving mean and deviation (after RFC 6298) and the loss share."""
         self.loss_share = max(MIN_LOSS_SHARE, self.loss_share * (1 - LOSS_WEIGHT))
         if not lane.mean_latency_us:
             # One fast answer does not justify a short time-out: start from the mean of all calls.
@@ -52,6 +56,7 @@
         lane.mean_latency_us += (latency_us - lane.mean_latency_us) / 8
 
     def record_loss(self) -> None:
+        """A call was lost while others were answered."""
         self.loss_share += LOSS_WEIGHT * (1 - self.loss_share)
 
     def loss_discount(self) -> float:
@@ -59,6 +64,7 @@
         return min(1.0, LOSS_DISCOUNT_FACTOR * self.loss_share)
 
     def time_left_us(self, message: Message) -> int:
+        """Time until the message has to be answered or the courier shuts down."""
         return (
             int(min(message.valid_until_us, self.turn.shutdown_deadline_us))
             - self.turn.now_us
@@ -84,6 +90,7 @@
         return max(1, min(longest_us, *map(self.time_left_us, messages)))
 
     def for_attempt(self, message: Message, endpoint: Endpoint, slots_short: bool) -> int:
+        """Time-out in microseconds for an attempt of one message by itself."""
         left_us = self.time_left_us(message)
         timeout_us, lane = left_us, endpoint.lane
         guess_us = (
--- a/hopmill/policy/turn.py
+++ b/hopmill/policy/turn.py
@@ -12,6 +12,8 @@
 
 
 class Turn:
+    """The time, the random number generator and the resulting actions that all decisions of a turn share."""
+
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
@@ -26,11 +28,13 @@
         self.is_large_fleet = settings.couriers > settings.slots
 
     def begin(self, now_us: int) -> None:
+        """Start a turn at `now_us` (monotonic clock) with an empty list of actions."""
         self.now_us, self.actions = now_us, []
         if self.started_us < 0:
             self.started_us = now_us
 
     def drop_due_timers(self) -> None:
+        """Forget timers that this turn answers."""
         while self.timers and self.timers[0] <= self.now_us:
             heapq.heappop(self.timers)
 
@@ -42,4 +46,5 @@
             self.actions.append(SetTimer(at_us - self.now_us, 0))
 
     def log(self, text: str) -> None:
+        """Add a line for the operators to the actions."""
         self.actions.append(Log(text))
--- a/hopmill/policy/worth.py
+++ b/hopmill/policy/worth.py
@@ -7,6 +7,8 @@
 
 
 class Worth:
+    """The worth of messages, with a bucket per tenant: [quota per second, tokens, time of last refill]."""
+
     def __init__(self, turn: Turn) -> None:
         self.turn = turn
         self.settings = turn.settings
--- a/hopmill/policy/zones.py
+++ b/hopmill/policy/zones.py
@@ -22,6 +22,7 @@
         self.returning: dict[int, tuple[int, int]] = {}  # from when until when, in microseconds
 
     def exclude(self, zone: int) -> None:
+        """No further calls to the zone."""
         self.excluded.add(zone)
         self.returning.pop(zone, None)
 
@@ -37,6 +38,7 @@
         return True
 
     def share(self, zone: int, now_us: int) -> float:
+        """Share of its usual traffic that the zone may get now, from 0 to 1."""
         if zone in self.excluded:
             return 0.0
         if zone not in self.returning:
--- a/hopmill/simhost.py
+++ b/hopmill/simhost.py
@@ -20,6 +20,7 @@
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
+        """A courier with these settings and this seed."""
         self.settings = settings
         self.courier = Courier(settings, seed)
         self.kind_by_endpoint: dict[int, int] = {}  # of listed endpoints
@@ -29,6 +30,7 @@
         self.next_attempt: dict[int, int] = {}  # by message
 
     def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]:
+        """Handle the events of a turn, preceded by reports of idle connections; returns the actions."""
         changed = {event.endpoint: None for event in events if self._observe_event(now_us, event)}
         reports = [
             interface.Connections(endpoint, tuple(self.idle_since_us.get(endpoint, ())))
@@ -131,6 +133,7 @@
 
 
 def main() -> int:
+    """Serve on standard input and output; returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:  # malformed frame or invalid settings
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -64,6 +64,7 @@
     __slots__ = ("seed", "settings")
 
     def __init__(self, seed: int, settings: interface.Settings) -> None:
+        """seed: of the random numbers of the instance."""
         self.seed = seed
         self.settings = settings
 
@@ -75,6 +76,7 @@
 
 
 def endpoint_id(address: int, port: int) -> int:
+    """One integer for an IPv4 address and a port."""
     return address << 16 | port
 
 
@@ -178,6 +180,7 @@
 
 
 def read_entries(data: memoryview) -> tuple[interface.ListEntry, ...]:
+    """Parse the entries of an endpoint list."""
     return tuple(
         interface.ListEntry(
             endpoint_id(address, port),
@@ -293,6 +296,7 @@
     """Collects the actions of one batch and packs them as a frame."""
 
     def __init__(self) -> None:
+        """An empty reply."""
         self.records: list[bytes] = []
         self.tail = bytearray()
 
@@ -305,12 +309,15 @@
         return offset, len(data)
 
     def instance(self, number: int) -> None:
+        """The records that follow are of this instance."""
         self._add_record("BH", 13, number)
 
     def fault(self, text: str) -> None:
+        """Report an error inside a courier."""
         self._add_record("BII", 10, *self._append_to_tail(text.encode()))
 
     def action(self, action: interface.Action) -> None:
+        """Add an action of the current instance."""
         if isinstance(action, interface.Send):
             self._add_record(
                 "BIIHI",
@@ -348,5 +355,6 @@
         # Keep and OpenIdle have no record: the simulator opens and keeps connections by itself.
 
     def pack(self, sequence: int) -> bytes:
+        """The whole frame."""
         body = b"".join(self.records) + bytes(self.tail)
         return REPLY_HEADER.pack(sequence, len(self.records), len(body)) + body
