--- a/hopmill/interface.py
+++ b/hopmill/interface.py
@@ -1,7 +1,7 @@
-"""The types that pass between a courier and its host: settings, events, actions.
+"""The types exchanged between a courier and its host: settings, events, actions.
 
-Times ending in ``_us`` are microseconds; an event's times are on the clock given to ``Courier.handle``.
-An endpoint is an opaque integer; equal integers are the same endpoint.
+Times ending in ``_us`` are microseconds; an event's times are on the clock given to ``Courier.handle``. An
+endpoint is an opaque integer; equal integers are the same endpoint.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message does: nothing (safe), nothing within a key's window, or harm."""
+    """What repeating a message does: nothing (SAFE), nothing within a key's window (KEYED), harm (UNSAFE)."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +19,7 @@
 
 
 class Result(Enum):
-    """How an attempt or a probe ended. Only FULL, CONNECT_FAILED and MOOT prove that it never ran."""
+    """How an attempt or a probe ended. Only FULL, CONNECT_FAILED and MOOT prove that it was not processed."""
 
     OK = "ok"
     ERROR = "error"
@@ -32,7 +32,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint; it says nothing of health."""
+    """The state of an endpoint in the endpoint list. It says nothing about health."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -40,7 +40,7 @@
 
 
 class ListForm(Enum):
-    """DELTA changes the list held; FULL and CACHED replace it; FAILED: a request for it failed."""
+    """DELTA changes the known list; FULL and CACHED replace it; FAILED: a request for it failed."""
 
     DELTA = "delta"
     FULL = "full"
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What the messages of one class are worth, and what may be done with them."""
+    """What the messages of a class are worth, and what may be done with them. Raises ValueError."""
 
     name: str
-    aim_us: int  # delivered within this it earns its full worth
-    deadline_us: int  # and within this, a part
+    aim_us: int  # a message delivered within this time has its full worth
+    deadline_us: int  # within this time, part of it
     effect: Effect = Effect.SAFE
     worth: float = 1.0
-    late_share: float = 0.0  # share of the worth left at the deadline
-    key_scope: str = "all"  # keyed: the endpoints that drop repeats: "all", or one "zone" or "cell" only
-    key_window_us: int = 0  # keyed: for how long they drop them
-    ordered: bool = False  # messages with the same key go one at a time
+    late_share: float = 0.0  # of the worth, left at the deadline
+    key_scope: str = "all"  # KEYED: which endpoints drop repeats: all, or only those of one "zone" or "cell"
+    key_window_us: int = 0  # KEYED: how long they drop them
+    ordered: bool = False  # messages with the same order key are delivered one at a time
 
     def __post_init__(self) -> None:
         p = f"classes.{self.name}."
@@ -86,11 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer whose traffic within its share counts in full."""
+    """A customer, whose traffic within its quota counts in full."""
 
     name: str
     share: float
-    quota_per_s: float  # from all couriers together
+    quota_per_s: float  # messages per second, all couriers together
 
     def __post_init__(self) -> None:
         _need(0 <= self.share <= 1, f"tenants.{self.name}.share", "from 0 to 1")
@@ -102,8 +102,8 @@
     """A kind of destination."""
 
     name: str
-    routes_apart: bool = False  # each endpoint has its own limit, waits and outages
-    batch: int = 1  # messages of one turn to one endpoint that travel as one call, at most
+    routes_apart: bool = False  # each endpoint has its own rate limit, waits and outages
+    batch: int = 1  # max messages of one turn to one endpoint that travel in one call
 
     def __post_init__(self) -> None:
         _need(self.batch >= 1, f"kinds.{self.name}.batch", "1 or more")
@@ -111,39 +111,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a courier is told at its start. Invalid values raise ValueError naming the field."""
+    """Settings of a courier. Invalid values raise a ValueError that names the field."""
 
     classes: tuple[MessageClass, ...]
-    slots: int  # calls that may be out at once
-    max_held: int  # messages that may be held, sent or not
+    slots: int  # calls that may be in flight at once
+    max_held: int  # messages that may be held, in flight or waiting
     kinds: tuple[Kind, ...] = (Kind("any"),)
     tenants: tuple[Tenant, ...] = ()
-    couriers: int = 1  # how many share the traffic
-    me: int = 0
+    couriers: int = 1  # that share the traffic
+    me: int = 0  # number of this courier, from 0
     max_attempts: int = 3
-    second_copies: bool = False  # two attempts of one message may be out at once
+    second_copies: bool = False  # two attempts of one message may be in flight at once
     may_probe: bool = False
     may_cancel: bool = False
     peer_notes: bool = False
-    tick_us: int = 1000  # least time between two turns
-    max_retry_after_us: int = 0  # the longest wait that clients heed; 0: they are told none
-    clients_mark_retries: bool = False  # MessageArrived.resubmitted is told
-    connection_idle_us: int = 10_000_000
+    tick_us: int = 1000  # minimum time between two turns
+    max_retry_after_us: int = 0  # longest retry-after that clients respect; 0: they get none
+    clients_mark_retries: bool = False  # MessageArrived.resubmitted is set
+    connection_idle_us: int = 10_000_000  # endpoints close connections that are idle for longer
     connect_timeout_us: int = 1_000_000
     drain_grace_us: int = 0
-    cold_share: float = 0.1  # share of its capacity that a returning destination has at least
-    cold_us: int = 10_000_000  # after this it has all of it
-    fall_multiple: float = 2.0  # more than this multiple of its present capacity,
-    fall_us: int = 1_000_000  # for this long, pushes it over
-    key_rest_us: int = 0
+    cold_share: float = 0.1  # of its capacity, that a returning destination has at least
+    cold_us: int = 10_000_000  # until it has all of its capacity
+    fall_multiple: float = 2.0  # load above this multiple of its present capacity
+    fall_us: int = 1_000_000  # for this long makes a destination fail
+    key_rest_us: int = 0  # pause of an order key after an attempt that may still run
     answer_slack_us: int = 0
-    list_on_request: bool = False  # the endpoint list comes only after Subscribe or FetchList
-    report_fields: tuple[str, ...] = ()  # names of the figures that an answer may report
-    rates_listed: bool = False  # the list gives each destination's rate (else its figure means nothing)
-    over_share_worth: float = 1.0
-    late_halves: bool = False  # worth halves with each further aim, in place of falling evenly
-    zone_fees: tuple[float, ...] = ()
-    refused_price: float = 0.0  # what each call refused above a limit costs, as a share of a message
+    list_on_request: bool = False  # the endpoint list is sent only after Subscribe or FetchList
+    report_fields: tuple[str, ...] = ()  # names of the values in AttemptEnded.report
+    rates_listed: bool = False  # ListEntry.rate_per_s is valid
+    over_share_worth: float = 1.0  # factor for the worth of messages above their tenant's quota
+    late_halves: bool = False  # worth halves per further aim_us instead of falling linearly
+    zone_fees: tuple[float, ...] = ()  # cost of a call by zone number
+    refused_price: float = 0.0  # cost of a call refused above a limit, as a share of a message
 
     def __post_init__(self) -> None:
         _check_times(self, "")
@@ -157,7 +157,7 @@
         _need(0 <= self.over_share_worth <= 1, "over_share_worth", "from 0 to 1")
 
 
-# Events: what the host tells the courier, in the order in which it came.
+# Events: what the host reports to the courier, in order.
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,14 +167,14 @@
     endpoint: int
     destination: int
     state: EndpointState
-    rate_per_s: float = 0.0  # calls a second taken from all couriers together, where rates are listed
+    rate_per_s: float = 0.0  # limit for all couriers together; see Settings.rates_listed
     kind: int = 0
     zone: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """News of the endpoint list. Deliver the cached list with the first turn."""
+    """The endpoint list or changes to it. Report the cached list in the first turn."""
 
     form: ListForm
     entries: tuple[ListEntry, ...] = ()
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
-    """The courier has taken a message and owes it one final answer before valid_until_us."""
+    """The courier has taken on a message and owes it one final answer before valid_until_us."""
 
     message: int
     message_class: int
@@ -191,17 +191,17 @@
     tenant: int = 0
     order_key: int = 0
     resubmitted: bool = False
-    # Of a message restored after a restart, or whose key is known from an earlier one:
+    # Of a message restored after a restart, or whose key is known from an earlier message:
     tries: int = 0  # attempts so far
-    ran_at_us: int = -1  # when the first attempt that may have run was sent,
-    ran_zone: int = -1  # and to which zone, -1 if that is not known
-    out: bool = False  # its newest attempt is still out: CallCarried follows in the same turn
-    restored: bool = False  # it was taken on by the process before
+    ran_at_us: int = -1  # when the first attempt that may have run was sent; -1 if there is none
+    ran_zone: int = -1  # the zone that it was sent to; -1 if unknown
+    out: bool = False  # the newest attempt is still in flight: CallCarried follows in the same turn
+    restored: bool = False  # taken on by the previous process
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswering:
-    """A streamed answer has begun; the attempt belongs to the client from now on."""
+    """A streamed answer has begun; from now on the attempt belongs to the client."""
 
     message: int
     attempt: int
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The outcome of one Send; each has exactly one. closed: the message is over."""
+    """The outcome of one Send; each has exactly one. closed: the message is finished."""
 
     message: int
     attempt: int
@@ -218,9 +218,9 @@
     result: Result
     latency_us: int
     closed: bool = False
-    retry_after_us: int = 0  # with FULL: the told wait, 0 if none was told
-    report: tuple[float, ...] = ()  # the endpoint's, in the order of Settings.report_fields; () if none
-    idle_us: int | None = None  # how long its connection had been idle, -1 for a new one, None: not told
+    retry_after_us: int = 0  # with FULL: the announced wait, 0 if there is none
+    report: tuple[float, ...] = ()  # load report, in the order of Settings.report_fields; () if there is none
+    idle_us: int | None = None  # how long the connection had been idle; -1: new; None: unknown
 
 
 @dataclass(frozen=True, slots=True)
@@ -234,21 +234,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageGone:
-    """Nobody wants the message any more; its attempts are still reported."""
+    """Nobody waits for the message any more; its attempts are still reported."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer set by the courier has come due."""
+    """A timer set by the courier is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Closing:
-    """A planned restart: no attempt may last past then. What is still held is restored afterwards."""
+    """A planned restart: no attempt may last past until_us. Messages still held are restored afterwards."""
 
     until_us: int
 
@@ -263,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetByHand:
-    """An operator leaves an endpoint out, whatever the list says, or lets it serve again: it returns cold."""
+    """An operator excludes an endpoint, whatever the list says, or readmits it, with a slow start."""
 
     endpoint: int
     out: bool
@@ -271,7 +271,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetZoneByHand:
-    """An operator leaves a whole zone out, or lets it return: gradually, and its endpoints are cold."""
+    """An operator excludes a whole zone, or lets it return: gradually, with slow starts."""
 
     zone: int
     out: bool
@@ -279,7 +279,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneCarried:
-    """After an upgrade: a zone that was on its way back, since when and until when."""
+    """After an upgrade: a zone that is returning, from when until when."""
 
     zone: int
     since_us: int
@@ -288,8 +288,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """After an upgrade: what the process before had learned of an endpoint, named as Courier.carry() does.
-    Times are on the same clock. Names that this version does not know are ignored."""
+    """After an upgrade: what the previous process learned of an endpoint, by the names of Courier.carry().
+
+    Times are on the same clock. Names unknown to this version are ignored.
+    """
 
     endpoint: int
     figures: dict[str, float]
@@ -297,8 +299,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Connections:
-    """The host's account of an endpoint's idle connections, the only one: when each came free, oldest first.
-    It replaces the one before, and comes first in its turn."""
+    """The idle connections of an endpoint: when each came free, oldest first.
+
+    The host alone counts them. The report replaces the previous one, and comes first in its turn.
+    """
 
     endpoint: int
     idle_since: tuple[int, ...]
@@ -313,8 +317,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySet:
-    """The policy from now on, whole: settings in place of those of the start, what is left out by it or by
-    hand, and ceilings by destination: (calls out at once, calls a second of all couriers), 0 for none."""
+    """The whole policy from now on: settings in place of the initial ones, exclusions, and ceilings.
+
+    Exclusions include those by operators. Ceilings by destination: (calls in flight, calls per second of all
+    couriers), 0 for none.
+    """
 
     settings: Settings
     endpoints_out: frozenset[int] = frozenset()
@@ -324,14 +331,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Whether to begin no call; messages that wait get their answers in time all the same."""
+    """Whether to start no calls; waiting messages still get their answers in time."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class CallCarried:
-    """After an upgrade: a call of the process before is still out; the newest attempt of each message."""
+    """After an upgrade: a call still in flight, carrying the newest attempt of each of its messages."""
 
     endpoint: int
     sent_at_us: int
@@ -359,7 +366,7 @@
     | Hold
 )
 
-# Actions: what the host must carry out, in order. Refuse and Fail are final answers.
+# Actions: what the host has to carry out, in order. Refuse and Fail are final answers.
 
 
 @dataclass(frozen=True, slots=True)
@@ -373,7 +380,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End the message; tell the client that it may come again, after retry_after_us if above 0."""
+    """End the message; the client may resubmit it, after retry_after_us if that is above 0."""
 
     message: int
     retry_after_us: int = 0
@@ -381,14 +388,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End the message with no promise about its effect."""
+    """End the message without a statement about its effect."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt; its outcome still comes."""
+    """Stop waiting for an attempt; its outcome is still reported."""
 
     message: int
     attempt: int
@@ -396,7 +403,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver TimerDue with this token in the first turn after delay_us."""
+    """Report TimerDue with this token in the first turn after delay_us."""
 
     delay_us: int
     token: int
@@ -404,7 +411,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check an endpoint; report ProbeEnded."""
+    """Check an endpoint and report ProbeEnded."""
 
     endpoint: int
 
@@ -418,7 +425,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Keep:
-    """Keep at most so many idle connections to an endpoint from now on."""
+    """Keep at most this many idle connections to an endpoint from now on."""
 
     endpoint: int
     most: int
@@ -426,14 +433,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenIdle:
-    """Open a connection to an endpoint before a message needs it; nothing is told of how that ends."""
+    """Open a connection to an endpoint before a message needs it; the outcome is not reported."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendNote:
-    """Send a note to a peer, or to all (peer None)."""
+    """Send a note to a peer, or to all peers (None)."""
 
     peer: int | None
     data: bytes
@@ -441,7 +448,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """A log line for operators."""
 
     text: str
 
