--- a/hopmill/interface.py
+++ b/hopmill/interface.py
@@ -48,15 +48,17 @@
     FAILED = "failed"
 
 
-def _need(ok: bool, field: str, allowed: str) -> None:
-    if not ok:
+def _require(is_valid: bool, field: str, allowed: str) -> None:
+    if not is_valid:
         raise ValueError(f"{field}: must be {allowed}")
 
 
 def _check_times(owner: object, prefix: str) -> None:
-    for f in fields(owner):  # type: ignore[arg-type]
-        if f.name.endswith("_us"):
-            _need(getattr(owner, f.name) >= 0, f"{prefix}{f.name}", "0 or more microseconds")
+    for attribute in fields(owner):  # type: ignore[arg-type]
+        if attribute.name.endswith("_us"):
+            _require(
+                getattr(owner, attribute.name) >= 0, f"{prefix}{attribute.name}", "0 or more microseconds"
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,14 +76,14 @@
     ordered: bool = False  # messages with the same order key are delivered one at a time
 
     def __post_init__(self) -> None:
-        p = f"classes.{self.name}."
-        _check_times(self, p)
-        _need(self.aim_us > 0, p + "aim_us", "above 0")
-        _need(self.deadline_us >= self.aim_us, p + "deadline_us", "at least aim_us")
-        _need(isinstance(self.effect, Effect), p + "effect", "an Effect")
-        _need(self.worth >= 0, p + "worth", "0 or more")
-        _need(0 <= self.late_share <= 1, p + "late_share", "from 0 to 1")
-        _need(self.key_scope in ("all", "zone", "cell"), p + "key_scope", "all, zone or cell")
+        prefix = f"classes.{self.name}."
+        _check_times(self, prefix)
+        _require(self.aim_us > 0, prefix + "aim_us", "above 0")
+        _require(self.deadline_us >= self.aim_us, prefix + "deadline_us", "at least aim_us")
+        _require(isinstance(self.effect, Effect), prefix + "effect", "an Effect")
+        _require(self.worth >= 0, prefix + "worth", "0 or more")
+        _require(0 <= self.late_share <= 1, prefix + "late_share", "from 0 to 1")
+        _require(self.key_scope in ("all", "zone", "cell"), prefix + "key_scope", "all, zone or cell")
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,8 +95,8 @@
     quota_per_s: float  # messages per second, all couriers together
 
     def __post_init__(self) -> None:
-        _need(0 <= self.share <= 1, f"tenants.{self.name}.share", "from 0 to 1")
-        _need(self.quota_per_s >= 0, f"tenants.{self.name}.quota_per_s", "0 or more")
+        _require(0 <= self.share <= 1, f"tenants.{self.name}.share", "from 0 to 1")
+        _require(self.quota_per_s >= 0, f"tenants.{self.name}.quota_per_s", "0 or more")
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +108,7 @@
     batch: int = 1  # max messages of one turn to one endpoint that travel in one call
 
     def __post_init__(self) -> None:
-        _need(self.batch >= 1, f"kinds.{self.name}.batch", "1 or more")
+        _require(self.batch >= 1, f"kinds.{self.name}.batch", "1 or more")
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,14 +149,14 @@
 
     def __post_init__(self) -> None:
         _check_times(self, "")
-        _need(len(self.classes) > 0, "classes", "at least one class")
-        _need(len(self.kinds) > 0, "kinds", "at least one kind")
+        _require(len(self.classes) > 0, "classes", "at least one class")
+        _require(len(self.kinds) > 0, "kinds", "at least one kind")
         for name in ("slots", "max_held", "couriers", "max_attempts", "tick_us"):
-            _need(getattr(self, name) >= 1, name, "1 or more")
-        _need(0 <= self.me < self.couriers, "me", "from 0 to under couriers")
-        _need(0 < self.cold_share <= 1, "cold_share", "above 0 and at most 1")
-        _need(self.fall_multiple > 0, "fall_multiple", "above 0")
-        _need(0 <= self.over_share_worth <= 1, "over_share_worth", "from 0 to 1")
+            _require(getattr(self, name) >= 1, name, "1 or more")
+        _require(0 <= self.me < self.couriers, "me", "from 0 to under couriers")
+        _require(0 < self.cold_share <= 1, "cold_share", "above 0 and at most 1")
+        _require(self.fall_multiple > 0, "fall_multiple", "above 0")
+        _require(0 <= self.over_share_worth <= 1, "over_share_worth", "from 0 to 1")
 
 
 # Events: what the host reports to the courier, in order.
