--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -60,288 +60,296 @@
 
     def do(self, *events, after=0):
         self.now += after
-        acts = self.simulated.handle(self.now, list(events))
-        for a in acts:
+        actions = self.simulated.handle(self.now, list(events))
+        for a in actions:
             if isinstance(a, Send):
                 self.tries[a.message] = self.tries.get(a.message, -1) + 1
-        return acts
+        return actions
 
-    def arrive(self, cls=0, dest=1, life=None, after=0):
+    def arrive(self, message_class=0, destination=1, lifetime_us=None, after=0):
         self.next += 1
-        until = self.now + after + (life or CLASSES[cls].deadline_us)
-        return self.do(MessageArrived(self.next, cls, dest, until), after=after)
+        until = self.now + after + (lifetime_us or CLASSES[message_class].deadline_us)
+        return self.do(MessageArrived(self.next, message_class, destination, until), after=after)
 
-    def end(self, message, result, latency=100_000, after=100_000, endpoint=100, told=0):
+    def end(self, message, result, latency=100_000, after=100_000, endpoint=100, retry_after_us=0):
         return self.do(
-            AttemptEnded(message, self.tries[message], endpoint, result, latency, result is Result.OK, told),
+            AttemptEnded(
+                message, self.tries[message], endpoint, result, latency, result is Result.OK, retry_after_us
+            ),
             after=after,
         )
 
     def idle(self, seconds, step=0.05):
-        acts = []
+        actions = []
         for _ in range(round(seconds / step)):
-            acts += self.do(after=int(step * S))
-        return acts
+            actions += self.do(after=int(step * S))
+        return actions
 
 
-def of(kind, acts):
-    return [a for a in acts if isinstance(a, kind)]
+def of_type(kind, actions):
+    return [a for a in actions if isinstance(a, kind)]
 
 
 def test_first_message_goes_at_once():
-    assert [a.endpoint for a in of(Send, Host().arrive())] == [100]
+    assert [a.endpoint for a in of_type(Send, Host().arrive())] == [100]
 
 
 def test_window_is_one_wide_at_start_and_grows_by_success():
-    h = Host()
-    assert len(of(Send, h.arrive())) == 1
-    assert not of(Send, h.arrive()) and not of(Send, h.arrive())
-    assert len(of(Send, h.end(1, Result.OK))) == 2
+    host = Host()
+    assert len(of_type(Send, host.arrive())) == 1
+    assert not of_type(Send, host.arrive()) and not of_type(Send, host.arrive())
+    assert len(of_type(Send, host.end(1, Result.OK))) == 2
 
 
 def test_overload_ends_the_message_and_passes_the_wait_on():
-    h = Host()
-    h.arrive(cls=2)
-    acts = h.end(1, Result.FULL, told=S)
-    assert of(Refuse, acts) == [Refuse(1, S)]
+    host = Host()
+    host.arrive(message_class=2)
+    actions = host.end(1, Result.FULL, retry_after_us=S)
+    assert of_type(Refuse, actions) == [Refuse(1, S)]
 
 
 def test_told_wait_is_kept_for_every_message():
-    h = Host()
-    h.arrive()
-    h.end(1, Result.FULL, told=S)
-    sent = of(Send, h.arrive() + h.idle(0.95))
+    host = Host()
+    host.arrive()
+    host.end(1, Result.FULL, retry_after_us=S)
+    sent = of_type(Send, host.arrive() + host.idle(0.95))
     assert not sent
-    assert of(Send, h.idle(0.2))
+    assert of_type(Send, host.idle(0.2))
 
 
 def test_failed_call_is_tried_again_three_times_at_most():
-    h = Host(endpoints=1)
-    sends = of(Send, h.arrive())
+    host = Host(endpoints=1)
+    sends = of_type(Send, host.arrive())
     for _ in range(2):
-        acts = h.end(1, Result.ERROR) + h.idle(0.5)
-        sends += of(Send, acts)
-        assert not of(Refuse, acts)
+        actions = host.end(1, Result.ERROR) + host.idle(0.5)
+        sends += of_type(Send, actions)
+        assert not of_type(Refuse, actions)
     assert len(sends) == 3
-    assert of(Refuse, h.end(1, Result.ERROR))
+    assert of_type(Refuse, host.end(1, Result.ERROR))
 
 
 def test_unsafe_is_not_repeated_after_it_may_have_run():
-    h = Host()
-    h.arrive(cls=2)
-    acts = h.end(1, Result.ERROR) + h.idle(3)
-    assert of(Fail, acts) == [Fail(1)] and not of(Send, acts) and not of(Refuse, acts)
+    host = Host()
+    host.arrive(message_class=2)
+    actions = host.end(1, Result.ERROR) + host.idle(3)
+    assert of_type(Fail, actions) == [Fail(1)] and not of_type(Send, actions) and not of_type(Refuse, actions)
 
 
 def test_unsafe_is_repeated_after_a_failed_connection():
-    h = Host()
-    h.arrive(cls=2)
-    assert of(Send, h.end(1, Result.CONNECT_FAILED) + h.idle(1))
+    host = Host()
+    host.arrive(message_class=2)
+    assert of_type(Send, host.end(1, Result.CONNECT_FAILED) + host.idle(1))
 
 
 def test_nothing_to_a_draining_endpoint():
-    h = Host(endpoints=2)
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
-    assert [a.endpoint for a in of(Send, h.arrive())] == [101]
+    host = Host(endpoints=2)
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
+    assert [a.endpoint for a in of_type(Send, host.arrive())] == [101]
 
 
 def test_every_message_is_answered_before_its_time_is_up():
-    h = Host(endpoints=0)
-    h.arrive(cls=2, life=S)
-    acts = h.idle(0.98, step=0.005)
-    assert not of(Refuse, acts)
-    assert of(Refuse, h.idle(0.02, step=0.005)) == [Refuse(1, 0)]
+    host = Host(endpoints=0)
+    host.arrive(message_class=2, lifetime_us=S)
+    actions = host.idle(0.98, step=0.005)
+    assert not of_type(Refuse, actions)
+    assert of_type(Refuse, host.idle(0.02, step=0.005)) == [Refuse(1, 0)]
 
 
-def warm(h, n=12):
+def warm(host, n=12):
     for _ in range(n):
-        h.arrive(after=300_000)
-        h.end(h.next, Result.OK)
+        host.arrive(after=300_000)
+        host.end(host.next, Result.OK)
 
 
 def test_unsafe_call_to_a_hung_endpoint_does_not_hold_its_slot_to_the_deadline():
-    h = Host()
-    warm(h)
-    (send,) = of(Send, h.arrive(cls=2))
+    host = Host()
+    warm(host)
+    (send,) = of_type(Send, host.arrive(message_class=2))
     assert send.timeout_us < CLASSES[2].deadline_us / 2
 
 
 def test_a_call_lost_while_others_are_answered_does_not_open_the_circuit():
-    h = Host()
-    warm(h)
+    host = Host()
+    warm(host)
     for _ in range(5):
-        h.arrive()
-        lost = h.next
-        h.arrive()
-        h.end(h.next, Result.OK)
-        h.end(lost, Result.TIMEOUT)
-    h.idle(1)
-    (ep,) = h.courier.state.endpoints.values()
-    assert not ep.breaker.is_open and ep.breaker.slow_start_began_us < 0
+        host.arrive()
+        lost = host.next
+        host.arrive()
+        host.end(host.next, Result.OK)
+        host.end(lost, Result.TIMEOUT)
+    host.idle(1)
+    (endpoint,) = host.courier.state.endpoints.values()
+    assert not endpoint.breaker.is_open and endpoint.breaker.slow_start_began_us < 0
 
 
-def serve(h, seconds, result, per_s=10):
+def serve(host, seconds, result, per_s=10):
     """Messages come and each attempt ends with the result a turn later; returns the sends."""
     sends, pending = 0, []
     for k in range(round(seconds * 20)):
-        acts = []
+        actions = []
         for a in pending:
-            acts += h.end(a.message, result, latency=50_000, after=0)
-        acts += h.arrive(life=S, after=50_000) if k * per_s % 20 < per_s else h.do(after=50_000)
-        pending = of(Send, acts)
+            actions += host.end(a.message, result, latency=50_000, after=0)
+        actions += (
+            host.arrive(lifetime_us=S, after=50_000) if k * per_s % 20 < per_s else host.do(after=50_000)
+        )
+        pending = of_type(Send, actions)
         sends += len(pending)
     for a in pending:
-        h.end(a.message, result, latency=50_000, after=0)
+        host.end(a.message, result, latency=50_000, after=0)
     return sends
 
 
 @pytest.mark.parametrize("how", [Result.CONNECT_FAILED, Result.TIMEOUT, Result.RESET, Result.FULL])
 def test_recovery_is_slow_at_first_and_full_after_the_cold_time(how):
-    h = Host(rate=8.0, cold_share=0.1, cold_us=10 * S, fall_multiple=2.5)
-    serve(h, 5, Result.OK)
-    down = serve(h, 6, how)
-    assert h.courier.state.endpoints[100].breaker.is_open and down < 20
-    first, _, last = serve(h, 4, Result.OK), serve(h, 8, Result.OK), serve(h, 4, Result.OK)
+    host = Host(rate=8.0, cold_share=0.1, cold_us=10 * S, fall_multiple=2.5)
+    serve(host, 5, Result.OK)
+    down = serve(host, 6, how)
+    assert host.courier.state.endpoints[100].breaker.is_open and down < 20
+    first, _, last = serve(host, 4, Result.OK), serve(host, 8, Result.OK), serve(host, 4, Result.OK)
     # the budget of the contract: the multiple of the present share, which grows from 0.1 to 0.46 in that time
     assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
     assert last > 1.3 * first
 
 
 def test_when_slots_are_short_a_lane_that_holds_them_long_gets_what_is_left():
-    h = Host(slots=2)
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
-    warm(h)
+    host = Host(slots=2)
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
+    warm(host)
     for _ in range(6):  # destination 2 takes ten times as long
-        h.arrive(dest=2, after=300_000)
-        h.end(h.next, Result.OK, latency=1_000_000, after=1_000_000, endpoint=200)
-    h.arrive()
-    first = h.next
-    h.arrive(dest=2)
-    held = h.next
-    for dest in (2, 1, 2, 1):
-        h.arrive(dest=dest)
-    h.idle(0.9, step=0.3)
-    acts = h.end(first, Result.OK, after=0)
-    assert held and [a.endpoint for a in of(Send, acts)] == [100]
+        host.arrive(destination=2, after=300_000)
+        host.end(host.next, Result.OK, latency=1_000_000, after=1_000_000, endpoint=200)
+    host.arrive()
+    first = host.next
+    host.arrive(destination=2)
+    held = host.next
+    for destination in (2, 1, 2, 1):
+        host.arrive(destination=destination)
+    host.idle(0.9, step=0.3)
+    actions = host.end(first, Result.OK, after=0)
+    assert held and [a.endpoint for a in of_type(Send, actions)] == [100]
 
 
 def test_each_wait_told_to_a_batched_call_is_kept():
-    h = Host(kinds=(Kind("k", batch=3),))
-    warm(h)
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
-    h.arrive()
-    h.arrive()
-    acts = h.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.READY),)), after=S)
-    first, second = of(Send, acts)
-    h.end(first.message, Result.FULL, told=0, after=0)
-    h.end(second.message, Result.FULL, told=2 * S, after=0)
-    assert not of(Send, h.arrive() + h.idle(1.95))
-    assert of(Send, h.idle(0.2))
+    host = Host(kinds=(Kind("k", batch=3),))
+    warm(host)
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
+    host.arrive()
+    host.arrive()
+    actions = host.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.READY),)), after=S)
+    first, second = of_type(Send, actions)
+    host.end(first.message, Result.FULL, retry_after_us=0, after=0)
+    host.end(second.message, Result.FULL, retry_after_us=2 * S, after=0)
+    assert not of_type(Send, host.arrive() + host.idle(1.95))
+    assert of_type(Send, host.idle(0.2))
 
 
 def test_a_destination_that_fails_half_its_calls_still_gets_a_cold_pace():
-    h = Host(rate=8.0, cold_share=0.2, fall_multiple=2.5)
-    serve(h, 5, Result.OK)
-    sent = serve(h, 10, Result.ERROR)
+    host = Host(rate=8.0, cold_share=0.2, fall_multiple=2.5)
+    serve(host, 5, Result.OK)
+    sent = serve(host, 10, Result.ERROR)
     # more than trials with growing gaps would send, and inside the contract's budget for a cold destination
     assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
-    assert not h.courier.state.endpoints[100].breaker.is_open
+    assert not host.courier.state.endpoints[100].breaker.is_open
 
 
 def test_time_outs_are_short_where_many_calls_are_lost():
-    h = Host(slots=40)
-    warm(h, 40)
-    calm = h.courier.timeouts.loss_share
+    host = Host(slots=40)
+    warm(host, 40)
+    calm = host.courier.timeouts.loss_share
     for _ in range(10):
-        sends = of(Send, h.arrive(after=300_000) + h.arrive())
+        sends = of_type(Send, host.arrive(after=300_000) + host.arrive())
         for a in sends[1:]:
-            h.end(a.message, Result.OK)
-        h.end(sends[0].message, Result.TIMEOUT)
-    lane = h.courier.state.endpoints[100].lane
+            host.end(a.message, Result.OK)
+        host.end(sends[0].message, Result.TIMEOUT)
+    lane = host.courier.state.endpoints[100].lane
     lane.mean_latency_us, lane.latency_deviation_us = 100_000.0, 75_000.0
-    lossy = h.courier.timeouts.for_lane(lane)
-    assert h.courier.timeouts.loss_share > 10 * calm
-    h.courier.timeouts.loss_share = calm
-    assert lossy < 0.7 * h.courier.timeouts.for_lane(lane)
+    lossy = host.courier.timeouts.for_lane(lane)
+    assert host.courier.timeouts.loss_share > 10 * calm
+    host.courier.timeouts.loss_share = calm
+    assert lossy < 0.7 * host.courier.timeouts.for_lane(lane)
 
 
 def test_pace_grows_slowly_near_the_rate_that_was_refused_last():
     def growth(refused):
-        h = Host(rate=4.0, couriers=2)
-        serve(h, 3, Result.OK)
+        host = Host(rate=4.0, couriers=2)
+        serve(host, 3, Result.OK)
         if refused:
-            for a in of(Send, h.arrive() + h.idle(1)):
-                h.end(a.message, Result.FULL)
-        lane = h.courier.state.endpoints[100].lane
+            for a in of_type(Send, host.arrive() + host.idle(1)):
+                host.end(a.message, Result.FULL)
+        lane = host.courier.state.endpoints[100].lane
         lane.last_refused_rate_per_s = lane.pace_per_s = 2.0
-        serve(h, 3, Result.OK)
+        serve(host, 3, Result.OK)
         return lane.pace_per_s - 2.0
 
     assert 0 < growth(True) < 0.7 * growth(False)
 
 
 def test_a_full_message_waits_here_where_no_client_comes_again():
-    h = Host(clients_mark_retries=True, classes=CLASSES)
-    h.courier.admission.unreturned_refusals = 20
-    h.arrive()
-    acts = h.end(1, Result.FULL, told=S)
-    assert not of(Refuse, acts) and not of(Send, acts + h.idle(0.95)) and of(Send, h.idle(4))
-    until = h.now + 10 * S
-    h.do(MessageArrived(99, 0, 1, until, resubmitted=True))
-    assert of(Refuse, h.end(1, Result.FULL))
+    host = Host(clients_mark_retries=True, classes=CLASSES)
+    host.courier.admission.unreturned_refusals = 20
+    host.arrive()
+    actions = host.end(1, Result.FULL, retry_after_us=S)
+    assert (
+        not of_type(Refuse, actions)
+        and not of_type(Send, actions + host.idle(0.95))
+        and of_type(Send, host.idle(4))
+    )
+    until = host.now + 10 * S
+    host.do(MessageArrived(99, 0, 1, until, resubmitted=True))
+    assert of_type(Refuse, host.end(1, Result.FULL))
 
 
 def test_a_bucket_is_smaller_where_refused_calls_are_priced():
     def at_once(price):
-        h = Host(rate=10.0, slots=40, refused_price=price)
-        h.courier.state.endpoints[100].lane.window = 20.0
-        h.idle(2)
-        return sum(len(of(Send, h.arrive())) for _ in range(12))
+        host = Host(rate=10.0, slots=40, refused_price=price)
+        host.courier.state.endpoints[100].lane.window = 20.0
+        host.idle(2)
+        return sum(len(of_type(Send, host.arrive())) for _ in range(12))
 
     assert 1 < at_once(0.1) < at_once(0.0) < 12
 
 
 def test_an_unsafe_message_waits_while_calls_there_fail_in_ways_that_may_have_run():
-    h = Host(cold_us=10 * S)
-    warm(h)
-    h.arrive()
-    h.end(h.next, Result.ERROR, after=50_000)
-    h.end(h.next, Result.ERROR, after=500_000) if of(Send, h.idle(0.3)) else None
-    h.courier.state.messages.clear()
-    h.courier.state.destinations[1].queue.clear()
-    early = of(Send, h.arrive(cls=2) + h.idle(1))
-    late = of(Send, h.idle(6))
-    assert not [a for a in early if a.message == h.next] and [a for a in late if a.message == h.next]
+    host = Host(cold_us=10 * S)
+    warm(host)
+    host.arrive()
+    host.end(host.next, Result.ERROR, after=50_000)
+    host.end(host.next, Result.ERROR, after=500_000) if of_type(Send, host.idle(0.3)) else None
+    host.courier.state.messages.clear()
+    host.courier.state.destinations[1].queue.clear()
+    early = of_type(Send, host.arrive(message_class=2) + host.idle(1))
+    late = of_type(Send, host.idle(6))
+    assert not [a for a in early if a.message == host.next] and [a for a in late if a.message == host.next]
 
 
 def test_an_endpoint_out_by_hand_gets_nothing_until_called_back_and_returns_cold():
-    h = Host(rate=200.0, cold_us=10 * S, cold_share=0.1)
+    host = Host(rate=200.0, cold_us=10 * S, cold_share=0.1)
     for _ in range(40):  # warm
-        m = of(Send, h.arrive(after=50_000))[0].message
-        h.end(m, Result.OK, after=50_000)
-    assert of(CloseIdle, h.do(SetByHand(100, True)))
-    assert not of(Send, h.arrive())
-    h.do(EndpointsListed(ListForm.FULL, (ListEntry(100, 1, EndpointState.READY, 200.0),)))
-    assert not of(Send, h.idle(1.0))
-    assert len(of(Send, h.do(SetByHand(100, False)))) == 1
+        m = of_type(Send, host.arrive(after=50_000))[0].message
+        host.end(m, Result.OK, after=50_000)
+    assert of_type(CloseIdle, host.do(SetByHand(100, True)))
+    assert not of_type(Send, host.arrive())
+    host.do(EndpointsListed(ListForm.FULL, (ListEntry(100, 1, EndpointState.READY, 200.0),)))
+    assert not of_type(Send, host.idle(1.0))
+    assert len(of_type(Send, host.do(SetByHand(100, False)))) == 1
     sent = 0
-    h.end(h.next, Result.OK)
+    host.end(host.next, Result.OK)
     for _ in range(200):  # a second of 200 a second: about its cold share is sent
-        sends = of(Send, h.arrive(after=5_000))
+        sends = of_type(Send, host.arrive(after=5_000))
         sent += len(sends)
         for send in sends:
-            h.end(send.message, Result.OK, latency=1_000, after=0)
+            host.end(send.message, Result.OK, latency=1_000, after=0)
     assert 10 <= sent <= 60
 
 
 def test_an_upgrade_hands_on_waits_circuits_and_calls():
     old = Host(endpoints=2, rate=100.0)
     for _ in range(4):  # its window opens
-        m = of(Send, old.arrive(after=50_000))[0]
+        m = of_type(Send, old.arrive(after=50_000))[0]
         old.end(m.message, Result.OK, after=50_000, endpoint=m.endpoint)
-    first = of(Send, old.arrive(cls=2))[0]
-    other = of(Send, old.arrive())
-    old.end(other[0].message, Result.FULL, told=5 * S, endpoint=other[0].endpoint)
+    first = of_type(Send, old.arrive(message_class=2))[0]
+    other = of_type(Send, old.arrive())
+    old.end(other[0].message, Result.FULL, retry_after_us=5 * S, endpoint=other[0].endpoint)
     new = Courier(old.courier.settings, 9)
     listed = EndpointsListed(
         ListForm.CACHED, tuple(ListEntry(100 + n, 1, EndpointState.READY, 100.0) for n in range(2))
@@ -349,14 +357,18 @@
     carried = [Carried(e, {**figures, "lane.unknown": 1.0}) for e, figures in old.courier.carry()]
     begun = MessageArrived(first.message, 2, 1, old.now + 9 * S, tries=1, out=True)
     held = MessageArrived(77, 0, 1, old.now + 9 * S)
-    acts = new.handle(
+    actions = new.handle(
         old.now, [listed, *carried, begun, held, CallCarried(first.endpoint, old.now - S, (first.message,))]
     )
-    assert not of(Send, acts) and not of(Fail, acts)  # the wait is kept, the unsafe one is not given up
+    assert not of_type(Send, actions) and not of_type(
+        Fail, actions
+    )  # the wait is kept, the unsafe one is not given up
     assert new.state.calls_in_flight == 1
-    assert of(Send, new.handle(old.now + 6 * S, []))  # the held one, once the wait is over
-    acts = new.handle(old.now + 6 * S, [AttemptEnded(first.message, 0, first.endpoint, Result.ERROR, 9 * S)])
-    assert [a.message for a in of(Fail, acts)] == [first.message] and new.state.calls_in_flight == 1
+    assert of_type(Send, new.handle(old.now + 6 * S, []))  # the held one, once the wait is over
+    actions = new.handle(
+        old.now + 6 * S, [AttemptEnded(first.message, 0, first.endpoint, Result.ERROR, 9 * S)]
+    )
+    assert [a.message for a in of_type(Fail, actions)] == [first.message] and new.state.calls_in_flight == 1
 
 
 def carried_by_hand(courier):
@@ -426,102 +438,102 @@
 
 def test_where_calls_are_lost_and_slots_are_short_an_unsafe_call_is_not_waited_for_in_vain():
     # Lost calls of four seconds had held most slots, with hundreds of messages waiting for one.
-    def patience(h):
-        return of(Send, h.arrive(cls=2))[-1].timeout_us
+    def patience(host):
+        return of_type(Send, host.arrive(message_class=2))[-1].timeout_us
 
-    h = Host(endpoints=1, slots=4)
+    host = Host(endpoints=1, slots=4)
 
     def served(times):
         for _ in range(times):
-            send = of(Send, h.arrive(after=20_000))[0]
-            h.end(send.message, Result.OK, after=100_000)
+            send = of_type(Send, host.arrive(after=20_000))[0]
+            host.end(send.message, Result.OK, after=100_000)
 
     served(60)
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
-    assert patience(h) == CLASSES[2].aim_us  # few slots taken: one long try
-    h.end(h.next, Result.OK, after=100_000)
-    lost = of(Send, h.arrive(cls=2, after=20_000))[0]
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
+    assert patience(host) == CLASSES[2].aim_us  # few slots taken: one long try
+    host.end(host.next, Result.OK, after=100_000)
+    lost = of_type(Send, host.arrive(message_class=2, after=20_000))[0]
     served(1)  # it answers others
-    h.end(lost.message, Result.TIMEOUT, latency=600_000, after=500_000)
+    host.end(lost.message, Result.TIMEOUT, latency=600_000, after=500_000)
     served(3)
-    assert patience(h) == CLASSES[2].aim_us
-    h.arrive()
-    h.arrive(dest=2)
-    assert h.courier.state.calls_in_flight == 3
-    assert patience(h) < CLASSES[2].aim_us * 0.8
+    assert patience(host) == CLASSES[2].aim_us
+    host.arrive()
+    host.arrive(destination=2)
+    assert host.courier.state.calls_in_flight == 3
+    assert patience(host) < CLASSES[2].aim_us * 0.8
 
 
 @pytest.mark.parametrize("new_ones_too", [True, False])
 def test_idle_connections_are_aged_out_only_if_calls_on_new_ones_are_not_lost_as_well(new_ones_too):
-    h = Host(endpoints=1, slots=8)
+    host = Host(endpoints=1, slots=8)
 
     def send():
-        return of(Send, h.arrive(cls=2, after=20_000))[0].message
+        return of_type(Send, host.arrive(message_class=2, after=20_000))[0].message
 
     def lose(message, answered):
-        h.end(answered, Result.OK, after=20_000)  # the endpoint answers others meanwhile
-        h.end(message, Result.TIMEOUT, latency=600_000, after=600_000)
+        host.end(answered, Result.OK, after=20_000)  # the endpoint answers others meanwhile
+        host.end(message, Result.TIMEOUT, latency=600_000, after=600_000)
 
     for _ in range(6):
-        h.end(send(), Result.OK, after=50_000)
+        host.end(send(), Result.OK, after=50_000)
     if new_ones_too:
         answered, new = send(), send()  # one connection is idle: the second call opens a new one
         lose(new, answered)
     for _ in range(2):
         answered, reused = send(), send()
-        h.end(answered, Result.OK, after=20_000)
-        h.end(reused, Result.OK, after=20_000)  # two are idle now
+        host.end(answered, Result.OK, after=20_000)
+        host.end(reused, Result.OK, after=20_000)  # two are idle now
         reused, answered = send(), send()
         lose(reused, answered)
-    assert (h.courier.connections.max_idle_us == h.courier.settings.connection_idle_us) is new_ones_too
+    assert (host.courier.connections.max_idle_us == host.courier.settings.connection_idle_us) is new_ones_too
 
 
 def two_routes(**changes):
     """A partner with two routes: calls to 100 last 0.9 s, calls to 101 0.1 s."""
-    h = Host(endpoints=2, kinds=(Kind("k", routes_apart=True),), **changes)
-    for ep in h.courier.state.endpoints.values():
-        ep.lane.window = 8.0
-        ep.lane.mean_latency_us = ep.lane.slot_time_us = 9e5 if ep.id == 100 else 1e5
-    return h
+    host = Host(endpoints=2, kinds=(Kind("k", routes_apart=True),), **changes)
+    for endpoint in host.courier.state.endpoints.values():
+        endpoint.lane.window = 8.0
+        endpoint.lane.mean_latency_us = endpoint.lane.slot_time_us = 9e5 if endpoint.id == 100 else 1e5
+    return host
 
 
 def test_a_route_with_long_calls_is_used_after_a_quick_one():
     # They had filled the partner's part of the slots, and its quick route got nothing for seconds.
-    h = two_routes()
+    host = two_routes()
     for _ in range(4):
-        send = of(Send, h.arrive())[0]
+        send = of_type(Send, host.arrive())[0]
         assert send.endpoint == 101
-        h.end(send.message, Result.OK, endpoint=101)
-    h.courier.state.endpoints[101].lane.wait_until_us = h.now + S
-    assert of(Send, h.arrive())[0].endpoint == 100  # but it is used
+        host.end(send.message, Result.OK, endpoint=101)
+    host.courier.state.endpoints[101].lane.wait_until_us = host.now + S
+    assert of_type(Send, host.arrive())[0].endpoint == 100  # but it is used
 
 
 def test_a_partner_is_ranked_by_its_free_routes_and_not_by_the_slow_one():
-    h = two_routes(slots=1)
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
-    busy = of(Send, h.arrive(dest=2))[0]
-    other = h.courier.state.endpoints[200].lane
-    h.arrive(dest=2)
-    waiting = h.next + 1
-    h.arrive(dest=1)
+    host = two_routes(slots=1)
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
+    busy = of_type(Send, host.arrive(destination=2))[0]
+    other = host.courier.state.endpoints[200].lane
+    host.arrive(destination=2)
+    waiting = host.next + 1
+    host.arrive(destination=1)
     other.mean_latency_us = other.slot_time_us = 5e5
-    acts = h.do(AttemptEnded(busy.message, 0, 200, Result.MOOT, 0, True))
-    assert [s.message for s in of(Send, acts)] == [waiting]
+    actions = host.do(AttemptEnded(busy.message, 0, 200, Result.MOOT, 0, True))
+    assert [s.message for s in of_type(Send, actions)] == [waiting]
 
 
 @pytest.mark.parametrize("lives", [(10.0, 0.25, 12.0, 9.0), (0.25, 10.0, 0.2, 12.0), (9.0, 9.0, 9.0, 9.0)])
 def test_a_bundle_has_one_time_and_none_in_it_ends_that_too_early_for_others(lives):
     # It was waited for until each one's own time: what came after the first one's time counted for nobody.
-    h = Host(kinds=(Kind("k", batch=10),))
-    h.arrive()
+    host = Host(kinds=(Kind("k", batch=10),))
+    host.arrive()
     left = {}
-    for life in lives:
-        h.arrive(life=int(life * S))
-        left[h.next] = h.now + int(life * S)
-    sent = of(Send, h.end(1, Result.OK))
-    (lane,) = h.courier.state.destinations[1].lanes
+    for lifetime_us in lives:
+        host.arrive(lifetime_us=int(lifetime_us * S))
+        left[host.next] = host.now + int(lifetime_us * S)
+    sent = of_type(Send, host.end(1, Result.OK))
+    (lane,) = host.courier.state.destinations[1].lanes
     usual = lane.mean_latency_us + 2 * lane.latency_deviation_us
-    left = {m: until - h.now - h.courier.turn.deadline_margin_us for m, until in left.items()}
+    left = {m: until - host.now - host.courier.turn.deadline_margin_us for m, until in left.items()}
     assert sent and len({a.timeout_us for a in sent}) == 1
     assert sent[0].timeout_us <= min(left[a.message] for a in sent)
     together = {a.message for a in sent}
@@ -546,49 +558,51 @@
     ],
 )
 def test_what_may_not_be_repeated_any_more_is_answered_at_once(waits, after, ends):
-    h = Host(classes=SHORT)
-    h.arrive(cls=0, life=20 * S)
+    host = Host(classes=SHORT)
+    host.arrive(message_class=0, lifetime_us=20 * S)
     if waits == "its call":
-        acts = h.end(1, Result.TIMEOUT, after=int(after * S))
+        actions = host.end(1, Result.TIMEOUT, after=int(after * S))
     else:
-        h.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
-        h.end(1, Result.ERROR)
-        acts = h.idle(after - 0.1)
+        host.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
+        host.end(1, Result.ERROR)
+        actions = host.idle(after - 0.1)
     assert [
-        "deferred" if isinstance(a, Refuse) else "failed" for a in acts if isinstance(a, (Refuse, Fail))
+        "deferred" if isinstance(a, Refuse) else "failed" for a in actions if isinstance(a, (Refuse, Fail))
     ] == ([ends] if ends else [])
 
 
 @pytest.mark.parametrize(("ran_zone", "sent"), [(0, [100]), (1, [101]), (-1, []), (7, [])])
 def test_a_restored_message_whose_key_holds_in_one_zone_goes_there_again_or_ends(ran_zone, sent):
-    h = Host(classes=SHORT)
-    h.do(
+    host = Host(classes=SHORT)
+    host.do(
         EndpointsListed(
             ListForm.CACHED, tuple(ListEntry(100 + n, 1, EndpointState.READY, zone=n) for n in range(2))
         )
     )
-    acts = h.do(MessageArrived(9, 1, 1, h.now + 15 * S, tries=1, ran_at_us=h.now - S, ran_zone=ran_zone))
-    assert [a.endpoint for a in of(Send, acts)] == sent
+    actions = host.do(
+        MessageArrived(9, 1, 1, host.now + 15 * S, tries=1, ran_at_us=host.now - S, ran_zone=ran_zone)
+    )
+    assert [a.endpoint for a in of_type(Send, actions)] == sent
     if ran_zone < 0:
-        assert of(Fail, acts) == [Fail(9)]
+        assert of_type(Fail, actions) == [Fail(9)]
     elif not sent:  # until its window ends its zone may come back
-        assert not of(Fail, acts) and of(Fail, h.idle(7.2)) == [Fail(9)]
+        assert not of_type(Fail, actions) and of_type(Fail, host.idle(7.2)) == [Fail(9)]
 
 
 @pytest.mark.parametrize(("restored", "given_up"), [(True, 0), (False, 10)])
 def test_what_a_restart_found_untried_is_not_given_up_for_its_pace(restored, given_up):
     # New ones that the pace can't reach in their life are turned away at once; these were taken on already.
-    h = Host(couriers=100, slots=4, rate=5.0)  # a part of a call in 20 s
-    h.courier.pacing.token_jitter = 0.0
-    h.arrive()
-    acts = h.do(*(MessageArrived(50 + n, 0, 1, h.now + 9 * S, restored=restored) for n in range(10)))
-    assert len(of(Refuse, acts)) == given_up
+    host = Host(couriers=100, slots=4, rate=5.0)  # a part of a call in 20 s
+    host.courier.pacing.token_jitter = 0.0
+    host.arrive()
+    actions = host.do(*(MessageArrived(50 + n, 0, 1, host.now + 9 * S, restored=restored) for n in range(10)))
+    assert len(of_type(Refuse, actions)) == given_up
 
 
 def test_each_message_that_a_restart_found_untried_is_sent():
-    h = Host(slots=4)
-    h.do(*(MessageArrived(50 + n, 0, 1, h.now + 9 * S, restored=True) for n in range(30)))
-    while h.courier.state.calls:
-        message, _ = next(iter(h.courier.state.calls))
-        h.end(message, Result.OK)
-    assert set(h.tries) == set(range(50, 80))
+    host = Host(slots=4)
+    host.do(*(MessageArrived(50 + n, 0, 1, host.now + 9 * S, restored=True) for n in range(30)))
+    while host.courier.state.calls:
+        message, _ = next(iter(host.courier.state.calls))
+        host.end(message, Result.OK)
+    assert set(host.tries) == set(range(50, 80))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from test_brain import CLASSES, Host, S, of
+from test_brain import CLASSES, Host, S, of_type
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import (
@@ -29,61 +29,63 @@
     return Host(**{"couriers": 100, "slots": 4, **changes})
 
 
-def entry(endpoint, dest=1, state=EndpointState.READY, rate=0.0):
-    return ListEntry(endpoint, dest, state, rate)
+def entry(endpoint, destination=1, state=EndpointState.READY, rate=0.0):
+    return ListEntry(endpoint, destination, state, rate)
 
 
 @pytest.mark.parametrize("couriers", [1, 3, 40, 300])
 def test_a_connection_is_kept_for_the_next_call_in_any_fleet(couriers):
     # A new one for each call is priced over the whole fleet, and costs the endpoints work.
-    h = fleet(couriers=couriers)
-    h.arrive()
-    assert not of(CloseIdle, h.end(1, Result.OK))
-    assert of(Send, h.arrive(after=5 * S))
-    ((call, _),) = h.courier.state.calls.values()
+    host = fleet(couriers=couriers)
+    host.arrive()
+    assert not of_type(CloseIdle, host.end(1, Result.OK))
+    assert of_type(Send, host.arrive(after=5 * S))
+    ((call, _),) = host.courier.state.calls.values()
     assert call.connection_idle_us == 5 * S
 
 
 def test_idle_connections_that_die_unseen_are_closed_before_use_after_two_lost_calls():
-    h = Host()
+    host = Host()
 
     def call(idle, result):
-        h.simulated.idle_since_us[100] = [h.now - idle]
-        h.do(Connections(100, (h.now - idle,)))
-        c = h.courier.state.endpoints[100].breaker
+        host.simulated.idle_since_us[100] = [host.now - idle]
+        host.do(Connections(100, (host.now - idle,)))
+        c = host.courier.state.endpoints[100].breaker
         (
             c.is_open,
             c.slow_start_began_us,
             c.trial_call,
             c.failure_share,
-            h.courier.state.endpoints[100].ambiguous_share,
+            host.courier.state.endpoints[100].ambiguous_share,
         ) = False, -1, None, 0.0, 0.0
-        acts = h.arrive(cls=2)  # unsafe: tried once
-        h.end(h.next, result)
-        h.idle(1)
-        return len(of(CloseIdle, acts))
+        actions = host.arrive(message_class=2)  # unsafe: tried once
+        host.end(host.next, result)
+        host.idle(1)
+        return len(of_type(CloseIdle, actions))
 
     assert not call(6 * S, Result.OK)
-    assert not call(4 * S, Result.RESET) and h.courier.connections.max_idle_us == 10 * S  # it may be chance
-    assert not call(4 * S, Result.RESET) and h.courier.connections.max_idle_us < 4 * S
-    trusted = h.courier.connections.max_idle_us
+    assert (
+        not call(4 * S, Result.RESET) and host.courier.connections.max_idle_us == 10 * S
+    )  # it may be chance
+    assert not call(4 * S, Result.RESET) and host.courier.connections.max_idle_us < 4 * S
+    trusted = host.courier.connections.max_idle_us
     assert call(4 * S, Result.OK) == 1
-    assert not call(trusted // 2, Result.OK) and h.courier.connections.max_idle_us > trusted
+    assert not call(trusted // 2, Result.OK) and host.courier.connections.max_idle_us > trusted
 
 
 def test_a_clump_met_by_all_couriers_at_once_passes_a_listed_limit_by_a_call_each_at_most():
     # Unpaced until its first refusal, each of them sent all it had: 40 harmless bursts were one of 160.
     couriers, rate, sent = 40, 20.0, 0
-    told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
+    listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     given = dict(classes=CLASSES, slots=4, max_held=50, rates_listed=True, couriers=couriers)
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    for c in all_:
-        c.handle(0, [told])
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    for c in fleet_couriers:
+        c.handle(0, [listed])
         for step in range(40):  # 2 s, the messages within the first 0.2 s
             now = S + step * 50_000
             events = [MessageArrived(step, 0, 1, now + 10 * S)] if step < 4 else []
             events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in c.state.calls]
-            sent += len(of(Send, c.handle(now, events)))
+            sent += len(of_type(Send, c.handle(now, events)))
     assert couriers <= sent <= couriers + 2 * rate
 
 
@@ -102,11 +104,11 @@
         fall_multiple=multiple,
         tick_us=5000,
     )
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     calls, sent, now, ident = [], [], 1000 * S, 0
-    for c in all_:
-        c.handle(now, [told])
+    for c in fleet_couriers:
+        c.handle(now, [listed])
     for step in range(4000):  # 40 s, 40 messages a second, each to the next courier by a fixed shuffle
         now += 10_000
         inbox = {}
@@ -117,10 +119,10 @@
             inbox.setdefault(k[1], []).append(event)
         calls = [x for x in calls if x[0][0] > now]
         for k in range(couriers) if step % 20 == 0 else sorted(inbox):
-            for a in all_[k].handle(now, inbox.get(k, [])):
+            for a in fleet_couriers[k].handle(now, inbox.get(k, [])):
                 if isinstance(a, Send):
-                    sent.append((now, all_[k].state.endpoints[100].breaker.failure_share > 0))
-                    tries = all_[k].state.messages[a.message].attempts - 1
+                    sent.append((now, fleet_couriers[k].state.endpoints[100].breaker.failure_share > 0))
+                    tries = fleet_couriers[k].state.messages[a.message].attempts - 1
                     calls.append(((now + 50_000, k), ended(a.message, tries, how)))
     informed = sum(1 for at, seen in sent if seen and at > 1000 * S + 20 * S) / 20
     assert 0 < informed <= multiple * cold * rate
@@ -131,29 +133,29 @@
 
 
 def test_a_single_quick_failure_is_tried_again_and_forgiven():
-    h = fleet(rate=400.0)
-    h.arrive()
-    acts = h.end(1, Result.CONNECT_FAILED, latency=20_000)
-    assert h.courier.state.endpoints[100].breaker.is_open  # others wait for their share
-    assert not [a for a in of(Send, acts + h.arrive() + h.arrive()) if a.message > 1]
-    assert of(Send, acts + h.idle(0.5))
-    h.end(1, Result.OK)
-    c = h.courier.state.endpoints[100].breaker
+    host = fleet(rate=400.0)
+    host.arrive()
+    actions = host.end(1, Result.CONNECT_FAILED, latency=20_000)
+    assert host.courier.state.endpoints[100].breaker.is_open  # others wait for their share
+    assert not [a for a in of_type(Send, actions + host.arrive() + host.arrive()) if a.message > 1]
+    assert of_type(Send, actions + host.idle(0.5))
+    host.end(1, Result.OK)
+    c = host.courier.state.endpoints[100].breaker
     assert not c.is_open and c.slow_start_began_us < 0
 
 
 def test_a_real_outage_ends_in_a_slow_start_for_all_endpoints_of_the_lane():
-    h = fleet(endpoints=2)
-    h.arrive()
+    host = fleet(endpoints=2)
+    host.arrive()
     for _ in range(3):
-        h.end(1, Result.CONNECT_FAILED, latency=20_000, endpoint=100)
-        h.idle(1)
-    one, other = (h.courier.state.endpoints[100 + k] for k in (0, 1))
+        host.end(1, Result.CONNECT_FAILED, latency=20_000, endpoint=100)
+        host.idle(1)
+    one, other = (host.courier.state.endpoints[100 + k] for k in (0, 1))
     assert one.breaker is other.breaker and one.breaker.is_open
     for _ in range(20):
-        sends = of(Send, h.arrive(after=100_000))
+        sends = of_type(Send, host.arrive(after=100_000))
         if sends:
-            h.end(sends[0].message, Result.OK)
+            host.end(sends[0].message, Result.OK)
             break
     assert not one.breaker.is_open and one.breaker.slow_start_began_us >= 0
 
@@ -161,15 +163,15 @@
 def test_credit_is_not_saved_up_while_told_to_wait():
     starts = 0
     for seed in range(40):
-        h = fleet(rate=10.0)
-        h.courier.turn.rng.seed(seed)
-        h.arrive()
-        h.end(1, Result.FULL, told=8 * S)  # so long a wait is a shut destination's
-        acts = []
+        host = fleet(rate=10.0)
+        host.courier.turn.rng.seed(seed)
+        host.arrive()
+        host.end(1, Result.FULL, retry_after_us=8 * S)  # so long a wait is a shut destination's
+        actions = []
         for _ in range(8):
-            acts += h.arrive(after=S * 95 // 100)
-        assert not of(Send, acts)
-        starts += len(of(Send, h.idle(2)))  # all couriers' waits end together
+            actions += host.arrive(after=S * 95 // 100)
+        assert not of_type(Send, actions)
+        starts += len(of_type(Send, host.idle(2)))  # all couriers' waits end together
     assert not starts
 
 
@@ -188,41 +190,41 @@
             ),
             seed,
         )
-        acts = c.handle(
+        actions = c.handle(
             S,
             [
                 EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
                 MessageArrived(1, 0, 1, 9 * S),
             ],
         )
-        e = of(Send, acts)[0].endpoint
+        e = of_type(Send, actions)[0].endpoint
         chosen[e] = chosen.get(e, 0) + 1
     assert 130 < chosen[100] < 170
 
 
 def test_where_calls_are_refused_a_share_of_new_messages_is_refused_unsent():
-    h = fleet()  # no rate is listed
+    host = fleet()  # no rate is listed
     for _ in range(6):
-        for a in of(Send, h.arrive(after=3 * S)):
-            h.end(a.message, Result.FULL)
+        for a in of_type(Send, host.arrive(after=3 * S)):
+            host.end(a.message, Result.FULL)
     unsent = 0
     for _ in range(30):
-        acts = h.arrive(after=S)
-        unsent += len(of(Refuse, acts))
-        for a in of(Send, acts):
-            h.end(a.message, Result.FULL)
+        actions = host.arrive(after=S)
+        unsent += len(of_type(Refuse, actions))
+        for a in of_type(Send, actions):
+            host.end(a.message, Result.FULL)
     assert 15 < unsent < 30
     for _ in range(60):
-        for a in of(Send, h.arrive(after=S) + h.idle(0.2)):
-            h.end(a.message, Result.OK)
-    assert not sum(len(of(Refuse, h.arrive(after=S))) for _ in range(10))
+        for a in of_type(Send, host.arrive(after=S) + host.idle(0.2)):
+            host.end(a.message, Result.OK)
+    assert not sum(len(of_type(Refuse, host.arrive(after=S))) for _ in range(10))
 
 
 def test_what_cannot_be_reached_in_time_is_handed_back_at_once():
-    h = fleet(rate=5.0)  # a part of 0.05 a second: the next call in up to 20 s
-    h.arrive()
-    h.end(h.next, Result.FULL)
-    refused = sum(len(of(Refuse, h.arrive(life=4 * S, after=50_000))) for _ in range(5))
+    host = fleet(rate=5.0)  # a part of 0.05 a second: the next call in up to 20 s
+    host.arrive()
+    host.end(host.next, Result.FULL)
+    refused = sum(len(of_type(Refuse, host.arrive(lifetime_us=4 * S, after=50_000))) for _ in range(5))
     assert refused >= 4
 
 
@@ -248,13 +250,13 @@
         self.do(lambda c: [EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))])
 
     def do(self, events):
-        return sum(len(of(Send, c.handle(self.now, events(c)))) for c in self.all)
+        return sum(len(of_type(Send, c.handle(self.now, events(c)))) for c in self.all)
 
-    def run(self, seconds, each_per_s, result, told=0, report=()):
+    def run(self, seconds, each_per_s, result, retry_after_us=0, report=()):
         """Returns the calls sent a second, by all together."""
         self.ident += 1000
         sent = 0
-        ends = (result, 50_000, result is Result.OK, told, report)
+        ends = (result, 50_000, result is Result.OK, retry_after_us, report)
         for step in range(int(seconds * 20)):
             self.now += 50_000
             arrives = step % int(20 / each_per_s) == 0
@@ -277,10 +279,10 @@
 
 
 def test_a_limit_told_within_chance_of_the_known_one_moves_the_pace_little():
-    h = Host(rate=10.0, report_fields=("x0", "x1"))
-    lane = h.courier.state.endpoints[100].lane
+    host = Host(rate=10.0, report_fields=("x0", "x1"))
+    lane = host.courier.state.endpoints[100].lane
     for k in range(30):
-        h.courier.pacing.record_report(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
+        host.courier.pacing.record_report(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
     assert 9 < lane.limit_share_per_s < 11
 
 
@@ -311,11 +313,11 @@
 
 
 def test_one_report_that_many_answers_repeat_counts_once():
-    h = Host(rate=10.0, report_fields=("x0", "x1"))
-    lane = h.courier.state.endpoints[100].lane
+    host = Host(rate=10.0, report_fields=("x0", "x1"))
+    lane = host.courier.state.endpoints[100].lane
     for _ in range(20):
-        h.arrive()
-        h.courier.pacing.record_report(lane, (0.9, 10.0))
+        host.arrive()
+        host.courier.pacing.record_report(lane, (0.9, 10.0))
     assert lane.pace_per_s < 1.5 * 10
 
 
@@ -331,57 +333,63 @@
     # Eight messages are one call here: counted as eight, most were refused, and clients handed them in again.
     refused = {}
     for batch in (1, 10):
-        h = fleet(rate=20.0, kinds=(Kind("k", batch=batch),))  # a part of a call in 5 s
-        h.arrive()
-        refused[batch] = sum(len(of(Refuse, h.arrive())) for _ in range(8))
+        host = fleet(rate=20.0, kinds=(Kind("k", batch=batch),))  # a part of a call in 5 s
+        host.arrive()
+        refused[batch] = sum(len(of_type(Refuse, host.arrive())) for _ in range(8))
     assert refused[1] >= 6 and not refused[10]
 
 
 def test_what_can_be_reached_within_its_life_is_held_and_not_handed_back():
-    h = fleet(rate=20.0)  # a part of a call in 5 s
-    h.courier.pacing.token_jitter = 0.0
-    h.arrive()
-    h.end(h.next, Result.OK)
-    assert not of(Refuse, h.arrive(life=6 * S))  # its turn comes at four fifths of its life
-    assert of(Send, h.idle(5))
-    assert of(Refuse, h.arrive(life=2 * S))
+    host = fleet(rate=20.0)  # a part of a call in 5 s
+    host.courier.pacing.token_jitter = 0.0
+    host.arrive()
+    host.end(host.next, Result.OK)
+    assert not of_type(Refuse, host.arrive(lifetime_us=6 * S))  # its turn comes at four fifths of its life
+    assert of_type(Send, host.idle(5))
+    assert of_type(Refuse, host.arrive(lifetime_us=2 * S))
 
 
 def test_room_is_made_by_handing_back_what_waits_longest_for_one_destination():
-    h = Host(max_held=10)
-    h.do(EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.DRAINING), entry(200, dest=2))))
-    acts = []
+    host = Host(max_held=10)
+    host.do(
+        EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.DRAINING), entry(200, destination=2)))
+    )
+    actions = []
     for _ in range(12):
-        acts += h.arrive()
-    assert len(h.courier.state.messages) <= 8 and of(Refuse, acts)
-    assert of(Send, h.arrive(dest=2))
+        actions += host.arrive()
+    assert len(host.courier.state.messages) <= 8 and of_type(Refuse, actions)
+    assert of_type(Send, host.arrive(destination=2))
 
 
 @pytest.mark.parametrize("apart", [False, True])
 def test_replaced_endpoints_leave_nothing_behind(apart):
-    h = fleet(kinds=(Kind("k", routes_apart=apart),))
+    host = fleet(kinds=(Kind("k", routes_apart=apart),))
     for n in range(3000):
-        h.do(EndpointsListed(ListForm.DELTA, (entry(101 + n), entry(100 + n, state=EndpointState.GONE))))
-    c = h.courier
+        host.do(EndpointsListed(ListForm.DELTA, (entry(101 + n), entry(100 + n, state=EndpointState.GONE))))
+    c = host.courier
     assert len(c.state.endpoints) == 1 and len(c.state.destinations[1].lanes) <= 2
     assert sum(len(x.endpoints) for x in c.state.destinations[1].lanes) == 1
-    assert of(Send, h.arrive())[0].endpoint == 3100
+    assert of_type(Send, host.arrive())[0].endpoint == 3100
 
 
 def test_an_endpoint_that_comes_back_or_moves_starts_anew():
-    h = Host()
-    h.do(EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.GONE),)))
-    assert not of(Send, h.arrive())
-    assert of(Send, h.do(EndpointsListed(ListForm.DELTA, (entry(100),)), after=S))
-    h.end(h.next, Result.OK)
-    h.do(EndpointsListed(ListForm.DELTA, (entry(100, dest=2),)))
-    assert not of(Send, h.arrive(dest=1)) and of(Send, h.arrive(dest=2))
+    host = Host()
+    host.do(EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.GONE),)))
+    assert not of_type(Send, host.arrive())
+    assert of_type(Send, host.do(EndpointsListed(ListForm.DELTA, (entry(100),)), after=S))
+    host.end(host.next, Result.OK)
+    host.do(EndpointsListed(ListForm.DELTA, (entry(100, destination=2),)))
+    assert not of_type(Send, host.arrive(destination=1)) and of_type(Send, host.arrive(destination=2))
 
 
 def test_a_message_for_a_destination_without_endpoints_is_refused_in_time():
-    h = Host()
-    h.arrive(dest=9, life=2 * S)
-    assert of(Refuse, h.idle(2.1)) and not of(Fail, h.idle(0.1)) and not h.courier.state.messages
+    host = Host()
+    host.arrive(destination=9, lifetime_us=2 * S)
+    assert (
+        of_type(Refuse, host.idle(2.1))
+        and not of_type(Fail, host.idle(0.1))
+        and not host.courier.state.messages
+    )
 
 
 @pytest.mark.parametrize("field, change", [("couriers", {"couriers": 0}), ("me", {"couriers": 2, "me": 2})])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from test_brain import CLASSES, Host, S, of
+from test_brain import CLASSES, Host, S, of_type
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import (
@@ -88,70 +88,74 @@
     assert 160 < kept < 240
 
 
-def busy(h, calls=4):
+def busy(host, calls=4):
     """So many calls out at once, the first over a reused connection."""
-    h.courier.state.endpoints[100].lane.window = 8.0
-    h.arrive()
-    h.end(1, Result.OK, after=20_000)
+    host.courier.state.endpoints[100].lane.window = 8.0
+    host.arrive()
+    host.end(1, Result.OK, after=20_000)
     for _ in range(calls):
-        h.arrive(after=1_000)
+        host.arrive(after=1_000)
 
 
-def keeps(acts):
-    return [a.most for a in of(Keep, acts)]
+def keeps(actions):
+    return [a.most for a in of_type(Keep, actions)]
 
 
-def ended(h, message, result, idle_us, told=0, report=()):
+def ended(host, message, result, idle_us, retry_after_us=0, report=()):
     over = result is Result.OK
-    return h.do(
-        AttemptEnded(message, h.tries[message], 100, result, 20_000, over, told, report, idle_us),
+    return host.do(
+        AttemptEnded(
+            message, host.tries[message], 100, result, 20_000, over, retry_after_us, report, idle_us
+        ),
         after=20_000,
     )
 
 
 def test_connects_refused_beside_answers_lower_what_is_kept_and_open_no_circuit():
-    h = Host()
-    busy(h)
-    ended(h, 2, Result.OK, 1000)
-    acts = ended(h, 3, Result.CONNECT_FAILED, -1)
-    links = h.courier.state.endpoints[100].connection_budget
+    host = Host()
+    busy(host)
+    ended(host, 2, Result.OK, 1000)
+    actions = ended(host, 3, Result.CONNECT_FAILED, -1)
+    links = host.courier.state.endpoints[100].connection_budget
     assert links.table_share < 4
     assert (
-        not h.courier.state.endpoints[100].breaker.is_open
-        and not h.courier.state.endpoints[100].failure_share
+        not host.courier.state.endpoints[100].breaker.is_open
+        and not host.courier.state.endpoints[100].failure_share
     )
-    assert any("takes no more connections" in a.text for a in acts if hasattr(a, "text"))
+    assert any("takes no more connections" in a.text for a in actions if hasattr(a, "text"))
 
 
 def test_a_dead_endpoint_is_no_full_table():
-    h = Host()
-    h.arrive()
-    h.end(1, Result.CONNECT_FAILED)
+    host = Host()
+    host.arrive()
+    host.end(1, Result.CONNECT_FAILED)
     assert (
-        h.courier.state.endpoints[100].connection_budget.table_share == float("inf")
-        and h.courier.state.endpoints[100].failure_share > 0
+        host.courier.state.endpoints[100].connection_budget.table_share == float("inf")
+        and host.courier.state.endpoints[100].failure_share > 0
     )
 
 
 @pytest.mark.parametrize(
-    ("idle_us", "report", "told", "cut"),
+    ("idle_us", "report", "retry_after_us", "cut"),
     [
         (-1, (), 0, True),
         (5000, (), 0, False),  # reused ones are refused too: its queue is full
         (-1, (0.4, 20.0), 0, True),
         (-1, (0.0, 20.0), 0, False),  # the limit is used up
-        (-1, (), 300_000, False),  # and told as a wait
+        (-1, (), 300_000, False),  # and announced as a wait
     ],
 )
-def test_refusals_of_new_connections_alone_are_told_from_a_limit_and_a_queue(idle_us, report, told, cut):
-    h = Host(report_fields=("x0", "x1"))
-    busy(h, 7)
-    ended(h, 2, Result.OK, 1000)
-    assert h.courier.state.endpoints[100].connection_budget.table_share == float("inf")
+def test_refusals_of_new_connections_alone_are_told_from_a_limit_and_a_queue(
+    idle_us, report, retry_after_us, cut
+):
+    host = Host(report_fields=("x0", "x1"))
+    busy(host, 7)
+    ended(host, 2, Result.OK, 1000)
+    assert host.courier.state.endpoints[100].connection_budget.table_share == float("inf")
     for message in (3, 4):
-        ended(h, message, Result.FULL, idle_us, told, report)
-        ended(h, message + 3, Result.OK, 1000, report=report)
-    assert (h.courier.state.endpoints[100].connection_budget.table_share < 8) is cut
+        ended(host, message, Result.FULL, idle_us, retry_after_us, report)
+        ended(host, message + 3, Result.OK, 1000, report=report)
+    assert (host.courier.state.endpoints[100].connection_budget.table_share < 8) is cut
 
 
 def served_by_a_table_for(room):
@@ -160,13 +164,13 @@
     delivered in the last 30 of 60 s, and how many calls were turned away."""
     couriers, now, ident, refused, served = 40, 1000 * S, 0, 0, [0] * 40
     given = dict(classes=CLASSES, slots=8, max_held=50, couriers=couriers)
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    idle, keep = [[] for _ in all_], [1] * couriers
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    idle, keep = [[] for _ in fleet_couriers], [1] * couriers
 
     def act(k, events):
-        actions = all_[k].handle(now, [Connections(100, tuple(idle[k])), *events])
-        keep[k] = ([a.most for a in of(Keep, actions)] or [keep[k]])[-1]
-        return [a.message for a in of(Send, actions)]
+        actions = fleet_couriers[k].handle(now, [Connections(100, tuple(idle[k])), *events])
+        keep[k] = ([a.most for a in of_type(Keep, actions)] or [keep[k]])[-1]
+        return [a.message for a in of_type(Send, actions)]
 
     for k in range(couriers):
         act(k, [EndpointsListed(ListForm.CACHED, (ListEntry(100, 1, EndpointState.READY),))])
@@ -185,7 +189,7 @@
                 refused += full and burst >= 30 * couriers
                 back += [] if full else [now + 50_000]
                 served[k] += not full and burst >= 30 * couriers
-                attempt = max(t for m, t in all_[k].state.calls if m == message)
+                attempt = max(t for m, t in fleet_couriers[k].state.calls if m == message)
                 ends.append(
                     AttemptEnded(
                         message,
@@ -215,55 +219,55 @@
     assert refused < 30 * 40  # it comes back gradually: less than one a second for each courier
 
 
-def much(h):
+def much(host):
     """Calls that make several at once likely; the last is out."""
     for _ in range(30):
-        h.arrive()
-        h.end(h.next, Result.OK, latency=400_000, after=20_000)
-    return h.arrive(after=1_000)
+        host.arrive()
+        host.end(host.next, Result.OK, latency=400_000, after=20_000)
+    return host.arrive(after=1_000)
 
 
 def test_nothing_is_opened_early_unless_it_is_switched_on():
     for on in (False, True):
-        h = Host()
+        host = Host()
         if on:
-            h.do(WarmUp(True))
-        assert not of(OpenIdle, h.arrive())  # nothing is known of it yet: a connect would be a probe
-        h.end(1, Result.OK, after=20_000)
-        assert bool(of(OpenIdle, much(h))) is on
+            host.do(WarmUp(True))
+        assert not of_type(OpenIdle, host.arrive())  # nothing is known of it yet: a connect would be a probe
+        host.end(1, Result.OK, after=20_000)
+        assert bool(of_type(OpenIdle, much(host))) is on
 
 
 @pytest.mark.parametrize("trouble", ["open", "cold", "silent", "drain", "kept"])
 def test_nothing_is_opened_early_to_one_that_is_not_well(trouble):
-    h = Host()
-    h.do(WarmUp(True))
-    ep = h.courier.state.endpoints[100]
-    assert of(OpenIdle, much(h))
+    host = Host()
+    host.do(WarmUp(True))
+    endpoint = host.courier.state.endpoints[100]
+    assert of_type(OpenIdle, much(host))
     if trouble == "open":
-        ep.breaker.is_open = True
+        endpoint.breaker.is_open = True
     elif trouble == "cold":
-        ep.breaker.slow_start_began_us = h.now
+        endpoint.breaker.slow_start_began_us = host.now
     elif trouble == "silent":
-        ep.last_success_us -= 2 * S
+        endpoint.last_success_us -= 2 * S
     elif trouble == "drain":
-        ep.state = EndpointState.DRAINING
+        endpoint.state = EndpointState.DRAINING
     elif trouble == "kept":
-        ep.connection_budget.table_share = ep.connection_budget.max_connections = 0.0
-        ep.connection_budget.next_growth_us = h.now + 100 * S
-    assert not of(OpenIdle, h.arrive(after=1_000))
+        endpoint.connection_budget.table_share = endpoint.connection_budget.max_connections = 0.0
+        endpoint.connection_budget.next_growth_us = host.now + 100 * S
+    assert not of_type(OpenIdle, host.arrive(after=1_000))
 
 
 def test_a_connection_too_old_to_be_trusted_is_closed_before_a_call():
-    h = Host()
-    h.courier.connections.max_idle_us = 4 * S
-    acts = h.do(Connections(100, (h.now - 6 * S,)), MessageArrived(99, 0, 1, h.now + 5 * S))
-    assert of(CloseIdle, acts)
-    assert next(iter(h.courier.state.calls.values()))[0].connection_idle_us == -1
+    host = Host()
+    host.courier.connections.max_idle_us = 4 * S
+    actions = host.do(Connections(100, (host.now - 6 * S,)), MessageArrived(99, 0, 1, host.now + 5 * S))
+    assert of_type(CloseIdle, actions)
+    assert next(iter(host.courier.state.calls.values()))[0].connection_idle_us == -1
 
 
 def test_what_was_learned_of_a_full_table_passes_over_an_upgrade():
-    h, new = Host(), Host()
-    h.courier.state.endpoints[100].connection_budget.record_full_table(h.now, 4, 0)
-    ((_, figures),) = h.courier.carry()
+    host, new = Host(), Host()
+    host.courier.state.endpoints[100].connection_budget.record_full_table(host.now, 4, 0)
+    ((_, figures),) = host.courier.carry()
     new.do(Carried(100, figures))
     assert new.courier.state.endpoints[100].connection_budget.table_share == 2
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,7 +4,7 @@
 
 import pytest
 from loopback import courier, settings, until
-from test_brain import CLASSES, Host, S, of
+from test_brain import CLASSES, Host, S, of_type
 from test_operator import call
 from test_upgrade import healthy, hold_socket
 
@@ -39,8 +39,8 @@
 
 def two_zones(*zones, **changes):
     """Endpoints 100, 101, ... of one destination, one in each of these zones."""
-    h = Host(endpoints=0, **{"cold_us": COLD, "cold_share": 0.2, **changes})
-    h.do(
+    host = Host(endpoints=0, **{"cold_us": COLD, "cold_share": 0.2, **changes})
+    host.do(
         EndpointsListed(
             ListForm.FULL,
             tuple(
@@ -49,105 +49,105 @@
             ),
         )
     )
-    return h
+    return host
 
 
-def forget_idle(h):
-    h.simulated.idle_since_us.clear()
-    h.do(*(Connections(e, ()) for e in h.courier.state.endpoints))
+def forget_idle(host):
+    host.simulated.idle_since_us.clear()
+    host.do(*(Connections(e, ()) for e in host.courier.state.endpoints))
 
 
-def served(h, calls, **more):
+def served(host, calls, **more):
     """Which endpoints so many messages go to, two at once. No idle connection draws them to one side."""
     got = []
     for _ in range(calls // 2):
-        forget_idle(h)
-        sends = of(Send, h.arrive(after=50_000, **more) + h.arrive(after=1_000, **more))
+        forget_idle(host)
+        sends = of_type(Send, host.arrive(after=50_000, **more) + host.arrive(after=1_000, **more))
         for send in sends:
             got.append(send.endpoint)
-            sends += of(Send, h.end(send.message, Result.OK, after=20_000, endpoint=send.endpoint))
+            sends += of_type(Send, host.end(send.message, Result.OK, after=20_000, endpoint=send.endpoint))
     return got
 
 
 def test_a_zone_out_by_hand_gets_nothing_and_its_idle_connections_close():
-    h = two_zones()
-    assert 100 in served(h, 10)
-    acts = h.do(SetZoneByHand(0, True))
-    assert [a.endpoint for a in of(CloseIdle, acts)] == [100]
-    assert "zone 0: out" in of(Log, acts)[0].text
-    assert set(served(h, 20)) == {101}
+    host = two_zones()
+    assert 100 in served(host, 10)
+    actions = host.do(SetZoneByHand(0, True))
+    assert [a.endpoint for a in of_type(CloseIdle, actions)] == [100]
+    assert "zone 0: out" in of_type(Log, actions)[0].text
+    assert set(served(host, 20)) == {101}
 
 
 def test_it_returns_gradually_and_then_has_all():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True))
-    served(h, 20)
-    h.do(SetZoneByHand(0, False))
-    early = served(h, 100)  # 4 s of the 9 to 15
-    h.idle(15)
-    late = served(h, 100)
+    host = two_zones()
+    host.do(SetZoneByHand(0, True))
+    served(host, 20)
+    host.do(SetZoneByHand(0, False))
+    early = served(host, 100)  # 4 s of the 9 to 15
+    host.idle(15)
+    late = served(host, 100)
     assert 0 < early.count(100) < 0.5 * late.count(100)
 
 
 def test_repeats_and_a_zone_that_was_not_out_change_nothing():
-    h = two_zones()
-    h.do(SetZoneByHand(0, False))
-    assert not h.courier.zones.returning
+    host = two_zones()
+    host.do(SetZoneByHand(0, False))
+    assert not host.courier.zones.returning
     for _ in range(3):
-        h.do(SetZoneByHand(0, True))
-    h.do(SetZoneByHand(0, False))
-    back = dict(h.courier.zones.returning)
-    h.do(SetZoneByHand(0, False))
-    assert h.courier.zones.returning == back
+        host.do(SetZoneByHand(0, True))
+    host.do(SetZoneByHand(0, False))
+    back = dict(host.courier.zones.returning)
+    host.do(SetZoneByHand(0, False))
+    assert host.courier.zones.returning == back
 
 
 def test_out_again_while_it_returns():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    h.do(SetZoneByHand(0, True))
-    h.idle(20)
-    assert set(served(h, 20)) == {101} and not h.courier.zones.returning
+    host = two_zones()
+    host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+    host.do(SetZoneByHand(0, True))
+    host.idle(20)
+    assert set(served(host, 20)) == {101} and not host.courier.zones.returning
 
 
 def test_let_back_while_it_still_fails():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+    host = two_zones()
+    host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     tried = 0
     for _ in range(200):
-        forget_idle(h)
-        sends = of(Send, h.arrive(after=50_000) + h.arrive(after=1_000))
+        forget_idle(host)
+        sends = of_type(Send, host.arrive(after=50_000) + host.arrive(after=1_000))
         for send in sends:
             bad = send.endpoint == 100
             tried += bad
             result = Result.CONNECT_FAILED if bad else Result.OK
-            sends += of(Send, h.end(send.message, result, after=20_000, endpoint=send.endpoint))
+            sends += of_type(Send, host.end(send.message, result, after=20_000, endpoint=send.endpoint))
     assert 0 < tried < 20  # its own health counts as ever
 
 
 @pytest.mark.parametrize("zones", [(0,), (0, 0)])
 def test_a_destination_with_no_other_zone_gets_its_answer_in_time(zones):
-    h = two_zones(*zones)
-    h.do(SetZoneByHand(0, True))
-    assert not of(Send, h.arrive(life=3 * S))
-    assert of(Refuse, h.idle(3.1))
-    h.do(SetZoneByHand(0, False))
-    got = served(h, 100)  # no other choice: a slow start, as after an outage
-    assert got and h.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
+    host = two_zones(*zones)
+    host.do(SetZoneByHand(0, True))
+    assert not of_type(Send, host.arrive(lifetime_us=3 * S))
+    assert of_type(Refuse, host.idle(3.1))
+    host.do(SetZoneByHand(0, False))
+    got = served(host, 100)  # no other choice: a slow start, as after an outage
+    assert got and host.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
 
 
 def test_without_another_choice_the_slow_start_alone_holds_back():
     for seed in range(20):  # no chance is taken on top of it
-        h = two_zones(0)
-        h.courier.turn.rng.seed(seed)
-        h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-        assert of(Send, h.arrive())
+        host = two_zones(0)
+        host.courier.turn.rng.seed(seed)
+        host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+        assert of_type(Send, host.arrive())
 
 
 def test_a_circuit_shared_with_other_zones_does_not_go_back_to_a_cold_start():
     # In a large fleet a destination's endpoints share one: the other zones are well.
-    h = two_zones(couriers=100, slots=4)
-    h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    one, other = (h.courier.state.endpoints[100 + n] for n in (0, 1))
+    host = two_zones(couriers=100, slots=4)
+    host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+    one, other = (host.courier.state.endpoints[100 + n] for n in (0, 1))
     assert one.breaker is other.breaker and one.breaker.slow_start_began_us < 0
     alone = two_zones(0, couriers=100, slots=4)
     alone.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
@@ -155,17 +155,17 @@
 
 
 def test_all_zones_out_and_a_zone_that_no_list_named():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True), SetZoneByHand(1, True), SetZoneByHand(7, True))
-    assert not of(Send, h.arrive(life=2 * S)) and of(Refuse, h.idle(2.1))
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(107, 1, EndpointState.READY, 0.0, 0, 7),)))
-    assert not of(Send, h.arrive())
+    host = two_zones()
+    host.do(SetZoneByHand(0, True), SetZoneByHand(1, True), SetZoneByHand(7, True))
+    assert not of_type(Send, host.arrive(lifetime_us=2 * S)) and of_type(Refuse, host.idle(2.1))
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(107, 1, EndpointState.READY, 0.0, 0, 7),)))
+    assert not of_type(Send, host.arrive())
 
 
 def test_an_endpoint_that_changes_its_zone_goes_by_the_new_one():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True))
-    h.do(
+    host = two_zones()
+    host.do(SetZoneByHand(0, True))
+    host.do(
         EndpointsListed(
             ListForm.DELTA,
             (
@@ -174,34 +174,34 @@
             ),
         )
     )
-    assert set(served(h, 10)) == {100}
+    assert set(served(host, 10)) == {100}
 
 
 def test_an_endpoint_out_by_hand_stays_out_when_its_zone_returns():
-    h = two_zones(0, 0, 1)
-    h.do(SetByHand(100, True), SetZoneByHand(0, True), SetZoneByHand(0, False))
-    h.idle(20)
-    assert set(served(h, 40)) == {101, 102}
+    host = two_zones(0, 0, 1)
+    host.do(SetByHand(100, True), SetZoneByHand(0, True), SetZoneByHand(0, False))
+    host.idle(20)
+    assert set(served(host, 40)) == {101, 102}
 
 
 def test_what_may_only_be_repeated_in_the_zone_is_not_sent_elsewhere_while_that_is_out():
     keyed = MessageClass(
         "keyed", aim_us=S, deadline_us=5 * S, effect=Effect.KEYED, key_window_us=5 * S, key_scope="zone"
     )
-    h = two_zones(classes=(keyed,))
-    (send,) = of(Send, h.do(MessageArrived(1, 0, 1, h.now + 5 * S)))
-    zone = h.courier.state.endpoints[send.endpoint].zone
-    h.do(SetZoneByHand(zone, True))
-    acts = h.end(1, Result.ERROR, after=50_000, endpoint=send.endpoint) + h.idle(5)
-    assert not of(Send, acts) and len(of(Fail, acts)) == 1
+    host = two_zones(classes=(keyed,))
+    (send,) = of_type(Send, host.do(MessageArrived(1, 0, 1, host.now + 5 * S)))
+    zone = host.courier.state.endpoints[send.endpoint].zone
+    host.do(SetZoneByHand(zone, True))
+    actions = host.end(1, Result.ERROR, after=50_000, endpoint=send.endpoint) + host.idle(5)
+    assert not of_type(Send, actions) and len(of_type(Fail, actions)) == 1
 
 
 def test_a_return_goes_on_over_an_upgrade():
-    h = two_zones()
-    h.do(ZoneCarried(0, h.now - COLD // 2, h.now + COLD // 2))
-    assert h.courier.zones.share(0, h.now) == pytest.approx(0.6)
-    h.idle(6.1)
-    assert h.courier.zones.state(0, h.now) == ("serving", 1.0, "")
+    host = two_zones()
+    host.do(ZoneCarried(0, host.now - COLD // 2, host.now + COLD // 2))
+    assert host.courier.zones.share(0, host.now) == pytest.approx(0.6)
+    host.idle(6.1)
+    assert host.courier.zones.state(0, host.now) == ("serving", 1.0, "")
 
 
 def test_couriers_do_not_come_back_in_step():
@@ -216,14 +216,14 @@
 
 def test_without_a_zone_out_no_decision_changes():
     def day(touch):
-        h, got = two_zones(0, 1, 1), []
+        host, got = two_zones(0, 1, 1), []
         if touch:
-            h.do(SetZoneByHand(5, True), SetZoneByHand(5, False))
-            h.courier.zones.returning.clear()
-            h.courier.turn.rng.seed(7)
+            host.do(SetZoneByHand(5, True), SetZoneByHand(5, False))
+            host.courier.zones.returning.clear()
+            host.courier.turn.rng.seed(7)
         else:
-            h.courier.turn.rng.seed(7)
-        return got + served(h, 100)
+            host.courier.turn.rng.seed(7)
+        return got + served(host, 100)
 
     assert day(False) == day(True)
 
@@ -244,12 +244,12 @@
         tick_us=5000,
         kinds=(Kind("k"),),
     )
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    told = EndpointsListed(
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    listed = EndpointsListed(
         ListForm.CACHED, tuple(ListEntry(100 + z, 1, EndpointState.READY, rate, 0, z) for z in range(2))
     )
-    for c in all_:
-        c.handle(now, [told, SetZoneByHand(0, True)])
+    for c in fleet_couriers:
+        c.handle(now, [listed, SetZoneByHand(0, True)])
     chance, calls, sent, start = random.Random(3), [], [], now + 10 * S
     for step in range(4000):  # 40 s
         now += 10_000
@@ -262,10 +262,10 @@
             inbox.setdefault(k, []).append(event)
         calls = [x for x in calls if x[0] > now]
         for k, events in inbox.items():
-            for a in of(Send, all_[k].handle(now, events)):
+            for a in of_type(Send, fleet_couriers[k].handle(now, events)):
                 if a.endpoint == 100:
                     sent.append(now)
-                attempt = max(t for m, t in all_[k].state.calls if m == a.message)
+                attempt = max(t for m, t in fleet_couriers[k].state.calls if m == a.message)
                 done = AttemptEnded(a.message, attempt, a.endpoint, Result.OK, 50_000, True)
                 calls.append((now + 50_000, k, done))
     assert not [t for t in sent if t < start]
