--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -1,4 +1,4 @@
-"""The module's decisions, one small test each; no bench needed."""
+"""Decisions of one courier, one small test each, by hand-made events."""
 
 import pytest
 
@@ -34,7 +34,7 @@
 
 
 class Host:
-    """Feeds a courier and keeps what it did."""
+    """Passes events to a courier and keeps track of its actions."""
 
     def __init__(self, endpoints=1, rate=0.0, **changes):
         given = {
@@ -48,7 +48,7 @@
             "tick_us": 5000,
         }
         given.update(changes)
-        self.simulated = SimulatedHost(Settings(**given), 7)  # it tells the module of connections
+        self.simulated = SimulatedHost(Settings(**given), 7)  # reports idle connections
         self.courier = self.simulated.courier
         self.now, self.next, self.tries = 1000 * S, 0, {}
         self.do(
@@ -183,7 +183,7 @@
 
 
 def serve(host, seconds, result, per_s=10):
-    """Messages come and each attempt ends with the result a turn later; returns the sends."""
+    """Messages arrive and each attempt ends with the result a turn later; returns the number of attempts."""
     sends, pending = 0, []
     for k in range(round(seconds * 20)):
         actions = []
@@ -206,7 +206,7 @@
     down = serve(host, 6, how)
     assert host.courier.state.endpoints[100].breaker.is_open and down < 20
     first, _, last = serve(host, 4, Result.OK), serve(host, 8, Result.OK), serve(host, 4, Result.OK)
-    # the budget of the contract: the multiple of the present share, which grows from 0.1 to 0.46 in that time
+    # fall_multiple times the present share of the capacity, which grows from 0.1 to 0.46 in that time
     assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
     assert last > 1.3 * first
 
@@ -215,7 +215,7 @@
     host = Host(slots=2)
     host.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
     warm(host)
-    for _ in range(6):  # destination 2 takes ten times as long
+    for _ in range(6):  # destination 2 takes ten times as long per call
         host.arrive(destination=2, after=300_000)
         host.end(host.next, Result.OK, latency=1_000_000, after=1_000_000, endpoint=200)
     host.arrive()
@@ -247,7 +247,7 @@
     host = Host(rate=8.0, cold_share=0.2, fall_multiple=2.5)
     serve(host, 5, Result.OK)
     sent = serve(host, 10, Result.ERROR)
-    # more than trials with growing gaps would send, and inside the contract's budget for a cold destination
+    # More than trial calls with growing gaps would send, and within the budget of a returning destination.
     assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
     assert not host.courier.state.endpoints[100].breaker.is_open
 
@@ -334,7 +334,7 @@
     assert len(of_type(Send, host.do(SetByHand(100, False)))) == 1
     sent = 0
     host.end(host.next, Result.OK)
-    for _ in range(200):  # a second of 200 a second: about its cold share is sent
+    for _ in range(200):  # one second at 200 messages per second: about the cold share is sent
         sends = of_type(Send, host.arrive(after=5_000))
         sent += len(sends)
         for send in sends:
@@ -362,9 +362,9 @@
     )
     assert not of_type(Send, actions) and not of_type(
         Fail, actions
-    )  # the wait is kept, the unsafe one is not given up
+    )  # the retry-after holds, and the unsafe message is not given up
     assert new.state.calls_in_flight == 1
-    assert of_type(Send, new.handle(old.now + 6 * S, []))  # the held one, once the wait is over
+    assert of_type(Send, new.handle(old.now + 6 * S, []))  # the held message, once the wait is over
     actions = new.handle(
         old.now + 6 * S, [AttemptEnded(first.message, 0, first.endpoint, Result.ERROR, 9 * S)]
     )
@@ -437,7 +437,7 @@
 
 
 def test_where_calls_are_lost_and_slots_are_short_an_unsafe_call_is_not_waited_for_in_vain():
-    # Lost calls of four seconds had held most slots, with hundreds of messages waiting for one.
+    # Lost calls of four seconds each occupied most slots, while hundreds of messages waited for one.
     def patience(host):
         return of_type(Send, host.arrive(message_class=2))[-1].timeout_us
 
@@ -450,10 +450,10 @@
 
     served(60)
     host.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
-    assert patience(host) == CLASSES[2].aim_us  # few slots taken: one long try
+    assert patience(host) == CLASSES[2].aim_us  # few slots are used: one long attempt
     host.end(host.next, Result.OK, after=100_000)
     lost = of_type(Send, host.arrive(message_class=2, after=20_000))[0]
-    served(1)  # it answers others
+    served(1)  # the endpoint answers others
     host.end(lost.message, Result.TIMEOUT, latency=600_000, after=500_000)
     served(3)
     assert patience(host) == CLASSES[2].aim_us
@@ -498,14 +498,14 @@
 
 
 def test_a_route_with_long_calls_is_used_after_a_quick_one():
-    # They had filled the partner's part of the slots, and its quick route got nothing for seconds.
+    # Its calls filled the partner's share of the slots, and the fast route got nothing for seconds.
     host = two_routes()
     for _ in range(4):
         send = of_type(Send, host.arrive())[0]
         assert send.endpoint == 101
         host.end(send.message, Result.OK, endpoint=101)
     host.courier.state.endpoints[101].lane.wait_until_us = host.now + S
-    assert of_type(Send, host.arrive())[0].endpoint == 100  # but it is used
+    assert of_type(Send, host.arrive())[0].endpoint == 100  # the slow route is still used
 
 
 def test_a_partner_is_ranked_by_its_free_routes_and_not_by_the_slow_one():
@@ -523,7 +523,7 @@
 
 @pytest.mark.parametrize("lives", [(10.0, 0.25, 12.0, 9.0), (0.25, 10.0, 0.2, 12.0), (9.0, 9.0, 9.0, 9.0)])
 def test_a_bundle_has_one_time_and_none_in_it_ends_that_too_early_for_others(lives):
-    # It was waited for until each one's own time: what came after the first one's time counted for nobody.
+    # With a time-out per message, answers after the earliest deadline of the batch counted for none of them.
     host = Host(kinds=(Kind("k", batch=10),))
     host.arrive()
     left = {}
@@ -553,7 +553,7 @@
     ("waits", "after", "ends"),
     [
         ("its endpoint drains", 1.8, None),
-        ("its endpoint drains", 2.05, "deferred"),  # and not at its deadline, 18 s later
+        ("its endpoint drains", 2.05, "deferred"),  # not only at its deadline, 18 s later
         ("its call", 2.05, "deferred"),
     ],
 )
@@ -585,14 +585,15 @@
     assert [a.endpoint for a in of_type(Send, actions)] == sent
     if ran_zone < 0:
         assert of_type(Fail, actions) == [Fail(9)]
-    elif not sent:  # until its window ends its zone may come back
+    elif not sent:  # its zone may return until the window of its key ends
         assert not of_type(Fail, actions) and of_type(Fail, host.idle(7.2)) == [Fail(9)]
 
 
 @pytest.mark.parametrize(("restored", "given_up"), [(True, 0), (False, 10)])
 def test_what_a_restart_found_untried_is_not_given_up_for_its_pace(restored, given_up):
-    # New ones that the pace can't reach in their life are turned away at once; these were taken on already.
-    host = Host(couriers=100, slots=4, rate=5.0)  # a part of a call in 20 s
+    # New messages whose turn cannot come before their deadline are refused at once; restored ones were taken
+    # on.
+    host = Host(couriers=100, slots=4, rate=5.0)  # this courier may make one call in 20 s
     host.courier.pacing.token_jitter = 0.0
     host.arrive()
     actions = host.do(*(MessageArrived(50 + n, 0, 1, host.now + 9 * S, restored=restored) for n in range(10)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Large fleets: what hundreds of small couriers do alike must sum to what a destination bears."""
+"""Large fleets: the sum of what hundreds of couriers do must stay within what a destination can take."""
 
 import random
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("couriers", [1, 3, 40, 300])
 def test_a_connection_is_kept_for_the_next_call_in_any_fleet(couriers):
-    # A new one for each call is priced over the whole fleet, and costs the endpoints work.
+    # A new connection for each call costs money in a large fleet, and work at the endpoints.
     host = fleet(couriers=couriers)
     host.arrive()
     assert not of_type(CloseIdle, host.end(1, Result.OK))
@@ -58,7 +58,7 @@
             c.failure_share,
             host.courier.state.endpoints[100].ambiguous_share,
         ) = False, -1, None, 0.0, 0.0
-        actions = host.arrive(message_class=2)  # unsafe: tried once
+        actions = host.arrive(message_class=2)  # unsafe: one attempt
         host.end(host.next, result)
         host.idle(1)
         return len(of_type(CloseIdle, actions))
@@ -66,7 +66,7 @@
     assert not call(6 * S, Result.OK)
     assert (
         not call(4 * S, Result.RESET) and host.courier.connections.max_idle_us == 10 * S
-    )  # it may be chance
+    )  # one loss may be random
     assert not call(4 * S, Result.RESET) and host.courier.connections.max_idle_us < 4 * S
     trusted = host.courier.connections.max_idle_us
     assert call(4 * S, Result.OK) == 1
@@ -74,7 +74,8 @@
 
 
 def test_a_clump_met_by_all_couriers_at_once_passes_a_listed_limit_by_a_call_each_at_most():
-    # Unpaced until its first refusal, each of them sent all it had: 40 harmless bursts were one of 160.
+    # Without a pace until its first refusal each courier sent all it had: 40 small bursts added up to 160
+    # calls.
     couriers, rate, sent = 40, 20.0, 0
     listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     given = dict(classes=CLASSES, slots=4, max_held=50, rates_listed=True, couriers=couriers)
@@ -109,7 +110,7 @@
     calls, sent, now, ident = [], [], 1000 * S, 0
     for c in fleet_couriers:
         c.handle(now, [listed])
-    for step in range(4000):  # 40 s, 40 messages a second, each to the next courier by a fixed shuffle
+    for step in range(4000):  # 40 s of 40 messages per second, spread over the couriers in a fixed order
         now += 10_000
         inbox = {}
         if step % 2 == 0 and step % 5:
@@ -136,7 +137,7 @@
     host = fleet(rate=400.0)
     host.arrive()
     actions = host.end(1, Result.CONNECT_FAILED, latency=20_000)
-    assert host.courier.state.endpoints[100].breaker.is_open  # others wait for their share
+    assert host.courier.state.endpoints[100].breaker.is_open  # other messages wait
     assert not [a for a in of_type(Send, actions + host.arrive() + host.arrive()) if a.message > 1]
     assert of_type(Send, actions + host.idle(0.5))
     host.end(1, Result.OK)
@@ -166,12 +167,12 @@
         host = fleet(rate=10.0)
         host.courier.turn.rng.seed(seed)
         host.arrive()
-        host.end(1, Result.FULL, retry_after_us=8 * S)  # so long a wait is a shut destination's
+        host.end(1, Result.FULL, retry_after_us=8 * S)  # so long a wait means an outage
         actions = []
         for _ in range(8):
             actions += host.arrive(after=S * 95 // 100)
         assert not of_type(Send, actions)
-        starts += len(of_type(Send, host.idle(2)))  # all couriers' waits end together
+        starts += len(of_type(Send, host.idle(2)))  # the waits of all couriers end at the same time
     assert not starts
 
 
@@ -221,7 +222,7 @@
 
 
 def test_what_cannot_be_reached_in_time_is_handed_back_at_once():
-    host = fleet(rate=5.0)  # a part of 0.05 a second: the next call in up to 20 s
+    host = fleet(rate=5.0)  # a share of 0.05 per second: the next call within 20 s
     host.arrive()
     host.end(host.next, Result.FULL)
     refused = sum(len(of_type(Refuse, host.arrive(lifetime_us=4 * S, after=50_000))) for _ in range(5))
@@ -230,14 +231,14 @@
 
 @pytest.mark.parametrize("couriers", [1, 3, 40, 300])
 def test_all_couriers_together_ask_discovery_again_as_often_as_one_alone(couriers):
-    # Forty that each came again within a second jammed it: it gave up each call just before its turn came.
+    # 40 couriers that each asked again within a second overloaded it: calls timed out just before their turn.
     random.seed(couriers)
     asked = 0
     for _ in range(couriers):
         backoff, at = Backoff(couriers), 0.0
         while (at := at + backoff.next()) < 20.0 * couriers:
             asked += 1
-    assert 20 * couriers <= asked <= 40 * couriers  # 1 to 2 a second over 20 s for each courier there is
+    assert 20 * couriers <= asked <= 40 * couriers  # 1 to 2 per second in total: 20 s per courier
 
 
 class Fleet:
@@ -253,7 +254,7 @@
         return sum(len(of_type(Send, c.handle(self.now, events(c)))) for c in self.all)
 
     def run(self, seconds, each_per_s, result, retry_after_us=0, report=()):
-        """Returns the calls sent a second, by all together."""
+        """Returns the calls per second of all couriers together."""
         self.ident += 1000
         sent = 0
         ends = (result, 50_000, result is Result.OK, retry_after_us, report)
@@ -289,9 +290,9 @@
 def test_survivors_take_up_the_parts_that_answers_tell_are_left_and_give_them_back():
     fleet = Fleet(40, rate=40.0, alive=10)
     fleet.run(1, 4, Result.OK)
-    for k in range(25):  # a new report each second
+    for k in range(25):  # a new report every second
         most = fleet.run(1, 4, Result.OK, report=(0.9 - k / 1000, 40.0))
-    assert most >= 25  # their own ten parts are 10 calls a second
+    assert most >= 25  # their own ten equal shares are 10 calls per second
     for k in range(25):
         least = fleet.run(1, 4, Result.OK, report=(0.1 - k / 1000, 40.0))
     assert least <= 14
@@ -323,14 +324,17 @@
 
 def test_couriers_that_were_in_step_fall_out_of_it():
     fleet = Fleet(40, rate=20.0)
-    assert fleet.run(0.05, 20, Result.OK) * 0.05 == 40  # all at once, and then each has a call in two seconds
+    assert (
+        fleet.run(0.05, 20, Result.OK) * 0.05 == 40
+    )  # all at once; from then on each has one call in two seconds
     fleet.run(6, 2, Result.OK)
     most = max(fleet.run(0.25, 4, Result.OK) * 0.25 for _ in range(24))
     assert 2 <= most <= 20
 
 
 def test_what_one_bundle_takes_is_not_handed_back_for_its_pace():
-    # Eight messages are one call here: counted as eight, most were refused, and clients handed them in again.
+    # Eight messages are one call here. Counted as eight calls, most were refused, and clients resubmitted
+    # them.
     refused = {}
     for batch in (1, 10):
         host = fleet(rate=20.0, kinds=(Kind("k", batch=batch),))  # a part of a call in 5 s
@@ -344,7 +348,9 @@
     host.courier.pacing.token_jitter = 0.0
     host.arrive()
     host.end(host.next, Result.OK)
-    assert not of_type(Refuse, host.arrive(lifetime_us=6 * S))  # its turn comes at four fifths of its life
+    assert not of_type(
+        Refuse, host.arrive(lifetime_us=6 * S)
+    )  # its turn comes after four fifths of its lifetime
     assert of_type(Send, host.idle(5))
     assert of_type(Refuse, host.arrive(lifetime_us=2 * S))
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""How many connections an endpoint is worth: the arithmetic, and the decisions of one courier and of many."""
+"""How many connections to keep to an endpoint: the arithmetic, and decisions of one courier and of many."""
 
 import random
 
@@ -38,20 +38,20 @@
 @pytest.mark.parametrize(
     ("per_s", "hold_us", "most"),
     [
-        (0.2, 400_000, 1),  # one call in 5 s: a courier of hundreds
-        (4, 400_000, 5),  # 1.6 at once in the mean
+        (0.2, 400_000, 1),  # one call in 5 s: one of hundreds of couriers
+        (4, 400_000, 5),  # 1.6 calls in flight on average
         (20, 400_000, 14),
-        (20, 20_000, 2),  # quick ones follow each other over few
+        (20, 20_000, 2),  # short calls share few connections
     ],
 )
 def test_what_is_kept_follows_from_calls_a_second_times_the_time_that_each_takes(per_s, hold_us, most):
     links, now = steady(per_s)
     assert links.max_idle(now, hold_us, 100) == most
-    assert links.max_idle(now, hold_us, 3) == min(most, 3)  # more could not be used
+    assert links.max_idle(now, hold_us, 3) == min(most, 3)  # the window allows no more
 
 
 def test_the_first_calls_count_in_full():
-    # A fading count alone would take 10 s until it knew of a busy endpoint.
+    # The fading count alone would need 10 s to reflect a busy endpoint.
     links = ConnectionBudget(IDLE, random.Random(1))
     for n in range(20):
         links.check_out(n * 50_000, 0)
@@ -69,9 +69,9 @@
         links = ConnectionBudget(IDLE, random.Random(seed))
         now = 100 * S
         assert links.record_full_table(now, 8, 400_000) and links.table_share == 4
-        assert not links.record_full_table(now + 1, 8, 400_000)  # the same round
+        assert not links.record_full_table(now + 1, 8, 400_000)  # the same round trip
         assert links.record_full_table(now + 500_000, 4, 400_000) and links.table_share == 2
-        while links.max_idle(now, 400_000, 100) < 6:  # it needs 14 at 20 calls a second
+        while links.max_idle(now, 400_000, 100) < 6:  # 14 are needed at 20 calls per second
             assert now < 300 * S
             now += 50_000
             links.check_out(now, 0)
@@ -89,7 +89,7 @@
 
 
 def busy(host, calls=4):
-    """So many calls out at once, the first over a reused connection."""
+    """This many calls in flight, the first over a reused connection."""
     host.courier.state.endpoints[100].lane.window = 8.0
     host.arrive()
     host.end(1, Result.OK, after=20_000)
@@ -139,7 +139,7 @@
     ("idle_us", "report", "retry_after_us", "cut"),
     [
         (-1, (), 0, True),
-        (5000, (), 0, False),  # reused ones are refused too: its queue is full
+        (5000, (), 0, False),  # reused connections are refused too: the queue is full
         (-1, (0.4, 20.0), 0, True),
         (-1, (0.0, 20.0), 0, False),  # the limit is used up
         (-1, (), 300_000, False),  # and announced as a wait
@@ -159,9 +159,11 @@
 
 
 def served_by_a_table_for(room):
-    """Hand-made events: forty couriers, each with four messages at once every second, and an endpoint that
-    turns away each connection over its table; what is idle counts. Returns how many messages each had
-    delivered in the last 30 of 60 s, and how many calls were turned away."""
+    """Forty couriers with four messages each per second, and an endpoint with `room` for connections.
+
+    It refuses each connection above that, and idle ones count. Returns the messages that each courier
+    delivered in the last 30 of 60 s, and the number of refused calls.
+    """
     couriers, now, ident, refused, served = 40, 1000 * S, 0, 0, [0] * 40
     given = dict(classes=CLASSES, slots=8, max_held=50, couriers=couriers)
     fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
@@ -211,16 +213,16 @@
 
 @pytest.mark.parametrize("room", [20, 30, 40])
 def test_forty_couriers_come_to_share_a_full_table(room, monkeypatch):
-    # Without it those that came first kept all of it, idle most of the time, and the others got nothing.
+    # Without the rule the first couriers kept the whole table, mostly idle, and the others got nothing.
     served, refused = served_by_a_table_for(room)
     monkeypatch.setattr(ConnectionBudget, "record_full_table", lambda *args: False)
     before, _ = served_by_a_table_for(room)
     assert sum(served) > 1.5 * sum(before) and min(served) > min(before)
-    assert refused < 30 * 40  # it comes back gradually: less than one a second for each courier
+    assert refused < 30 * 40  # it grows gradually: less than one refusal per second and courier
 
 
 def much(host):
-    """Calls that make several at once likely; the last is out."""
+    """Calls that make several at once likely; the last one is in flight."""
     for _ in range(30):
         host.arrive()
         host.end(host.next, Result.OK, latency=400_000, after=20_000)
@@ -232,7 +234,9 @@
         host = Host()
         if on:
             host.do(WarmUp(True))
-        assert not of_type(OpenIdle, host.arrive())  # nothing is known of it yet: a connect would be a probe
+        assert not of_type(
+            OpenIdle, host.arrive()
+        )  # nothing is known about it yet: a connect would be a probe
         host.end(1, Result.OK, after=20_000)
         assert bool(of_type(OpenIdle, much(host))) is on
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events for made-up settings: the rules hold on the actions, whatever the outcomes are."""
+"""Random legal events for random settings: the rules on actions hold, whatever the outcomes are."""
 
 import random
 
@@ -151,7 +151,7 @@
                 calls[a.endpoint] = calls.get(a.endpoint, 0) + 1
             elif isinstance(a, (Refuse, Fail)):
                 if MessageGone(a.message) in inbox:
-                    continue  # its end was told in this very turn
+                    continue  # its end was reported in this turn
                 m = live.pop(a.message)
                 ended[a.message] = m
                 assert now <= m.valid_until_us + s.answer_slack_us
@@ -168,4 +168,4 @@
                 assert busy <= max(1, int(MAX_DESTINATION_SLOT_SHARE * s.slots))
         inbox = []
         assert all(now <= m.valid_until_us + s.answer_slack_us for m in live.values()), "no final answer"
-    assert ident > 20  # the day was not empty
+    assert ident > 20  # there was enough traffic
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames built from the field tables of the wire's page, and what is malformed."""
+"""Frames built from the field tables of the wire's description, and malformed ones."""
 
 import json
 import os
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones left out and brought back by hand: the module's part, the door's, and what lasts."""
+"""Zones excluded and brought back by operators: decisions, the operator API, and what outlasts a process."""
 
 import random
 
@@ -58,7 +58,7 @@
 
 
 def served(host, calls, **more):
-    """Which endpoints so many messages go to, two at once. No idle connection draws them to one side."""
+    """The endpoints that this many messages go to, two at once; no idle connection favours one of them."""
     got = []
     for _ in range(calls // 2):
         forget_idle(host)
@@ -83,7 +83,7 @@
     host.do(SetZoneByHand(0, True))
     served(host, 20)
     host.do(SetZoneByHand(0, False))
-    early = served(host, 100)  # 4 s of the 9 to 15
+    early = served(host, 100)  # the first 4 s of a return of 9 to 15 s
     host.idle(15)
     late = served(host, 100)
     assert 0 < early.count(100) < 0.5 * late.count(100)
@@ -121,7 +121,7 @@
             tried += bad
             result = Result.CONNECT_FAILED if bad else Result.OK
             sends += of_type(Send, host.end(send.message, result, after=20_000, endpoint=send.endpoint))
-    assert 0 < tried < 20  # its own health counts as ever
+    assert 0 < tried < 20  # its breaker works as usual
 
 
 @pytest.mark.parametrize("zones", [(0,), (0, 0)])
@@ -131,12 +131,12 @@
     assert not of_type(Send, host.arrive(lifetime_us=3 * S))
     assert of_type(Refuse, host.idle(3.1))
     host.do(SetZoneByHand(0, False))
-    got = served(host, 100)  # no other choice: a slow start, as after an outage
+    got = served(host, 100)  # without another choice: a slow start, as after an outage
     assert got and host.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
 
 
 def test_without_another_choice_the_slow_start_alone_holds_back():
-    for seed in range(20):  # no chance is taken on top of it
+    for seed in range(20):  # there is no random choice in addition
         host = two_zones(0)
         host.courier.turn.rng.seed(seed)
         host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
@@ -144,7 +144,7 @@
 
 
 def test_a_circuit_shared_with_other_zones_does_not_go_back_to_a_cold_start():
-    # In a large fleet a destination's endpoints share one: the other zones are well.
+    # In a large fleet the endpoints of a destination share one breaker, and the other zones are healthy.
     host = two_zones(couriers=100, slots=4)
     host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     one, other = (host.courier.state.endpoints[100 + n] for n in (0, 1))
@@ -229,8 +229,11 @@
 
 
 def test_forty_couriers_bring_a_zone_back_within_the_cold_budget():
-    """Hand-made events: a destination of 40 calls a second, an endpoint in each of two zones. What all send
-    to the zone as it returns stays under the fall multiple of what it can do at that moment, in each 2 s."""
+    """A destination of 40 calls per second with an endpoint in each of two zones.
+
+    What all couriers send to a zone while it returns stays below fall_multiple times its capacity of that
+    moment, in each 2 s.
+    """
     couriers, rate, cold, multiple, now = 40, 40.0, 0.2, 2.0, 1000 * S
     given = dict(
         classes=CLASSES,
@@ -273,7 +276,7 @@
         able = min(1.0, cold + (1 - cold) * (at - start) / COLD) * rate
         assert sum(at <= t < at + 2 * S for t in sent) <= multiple * able * 2
     late = [t for t in sent if t >= start + 20 * S]
-    assert len(late) > 5 * 20 * 0.5  # and it is back in the end
+    assert len(late) > 5 * 20 * 0.5  # the zone has returned in the end
 
 
 @courier
@@ -281,7 +284,7 @@
     fleet.raw = settings()
     fleet.raw["localities"] = ["here", "there"]
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
-    fleet.discovery.targets["b"]["az"] = "annex"  # one that the settings don't name
+    fleet.discovery.targets["b"]["az"] = "annex"  # a zone that the settings do not name
     client = await fleet.inside()
     status, said = await call(fleet.door, "GET", "/zones")
     assert status == 200 and [(z["zone"], z["state"], z["endpoints"]) for z in said["zones"]] == [
@@ -303,7 +306,7 @@
     limit, fleet.host.journal.limit = fleet.host.journal.limit, 0
     assert (await call(fleet.door, "POST", "/zones/annex/maint"))[0] == 503
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 503
-    assert fleet.host.courier.zones.excluded == {0}  # with nothing changed
+    assert fleet.host.courier.zones.excluded == {0}  # nothing has changed
     fleet.host.journal.limit = limit
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 200
     assert (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]["state"] == "returning"
@@ -328,7 +331,7 @@
     assert a.calls.empty()
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 200
     assert (await a.call())[1]["x-request-id"] == "m"
-    await fleet.upgrade()  # on its way back: the next process goes on with that
+    await fleet.upgrade()  # while the zone returns: the next process continues that
     await healthy(fleet.door)
     assert (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]["state"] == "returning"
 
