--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -108,7 +108,7 @@
     assert of_type(Refuse, actions) == [Refuse(1, S)]
 
 
-def test_told_wait_is_kept_for_every_message():
+def test_retry_after_holds_for_every_message():
     host = Host()
     host.arrive()
     host.end(1, Result.FULL, retry_after_us=S)
@@ -211,7 +211,7 @@
     assert last > 1.3 * first
 
 
-def test_when_slots_are_short_a_lane_that_holds_them_long_gets_what_is_left():
+def test_when_slots_are_short_a_lane_with_long_calls_gets_the_slots_left():
     host = Host(slots=2)
     host.do(EndpointsListed(ListForm.DELTA, (ListEntry(200, 2, EndpointState.READY),)))
     warm(host)
@@ -229,7 +229,7 @@
     assert held and [a.endpoint for a in of_type(Send, actions)] == [100]
 
 
-def test_each_wait_told_to_a_batched_call_is_kept():
+def test_each_retry_after_of_a_batched_call_holds():
     host = Host(kinds=(Kind("k", batch=3),))
     warm(host)
     host.do(EndpointsListed(ListForm.DELTA, (ListEntry(100, 1, EndpointState.DRAINING),)))
@@ -284,7 +284,7 @@
     assert 0 < growth(True) < 0.7 * growth(False)
 
 
-def test_a_full_message_waits_here_where_no_client_comes_again():
+def test_a_message_refused_as_full_waits_where_clients_do_not_resubmit():
     host = Host(clients_mark_retries=True, classes=CLASSES)
     host.courier.admission.unreturned_refusals = 20
     host.arrive()
@@ -322,7 +322,7 @@
     assert not [a for a in early if a.message == host.next] and [a for a in late if a.message == host.next]
 
 
-def test_an_endpoint_out_by_hand_gets_nothing_until_called_back_and_returns_cold():
+def test_an_endpoint_excluded_by_an_operator_gets_nothing_and_returns_with_a_slow_start():
     host = Host(rate=200.0, cold_us=10 * S, cold_share=0.1)
     for _ in range(40):  # warm
         m = of_type(Send, host.arrive(after=50_000))[0].message
@@ -436,7 +436,7 @@
     assert new.state.calls_in_flight == 0 and not new.state.messages
 
 
-def test_where_calls_are_lost_and_slots_are_short_an_unsafe_call_is_not_waited_for_in_vain():
+def test_an_unsafe_call_has_a_short_time_out_where_calls_are_lost_and_slots_are_short():
     # Lost calls of four seconds each occupied most slots, while hundreds of messages waited for one.
     def patience(host):
         return of_type(Send, host.arrive(message_class=2))[-1].timeout_us
@@ -522,7 +522,7 @@
 
 
 @pytest.mark.parametrize("lives", [(10.0, 0.25, 12.0, 9.0), (0.25, 10.0, 0.2, 12.0), (9.0, 9.0, 9.0, 9.0)])
-def test_a_bundle_has_one_time_and_none_in_it_ends_that_too_early_for_others(lives):
+def test_a_batch_has_one_time_out_and_no_message_in_it_makes_that_too_short_for_others(lives):
     # With a time-out per message, answers after the earliest deadline of the batch counted for none of them.
     host = Host(kinds=(Kind("k", batch=10),))
     host.arrive()
@@ -557,7 +557,7 @@
         ("its call", 2.05, "deferred"),
     ],
 )
-def test_what_may_not_be_repeated_any_more_is_answered_at_once(waits, after, ends):
+def test_a_message_that_may_not_be_repeated_any_more_is_answered_at_once(waits, after, ends):
     host = Host(classes=SHORT)
     host.arrive(message_class=0, lifetime_us=20 * S)
     if waits == "its call":
@@ -590,7 +590,7 @@
 
 
 @pytest.mark.parametrize(("restored", "given_up"), [(True, 0), (False, 10)])
-def test_what_a_restart_found_untried_is_not_given_up_for_its_pace(restored, given_up):
+def test_a_restored_message_without_an_attempt_is_not_refused_for_the_pace(restored, given_up):
     # New messages whose turn cannot come before their deadline are refused at once; restored ones were taken
     # on.
     host = Host(couriers=100, slots=4, rate=5.0)  # this courier may make one call in 20 s
@@ -600,7 +600,7 @@
     assert len(of_type(Refuse, actions)) == given_up
 
 
-def test_each_message_that_a_restart_found_untried_is_sent():
+def test_each_restored_message_without_an_attempt_is_sent():
     host = Host(slots=4)
     host.do(*(MessageArrived(50 + n, 0, 1, host.now + 9 * S, restored=True) for n in range(30)))
     while host.courier.state.calls:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -44,7 +44,7 @@
     assert call.connection_idle_us == 5 * S
 
 
-def test_idle_connections_that_die_unseen_are_closed_before_use_after_two_lost_calls():
+def test_idle_connections_dropped_without_notice_are_closed_before_use_after_two_lost_calls():
     host = Host()
 
     def call(idle, result):
@@ -73,7 +73,7 @@
     assert not call(trusted // 2, Result.OK) and host.courier.connections.max_idle_us > trusted
 
 
-def test_a_clump_met_by_all_couriers_at_once_passes_a_listed_limit_by_a_call_each_at_most():
+def test_a_burst_at_all_couriers_at_once_exceeds_a_listed_limit_by_one_call_each_at_most():
     # Without a pace until its first refusal each courier sent all it had: 40 small bursts added up to 160
     # calls.
     couriers, rate, sent = 40, 20.0, 0
@@ -133,7 +133,7 @@
     return AttemptEnded(message, attempt, 100, how, 50_000, False, 0)
 
 
-def test_a_single_quick_failure_is_tried_again_and_forgiven():
+def test_a_single_fast_failure_is_repeated_and_leads_to_no_slow_start():
     host = fleet(rate=400.0)
     host.arrive()
     actions = host.end(1, Result.CONNECT_FAILED, latency=20_000)
@@ -161,7 +161,7 @@
     assert not one.breaker.is_open and one.breaker.slow_start_began_us >= 0
 
 
-def test_credit_is_not_saved_up_while_told_to_wait():
+def test_tokens_are_not_saved_up_during_a_retry_after():
     starts = 0
     for seed in range(40):
         host = fleet(rate=10.0)
@@ -221,7 +221,7 @@
     assert not sum(len(of_type(Refuse, host.arrive(after=S))) for _ in range(10))
 
 
-def test_what_cannot_be_reached_in_time_is_handed_back_at_once():
+def test_a_message_whose_turn_cannot_come_in_time_is_refused_at_once():
     host = fleet(rate=5.0)  # a share of 0.05 per second: the next call within 20 s
     host.arrive()
     host.end(host.next, Result.FULL)
@@ -270,7 +270,7 @@
         return sent / seconds
 
 
-def test_a_lowered_limit_is_heeded_as_soon_as_answers_tell_it_and_not_when_calls_are_refused():
+def test_a_lowered_limit_holds_as_soon_as_answers_report_it():
     fleet = Fleet(40, rate=80.0)
     assert 60 <= fleet.run(4, 4, Result.OK, report=(0.4, 80.0)) <= 100
     fleet.run(2, 4, Result.OK, report=(0.4, 20.0))
@@ -279,7 +279,7 @@
     assert fleet.run(4, 4, Result.OK, report=(0.4, 80.0)) >= 60
 
 
-def test_a_limit_told_within_chance_of_the_known_one_moves_the_pace_little():
+def test_a_reported_limit_close_to_the_known_one_changes_the_pace_little():
     host = Host(rate=10.0, report_fields=("x0", "x1"))
     lane = host.courier.state.endpoints[100].lane
     for k in range(30):
@@ -287,7 +287,7 @@
     assert 9 < lane.limit_share_per_s < 11
 
 
-def test_survivors_take_up_the_parts_that_answers_tell_are_left_and_give_them_back():
+def test_remaining_couriers_take_up_idle_shares_of_a_reported_limit_and_give_them_back():
     fleet = Fleet(40, rate=40.0, alive=10)
     fleet.run(1, 4, Result.OK)
     for k in range(25):  # a new report every second
@@ -298,14 +298,14 @@
     assert least <= 14
 
 
-def test_good_news_that_all_hear_at_once_raises_their_sum_by_a_small_step():
+def test_a_report_of_spare_capacity_seen_by_all_couriers_raises_their_sum_by_a_small_step():
     fleet = Fleet(40, rate=40.0)
     fleet.run(2, 4, Result.OK, report=(0.5, 40.0))
     fleet.run(2, 4, Result.OK, report=(1.0, 40.0))
     assert fleet.run(10, 4, Result.OK, report=(1.0, 40.0)) <= 40 * 1.15
 
 
-def test_after_a_refusal_a_fleet_comes_back_to_the_limit_though_no_courier_hears_more():
+def test_after_a_refusal_a_fleet_returns_to_the_limit_without_further_reports():
     fleet = Fleet(40, rate=20.0)
     fleet.run(1, 4, Result.OK, report=(0.4, 20.0))
     fleet.run(2, 4, Result.FULL, report=(0.0, 20.0))
@@ -332,7 +332,7 @@
     assert 2 <= most <= 20
 
 
-def test_what_one_bundle_takes_is_not_handed_back_for_its_pace():
+def test_messages_that_fit_one_batch_are_not_refused_for_the_pace():
     # Eight messages are one call here. Counted as eight calls, most were refused, and clients resubmitted
     # them.
     refused = {}
@@ -343,7 +343,7 @@
     assert refused[1] >= 6 and not refused[10]
 
 
-def test_what_can_be_reached_within_its_life_is_held_and_not_handed_back():
+def test_a_message_whose_turn_comes_within_its_lifetime_is_held_and_not_refused():
     host = fleet(rate=20.0)  # a part of a call in 5 s
     host.courier.pacing.token_jitter = 0.0
     host.arrive()
@@ -355,7 +355,7 @@
     assert of_type(Refuse, host.arrive(lifetime_us=2 * S))
 
 
-def test_room_is_made_by_handing_back_what_waits_longest_for_one_destination():
+def test_room_is_made_by_refusing_messages_of_the_longest_queue():
     host = Host(max_held=10)
     host.do(
         EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.DRAINING), entry(200, destination=2)))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -44,7 +44,7 @@
         (20, 20_000, 2),  # short calls share few connections
     ],
 )
-def test_what_is_kept_follows_from_calls_a_second_times_the_time_that_each_takes(per_s, hold_us, most):
+def test_connections_kept_follow_from_the_rate_of_calls_times_their_duration(per_s, hold_us, most):
     links, now = steady(per_s)
     assert links.max_idle(now, hold_us, 100) == most
     assert links.max_idle(now, hold_us, 3) == min(most, 3)  # the window allows no more
@@ -58,12 +58,12 @@
     assert links.mean_calls_in_flight(S, 400_000) == pytest.approx(8, rel=0.1)
 
 
-def test_what_is_not_called_any_more_needs_less():
+def test_an_endpoint_without_calls_needs_fewer_connections():
     links, now = steady(20)
     assert links.max_idle(now + 3 * IDLE, 400_000, 100) < 5
 
 
-def test_a_full_table_halves_what_is_kept_once_a_round_trip_and_it_comes_back_with_jitter():
+def test_a_full_table_halves_the_share_once_per_round_trip_and_it_grows_back_with_jitter():
     back = []
     for seed in range(40):
         links = ConnectionBudget(IDLE, random.Random(seed))
@@ -79,7 +79,7 @@
     assert min(back) > 112 * S and max(back) - min(back) > 5 * S  # gradually, and not in step
 
 
-def test_below_one_each_a_chance_decides_which_couriers_keep_one():
+def test_a_share_below_one_is_the_probability_of_keeping_a_connection():
     kept = 0
     for seed in range(400):
         links = ConnectionBudget(IDLE, random.Random(seed))
@@ -125,7 +125,7 @@
     assert any("takes no more connections" in a.text for a in actions if hasattr(a, "text"))
 
 
-def test_a_dead_endpoint_is_no_full_table():
+def test_a_failed_endpoint_does_not_count_as_a_full_table():
     host = Host()
     host.arrive()
     host.end(1, Result.CONNECT_FAILED)
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["open", "cold", "silent", "drain", "kept"])
-def test_nothing_is_opened_early_to_one_that_is_not_well(trouble):
+def test_no_connection_is_opened_early_to_an_endpoint_in_trouble(trouble):
     host = Host()
     host.do(WarmUp(True))
     endpoint = host.courier.state.endpoints[100]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -209,7 +209,7 @@
     assert done.stderr.count(b"\n") == 1
 
 
-def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
+def test_an_exception_in_a_courier_is_reported_as_a_fault(monkeypatch):
     from hopmill import simhost
 
     monkeypatch.setattr(simhost.Courier, "handle", lambda *a: 1 / 0)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -69,7 +69,7 @@
     return got
 
 
-def test_a_zone_out_by_hand_gets_nothing_and_its_idle_connections_close():
+def test_an_excluded_zone_gets_nothing_and_its_idle_connections_close():
     host = two_zones()
     assert 100 in served(host, 10)
     actions = host.do(SetZoneByHand(0, True))
@@ -78,7 +78,7 @@
     assert set(served(host, 20)) == {101}
 
 
-def test_it_returns_gradually_and_then_has_all():
+def test_a_zone_returns_gradually_and_then_has_its_full_share():
     host = two_zones()
     host.do(SetZoneByHand(0, True))
     served(host, 20)
@@ -101,7 +101,7 @@
     assert host.courier.zones.returning == back
 
 
-def test_out_again_while_it_returns():
+def test_a_zone_is_excluded_again_while_it_returns():
     host = two_zones()
     host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     host.do(SetZoneByHand(0, True))
@@ -109,7 +109,7 @@
     assert set(served(host, 20)) == {101} and not host.courier.zones.returning
 
 
-def test_let_back_while_it_still_fails():
+def test_a_zone_is_brought_back_while_its_endpoints_still_fail():
     host = two_zones()
     host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     tried = 0
@@ -280,7 +280,7 @@
 
 
 @courier
-async def test_a_zone_at_the_door(fleet):
+async def test_a_zone_in_the_operator_api(fleet):
     fleet.raw = settings()
     fleet.raw["localities"] = ["here", "there"]
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
