--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -10,6 +10,7 @@
 
 UNRETURNED_LIMIT = 20  # after this many refusals without a resubmission, clients are assumed not to resubmit
 MAX_UNSENT_SHARE = 0.9  # of new messages that are refused before any attempt
+ROOM_SHARE = 0.8  # of Settings.max_held: below it there is room again
 
 
 class Admission:
@@ -65,7 +66,7 @@
     def record_load(self, messages: int, calls_in_flight: int) -> None:
         """Log when the room for messages runs out or is there again."""
         is_full = messages >= self.settings.max_held - 1
-        if is_full != self.is_full and (is_full or messages < self.settings.max_held * 0.8):
+        if is_full != self.is_full and (is_full or messages < self.settings.max_held * ROOM_SHARE):
             self.is_full = is_full
             self.turn.log(
                 f"held: {'full' if is_full else 'room'}; {calls_in_flight}/{self.settings.slots} slots used"
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -13,6 +13,10 @@
 FIRST_TRIAL_GAP_US = 400_000  # upper bound of the jittered gap before the first half-open trial call
 MAX_TRIAL_GAP_US = 2_500_000
 AMBIGUOUS_FADE_FACTOR = 0.6  # the ambiguous share fades to 0 within this multiple of Settings.cold_us
+MIN_WARM_RATE_PER_S = 0.5
+MIN_SLOW_START_RATE_PER_S = 0.05
+MIN_FLEET_SLOW_START_RATE_PER_S = 0.001  # of one courier in a large fleet, since the rates of all add up
+CLOSING_SHARE_FACTOR = 0.8  # of OPENING_SHARE, the highest failure share that a closing breaker keeps
 RECOVERY_FACTOR = 0.8  # of Settings.fall_multiple that recovery uses; the rest allows for random variation
 
 
@@ -54,7 +58,7 @@
         best_rate_per_s = max(
             endpoint.breaker.warm_rate_per_s,
             endpoint.lane.limit_share_per_s or endpoint.lane.success_rate_per_s * SPARE_FACTOR,
-            0.5,
+            MIN_WARM_RATE_PER_S,
         )
         endpoint.breaker.warm_rate_per_s = (
             (endpoint.lane.limit_share_per_s or own_rate_per_s) if turn.is_large_fleet else best_rate_per_s
@@ -171,7 +175,7 @@
                 self.turn.log(f"endpoint {endpoint.id} answers again: circuit closed, slow start")
             endpoint.breaker.trial_gap_us, endpoint.breaker.failure_share = (
                 0,
-                min(endpoint.breaker.failure_share, OPENING_SHARE * 0.8),
+                min(endpoint.breaker.failure_share, OPENING_SHARE * CLOSING_SHARE_FACTOR),
             )
         elif (
             0 <= endpoint.breaker.slow_start_began_us <= now_us - self.settings.cold_us
@@ -207,7 +211,9 @@
                 * endpoint.breaker.warm_rate_per_s
                 / (1 if is_large_fleet else ready_count)
             )
-            rate_per_s = max(rate_per_s, 0.001 if is_large_fleet else 0.05)
+            rate_per_s = max(
+                rate_per_s, MIN_FLEET_SLOW_START_RATE_PER_S if is_large_fleet else MIN_SLOW_START_RATE_PER_S
+            )
             endpoint.breaker.tokens, endpoint.breaker.refilled_us = (
                 min(
                     1.0, endpoint.breaker.tokens + rate_per_s * (now_us - endpoint.breaker.refilled_us) / 1e6
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -21,6 +21,12 @@
 LIMIT_STEP_SHARE = 0.25  # a reported limit that differs by more is a new limit; less is random variation
 REPORT_WEIGHT = 0.2  # of a reported limit that differs by less
 MIN_LIMIT_SHARE = 0.4  # of the limit share: a cut leaves at least this, and recovery starts from it
+MIN_PACE_PER_S = 0.2  # after a cut, outside large fleets
+MIN_LEARNED_PACE_PER_S = 0.5  # when a lane without a pace gets one at its first overload
+MIN_GROWTH_FACTOR = 0.1  # of GROWTH_SHARE, right after a cut
+SUCCESS_WINDOW_US = 4e6  # of the moving rate of successes
+SUCCESS_STEP_PER_S = 0.25  # that one success adds to it
+ROUNDING_MARGIN_US = 1_000  # announced waits are cut to whole milliseconds
 SPARE_FACTOR = 2.0  # assumed capacity of an unlisted lane, as a multiple of its rate of successes
 
 
@@ -122,7 +128,7 @@
         An announced wait is cut to whole milliseconds, so one more keeps a call from being sent just before
         its end.
         """
-        lane.wait_until_us = max(lane.wait_until_us, self.turn.now_us + wait_us + 1_000)
+        lane.wait_until_us = max(lane.wait_until_us, self.turn.now_us + wait_us + ROUNDING_MARGIN_US)
 
     def record_report(self, lane: Lane, report: tuple[float, ...]) -> None:
         """Take the limit in force, and how much of it is left, from the load report of an answer or refusal.
@@ -169,7 +175,8 @@
         """Widen the window and raise the pace."""
         now_us = self.turn.now_us
         lane.success_rate_per_s, lane.last_success_us = (
-            lane.success_rate_per_s * max(0.0, 1 - (now_us - lane.last_success_us) / 4e6) + 0.25,
+            lane.success_rate_per_s * max(0.0, 1 - (now_us - lane.last_success_us) / SUCCESS_WINDOW_US)
+            + SUCCESS_STEP_PER_S,
             now_us,
         )
         lane.consecutive_refusals, lane.refused_share = 0, lane.refused_share * (1 - LANE_REFUSAL_WEIGHT)
@@ -181,7 +188,7 @@
             # was: growth at one speed had one refusal in ten calls.
             is_near = lane.pace_per_s >= NEAR_REFUSAL_SHARE * lane.last_refused_rate_per_s
             growth_share = (
-                GROWTH_SHARE * min(1.0, max(0.1, (now_us - lane.next_cut_us) / RECOVERY_US))
+                GROWTH_SHARE * min(1.0, max(MIN_GROWTH_FACTOR, (now_us - lane.next_cut_us) / RECOVERY_US))
                 if is_near
                 else GROWTH_SHARE
             )
@@ -206,10 +213,10 @@
                 lane.pace_per_s = max(
                     cut_pace_per_s,
                     lane.limit_share_per_s * MIN_LIMIT_SHARE,
-                    0.0 if turn.is_large_fleet else 0.2,
+                    0.0 if turn.is_large_fleet else MIN_PACE_PER_S,
                 )
             elif not turn.is_large_fleet:  # the minimum paces of many couriers would add up
-                lane.pace_per_s = max(0.5, lane.success_rate_per_s * CUT_FACTOR)
+                lane.pace_per_s = max(MIN_LEARNED_PACE_PER_S, lane.success_rate_per_s * CUT_FACTOR)
             lane.consecutive_refusals += 1
         lane.wait_until_us = max(
             lane.wait_until_us, now_us + (retry_after_us or self.backoff_us(lane.consecutive_refusals))
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -17,6 +17,34 @@
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
 
+# Kinds of the records of a batch.
+EVENT_INSTANCE = 1
+EVENT_MESSAGE_ARRIVED = 2
+EVENT_PROBE_ENDED = 3
+EVENT_TIMER_DUE = 4
+EVENT_ENDPOINTS_LISTED = 5
+EVENT_LIST_DECLARED = 6
+EVENT_BEGIN = 7
+EVENT_ATTEMPT_ENDED = 8
+EVENT_SHUTDOWN = 9
+EVENT_MESSAGE_GONE = 10
+EVENT_PEER_NOTE = 11
+EVENT_ATTEMPT_ANSWERING = 12
+# Kinds of the records of a reply.
+ACTION_SEND = 1
+ACTION_REFUSE = 2
+ACTION_FAIL = 3
+ACTION_CANCEL = 4
+ACTION_SET_TIMER = 5
+ACTION_PROBE = 6
+ACTION_CLOSE_IDLE = 7
+ACTION_SEND_NOTE = 8
+ACTION_LOG = 9
+ACTION_FAULT = 10
+ACTION_SUBSCRIBE = 11
+ACTION_FETCH_LIST = 12
+ACTION_INSTANCE = 13
+
 RESULTS = {
     200: interface.Result.OK,
     502: interface.Result.ERROR,
@@ -214,10 +242,10 @@
     tail, instance = view[count * EVENT_SIZE :], None
     for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
         code = view[at]
-        if code == 1:
+        if code == EVENT_INSTANCE:
             (instance,) = _U16.unpack_from(view, at)
             continue
-        if code == 6:
+        if code == EVENT_LIST_DECLARED:
             list_number, offset, entry_count = _REGISTER.unpack_from(view, at)
             numbered_lists[list_number] = read_entries(
                 _slice(tail, offset, entry_count * ENTRY_SIZE, "a list")
@@ -229,21 +257,21 @@
 
 
 def _event(code: int, view: memoryview, at: int, tail: memoryview, numbered_lists: dict[int, Any]) -> Any:
-    if code == 2:
+    if code == EVENT_MESSAGE_ARRIVED:
         message, message_class, tenant, key, valid_until_us, _, destination, flags = _ARRIVAL.unpack_from(
             view, at
         )
         return interface.MessageArrived(
             message, message_class, int(destination), valid_until_us, tenant, key, bool(flags & 2)
         )
-    if code == 3:
+    if code == EVENT_PROBE_ENDED:
         latency_us, result, address, port, *_ = _HEALTH.unpack_from(view, at)
         return interface.ProbeEnded(
             endpoint_id(address, port), _choice(RESULTS, result, "result"), latency_us
         )
-    if code == 4:
+    if code == EVENT_TIMER_DUE:
         return interface.TimerDue(_U64.unpack_from(view, at)[0])
-    if code == 5:
+    if code == EVENT_ENDPOINTS_LISTED:
         list_number, _, form = _DISCOVERY.unpack_from(view, at)
         kind = _choice(FORMS, form, "list form")
         if kind is interface.ListForm.FAILED:
@@ -251,10 +279,10 @@
         if list_number not in numbered_lists:
             raise MalformedFrameError(f"list {list_number} was never declared")
         return interface.EndpointsListed(kind, numbered_lists[list_number])
-    if code == 7:
+    if code == EVENT_BEGIN:
         seed, offset, size = _BEGIN.unpack_from(view, at)
         return Begin(seed, read_settings(_slice(tail, offset, size, "the settings")))
-    if code == 8:
+    if code == EVENT_ATTEMPT_ENDED:
         (
             message,
             attempt,
@@ -279,14 +307,14 @@
             retry_after_us,
             tuple(report[:report_count]),
         )
-    if code == 9:
+    if code == EVENT_SHUTDOWN:
         return Shutdown()
-    if code == 10:
+    if code == EVENT_MESSAGE_GONE:
         return interface.MessageGone(_U32.unpack_from(view, at)[0])
-    if code == 11:
+    if code == EVENT_PEER_NOTE:
         author, offset, size = _PEER.unpack_from(view, at)
         return interface.PeerNote(author, bytes(_slice(tail, offset, size, "a note")))
-    if code == 12:
+    if code == EVENT_ATTEMPT_ANSWERING:
         message, address, port, attempt, _ = _OPENED.unpack_from(view, at)
         return interface.AttemptAnswering(message, attempt, endpoint_id(address, port))
     raise MalformedFrameError(f"unknown event code {code}")
@@ -310,48 +338,48 @@
 
     def instance(self, number: int) -> None:
         """The records that follow are of this instance."""
-        self._add_record("BH", 13, number)
+        self._add_record("BH", ACTION_INSTANCE, number)
 
     def fault(self, text: str) -> None:
         """Report an error inside a courier."""
-        self._add_record("BII", 10, *self._append_to_tail(text.encode()))
+        self._add_record("BII", ACTION_FAULT, *self._append_to_tail(text.encode()))
 
     def action(self, action: interface.Action) -> None:
         """Add an action of the current instance."""
         if isinstance(action, interface.Send):
             self._add_record(
                 "BIIHI",
-                1,
+                ACTION_SEND,
                 action.message,
                 action.endpoint >> 16,
                 action.endpoint & 0xFFFF,
                 min(action.timeout_us, MAX_U32),
             )
         elif isinstance(action, interface.SetTimer):
-            self._add_record("BIQ", 5, min(action.delay_us, MAX_U32), action.token)
+            self._add_record("BIQ", ACTION_SET_TIMER, min(action.delay_us, MAX_U32), action.token)
         elif isinstance(action, interface.Refuse):
-            self._add_record("BII", 2, action.message, min(action.retry_after_us, MAX_U32))
+            self._add_record("BII", ACTION_REFUSE, action.message, min(action.retry_after_us, MAX_U32))
         elif isinstance(action, interface.Fail):
-            self._add_record("BI", 3, action.message)
+            self._add_record("BI", ACTION_FAIL, action.message)
         elif isinstance(action, interface.Cancel):
-            self._add_record("BIB", 4, action.message, action.attempt)
+            self._add_record("BIB", ACTION_CANCEL, action.message, action.attempt)
         elif isinstance(action, interface.Probe):
-            self._add_record("BIH", 6, action.endpoint >> 16, action.endpoint & 0xFFFF)
+            self._add_record("BIH", ACTION_PROBE, action.endpoint >> 16, action.endpoint & 0xFFFF)
         elif isinstance(action, interface.CloseIdle):
-            self._add_record("BIH", 7, action.endpoint >> 16, action.endpoint & 0xFFFF)
+            self._add_record("BIH", ACTION_CLOSE_IDLE, action.endpoint >> 16, action.endpoint & 0xFFFF)
         elif isinstance(action, interface.SendNote):
             self._add_record(
                 "BIII",
-                8,
+                ACTION_SEND_NOTE,
                 ALL_PEERS if action.peer is None else action.peer,
                 *self._append_to_tail(action.data),
             )
         elif isinstance(action, interface.Log):
-            self._add_record("BII", 9, *self._append_to_tail(action.text.encode()))
+            self._add_record("BII", ACTION_LOG, *self._append_to_tail(action.text.encode()))
         elif isinstance(action, interface.Subscribe):
-            self._add_record("BB", 11, int(action.on))
+            self._add_record("BB", ACTION_SUBSCRIBE, int(action.on))
         elif isinstance(action, interface.FetchList):
-            self._add_record("B", 12)
+            self._add_record("B", ACTION_FETCH_LIST)
         # Keep and OpenIdle have no record: the simulator opens and keeps connections by itself.
 
     def pack(self, sequence: int) -> bytes:
