--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -50,12 +50,12 @@
     def call(idle, result):
         host.simulated.idle_since_us[100] = [host.now - idle]
         host.do(Connections(100, (host.now - idle,)))
-        c = host.courier.state.endpoints[100].breaker
+        breaker = host.courier.state.endpoints[100].breaker
         (
-            c.is_open,
-            c.slow_start_began_us,
-            c.trial_call,
-            c.failure_share,
+            breaker.is_open,
+            breaker.slow_start_began_us,
+            breaker.trial_call,
+            breaker.failure_share,
             host.courier.state.endpoints[100].ambiguous_share,
         ) = False, -1, None, 0.0, 0.0
         actions = host.arrive(message_class=2)  # unsafe: one attempt
@@ -80,13 +80,13 @@
     listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     given = dict(classes=CLASSES, slots=4, max_held=50, rates_listed=True, couriers=couriers)
     fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    for c in fleet_couriers:
-        c.handle(0, [listed])
+    for courier in fleet_couriers:
+        courier.handle(0, [listed])
         for step in range(40):  # 2 s, the messages within the first 0.2 s
             now = S + step * 50_000
             events = [MessageArrived(step, 0, 1, now + 10 * S)] if step < 4 else []
-            events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in c.state.calls]
-            sent += len(of_type(Send, c.handle(now, events)))
+            events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in courier.state.calls]
+            sent += len(of_type(Send, courier.handle(now, events)))
     assert couriers <= sent <= couriers + 2 * rate
 
 
@@ -107,24 +107,24 @@
     )
     fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
     listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
-    calls, sent, now, ident = [], [], 1000 * S, 0
-    for c in fleet_couriers:
-        c.handle(now, [listed])
+    calls, sent, now, number = [], [], 1000 * S, 0
+    for courier in fleet_couriers:
+        courier.handle(now, [listed])
     for step in range(4000):  # 40 s of 40 messages per second, spread over the couriers in a fixed order
         now += 10_000
         inbox = {}
         if step % 2 == 0 and step % 5:
-            ident += 1
-            inbox[ident * 37 % couriers] = [MessageArrived(ident, 0, 1, now + 10 * S)]
+            number += 1
+            inbox[number * 37 % couriers] = [MessageArrived(number, 0, 1, now + 10 * S)]
         for k, event in [x for x in calls if x[0][0] <= now]:
             inbox.setdefault(k[1], []).append(event)
         calls = [x for x in calls if x[0][0] > now]
         for k in range(couriers) if step % 20 == 0 else sorted(inbox):
-            for a in fleet_couriers[k].handle(now, inbox.get(k, [])):
-                if isinstance(a, Send):
+            for action in fleet_couriers[k].handle(now, inbox.get(k, [])):
+                if isinstance(action, Send):
                     sent.append((now, fleet_couriers[k].state.endpoints[100].breaker.failure_share > 0))
-                    tries = fleet_couriers[k].state.messages[a.message].attempts - 1
-                    calls.append(((now + 50_000, k), ended(a.message, tries, how)))
+                    tries = fleet_couriers[k].state.messages[action.message].attempts - 1
+                    calls.append(((now + 50_000, k), ended(action.message, tries, how)))
     informed = sum(1 for at, seen in sent if seen and at > 1000 * S + 20 * S) / 20
     assert 0 < informed <= multiple * cold * rate
 
@@ -141,8 +141,8 @@
     assert not [a for a in of_type(Send, actions + host.arrive() + host.arrive()) if a.message > 1]
     assert of_type(Send, actions + host.idle(0.5))
     host.end(1, Result.OK)
-    c = host.courier.state.endpoints[100].breaker
-    assert not c.is_open and c.slow_start_began_us < 0
+    breaker = host.courier.state.endpoints[100].breaker
+    assert not breaker.is_open and breaker.slow_start_began_us < 0
 
 
 def test_a_real_outage_ends_in_a_slow_start_for_all_endpoints_of_the_lane():
@@ -179,7 +179,7 @@
 def test_couriers_spread_over_routes_in_step_with_their_rates():
     chosen = {}
     for seed in range(200):
-        c = Courier(
+        courier = Courier(
             Settings(
                 classes=CLASSES,
                 slots=4,
@@ -191,15 +191,15 @@
             ),
             seed,
         )
-        actions = c.handle(
+        actions = courier.handle(
             S,
             [
                 EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
                 MessageArrived(1, 0, 1, 9 * S),
             ],
         )
-        e = of_type(Send, actions)[0].endpoint
-        chosen[e] = chosen.get(e, 0) + 1
+        endpoint = of_type(Send, actions)[0].endpoint
+        chosen[endpoint] = chosen.get(endpoint, 0) + 1
     assert 130 < chosen[100] < 170
 
 
@@ -246,25 +246,27 @@
 
     def __init__(self, couriers, rate, alive=None):
         given = dict(classes=CLASSES, slots=4, max_held=400, rates_listed=True, report_fields=("x0", "x1"))
-        self.all = [Courier(Settings(me=k, couriers=couriers, **given), k) for k in range(alive or couriers)]
-        self.now, self.ident = 0, 0
-        self.do(lambda c: [EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))])
+        self.couriers = [
+            Courier(Settings(me=k, couriers=couriers, **given), k) for k in range(alive or couriers)
+        ]
+        self.now, self.number = 0, 0
+        self.do(lambda courier: [EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))])
 
     def do(self, events):
-        return sum(len(of_type(Send, c.handle(self.now, events(c)))) for c in self.all)
+        return sum(len(of_type(Send, courier.handle(self.now, events(courier)))) for courier in self.couriers)
 
     def run(self, seconds, each_per_s, result, retry_after_us=0, report=()):
         """Returns the calls per second of all couriers together."""
-        self.ident += 1000
+        self.number += 1000
         sent = 0
         ends = (result, 50_000, result is Result.OK, retry_after_us, report)
         for step in range(int(seconds * 20)):
             self.now += 50_000
             arrives = step % int(20 / each_per_s) == 0
             sent += self.do(
-                lambda c, step=step, arrives=arrives: [
-                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in c.state.calls],
-                    *([MessageArrived(self.ident + step, 0, 1, self.now + 60 * S)] if arrives else []),
+                lambda courier, step=step, arrives=arrives: [
+                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in courier.state.calls],
+                    *([MessageArrived(self.number + step, 0, 1, self.now + 60 * S)] if arrives else []),
                 ]
             )
         return sent / seconds
@@ -291,11 +293,11 @@
     fleet = Fleet(40, rate=40.0, alive=10)
     fleet.run(1, 4, Result.OK)
     for k in range(25):  # a new report every second
-        most = fleet.run(1, 4, Result.OK, report=(0.9 - k / 1000, 40.0))
-    assert most >= 25  # their own ten equal shares are 10 calls per second
+        highest = fleet.run(1, 4, Result.OK, report=(0.9 - k / 1000, 40.0))
+    assert highest >= 25  # their own ten equal shares are 10 calls per second
     for k in range(25):
-        least = fleet.run(1, 4, Result.OK, report=(0.1 - k / 1000, 40.0))
-    assert least <= 14
+        lowest = fleet.run(1, 4, Result.OK, report=(0.1 - k / 1000, 40.0))
+    assert lowest <= 14
 
 
 def test_a_report_of_spare_capacity_seen_by_all_couriers_raises_their_sum_by_a_small_step():
@@ -328,8 +330,8 @@
         fleet.run(0.05, 20, Result.OK) * 0.05 == 40
     )  # all at once; from then on each has one call in two seconds
     fleet.run(6, 2, Result.OK)
-    most = max(fleet.run(0.25, 4, Result.OK) * 0.25 for _ in range(24))
-    assert 2 <= most <= 20
+    highest = max(fleet.run(0.25, 4, Result.OK) * 0.25 for _ in range(24))
+    assert 2 <= highest <= 20
 
 
 def test_messages_that_fit_one_batch_are_not_refused_for_the_pace():
@@ -372,9 +374,9 @@
     host = fleet(kinds=(Kind("k", routes_apart=apart),))
     for n in range(3000):
         host.do(EndpointsListed(ListForm.DELTA, (entry(101 + n), entry(100 + n, state=EndpointState.GONE))))
-    c = host.courier
-    assert len(c.state.endpoints) == 1 and len(c.state.destinations[1].lanes) <= 2
-    assert sum(len(x.endpoints) for x in c.state.destinations[1].lanes) == 1
+    courier = host.courier
+    assert len(courier.state.endpoints) == 1 and len(courier.state.destinations[1].lanes) <= 2
+    assert sum(len(x.endpoints) for x in courier.state.destinations[1].lanes) == 1
     assert of_type(Send, host.arrive())[0].endpoint == 3100
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("per_s", "hold_us", "most"),
+    ("per_s", "slot_time_us", "kept"),
     [
         (0.2, 400_000, 1),  # one call in 5 s: one of hundreds of couriers
         (4, 400_000, 5),  # 1.6 calls in flight on average
@@ -44,10 +44,10 @@
         (20, 20_000, 2),  # short calls share few connections
     ],
 )
-def test_connections_kept_follow_from_the_rate_of_calls_times_their_duration(per_s, hold_us, most):
+def test_connections_kept_follow_from_the_rate_of_calls_times_their_duration(per_s, slot_time_us, kept):
     links, now = steady(per_s)
-    assert links.max_idle(now, hold_us, 100) == most
-    assert links.max_idle(now, hold_us, 3) == min(most, 3)  # the window allows no more
+    assert links.max_idle(now, slot_time_us, 100) == kept
+    assert links.max_idle(now, slot_time_us, 3) == min(kept, 3)  # the window allows no more
 
 
 def test_the_first_calls_count_in_full():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from hopmill import interface as i
-from hopmill import wire
+from hopmill import interface, wire
 
 SETTINGS = {
     "classes": [
@@ -43,12 +42,12 @@
     return struct.pack(">" + form, *values).ljust(40, b"\0")
 
 
-def batch(records, tail=b"", seq=1, now=5_000_000, count=None):
+def batch(records, tail=b"", sequence=1, now=5_000_000, count=None):
     body = b"".join(records) + tail
-    return struct.pack(">IIQI", seq, len(body), now, len(records) if count is None else count) + body
+    return struct.pack(">IIQI", sequence, len(body), now, len(records) if count is None else count) + body
 
 
-def begin_batch(seq=1, now=5_000_000, instances=(3,), settings=None):
+def begin_batch(sequence=1, now=5_000_000, instances=(3,), settings=None):
     text = json.dumps(SETTINGS if settings is None else settings).encode()
     entry = struct.pack(">IHHBfQBH", ADDRESS, 9003, 57, 1, 4.0, 0, 0, 0)
     records = [record("BBII", 6, 2, 0, 1)]
@@ -58,13 +57,16 @@
             record("BQII", 7, 77 + n, len(entry), len(text)),
             record("BBQB", 5, 2, 1, 2),
         ]
-    return batch(records, entry + text, seq, now)
+    return batch(records, entry + text, sequence, now)
 
 
-def arrival(ident, seq, now, instance=3, cls=0):
+def arrival(message, sequence, now, instance=3, message_class=0):
     return batch(
-        [record("BH", 1, instance), record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)],
-        seq=seq,
+        [
+            record("BH", 1, instance),
+            record("BIBIQQIfH", 2, message, message_class, 0, 0, now + 6_000_000, 0, 57.0, 2),
+        ],
+        sequence=sequence,
         now=now,
     )
 
@@ -85,25 +87,29 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored():
-    s = wire.read_settings(json.dumps(SETTINGS))
-    assert s.slots == 6 and s.kinds == (i.Kind("k", True, 3),) and s.classes[1].effect is i.Effect.UNSAFE
-    assert s.max_retry_after_us == 7 and s.rates_listed and not s.second_copies
+    settings = wire.read_settings(json.dumps(SETTINGS))
+    assert (
+        settings.slots == 6
+        and settings.kinds == (interface.Kind("k", True, 3),)
+        and settings.classes[1].effect is interface.Effect.UNSAFE
+    )
+    assert settings.max_retry_after_us == 7 and settings.rates_listed and not settings.second_copies
 
 
 def test_begin_list_and_arrival():
-    got = events(begin_batch())
-    assert got[0][0] == 3 and got[0][1].seed == 80
-    assert got[1][1] == i.EndpointsListed(
-        i.ListForm.CACHED,
-        (i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
+    found = events(begin_batch())
+    assert found[0][0] == 3 and found[0][1].seed == 80
+    assert found[1][1] == interface.EndpointsListed(
+        interface.ListForm.CACHED,
+        (interface.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, interface.EndpointState.READY, 4.0, 0, 0),),
     )
-    assert events(arrival(9, 2, 10))[0][1] == i.MessageArrived(9, 0, 57, 6_000_010, 0, 0, True)
+    assert events(arrival(9, 2, 10))[0][1] == interface.MessageArrived(9, 0, 57, 6_000_010, 0, 0, True)
 
 
 def test_a_list_number_used_again_means_the_newer_list():
     entry = struct.pack(">IHHBfQBH", ADDRESS, 1, 1, 1, 0, 0, 0, 0)
     other = struct.pack(">IHHBfQBH", ADDRESS, 2, 1, 0, 0, 0, 0, 0)
-    got = events(
+    found = events(
         batch(
             [
                 record("BH", 1, 0),
@@ -115,12 +121,12 @@
             entry + other,
         )
     )
-    assert [e.entries[0].endpoint & 0xFFFF for _, e in got] == [1, 2]
-    assert got[1][1].entries[0].state is i.EndpointState.GONE
+    assert [e.entries[0].endpoint & 0xFFFF for _, e in found] == [1, 2]
+    assert found[1][1].entries[0].state is interface.EndpointState.GONE
 
 
 def test_outcomes_probes_notes_and_the_rest():
-    got = [
+    found = [
         e
         for _, e in events(
             batch(
@@ -138,25 +144,25 @@
             )
         )
     ]
-    ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [
-        i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
-        i.ProbeEnded(ep, i.Result.OK, 1400),
-        i.PeerNote(2, b"hi 7"),
-        i.MessageGone(5),
-        i.TimerDue(77),
-        i.AttemptAnswering(5, 1, ep),
-        i.EndpointsListed(i.ListForm.FAILED),
+    endpoint = wire.endpoint_id(ADDRESS, 9003)
+    assert found == [
+        interface.AttemptEnded(5, 1, endpoint, interface.Result.FULL, 18, False, 250_000),
+        interface.ProbeEnded(endpoint, interface.Result.OK, 1400),
+        interface.PeerNote(2, b"hi 7"),
+        interface.MessageGone(5),
+        interface.TimerDue(77),
+        interface.AttemptAnswering(5, 1, endpoint),
+        interface.EndpointsListed(interface.ListForm.FAILED),
     ]
 
 
 def test_actions_are_packed_as_the_page_shows():
     reply = wire.Reply()
     reply.instance(3)
-    reply.action(i.Send(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
-    reply.action(i.SetTimer(500_000, 77))
+    reply.action(interface.Send(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
+    reply.action(interface.SetTimer(500_000, 77))
     reply.instance(5)
-    reply.action(i.Log("two servers known"))
+    reply.action(interface.Log("two servers known"))
     assert reply.pack(12).hex() == (
         "0000000c"
         "00000005"
@@ -170,14 +176,14 @@
 @pytest.mark.parametrize(
     "action, code",
     [
-        (i.Refuse(1, 2), 2),
-        (i.Fail(1), 3),
-        (i.Cancel(1, 0), 4),
-        (i.Probe(1), 6),
-        (i.CloseIdle(1), 7),
-        (i.SendNote(None, b"x"), 8),
-        (i.Subscribe(), 11),
-        (i.FetchList(), 12),
+        (interface.Refuse(1, 2), 2),
+        (interface.Fail(1), 3),
+        (interface.Cancel(1, 0), 4),
+        (interface.Probe(1), 6),
+        (interface.CloseIdle(1), 7),
+        (interface.SendNote(None, b"x"), 8),
+        (interface.Subscribe(), 11),
+        (interface.FetchList(), 12),
     ],
 )
 def test_every_action_has_its_code(action, code):
@@ -186,11 +192,11 @@
     assert len(reply.records[0]) == 16 and reply.records[0][0] == code
 
 
-LACKING = {k: v for k, v in SETTINGS.items() if k != "contract"}
+WITHOUT_CONTRACT = {k: v for k, v in SETTINGS.items() if k != "contract"}
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, expected_text",
     [
         (b"\0\0\0\1", "short batch header"),
         (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
@@ -199,13 +205,13 @@
         (batch([record("BQ", 4, 1)]), "before any instance"),
         (batch([], count=3), "do not fit"),
         (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
-        (begin_batch(settings=LACKING), "'contract'"),
+        (begin_batch(settings=WITHOUT_CONTRACT), "'contract'"),
         (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data, said):
+def test_malformed_input_ends_with_one_plain_line(data, expected_text):
     done = run(data)
-    assert done.returncode != 0 and said in done.stderr.decode()
+    assert done.returncode != 0 and expected_text in done.stderr.decode()
     assert done.stderr.count(b"\n") == 1
 
 
@@ -232,15 +238,17 @@
     def replies(out):
         found = {}
         while out:
-            seq, _, size = struct.unpack(">III", out[:12])
-            found[seq], out = out[12 : 12 + size], out[12 + size :]
+            sequence, _, size = struct.unpack(">III", out[:12])
+            found[sequence], out = out[12 : 12 + size], out[12 + size :]
         return found
 
     together = replies(both.stdout)
     assert len(together) == 1 + 2 * 38 and sum(map(len, together.values())) > 1500
     for n in (3, 4):
         alone = replies(run(day((n,))).stdout)
-        assert len(alone) == 39 and all(together[seq] == body for seq, body in alone.items() if seq > 1)
+        assert len(alone) == 39 and all(
+            together[sequence] == body for sequence, body in alone.items() if sequence > 1
+        )
 
 
 @pytest.mark.parametrize(
@@ -254,10 +262,10 @@
     ],
 )
 def test_invalid_settings_name_the_field(field, change):
-    good = {"classes": (i.MessageClass("a", 1, 2),), "slots": 1, "max_held": 1}
-    i.Settings(**good)
+    good = {"classes": (interface.MessageClass("a", 1, 2),), "slots": 1, "max_held": 1}
+    interface.Settings(**good)
     with pytest.raises(ValueError, match=field):
-        i.Settings(**{**good, **change})
+        interface.Settings(**{**good, **change})
 
 
 def test_unknown_effect_class_is_named():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -251,25 +251,25 @@
     listed = EndpointsListed(
         ListForm.CACHED, tuple(ListEntry(100 + z, 1, EndpointState.READY, rate, 0, z) for z in range(2))
     )
-    for c in fleet_couriers:
-        c.handle(now, [listed, SetZoneByHand(0, True)])
-    chance, calls, sent, start = random.Random(3), [], [], now + 10 * S
+    for one in fleet_couriers:
+        one.handle(now, [listed, SetZoneByHand(0, True)])
+    rng, calls, sent, start = random.Random(3), [], [], now + 10 * S
     for step in range(4000):  # 40 s
         now += 10_000
         inbox = {}
         if now == start:
             inbox = {k: [SetZoneByHand(0, False)] for k in range(couriers)}
         if step % 5 < 2:
-            inbox.setdefault(chance.randrange(couriers), []).append(MessageArrived(step, 0, 1, now + 5 * S))
+            inbox.setdefault(rng.randrange(couriers), []).append(MessageArrived(step, 0, 1, now + 5 * S))
         for _, k, event in [x for x in calls if x[0] <= now]:
             inbox.setdefault(k, []).append(event)
         calls = [x for x in calls if x[0] > now]
         for k, events in inbox.items():
-            for a in of_type(Send, fleet_couriers[k].handle(now, events)):
-                if a.endpoint == 100:
+            for action in of_type(Send, fleet_couriers[k].handle(now, events)):
+                if action.endpoint == 100:
                     sent.append(now)
-                attempt = max(t for m, t in fleet_couriers[k].state.calls if m == a.message)
-                done = AttemptEnded(a.message, attempt, a.endpoint, Result.OK, 50_000, True)
+                attempt = max(t for m, t in fleet_couriers[k].state.calls if m == action.message)
+                done = AttemptEnded(action.message, attempt, action.endpoint, Result.OK, 50_000, True)
                 calls.append((now + 50_000, k, done))
     assert not [t for t in sent if t < start]
     for at in range(start, start + COLD, S // 2):
