--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -147,8 +147,8 @@
                     places[action.endpoint][0] == message.destination
                     and state[action.endpoint] is EndpointState.READY
                 )
-                assert now >= waits.get(lane(action.endpoint), 0), "sent before a told wait ended"
-                assert not [k for k in out if k[0] == action.message], "two attempts out"
+                assert now >= waits.get(lane(action.endpoint), 0), "sent before an announced wait ended"
+                assert not [k for k in out if k[0] == action.message], "two attempts in flight"
                 ran = [h for h in history[action.message] if h[0] not in UNRUN]
                 assert len(history[action.message]) < settings.max_attempts
                 if ran:
