--- a/hopmill/__main__.py
+++ b/hopmill/__main__.py
@@ -1,4 +1,4 @@
-"""The command. Without arguments it serves, and reads nothing that serving does not need."""
+"""The command `hopmill`. Without arguments it serves, and imports nothing that serving does not need."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 
 def main() -> int:
+    """Run the courier, or a command if there are arguments; returns the exit status."""
     if len(sys.argv) == 1:
         from hopmill.serve import run
 
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import importlib
+from types import ModuleType
 from typing import Any
 
 import msgspec
@@ -16,16 +17,34 @@
 from hopmill.lab.world import World
 
 
+# Former paths of constants, which command lines and recorded comparisons still name.
+CONSTANT_ALIASES = {
+    "policy.links.HALF": "policy.links.FULL_TABLE_FACTOR",
+    "policy.pacing.BASE_US": "policy.pacing.FIRST_BACKOFF_US",
+    "policy.pacing.BURST_PRICED_S": "policy.pacing.PRICED_BURST_S",
+    "policy.pacing.FLOOR": "policy.pacing.MIN_LIMIT_SHARE",
+    "policy.pacing.GROW": "policy.pacing.GROWTH_SHARE",
+    "policy.turn.TICKS": "policy.turn.DEADLINE_MARGIN_TICKS",
+}
+
+
 def override(changes: dict[str, str]) -> None:
-    """'policy.pacing.GROW': '0.2' sets that name of a module under hopmill. KeyError: there is none."""
+    """'policy.pacing.GROWTH_SHARE': '0.2' sets that name of a module under hopmill. KeyError: unknown."""
     for path, text in changes.items():
-        where, _, name = path.rpartition(".")
-        module = importlib.import_module(f"hopmill.{where}")
-        if not hasattr(module, name):
-            raise KeyError(path)
+        module, name = _constant(path)
         setattr(module, name, msgspec.json.decode(text))
 
 
+def _constant(path: str) -> tuple[ModuleType, str]:
+    """The module and the name in it. A former path stands for the present one if its name is gone."""
+    for candidate in (path, CONSTANT_ALIASES.get(path, path)):
+        where, _, name = candidate.rpartition(".")
+        module = importlib.import_module(f"hopmill.{where}")
+        if hasattr(module, name):
+            return module, name
+    raise KeyError(path)
+
+
 def play(scenario: Scenario, seed: int, more: bool = False) -> dict[str, Any]:
     """A broken rule or a failed module is a result too: `broken` says which, and `g` is 0.
 
@@ -59,14 +78,15 @@
     """For each lane the sum of the couriers' parts of its limit, and of their paces, at this moment."""
     sums: dict[str, list[float]] = {}
     for courier in world.couriers:
-        book = getattr(courier.module, "book", courier.module)  # earlier builds hold these themselves
-        dests = getattr(book, "dests", None) or {}
+        # Earlier builds: `book` for the state, or all of it in the courier itself.
+        state = getattr(courier.module, "state", None) or getattr(courier.module, "book", courier.module)
+        dests = getattr(state, "destinations", None) or getattr(state, "dests", None) or {}
         for dest in dests.values():
             for lane in getattr(dest, "lanes", ()):
                 endpoint = world.endpoints.get(next(iter(lane.endpoints), 0))
                 if endpoint is None:
                     continue
                 row = sums.setdefault(endpoint.target.name, [0.0, 0.0])
-                row[0] += getattr(lane, "listed", 0.0)
-                row[1] += getattr(lane, "rate", 0.0)
+                row[0] += getattr(lane, "limit_share_per_s", getattr(lane, "listed", 0.0))
+                row[1] += getattr(lane, "pace_per_s", getattr(lane, "rate", 0.0))
     return {name: {"parts": round(a, 3), "pace": round(b, 3)} for name, (a, b) in sorted(sums.items())}
--- a/hopmill/observe.py
+++ b/hopmill/observe.py
@@ -1,4 +1,4 @@
-"""What a running decision module looks like from outside, as plain rows. Reads only; decides nothing."""
+"""The state of a running courier as plain rows, for metrics and the operator API. Reads only."""
 
 from __future__ import annotations
 
@@ -7,71 +7,71 @@
 from dataclasses import dataclass
 
 from hopmill.policy.courier import Courier
-from hopmill.policy.state import Circuit, Lane
+from hopmill.policy.state import CircuitBreaker, Lane
 
 
 @dataclass(frozen=True)
 class LaneRow:
-    """What shares one limit: a partner, or one route of it."""
+    """The endpoints that share one rate limit: those of a partner, or of one route of it."""
 
     partner: int
-    endpoint: int | None  # of a route apart; None for a whole partner
-    queued: int  # messages that wait, of the whole partner
-    out: int  # calls in flight
-    window: float  # calls that may be in flight, 0 for a lane that is paced instead
-    pace: float  # calls a second that it is held to, 0 if none
-    part: float  # this courier's part of the limit, calls a second, 0 if none is known
-    refused: float  # share of its calls refused lately
-    wait_us: int  # until a told wait ends
+    endpoint: int | None  # of a separate route; None for a whole partner
+    queued: int  # messages waiting, of the whole partner
+    calls_in_flight: int
+    window: float  # calls that may be in flight; 0 for a lane that is paced instead
+    pace_per_s: float  # calls per second that the lane is held to; 0 if none
+    limit_share_per_s: float  # this courier's share of the limit in calls per second; 0 if none is known
+    refused_share: float  # moving share of calls refused as full
+    wait_us: int  # until an announced wait or a backoff ends
 
 
 def lanes(courier: Courier, now_us: int) -> Iterator[LaneRow]:
-    """One row a lane."""
-    for dest in courier.book.dests.values():
-        apart = courier.s.kinds[dest.kind].routes_apart
-        for lane in dest.lanes:
+    """One row per lane."""
+    for destination in courier.state.destinations.values():
+        apart = courier.settings.kinds[destination.kind].routes_apart
+        for lane in destination.lanes:
             yield LaneRow(
-                dest.number,
+                destination.number,
                 next(iter(lane.endpoints), None) if apart else None,
-                len(dest.queue),
-                lane.out,
-                0.0 if lane.rate else lane.window,
-                lane.rate,
-                lane.listed,
-                lane.refused,
-                max(0, lane.wait_until - now_us),
+                len(destination.queue),
+                lane.calls_in_flight,
+                0.0 if lane.pace_per_s else lane.window,
+                lane.pace_per_s,
+                lane.limit_share_per_s,
+                lane.refused_share,
+                max(0, lane.wait_until_us - now_us),
             )
 
 
-def circuit_state(circuit: Circuit) -> str:
-    """'open' lets trials only through, 'slow_start' a growing share, 'closed' all."""
-    return "open" if circuit.open else "slow_start" if circuit.ramp_from >= 0 else "closed"
+def breaker_state(breaker: CircuitBreaker) -> str:
+    """'open': half-open trial calls only; 'slow_start': a growing share of calls; 'closed': all calls."""
+    return "open" if breaker.is_open else "slow_start" if breaker.slow_start_began_us >= 0 else "closed"
 
 
-def circuits(courier: Courier) -> Counter[str]:
-    """Circuits by state; one that several endpoints share counts once."""
-    distinct = {id(ep.c): ep.c for ep in courier.book.endpoints.values()}
+def breaker_counts(courier: Courier) -> Counter[str]:
+    """Circuit breakers by state. One that several endpoints share counts once."""
+    distinct = {id(endpoint.breaker): endpoint.breaker for endpoint in courier.state.endpoints.values()}
     states = Counter({"open": 0, "slow_start": 0, "closed": 0})
-    states.update(map(circuit_state, distinct.values()))
+    states.update(map(breaker_state, distinct.values()))
     return states
 
 
 def endpoint_rows(courier: Courier, name: Callable[[int], str]) -> list[dict[str, object]]:
-    """For staff: each endpoint of the list with its partner, zone number, state and calls."""
+    """For the operator API: each listed endpoint with its partner, zone number, state and calls."""
     return [
         {
-            "endpoint": name(ep.id),
-            "partner": _partner(ep.lane),
-            "zone": ep.zone,
-            "state": ep.state.name.lower(),
-            "circuit": circuit_state(ep.c),
-            "out": len(ep.out),
-            "failing_share": round(ep.bad, 3),
-            "out_by_hand": ep.id in courier.book.by_hand,
+            "endpoint": name(endpoint.id),
+            "partner": _partner(endpoint.lane),
+            "zone": endpoint.zone,
+            "state": endpoint.state.name.lower(),
+            "circuit": breaker_state(endpoint.breaker),
+            "out": len(endpoint.calls_in_flight),
+            "failing_share": round(endpoint.failure_share, 3),
+            "out_by_hand": endpoint.id in courier.state.excluded_endpoints,
         }
-        for ep in courier.book.endpoints.values()
+        for endpoint in courier.state.endpoints.values()
     ]
 
 
 def _partner(lane: Lane) -> int:
-    return lane.dest.number
+    return lane.destination.number
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -1,85 +1,108 @@
-"""How many connections an endpoint is worth keeping, from what its calls showed. No I/O, no clock."""
+"""How many connections to keep to an endpoint, from what its calls showed. No I/O, no clock."""
 
 from __future__ import annotations
 
 import math
 import random
 
-SPREAD = 2.0  # calls out at once stay under mean + SPREAD * sqrt(mean) but for one time in fifty
-LEAST_US = 1_000_000  # the first calls are taken as the traffic of this time at least
-HALF = 0.5  # a full table halves this courier's part of it
-LEAST_PART = 0.25  # below one it is a chance: of many couriers, so many keep one
-TWICE_FULL = 2  # refusals of new connections in a row that show a full table: one may be chance
-
-
-class Links:
-    """One endpoint's connections, as its courier sees them."""
-
-    def __init__(self, idle_us: int, chance: random.Random) -> None:
-        """idle_us: for how long an endpoint lets a connection stand idle."""
-        self.idle_us, self.chance = max(1, idle_us), chance
-        self.idle: list[int] = []  # when each came free, oldest first: as told last, less what was lent since
-        self.calls, self.counted_at, self.first_at = 0.0, 0, -1  # fading count of calls
-        self.part = math.inf  # this courier's part of a table that was seen full
-        self.bound: float = math.inf  # the same as a whole number
-        self.cut_at = self.grow_at = 0
-        self.new_fulls = 0  # refusals on new connections in a row
-        self.told = -1  # how many the pool was told to keep
-
-    def lend(self, now: int, oldest: int) -> int:
-        """The most recently used one goes out: how long it was idle, -1 where a new one is opened."""
-        idle_us = now - self.idle[-1] if self.idle and self.idle[-1] > oldest else -1
-        self.idle = [t for t in self.idle if t > oldest][:-1]
-        self._fade(now)
-        self.calls += 1
-        if self.first_at < 0:
-            self.first_at = now
+CONCURRENCY_DEVIATIONS = 2.0  # calls in flight exceed mean + this * sqrt(mean) one time in fifty
+MIN_OBSERVED_US = 1_000_000  # the first calls count as the traffic of this time at least
+FULL_TABLE_FACTOR = 0.5  # of this courier's share of a table that turns out to be full
+MIN_TABLE_SHARE = 0.25  # a share below 1 is the probability of keeping one connection
+FULL_TABLE_REFUSALS = 2  # refusals of new connections in a row that show a full table; one may be random
+
+
+class ConnectionBudget:
+    """One endpoint's connections as its courier sees them."""
+
+    def __init__(self, idle_us: int, rng: random.Random) -> None:
+        """idle_us: how long the endpoint leaves a connection open while it is idle."""
+        self.idle_limit_us = max(1, idle_us)
+        self.rng = rng
+        # When each idle connection came free, oldest first: as last reported, less those checked out since.
+        self.idle_since_us: list[int] = []
+        self.recent_calls = 0.0  # exponentially fading count of calls, at counted_us
+        self.counted_us = 0
+        self.first_call_us = -1
+        self.table_share = math.inf  # this courier's share of a table that was full; inf: no limit known
+        self.max_connections: float = math.inf  # table_share, randomly rounded
+        self.next_cut_us = self.next_growth_us = 0
+        self.consecutive_new_refusals = 0
+        self.announced = -1  # how many connections the pool was last told to keep
+
+    def check_out(self, now_us: int, oldest_us: int) -> int:
+        """Take the most recently used connection; returns how long it was idle, -1 for a new one.
+
+        Connections idle since `oldest_us` or before are not used.
+        """
+        idle_us = (
+            now_us - self.idle_since_us[-1]
+            if self.idle_since_us and self.idle_since_us[-1] > oldest_us
+            else -1
+        )
+        self.idle_since_us = [since_us for since_us in self.idle_since_us if since_us > oldest_us][:-1]
+        self._fade_count(now_us)
+        self.recent_calls += 1
+        if self.first_call_us < 0:
+            self.first_call_us = now_us
         return idle_us
 
-    def _fade(self, now: int) -> None:
-        self.calls *= math.exp(-max(0, now - self.counted_at) / self.idle_us)
-        self.counted_at = now
+    def _fade_count(self, now_us: int) -> None:
+        self.recent_calls *= math.exp(-max(0, now_us - self.counted_us) / self.idle_limit_us)
+        self.counted_us = now_us
 
-    def at_once(self, now: int, hold_us: float) -> float:
-        """Calls out at once in the mean: calls a second times the time that each takes."""
-        if self.first_at < 0:
+    def mean_calls_in_flight(self, now_us: int, slot_time_us: float) -> float:
+        """Mean calls in flight by Little's law: rate of calls times the time that each occupies a slot."""
+        if self.first_call_us < 0:
             return 0.0
-        self._fade(now)
-        seen = max(now - self.first_at, LEAST_US)
-        return self.calls / (self.idle_us * (1 - math.exp(-seen / self.idle_us))) * hold_us
-
-    def most(self, now: int, hold_us: float, window: int) -> int:
-        """How many idle ones to keep: what it needs, within the window and its part of a full table."""
-        mean = self.at_once(now, hold_us)
-        need = max(1, min(window, math.ceil(mean + SPREAD * math.sqrt(mean))))
-        self._grow(now, need)
-        return int(min(need, self.bound))
-
-    # A full table: many couriers hold few connections each, and none knows of the others'
-
-    def refused(self, new: bool) -> bool:
-        """A call was turned away though others are served and the limit is not used up: the sign of a full
-        table where it happens to new connections alone."""
-        self.new_fulls = self.new_fulls + 1 if new else 0
-        return self.new_fulls >= TWICE_FULL
-
-    def full(self, now: int, held: int, pause_us: int) -> bool:
-        """Keep half of what is held, once for what was under way together. Each that hears of it does."""
-        if now < self.cut_at:
+        self._fade_count(now_us)
+        observed_us = max(now_us - self.first_call_us, MIN_OBSERVED_US)
+        return (
+            self.recent_calls
+            / (self.idle_limit_us * (1 - math.exp(-observed_us / self.idle_limit_us)))
+            * slot_time_us
+        )
+
+    def max_idle(self, now_us: int, slot_time_us: float, window: int) -> int:
+        """How many idle connections to keep: as needed, within the window and the share of a full table."""
+        mean_calls = self.mean_calls_in_flight(now_us, slot_time_us)
+        needed = max(1, min(window, math.ceil(mean_calls + CONCURRENCY_DEVIATIONS * math.sqrt(mean_calls))))
+        self._grow(now_us, needed)
+        return int(min(needed, self.max_connections))
+
+    # A full connection table: many couriers hold a few connections each and know nothing of each other's.
+
+    def record_refusal(self, is_new: bool) -> bool:
+        """A call was refused though others are served and the limit is not used up.
+
+        Returns whether the connection table seems to be full: refusals happen on new connections only.
+        """
+        self.consecutive_new_refusals = self.consecutive_new_refusals + 1 if is_new else 0
+        return self.consecutive_new_refusals >= FULL_TABLE_REFUSALS
+
+    def record_full_table(self, now_us: int, connections: int, pause_us: int) -> bool:
+        """Keep half of what is held. Each courier that notices a full table does.
+
+        Returns False for a further sign within `pause_us`, which belongs to calls that were in flight
+        already.
+        """
+        if now_us < self.next_cut_us:
             return False
-        self.cut_at = now + pause_us
-        self.part = max(LEAST_PART, min(self.part, max(1, held)) * HALF)
-        self._bind(now)
+        self.next_cut_us = now_us + pause_us
+        self.table_share = max(
+            MIN_TABLE_SHARE, min(self.table_share, max(1, connections)) * FULL_TABLE_FACTOR
+        )
+        self._round_share(now_us)
         return True
 
-    def _grow(self, now: int, need: int) -> None:
-        """Back by one each time that idle connections turn over, by chance sooner or later: not in step."""
-        while self.part < math.inf and now >= self.grow_at:
-            self.part += 1.0
-            self._bind(self.grow_at)
-            if self.part > 2 * need:
-                self.part = self.bound = math.inf
-
-    def _bind(self, now: int) -> None:
-        self.bound = math.floor(self.part + self.chance.random())
-        self.grow_at = now + int(self.idle_us * self.chance.uniform(0.5, 1.5))
+    def _grow(self, now_us: int, needed: int) -> None:
+        """Allow one more per turnover of idle connections, jittered so that couriers do not grow in step."""
+        while self.table_share < math.inf and now_us >= self.next_growth_us:
+            self.table_share += 1.0
+            self._round_share(self.next_growth_us)
+            if self.table_share > 2 * needed:
+                self.table_share = self.max_connections = math.inf
+
+    def _round_share(self, now_us: int) -> None:
+        self.max_connections = math.floor(self.table_share + self.rng.random())
+        self.next_growth_us = now_us + int(self.idle_limit_us * self.rng.uniform(0.5, 1.5))
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -1,4 +1,4 @@
-"""How much a lane may get: its pace and part of the limit, its window, and the waits it was told."""
+"""How much a lane may get: its pace and share of the limit, its window, and announced waits."""
 
 from __future__ import annotations
 
@@ -7,146 +7,224 @@
 from hopmill.policy.state import Destination, Lane
 from hopmill.policy.turn import Turn
 
-BASE_US = 100_000  # first ceiling of the jittered wait (the note's default)
-CAP_US = 3_000_000  # highest ceiling (the note's default)
-WINDOW_SHARE = 0.75  # a destination's calls stay under this share of the slots
-REFUSED_MEMORY, KIND_MEMORY = 0.5, 1 / 16  # weight of the newest call in the share refused: lane, kind
-BURST_S, BURST_PRICED_S = 0.8, 0.4  # a bucket holds this much of its rate; less where refusals are priced
-CUT = 0.75  # on overload the rate shrinks by this, once a round trip
-GROW = 0.1  # and a success adds this share of the listed (or first learned) rate
-NEAR, CALM_US = 0.9, 5_000_000  # near the last refused pace it grows slowly, until this long after
-STEP, TOLD = 0.25, 0.2  # a told limit this far off is a new one; else it is chance, and has this weight
-FLOOR = 0.4  # but a listed rate is not left further than this behind
-SPARE = 2.0  # an unlisted capacity is taken for this multiple of the traffic that it was seen to take
+FIRST_BACKOFF_US = 100_000  # upper bound of the first jittered wait; the retry note's default
+MAX_BACKOFF_US = 3_000_000  # highest upper bound; the retry note's default
+MAX_DESTINATION_SLOT_SHARE = 0.75  # of the courier's slots, for the calls of one destination
+LANE_REFUSAL_WEIGHT = 0.5  # of the newest call in a lane's moving share of refused calls
+KIND_REFUSAL_WEIGHT = 1 / 16  # the same, over all calls to a kind of destination
+BURST_S = 0.8  # a token bucket holds the tokens of this time at the lane's pace
+PRICED_BURST_S = 0.4  # the same where refused calls cost something
+CUT_FACTOR = 0.75  # of the pace that is left after an overload, once per round trip
+GROWTH_SHARE = 0.1  # of the limit share (of the pace, if none is known) that a success adds to the pace
+NEAR_REFUSAL_SHARE = 0.9  # of the last refused rate: above it the pace grows slowly
+RECOVERY_US = 5_000_000  # time after a cut in which growth near the refused rate returns to full speed
+LIMIT_STEP_SHARE = 0.25  # a reported limit that differs by more is a new limit; less is random variation
+REPORT_WEIGHT = 0.2  # of a reported limit that differs by less
+MIN_LIMIT_SHARE = 0.4  # of the limit share: a cut leaves at least this, and recovery starts from it
+MIN_PACE_PER_S = 0.2  # after a cut, outside large fleets
+MIN_LEARNED_PACE_PER_S = 0.5  # when a lane without a pace gets one at its first overload
+MIN_GROWTH_FACTOR = 0.1  # of GROWTH_SHARE, right after a cut
+SUCCESS_WINDOW_US = 4e6  # of the moving rate of successes
+SUCCESS_STEP_PER_S = 0.25  # that one success adds to it
+ROUNDING_MARGIN_US = 1_000  # announced waits are cut to whole milliseconds
+SPARE_FACTOR = 2.0  # assumed capacity of an unlisted lane, as a multiple of its rate of successes
 
 
 class Pacing:
+    """Token buckets, windows and retry-after waits of all lanes."""
+
     def __init__(self, turn: Turn) -> None:
-        s = turn.s
-        self.turn, self.s = turn, s
-        self.cap = max(1, int(WINDOW_SHARE * s.slots))
-        self.ceilings: dict[int, tuple[int, float]] = {}  # by destination, as the policy in force has them
-        # Buckets that many couriers empty together refill together, seconds later where each has a call in
-        # seconds: a call costs a token more or less by chance, so that they fall out of step.
-        self.spread = max(0.0, 1 - s.slots / s.couriers)
-        self.refused = [0.0] * len(s.kinds)  # as the lanes', over all calls to a kind
-
-    def most_out(self, dest: Destination) -> int:
-        """Calls at once."""
-        return min(self.cap, self.ceilings.get(dest.number, (0, 0.0))[0] or self.cap)
-
-    def _top(self, lane: Lane) -> float:
-        """This courier's part of what the policy lets a partner have a second; inf: all that it takes."""
-        rate = self.ceilings[lane.dest.number][1] if lane.dest.number in self.ceilings else 0.0
-        return rate / self.s.couriers / len(lane.dest.lanes) if rate else math.inf
-
-    def listed(self, lane: Lane, rate_per_s: float) -> None:
-        """The list names its rate."""
-        if self.s.rates_listed and rate_per_s > 0 and lane.hint != rate_per_s:
-            lane.hint = rate_per_s
-            lane.listed = lane.rate = lane.brink = rate_per_s / self.s.couriers
-
-    def backoff(self, attempt: int) -> int:
-        return int(self.turn.random.uniform(0, min(CAP_US, BASE_US * 2 ** min(attempt, 30))))
-
-    # The pace
-
-    def pace(self, lane: Lane) -> float:
-        """Calls a second. After a refusal it comes back to the equal part by itself: one of many couriers
-        hears of a lane so seldom that answers alone left it down for as long as the limit was lowered."""
-        since = self.turn.now - lane.cut_at
-        calm = min(1.0, FLOOR + (1 - FLOOR) * since / CALM_US) if lane.steered else 0.0
-        pace, top = max(lane.rate, lane.listed * calm), self._top(lane)
-        return pace if top == math.inf else min(pace or top, top)
-
-    def fill(self, lane: Lane) -> float:
-        if not lane.rate and self._top(lane) == math.inf:
+        settings = turn.settings
+        self.turn = turn
+        self.settings = settings
+        self.max_calls_per_destination = max(1, int(MAX_DESTINATION_SLOT_SHARE * settings.slots))
+        self.ceilings: dict[int, tuple[int, float]] = {}  # by destination: PolicySet.ceilings
+        # Buckets that many couriers empty at the same time also refill at the same time, seconds later where
+        # each courier has one call in several seconds. A call therefore costs a random amount around one
+        # token.
+        self.token_jitter = max(0.0, 1 - settings.slots / settings.couriers)
+        self.refused_share_by_kind = [0.0] * len(settings.kinds)  # moving share of calls refused
+
+    def max_calls(self, destination: Destination) -> int:
+        """Calls to the destination that may be in flight at once."""
+        return min(
+            self.max_calls_per_destination,
+            self.ceilings.get(destination.number, (0, 0.0))[0] or self.max_calls_per_destination,
+        )
+
+    def _policy_limit_per_s(self, lane: Lane) -> float:
+        """This courier's share of the policy's rate limit per lane of a destination; inf: none."""
+        limit_per_s = (
+            self.ceilings[lane.destination.number][1] if lane.destination.number in self.ceilings else 0.0
+        )
+        return limit_per_s / self.settings.couriers / len(lane.destination.lanes) if limit_per_s else math.inf
+
+    def record_listed_rate(self, lane: Lane, rate_per_s: float) -> None:
+        """Take a lane's rate from the endpoint list as the limit, if it has changed."""
+        if self.settings.rates_listed and rate_per_s > 0 and lane.listed_rate_per_s != rate_per_s:
+            lane.listed_rate_per_s = rate_per_s
+            lane.limit_share_per_s = lane.pace_per_s = lane.last_refused_rate_per_s = (
+                rate_per_s / self.settings.couriers
+            )
+
+    def backoff_us(self, retry: int) -> int:
+        """Full-jitter exponential backoff before a retry, numbered from 0."""
+        return int(self.turn.rng.uniform(0, min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(retry, 30))))
+
+    # Token bucket
+
+    def current_pace_per_s(self, lane: Lane) -> float:
+        """Calls per second that the lane is held to now.
+
+        After a refusal the pace returns to the equal share by itself: one of many couriers gets answers of a
+        lane so rarely that answers alone would keep it down for as long as the limit had been lowered.
+        """
+        since_us = self.turn.now_us - lane.next_cut_us
+        recovered_share = (
+            min(1.0, MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * since_us / RECOVERY_US)
+            if lane.has_reported_limit
+            else 0.0
+        )
+        pace_per_s, max_pace_per_s = (
+            max(lane.pace_per_s, lane.limit_share_per_s * recovered_share),
+            self._policy_limit_per_s(lane),
+        )
+        return pace_per_s if max_pace_per_s == math.inf else min(pace_per_s or max_pace_per_s, max_pace_per_s)
+
+    def refill(self, lane: Lane) -> float:
+        """Add the tokens of the time since the last refill; returns the tokens of the lane."""
+        if not lane.pace_per_s and self._policy_limit_per_s(lane) == math.inf:
             return 1.0
-        if self.turn.now > lane.stamp:
-            rate, burst = self.pace(lane), BURST_PRICED_S if self.s.refused_price else BURST_S
-            tokens = lane.tokens + rate * (self.turn.now - lane.stamp) / 1e6
-            lane.tokens, lane.stamp = min(tokens, max(1.0, rate * burst)), self.turn.now
+        if self.turn.now_us > lane.refilled_us:
+            pace_per_s, burst_s = (
+                self.current_pace_per_s(lane),
+                PRICED_BURST_S if self.settings.refused_price else BURST_S,
+            )
+            tokens = lane.tokens + pace_per_s * (self.turn.now_us - lane.refilled_us) / 1e6
+            lane.tokens, lane.refilled_us = min(tokens, max(1.0, pace_per_s * burst_s)), self.turn.now_us
         return lane.tokens
 
-    def spend(self, lane: Lane) -> None:
-        if lane.rate or self._top(lane) < math.inf:
-            lane.tokens -= 1.0 + self.turn.random.uniform(-self.spread, self.spread)
+    def spend_token(self, lane: Lane) -> None:
+        """Take the token of one call; a lane without a pace needs none."""
+        if lane.pace_per_s or self._policy_limit_per_s(lane) < math.inf:
+            lane.tokens -= 1.0 + self.turn.rng.uniform(-self.token_jitter, self.token_jitter)
 
     def allows(self, lane: Lane) -> bool:
-        if self.fill(lane) < 1.0:
-            self.turn.wake(
-                max(self.turn.now, lane.stamp) + int((1 - lane.tokens) / self.pace(lane) * 1e6) + 1
+        """Whether a token is there; if not, asks for a turn when it will be."""
+        if self.refill(lane) < 1.0:
+            self.turn.wake_at(
+                max(self.turn.now_us, lane.refilled_us)
+                + int((1 - lane.tokens) / self.current_pace_per_s(lane) * 1e6)
+                + 1
             )
             return False
         return True
 
-    # What answers tell
+    # Evidence from answers
+
+    def record_retry_after(self, lane: Lane, wait_us: int) -> None:
+        """Wait as announced. Counted for each message: those of one batched call may get different waits.
 
-    def told_wait(self, lane: Lane, wait_us: int) -> None:
-        """Heeded for each message: those of one batched call were told different waits. A told wait comes
-        in cut milliseconds, so one more keeps a send from falling just inside its end."""
-        lane.wait_until = max(lane.wait_until, self.turn.now + wait_us + 1_000)
+        An announced wait is cut to whole milliseconds, so one more keeps a call from being sent just before
+        its end.
+        """
+        lane.wait_until_us = max(lane.wait_until_us, self.turn.now_us + wait_us + ROUNDING_MARGIN_US)
 
-    def reported(self, lane: Lane, report: tuple[float, ...]) -> None:
-        """Answers, refusals too, tell the limit in force, where the list goes on naming the usual one, and
-        how much of it is left: the one thing that tells a courier what all the others send."""
-        if report == lane.report:  # endpoints renew theirs a few times a second at most: each counts once
+    def record_report(self, lane: Lane, report: tuple[float, ...]) -> None:
+        """Take the limit in force, and how much of it is left, from the load report of an answer or refusal.
+
+        The endpoint list keeps naming the usual limit. What is left is the only sign of what all other
+        couriers send.
+        """
+        # Endpoints renew their reports a few times per second at most; many answers repeat one. Each counts
+        # once.
+        if report == lane.last_report:
             return
-        lane.report = report
-        told = dict(zip(self.s.report_fields, report, strict=False))
-        limit, left = told.get("x1", 0.0) / self.s.couriers, min(1.0, max(0.0, told.get("x0", 0.0)))
-        lane.steered = limit > 0
-        if not lane.steered:
+        lane.last_report = report
+        reported = dict(zip(self.settings.report_fields, report, strict=False))
+        reported_share_per_s, left_share = (
+            reported.get("x1", 0.0) / self.settings.couriers,
+            min(1.0, max(0.0, reported.get("x0", 0.0))),
+        )
+        lane.has_reported_limit = reported_share_per_s > 0
+        if not lane.has_reported_limit:
             return
-        known = lane.listed or limit
-        part = limit if abs(limit - known) > STEP * known else known + (limit - known) * TOLD
-        lane.rate = (lane.rate or part) * part / known
-        lane.listed = part
-        # Of a limit that is all used, half is left in the mean over its span. While more is, parts that
-        # others leave idle are taken up; while less is, back towards the equal part, whose sum is the limit.
-        # In small steps: all of them hear the same news, and what they send too much together is refused and
-        # paid back out of the limit.
-        rate = lane.rate + GROW * part * (2 * left - 1)
-        lane.rate = min(max(rate, min(lane.rate, part)), part * self.s.couriers)
-
-    def room_left(self, lane: Lane) -> bool:
-        """Whether the limit is not used up, as far as answers tell it."""
-        told = dict(zip(self.s.report_fields, lane.report, strict=False))
-        return not lane.steered or told.get("x0", 0.0) > 0
-
-    def succeeded(self, lane: Lane) -> None:
-        now = self.turn.now
-        lane.seen, lane.seen_at = lane.seen * max(0.0, 1 - (now - lane.seen_at) / 4e6) + 0.25, now
-        lane.fulls, lane.refused = 0, lane.refused * (1 - REFUSED_MEMORY)
-        self.refused[lane.dest.kind] *= 1 - KIND_MEMORY
-        lane.window = min(self.cap, lane.window + 1)
-        if lane.rate and not lane.steered:
-            top = lane.listed * self.s.couriers or math.inf
-            # Fast up to where it was last refused, then slowly, the faster the longer ago that was: growth at
-            # one pace met a refusal in ten calls.
-            near = lane.rate >= NEAR * lane.brink
-            step = GROW * min(1.0, max(0.1, (now - lane.cut_at) / CALM_US)) if near else GROW
-            lane.rate = min(top, lane.rate + step * (lane.listed or lane.rate))
-
-    def overloaded(self, lane: Lane, told: int) -> None:
-        """A refusal as full: pace down, close the window, and wait as told (or a jittered wait)."""
-        now, turn = self.turn.now, self.turn
-        lane.refused += (1 - lane.refused) * REFUSED_MEMORY
-        self.refused[lane.dest.kind] += (1 - self.refused[lane.dest.kind]) * KIND_MEMORY
-        if now >= lane.cut_at:
-            lane.cut_at = now + max(int(lane.mean), 2 * self.s.tick_us)
+        known_share_per_s = lane.limit_share_per_s or reported_share_per_s
+        share_per_s = (
+            reported_share_per_s
+            if abs(reported_share_per_s - known_share_per_s) > LIMIT_STEP_SHARE * known_share_per_s
+            else known_share_per_s + (reported_share_per_s - known_share_per_s) * REPORT_WEIGHT
+        )
+        lane.pace_per_s = (lane.pace_per_s or share_per_s) * share_per_s / known_share_per_s
+        lane.limit_share_per_s = share_per_s
+        # Of a limit that is fully used, half is left on average over its window. While more is left, this
+        # courier takes up shares that others leave idle; while less is left, it returns towards its equal
+        # share (the equal shares sum to the limit). The steps are small: all couriers see the same reports,
+        # and calls above the limit are refused and count against it.
+        pace_per_s = lane.pace_per_s + GROWTH_SHARE * share_per_s * (2 * left_share - 1)
+        lane.pace_per_s = min(
+            max(pace_per_s, min(lane.pace_per_s, share_per_s)), share_per_s * self.settings.couriers
+        )
+
+    def has_limit_left(self, lane: Lane) -> bool:
+        """Whether part of the limit is left, as far as reports say."""
+        reported = dict(zip(self.settings.report_fields, lane.last_report, strict=False))
+        return not lane.has_reported_limit or reported.get("x0", 0.0) > 0
+
+    def record_success(self, lane: Lane) -> None:
+        """Widen the window and raise the pace."""
+        now_us = self.turn.now_us
+        lane.success_rate_per_s, lane.last_success_us = (
+            lane.success_rate_per_s * max(0.0, 1 - (now_us - lane.last_success_us) / SUCCESS_WINDOW_US)
+            + SUCCESS_STEP_PER_S,
+            now_us,
+        )
+        lane.consecutive_refusals, lane.refused_share = 0, lane.refused_share * (1 - LANE_REFUSAL_WEIGHT)
+        self.refused_share_by_kind[lane.destination.kind] *= 1 - KIND_REFUSAL_WEIGHT
+        lane.window = min(self.max_calls_per_destination, lane.window + 1)
+        if lane.pace_per_s and not lane.has_reported_limit:
+            max_pace_per_s = lane.limit_share_per_s * self.settings.couriers or math.inf
+            # Fast growth up to the rate that was last refused, then slow growth, faster the longer ago that
+            # was: growth at one speed had one refusal in ten calls.
+            is_near = lane.pace_per_s >= NEAR_REFUSAL_SHARE * lane.last_refused_rate_per_s
+            growth_share = (
+                GROWTH_SHARE * min(1.0, max(MIN_GROWTH_FACTOR, (now_us - lane.next_cut_us) / RECOVERY_US))
+                if is_near
+                else GROWTH_SHARE
+            )
+            lane.pace_per_s = min(
+                max_pace_per_s, lane.pace_per_s + growth_share * (lane.limit_share_per_s or lane.pace_per_s)
+            )
+
+    def record_overload(self, lane: Lane, retry_after_us: int) -> None:
+        """A refusal as full: lower the pace, halve the window, and wait as announced, else with backoff."""
+        now_us, turn = self.turn.now_us, self.turn
+        lane.refused_share += (1 - lane.refused_share) * LANE_REFUSAL_WEIGHT
+        self.refused_share_by_kind[lane.destination.kind] += (
+            1 - self.refused_share_by_kind[lane.destination.kind]
+        ) * KIND_REFUSAL_WEIGHT
+        if now_us >= lane.next_cut_us:
+            lane.next_cut_us = now_us + max(int(lane.mean_latency_us), 2 * self.settings.tick_us)
             lane.window = max(1.0, lane.window / 2)
-            lane.brink = lane.rate or lane.seen * SPARE
-            if lane.rate:
-                cut = min(lane.rate * CUT, lane.listed or math.inf)  # the equal parts sum to the limit
-                lane.rate = max(cut, lane.listed * FLOOR, 0.0 if turn.thin else 0.2)
-            elif not turn.thin:  # a floor for each of many couriers would add up
-                lane.rate = max(0.5, lane.seen * CUT)
-            lane.fulls += 1
-        lane.wait_until = max(lane.wait_until, now + (told or self.backoff(lane.fulls)))
-        self.fill(lane)
-        lane.tokens = min(lane.tokens, turn.random.random() if self.s.couriers > 1 else 1.0)
-        lane.stamp = max(now, lane.wait_until)
-
-    def timed_out(self, lane: Lane, others_answered: bool) -> None:
+            lane.last_refused_rate_per_s = lane.pace_per_s or lane.success_rate_per_s * SPARE_FACTOR
+            if lane.pace_per_s:
+                # At most the equal share: the equal shares of all couriers sum to the limit.
+                cut_pace_per_s = min(lane.pace_per_s * CUT_FACTOR, lane.limit_share_per_s or math.inf)
+                lane.pace_per_s = max(
+                    cut_pace_per_s,
+                    lane.limit_share_per_s * MIN_LIMIT_SHARE,
+                    0.0 if turn.is_large_fleet else MIN_PACE_PER_S,
+                )
+            elif not turn.is_large_fleet:  # the minimum paces of many couriers would add up
+                lane.pace_per_s = max(MIN_LEARNED_PACE_PER_S, lane.success_rate_per_s * CUT_FACTOR)
+            lane.consecutive_refusals += 1
+        lane.wait_until_us = max(
+            lane.wait_until_us, now_us + (retry_after_us or self.backoff_us(lane.consecutive_refusals))
+        )
+        self.refill(lane)
+        lane.tokens = min(lane.tokens, turn.rng.random() if self.settings.couriers > 1 else 1.0)
+        lane.refilled_us = max(now_us, lane.wait_until_us)
+
+    def record_timeout(self, lane: Lane, others_answered: bool) -> None:
+        """Narrow the window: by one if other calls were answered meanwhile, else by half."""
         lane.window = max(1.0, lane.window - 1 if others_answered else lane.window / 2)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,9 +1,9 @@
-"""Large fleets: what hundreds of small couriers do alike must sum to what a destination bears."""
+"""Large fleets: the sum of what hundreds of couriers do must stay within what a destination can take."""
 
 import random
 
 import pytest
-from test_brain import CLASSES, Host, S, of
+from test_brain import CLASSES, Host, S, of_type
 
 from hopmill.policy.courier import Courier
 from hopmill.interface import (
@@ -29,55 +29,64 @@
     return Host(**{"couriers": 100, "slots": 4, **changes})
 
 
-def entry(endpoint, dest=1, state=EndpointState.READY, rate=0.0):
-    return ListEntry(endpoint, dest, state, rate)
+def entry(endpoint, destination=1, state=EndpointState.READY, rate=0.0):
+    return ListEntry(endpoint, destination, state, rate)
 
 
 @pytest.mark.parametrize("couriers", [1, 3, 40, 300])
 def test_a_connection_is_kept_for_the_next_call_in_any_fleet(couriers):
-    # A new one for each call is priced over the whole fleet, and costs the endpoints work.
-    h = fleet(couriers=couriers)
-    h.arrive()
-    assert not of(CloseIdle, h.end(1, Result.OK))
-    assert of(Send, h.arrive(after=5 * S))
-    ((call, _),) = h.courier.book.calls.values()
-    assert call.idle_us == 5 * S
+    # A new connection for each call costs money in a large fleet, and work at the endpoints.
+    host = fleet(couriers=couriers)
+    host.arrive()
+    assert not of_type(CloseIdle, host.end(1, Result.OK))
+    assert of_type(Send, host.arrive(after=5 * S))
+    ((call, _),) = host.courier.state.calls.values()
+    assert call.connection_idle_us == 5 * S
 
 
-def test_idle_connections_that_die_unseen_are_closed_before_use_after_two_lost_calls():
-    h = Host()
+def test_idle_connections_dropped_without_notice_are_closed_before_use_after_two_lost_calls():
+    host = Host()
 
     def call(idle, result):
-        h.connected.idle[100] = [h.now - idle]
-        h.do(Connections(100, (h.now - idle,)))
-        c = h.courier.book.endpoints[100].c
-        c.open, c.ramp_from, c.trial, c.bad, h.courier.book.endpoints[100].dirty = False, -1, None, 0.0, 0.0
-        acts = h.arrive(cls=2)  # unsafe: tried once
-        h.end(h.next, result)
-        h.idle(1)
-        return len(of(CloseIdle, acts))
+        host.simulated.idle_since_us[100] = [host.now - idle]
+        host.do(Connections(100, (host.now - idle,)))
+        breaker = host.courier.state.endpoints[100].breaker
+        (
+            breaker.is_open,
+            breaker.slow_start_began_us,
+            breaker.trial_call,
+            breaker.failure_share,
+            host.courier.state.endpoints[100].ambiguous_share,
+        ) = False, -1, None, 0.0, 0.0
+        actions = host.arrive(message_class=2)  # unsafe: one attempt
+        host.end(host.next, result)
+        host.idle(1)
+        return len(of_type(CloseIdle, actions))
 
     assert not call(6 * S, Result.OK)
-    assert not call(4 * S, Result.RESET) and h.courier.connections.keep == 10 * S  # it may be chance
-    assert not call(4 * S, Result.RESET) and h.courier.connections.keep < 4 * S
-    trusted = h.courier.connections.keep
+    assert (
+        not call(4 * S, Result.RESET) and host.courier.connections.max_idle_us == 10 * S
+    )  # one loss may be random
+    assert not call(4 * S, Result.RESET) and host.courier.connections.max_idle_us < 4 * S
+    trusted = host.courier.connections.max_idle_us
     assert call(4 * S, Result.OK) == 1
-    assert not call(trusted // 2, Result.OK) and h.courier.connections.keep > trusted
+    assert not call(trusted // 2, Result.OK) and host.courier.connections.max_idle_us > trusted
 
 
-def test_a_clump_met_by_all_couriers_at_once_passes_a_listed_limit_by_a_call_each_at_most():
-    # Unpaced until its first refusal, each of them sent all it had: 40 harmless bursts were one of 160.
+def test_a_burst_at_all_couriers_at_once_exceeds_a_listed_limit_by_one_call_each_at_most():
+    # Without a pace until its first refusal each courier sent all it had: 40 small bursts added up to 160
+    # calls.
     couriers, rate, sent = 40, 20.0, 0
-    told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
+    listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     given = dict(classes=CLASSES, slots=4, max_held=50, rates_listed=True, couriers=couriers)
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    for c in all_:
-        c.handle(0, [told])
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    for courier in fleet_couriers:
+        courier.handle(0, [listed])
         for step in range(40):  # 2 s, the messages within the first 0.2 s
             now = S + step * 50_000
             events = [MessageArrived(step, 0, 1, now + 10 * S)] if step < 4 else []
-            events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in c.book.calls]
-            sent += len(of(Send, c.handle(now, events)))
+            events += [AttemptEnded(m, 0, 100, Result.OK, 50_000, True) for m, _ in courier.state.calls]
+            sent += len(of_type(Send, courier.handle(now, events)))
     assert couriers <= sent <= couriers + 2 * rate
 
 
@@ -96,26 +105,26 @@
         fall_multiple=multiple,
         tick_us=5000,
     )
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
-    calls, sent, now, ident = [], [], 1000 * S, 0
-    for c in all_:
-        c.handle(now, [told])
-    for step in range(4000):  # 40 s, 40 messages a second, each to the next courier by a fixed shuffle
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    listed = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
+    calls, sent, now, number = [], [], 1000 * S, 0
+    for courier in fleet_couriers:
+        courier.handle(now, [listed])
+    for step in range(4000):  # 40 s of 40 messages per second, spread over the couriers in a fixed order
         now += 10_000
         inbox = {}
         if step % 2 == 0 and step % 5:
-            ident += 1
-            inbox[ident * 37 % couriers] = [MessageArrived(ident, 0, 1, now + 10 * S)]
+            number += 1
+            inbox[number * 37 % couriers] = [MessageArrived(number, 0, 1, now + 10 * S)]
         for k, event in [x for x in calls if x[0][0] <= now]:
             inbox.setdefault(k[1], []).append(event)
         calls = [x for x in calls if x[0][0] > now]
         for k in range(couriers) if step % 20 == 0 else sorted(inbox):
-            for a in all_[k].handle(now, inbox.get(k, [])):
-                if isinstance(a, Send):
-                    sent.append((now, all_[k].book.endpoints[100].c.bad > 0))
-                    tries = all_[k].book.messages[a.message].tries - 1
-                    calls.append(((now + 50_000, k), ended(a.message, tries, how)))
+            for action in fleet_couriers[k].handle(now, inbox.get(k, [])):
+                if isinstance(action, Send):
+                    sent.append((now, fleet_couriers[k].state.endpoints[100].breaker.failure_share > 0))
+                    tries = fleet_couriers[k].state.messages[action.message].attempts - 1
+                    calls.append(((now + 50_000, k), ended(action.message, tries, how)))
     informed = sum(1 for at, seen in sent if seen and at > 1000 * S + 20 * S) / 20
     assert 0 < informed <= multiple * cold * rate
 
@@ -124,53 +133,53 @@
     return AttemptEnded(message, attempt, 100, how, 50_000, False, 0)
 
 
-def test_a_single_quick_failure_is_tried_again_and_forgiven():
-    h = fleet(rate=400.0)
-    h.arrive()
-    acts = h.end(1, Result.CONNECT_FAILED, latency=20_000)
-    assert h.courier.book.endpoints[100].c.open  # others wait for their share
-    assert not [a for a in of(Send, acts + h.arrive() + h.arrive()) if a.message > 1]
-    assert of(Send, acts + h.idle(0.5))
-    h.end(1, Result.OK)
-    c = h.courier.book.endpoints[100].c
-    assert not c.open and c.ramp_from < 0
+def test_a_single_fast_failure_is_repeated_and_leads_to_no_slow_start():
+    host = fleet(rate=400.0)
+    host.arrive()
+    actions = host.end(1, Result.CONNECT_FAILED, latency=20_000)
+    assert host.courier.state.endpoints[100].breaker.is_open  # other messages wait
+    assert not [a for a in of_type(Send, actions + host.arrive() + host.arrive()) if a.message > 1]
+    assert of_type(Send, actions + host.idle(0.5))
+    host.end(1, Result.OK)
+    breaker = host.courier.state.endpoints[100].breaker
+    assert not breaker.is_open and breaker.slow_start_began_us < 0
 
 
 def test_a_real_outage_ends_in_a_slow_start_for_all_endpoints_of_the_lane():
-    h = fleet(endpoints=2)
-    h.arrive()
+    host = fleet(endpoints=2)
+    host.arrive()
     for _ in range(3):
-        h.end(1, Result.CONNECT_FAILED, latency=20_000, endpoint=100)
-        h.idle(1)
-    one, other = (h.courier.book.endpoints[100 + k] for k in (0, 1))
-    assert one.c is other.c and one.c.open
+        host.end(1, Result.CONNECT_FAILED, latency=20_000, endpoint=100)
+        host.idle(1)
+    one, other = (host.courier.state.endpoints[100 + k] for k in (0, 1))
+    assert one.breaker is other.breaker and one.breaker.is_open
     for _ in range(20):
-        sends = of(Send, h.arrive(after=100_000))
+        sends = of_type(Send, host.arrive(after=100_000))
         if sends:
-            h.end(sends[0].message, Result.OK)
+            host.end(sends[0].message, Result.OK)
             break
-    assert not one.c.open and one.c.ramp_from >= 0
+    assert not one.breaker.is_open and one.breaker.slow_start_began_us >= 0
 
 
-def test_credit_is_not_saved_up_while_told_to_wait():
+def test_tokens_are_not_saved_up_during_a_retry_after():
     starts = 0
     for seed in range(40):
-        h = fleet(rate=10.0)
-        h.courier.turn.random.seed(seed)
-        h.arrive()
-        h.end(1, Result.FULL, told=8 * S)  # so long a wait is a shut destination's
-        acts = []
+        host = fleet(rate=10.0)
+        host.courier.turn.rng.seed(seed)
+        host.arrive()
+        host.end(1, Result.FULL, retry_after_us=8 * S)  # so long a wait means an outage
+        actions = []
         for _ in range(8):
-            acts += h.arrive(after=S * 95 // 100)
-        assert not of(Send, acts)
-        starts += len(of(Send, h.idle(2)))  # all couriers' waits end together
+            actions += host.arrive(after=S * 95 // 100)
+        assert not of_type(Send, actions)
+        starts += len(of_type(Send, host.idle(2)))  # the waits of all couriers end at the same time
     assert not starts
 
 
 def test_couriers_spread_over_routes_in_step_with_their_rates():
     chosen = {}
     for seed in range(200):
-        c = Courier(
+        courier = Courier(
             Settings(
                 classes=CLASSES,
                 slots=4,
@@ -182,54 +191,54 @@
             ),
             seed,
         )
-        acts = c.handle(
+        actions = courier.handle(
             S,
             [
                 EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
                 MessageArrived(1, 0, 1, 9 * S),
             ],
         )
-        e = of(Send, acts)[0].endpoint
-        chosen[e] = chosen.get(e, 0) + 1
+        endpoint = of_type(Send, actions)[0].endpoint
+        chosen[endpoint] = chosen.get(endpoint, 0) + 1
     assert 130 < chosen[100] < 170
 
 
 def test_where_calls_are_refused_a_share_of_new_messages_is_refused_unsent():
-    h = fleet()  # no rate is listed
+    host = fleet()  # no rate is listed
     for _ in range(6):
-        for a in of(Send, h.arrive(after=3 * S)):
-            h.end(a.message, Result.FULL)
+        for a in of_type(Send, host.arrive(after=3 * S)):
+            host.end(a.message, Result.FULL)
     unsent = 0
     for _ in range(30):
-        acts = h.arrive(after=S)
-        unsent += len(of(Refuse, acts))
-        for a in of(Send, acts):
-            h.end(a.message, Result.FULL)
+        actions = host.arrive(after=S)
+        unsent += len(of_type(Refuse, actions))
+        for a in of_type(Send, actions):
+            host.end(a.message, Result.FULL)
     assert 15 < unsent < 30
     for _ in range(60):
-        for a in of(Send, h.arrive(after=S) + h.idle(0.2)):
-            h.end(a.message, Result.OK)
-    assert not sum(len(of(Refuse, h.arrive(after=S))) for _ in range(10))
+        for a in of_type(Send, host.arrive(after=S) + host.idle(0.2)):
+            host.end(a.message, Result.OK)
+    assert not sum(len(of_type(Refuse, host.arrive(after=S))) for _ in range(10))
 
 
-def test_what_cannot_be_reached_in_time_is_handed_back_at_once():
-    h = fleet(rate=5.0)  # a part of 0.05 a second: the next call in up to 20 s
-    h.arrive()
-    h.end(h.next, Result.FULL)
-    refused = sum(len(of(Refuse, h.arrive(life=4 * S, after=50_000))) for _ in range(5))
+def test_a_message_whose_turn_cannot_come_in_time_is_refused_at_once():
+    host = fleet(rate=5.0)  # a share of 0.05 per second: the next call within 20 s
+    host.arrive()
+    host.end(host.next, Result.FULL)
+    refused = sum(len(of_type(Refuse, host.arrive(lifetime_us=4 * S, after=50_000))) for _ in range(5))
     assert refused >= 4
 
 
 @pytest.mark.parametrize("couriers", [1, 3, 40, 300])
 def test_all_couriers_together_ask_discovery_again_as_often_as_one_alone(couriers):
-    # Forty that each came again within a second jammed it: it gave up each call just before its turn came.
+    # 40 couriers that each asked again within a second overloaded it: calls timed out just before their turn.
     random.seed(couriers)
     asked = 0
     for _ in range(couriers):
         backoff, at = Backoff(couriers), 0.0
         while (at := at + backoff.next()) < 20.0 * couriers:
             asked += 1
-    assert 20 * couriers <= asked <= 40 * couriers  # 1 to 2 a second over 20 s for each courier there is
+    assert 20 * couriers <= asked <= 40 * couriers  # 1 to 2 per second in total: 20 s per courier
 
 
 class Fleet:
@@ -237,31 +246,33 @@
 
     def __init__(self, couriers, rate, alive=None):
         given = dict(classes=CLASSES, slots=4, max_held=400, rates_listed=True, report_fields=("x0", "x1"))
-        self.all = [Courier(Settings(me=k, couriers=couriers, **given), k) for k in range(alive or couriers)]
-        self.now, self.ident = 0, 0
-        self.do(lambda c: [EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))])
+        self.couriers = [
+            Courier(Settings(me=k, couriers=couriers, **given), k) for k in range(alive or couriers)
+        ]
+        self.now, self.number = 0, 0
+        self.do(lambda courier: [EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))])
 
     def do(self, events):
-        return sum(len(of(Send, c.handle(self.now, events(c)))) for c in self.all)
+        return sum(len(of_type(Send, courier.handle(self.now, events(courier)))) for courier in self.couriers)
 
-    def run(self, seconds, each_per_s, result, told=0, report=()):
-        """Returns the calls sent a second, by all together."""
-        self.ident += 1000
+    def run(self, seconds, each_per_s, result, retry_after_us=0, report=()):
+        """Returns the calls per second of all couriers together."""
+        self.number += 1000
         sent = 0
-        ends = (result, 50_000, result is Result.OK, told, report)
+        ends = (result, 50_000, result is Result.OK, retry_after_us, report)
         for step in range(int(seconds * 20)):
             self.now += 50_000
             arrives = step % int(20 / each_per_s) == 0
             sent += self.do(
-                lambda c, step=step, arrives=arrives: [
-                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in c.book.calls],
-                    *([MessageArrived(self.ident + step, 0, 1, self.now + 60 * S)] if arrives else []),
+                lambda courier, step=step, arrives=arrives: [
+                    *[AttemptEnded(m, attempt, 100, *ends) for m, attempt in courier.state.calls],
+                    *([MessageArrived(self.number + step, 0, 1, self.now + 60 * S)] if arrives else []),
                 ]
             )
         return sent / seconds
 
 
-def test_a_lowered_limit_is_heeded_as_soon_as_answers_tell_it_and_not_when_calls_are_refused():
+def test_a_lowered_limit_holds_as_soon_as_answers_report_it():
     fleet = Fleet(40, rate=80.0)
     assert 60 <= fleet.run(4, 4, Result.OK, report=(0.4, 80.0)) <= 100
     fleet.run(2, 4, Result.OK, report=(0.4, 20.0))
@@ -270,33 +281,33 @@
     assert fleet.run(4, 4, Result.OK, report=(0.4, 80.0)) >= 60
 
 
-def test_a_limit_told_within_chance_of_the_known_one_moves_the_pace_little():
-    h = Host(rate=10.0, report_fields=("x0", "x1"))
-    lane = h.courier.book.endpoints[100].lane
+def test_a_reported_limit_close_to_the_known_one_changes_the_pace_little():
+    host = Host(rate=10.0, report_fields=("x0", "x1"))
+    lane = host.courier.state.endpoints[100].lane
     for k in range(30):
-        h.courier.pacing.reported(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
-    assert 9 < lane.listed < 11
+        host.courier.pacing.record_report(lane, (0.5 + k * 1e-6, 10.0 * (0.85, 1.15)[k % 2]))
+    assert 9 < lane.limit_share_per_s < 11
 
 
-def test_survivors_take_up_the_parts_that_answers_tell_are_left_and_give_them_back():
+def test_remaining_couriers_take_up_idle_shares_of_a_reported_limit_and_give_them_back():
     fleet = Fleet(40, rate=40.0, alive=10)
     fleet.run(1, 4, Result.OK)
-    for k in range(25):  # a new report each second
-        most = fleet.run(1, 4, Result.OK, report=(0.9 - k / 1000, 40.0))
-    assert most >= 25  # their own ten parts are 10 calls a second
+    for k in range(25):  # a new report every second
+        highest = fleet.run(1, 4, Result.OK, report=(0.9 - k / 1000, 40.0))
+    assert highest >= 25  # their own ten equal shares are 10 calls per second
     for k in range(25):
-        least = fleet.run(1, 4, Result.OK, report=(0.1 - k / 1000, 40.0))
-    assert least <= 14
+        lowest = fleet.run(1, 4, Result.OK, report=(0.1 - k / 1000, 40.0))
+    assert lowest <= 14
 
 
-def test_good_news_that_all_hear_at_once_raises_their_sum_by_a_small_step():
+def test_a_report_of_spare_capacity_seen_by_all_couriers_raises_their_sum_by_a_small_step():
     fleet = Fleet(40, rate=40.0)
     fleet.run(2, 4, Result.OK, report=(0.5, 40.0))
     fleet.run(2, 4, Result.OK, report=(1.0, 40.0))
     assert fleet.run(10, 4, Result.OK, report=(1.0, 40.0)) <= 40 * 1.15
 
 
-def test_after_a_refusal_a_fleet_comes_back_to_the_limit_though_no_courier_hears_more():
+def test_after_a_refusal_a_fleet_returns_to_the_limit_without_further_reports():
     fleet = Fleet(40, rate=20.0)
     fleet.run(1, 4, Result.OK, report=(0.4, 20.0))
     fleet.run(2, 4, Result.FULL, report=(0.0, 20.0))
@@ -305,77 +316,88 @@
 
 
 def test_one_report_that_many_answers_repeat_counts_once():
-    h = Host(rate=10.0, report_fields=("x0", "x1"))
-    lane = h.courier.book.endpoints[100].lane
+    host = Host(rate=10.0, report_fields=("x0", "x1"))
+    lane = host.courier.state.endpoints[100].lane
     for _ in range(20):
-        h.arrive()
-        h.courier.pacing.reported(lane, (0.9, 10.0))
-    assert lane.rate < 1.5 * 10
+        host.arrive()
+        host.courier.pacing.record_report(lane, (0.9, 10.0))
+    assert lane.pace_per_s < 1.5 * 10
 
 
 def test_couriers_that_were_in_step_fall_out_of_it():
     fleet = Fleet(40, rate=20.0)
-    assert fleet.run(0.05, 20, Result.OK) * 0.05 == 40  # all at once, and then each has a call in two seconds
+    assert (
+        fleet.run(0.05, 20, Result.OK) * 0.05 == 40
+    )  # all at once; from then on each has one call in two seconds
     fleet.run(6, 2, Result.OK)
-    most = max(fleet.run(0.25, 4, Result.OK) * 0.25 for _ in range(24))
-    assert 2 <= most <= 20
+    highest = max(fleet.run(0.25, 4, Result.OK) * 0.25 for _ in range(24))
+    assert 2 <= highest <= 20
 
 
-def test_what_one_bundle_takes_is_not_handed_back_for_its_pace():
-    # Eight messages are one call here: counted as eight, most were refused, and clients handed them in again.
+def test_messages_that_fit_one_batch_are_not_refused_for_the_pace():
+    # Eight messages are one call here. Counted as eight calls, most were refused, and clients resubmitted
+    # them.
     refused = {}
     for batch in (1, 10):
-        h = fleet(rate=20.0, kinds=(Kind("k", batch=batch),))  # a part of a call in 5 s
-        h.arrive()
-        refused[batch] = sum(len(of(Refuse, h.arrive())) for _ in range(8))
+        host = fleet(rate=20.0, kinds=(Kind("k", batch=batch),))  # a part of a call in 5 s
+        host.arrive()
+        refused[batch] = sum(len(of_type(Refuse, host.arrive())) for _ in range(8))
     assert refused[1] >= 6 and not refused[10]
 
 
-def test_what_can_be_reached_within_its_life_is_held_and_not_handed_back():
-    h = fleet(rate=20.0)  # a part of a call in 5 s
-    h.courier.pacing.spread = 0.0
-    h.arrive()
-    h.end(h.next, Result.OK)
-    assert not of(Refuse, h.arrive(life=6 * S))  # its turn comes at four fifths of its life
-    assert of(Send, h.idle(5))
-    assert of(Refuse, h.arrive(life=2 * S))
+def test_a_message_whose_turn_comes_within_its_lifetime_is_held_and_not_refused():
+    host = fleet(rate=20.0)  # a part of a call in 5 s
+    host.courier.pacing.token_jitter = 0.0
+    host.arrive()
+    host.end(host.next, Result.OK)
+    assert not of_type(
+        Refuse, host.arrive(lifetime_us=6 * S)
+    )  # its turn comes after four fifths of its lifetime
+    assert of_type(Send, host.idle(5))
+    assert of_type(Refuse, host.arrive(lifetime_us=2 * S))
 
 
-def test_room_is_made_by_handing_back_what_waits_longest_for_one_destination():
-    h = Host(max_held=10)
-    h.do(EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.DRAINING), entry(200, dest=2))))
-    acts = []
+def test_room_is_made_by_refusing_messages_of_the_longest_queue():
+    host = Host(max_held=10)
+    host.do(
+        EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.DRAINING), entry(200, destination=2)))
+    )
+    actions = []
     for _ in range(12):
-        acts += h.arrive()
-    assert len(h.courier.book.messages) <= 8 and of(Refuse, acts)
-    assert of(Send, h.arrive(dest=2))
+        actions += host.arrive()
+    assert len(host.courier.state.messages) <= 8 and of_type(Refuse, actions)
+    assert of_type(Send, host.arrive(destination=2))
 
 
 @pytest.mark.parametrize("apart", [False, True])
 def test_replaced_endpoints_leave_nothing_behind(apart):
-    h = fleet(kinds=(Kind("k", routes_apart=apart),))
+    host = fleet(kinds=(Kind("k", routes_apart=apart),))
     for n in range(3000):
-        h.do(EndpointsListed(ListForm.DELTA, (entry(101 + n), entry(100 + n, state=EndpointState.GONE))))
-    c = h.courier
-    assert len(c.book.endpoints) == 1 and len(c.book.dests[1].lanes) <= 2
-    assert sum(len(x.endpoints) for x in c.book.dests[1].lanes) == 1
-    assert of(Send, h.arrive())[0].endpoint == 3100
+        host.do(EndpointsListed(ListForm.DELTA, (entry(101 + n), entry(100 + n, state=EndpointState.GONE))))
+    courier = host.courier
+    assert len(courier.state.endpoints) == 1 and len(courier.state.destinations[1].lanes) <= 2
+    assert sum(len(x.endpoints) for x in courier.state.destinations[1].lanes) == 1
+    assert of_type(Send, host.arrive())[0].endpoint == 3100
 
 
 def test_an_endpoint_that_comes_back_or_moves_starts_anew():
-    h = Host()
-    h.do(EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.GONE),)))
-    assert not of(Send, h.arrive())
-    assert of(Send, h.do(EndpointsListed(ListForm.DELTA, (entry(100),)), after=S))
-    h.end(h.next, Result.OK)
-    h.do(EndpointsListed(ListForm.DELTA, (entry(100, dest=2),)))
-    assert not of(Send, h.arrive(dest=1)) and of(Send, h.arrive(dest=2))
+    host = Host()
+    host.do(EndpointsListed(ListForm.DELTA, (entry(100, state=EndpointState.GONE),)))
+    assert not of_type(Send, host.arrive())
+    assert of_type(Send, host.do(EndpointsListed(ListForm.DELTA, (entry(100),)), after=S))
+    host.end(host.next, Result.OK)
+    host.do(EndpointsListed(ListForm.DELTA, (entry(100, destination=2),)))
+    assert not of_type(Send, host.arrive(destination=1)) and of_type(Send, host.arrive(destination=2))
 
 
 def test_a_message_for_a_destination_without_endpoints_is_refused_in_time():
-    h = Host()
-    h.arrive(dest=9, life=2 * S)
-    assert of(Refuse, h.idle(2.1)) and not of(Fail, h.idle(0.1)) and not h.courier.book.messages
+    host = Host()
+    host.arrive(destination=9, lifetime_us=2 * S)
+    assert (
+        of_type(Refuse, host.idle(2.1))
+        and not of_type(Fail, host.idle(0.1))
+        and not host.courier.state.messages
+    )
 
 
 @pytest.mark.parametrize("field, change", [("couriers", {"couriers": 0}), ("me", {"couriers": 2, "me": 2})])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,10 +1,10 @@
-"""Zones left out and brought back by hand: the module's part, the door's, and what lasts."""
+"""Zones excluded and brought back by operators: decisions, the operator API, and what outlasts a process."""
 
 import random
 
 import pytest
 from loopback import courier, settings, until
-from test_brain import CLASSES, Host, S, of
+from test_brain import CLASSES, Host, S, of_type
 from test_operator import call
 from test_upgrade import healthy, hold_socket
 
@@ -39,8 +39,8 @@
 
 def two_zones(*zones, **changes):
     """Endpoints 100, 101, ... of one destination, one in each of these zones."""
-    h = Host(endpoints=0, **{"cold_us": COLD, "cold_share": 0.2, **changes})
-    h.do(
+    host = Host(endpoints=0, **{"cold_us": COLD, "cold_share": 0.2, **changes})
+    host.do(
         EndpointsListed(
             ListForm.FULL,
             tuple(
@@ -49,123 +49,123 @@
             ),
         )
     )
-    return h
+    return host
 
 
-def forget_idle(h):
-    h.connected.idle.clear()
-    h.do(*(Connections(e, ()) for e in h.courier.book.endpoints))
+def forget_idle(host):
+    host.simulated.idle_since_us.clear()
+    host.do(*(Connections(e, ()) for e in host.courier.state.endpoints))
 
 
-def served(h, calls, **more):
-    """Which endpoints so many messages go to, two at once. No idle connection draws them to one side."""
+def served(host, calls, **more):
+    """The endpoints that this many messages go to, two at once; no idle connection favours one of them."""
     got = []
     for _ in range(calls // 2):
-        forget_idle(h)
-        sends = of(Send, h.arrive(after=50_000, **more) + h.arrive(after=1_000, **more))
+        forget_idle(host)
+        sends = of_type(Send, host.arrive(after=50_000, **more) + host.arrive(after=1_000, **more))
         for send in sends:
             got.append(send.endpoint)
-            sends += of(Send, h.end(send.message, Result.OK, after=20_000, endpoint=send.endpoint))
+            sends += of_type(Send, host.end(send.message, Result.OK, after=20_000, endpoint=send.endpoint))
     return got
 
 
-def test_a_zone_out_by_hand_gets_nothing_and_its_idle_connections_close():
-    h = two_zones()
-    assert 100 in served(h, 10)
-    acts = h.do(SetZoneByHand(0, True))
-    assert [a.endpoint for a in of(CloseIdle, acts)] == [100]
-    assert "zone 0: out" in of(Log, acts)[0].text
-    assert set(served(h, 20)) == {101}
+def test_an_excluded_zone_gets_nothing_and_its_idle_connections_close():
+    host = two_zones()
+    assert 100 in served(host, 10)
+    actions = host.do(SetZoneByHand(0, True))
+    assert [a.endpoint for a in of_type(CloseIdle, actions)] == [100]
+    assert "zone 0: out" in of_type(Log, actions)[0].text
+    assert set(served(host, 20)) == {101}
 
 
-def test_it_returns_gradually_and_then_has_all():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True))
-    served(h, 20)
-    h.do(SetZoneByHand(0, False))
-    early = served(h, 100)  # 4 s of the 9 to 15
-    h.idle(15)
-    late = served(h, 100)
+def test_a_zone_returns_gradually_and_then_has_its_full_share():
+    host = two_zones()
+    host.do(SetZoneByHand(0, True))
+    served(host, 20)
+    host.do(SetZoneByHand(0, False))
+    early = served(host, 100)  # the first 4 s of a return of 9 to 15 s
+    host.idle(15)
+    late = served(host, 100)
     assert 0 < early.count(100) < 0.5 * late.count(100)
 
 
 def test_repeats_and_a_zone_that_was_not_out_change_nothing():
-    h = two_zones()
-    h.do(SetZoneByHand(0, False))
-    assert not h.courier.zones.back
+    host = two_zones()
+    host.do(SetZoneByHand(0, False))
+    assert not host.courier.zones.returning
     for _ in range(3):
-        h.do(SetZoneByHand(0, True))
-    h.do(SetZoneByHand(0, False))
-    back = dict(h.courier.zones.back)
-    h.do(SetZoneByHand(0, False))
-    assert h.courier.zones.back == back
+        host.do(SetZoneByHand(0, True))
+    host.do(SetZoneByHand(0, False))
+    back = dict(host.courier.zones.returning)
+    host.do(SetZoneByHand(0, False))
+    assert host.courier.zones.returning == back
 
 
-def test_out_again_while_it_returns():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    h.do(SetZoneByHand(0, True))
-    h.idle(20)
-    assert set(served(h, 20)) == {101} and not h.courier.zones.back
+def test_a_zone_is_excluded_again_while_it_returns():
+    host = two_zones()
+    host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+    host.do(SetZoneByHand(0, True))
+    host.idle(20)
+    assert set(served(host, 20)) == {101} and not host.courier.zones.returning
 
 
-def test_let_back_while_it_still_fails():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+def test_a_zone_is_brought_back_while_its_endpoints_still_fail():
+    host = two_zones()
+    host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
     tried = 0
     for _ in range(200):
-        forget_idle(h)
-        sends = of(Send, h.arrive(after=50_000) + h.arrive(after=1_000))
+        forget_idle(host)
+        sends = of_type(Send, host.arrive(after=50_000) + host.arrive(after=1_000))
         for send in sends:
             bad = send.endpoint == 100
             tried += bad
             result = Result.CONNECT_FAILED if bad else Result.OK
-            sends += of(Send, h.end(send.message, result, after=20_000, endpoint=send.endpoint))
-    assert 0 < tried < 20  # its own health counts as ever
+            sends += of_type(Send, host.end(send.message, result, after=20_000, endpoint=send.endpoint))
+    assert 0 < tried < 20  # its breaker works as usual
 
 
 @pytest.mark.parametrize("zones", [(0,), (0, 0)])
 def test_a_destination_with_no_other_zone_gets_its_answer_in_time(zones):
-    h = two_zones(*zones)
-    h.do(SetZoneByHand(0, True))
-    assert not of(Send, h.arrive(life=3 * S))
-    assert of(Refuse, h.idle(3.1))
-    h.do(SetZoneByHand(0, False))
-    got = served(h, 100)  # no other choice: a slow start, as after an outage
-    assert got and h.courier.book.endpoints[100].c.ramp_from >= 0
+    host = two_zones(*zones)
+    host.do(SetZoneByHand(0, True))
+    assert not of_type(Send, host.arrive(lifetime_us=3 * S))
+    assert of_type(Refuse, host.idle(3.1))
+    host.do(SetZoneByHand(0, False))
+    got = served(host, 100)  # without another choice: a slow start, as after an outage
+    assert got and host.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
 
 
 def test_without_another_choice_the_slow_start_alone_holds_back():
-    for seed in range(20):  # no chance is taken on top of it
-        h = two_zones(0)
-        h.courier.turn.random.seed(seed)
-        h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-        assert of(Send, h.arrive())
+    for seed in range(20):  # there is no random choice in addition
+        host = two_zones(0)
+        host.courier.turn.rng.seed(seed)
+        host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+        assert of_type(Send, host.arrive())
 
 
 def test_a_circuit_shared_with_other_zones_does_not_go_back_to_a_cold_start():
-    # In a large fleet a destination's endpoints share one: the other zones are well.
-    h = two_zones(couriers=100, slots=4)
-    h.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    one, other = (h.courier.book.endpoints[100 + n] for n in (0, 1))
-    assert one.c is other.c and one.c.ramp_from < 0
+    # In a large fleet the endpoints of a destination share one breaker, and the other zones are healthy.
+    host = two_zones(couriers=100, slots=4)
+    host.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
+    one, other = (host.courier.state.endpoints[100 + n] for n in (0, 1))
+    assert one.breaker is other.breaker and one.breaker.slow_start_began_us < 0
     alone = two_zones(0, couriers=100, slots=4)
     alone.do(SetZoneByHand(0, True), SetZoneByHand(0, False))
-    assert alone.courier.book.endpoints[100].c.ramp_from >= 0
+    assert alone.courier.state.endpoints[100].breaker.slow_start_began_us >= 0
 
 
 def test_all_zones_out_and_a_zone_that_no_list_named():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True), SetZoneByHand(1, True), SetZoneByHand(7, True))
-    assert not of(Send, h.arrive(life=2 * S)) and of(Refuse, h.idle(2.1))
-    h.do(EndpointsListed(ListForm.DELTA, (ListEntry(107, 1, EndpointState.READY, 0.0, 0, 7),)))
-    assert not of(Send, h.arrive())
+    host = two_zones()
+    host.do(SetZoneByHand(0, True), SetZoneByHand(1, True), SetZoneByHand(7, True))
+    assert not of_type(Send, host.arrive(lifetime_us=2 * S)) and of_type(Refuse, host.idle(2.1))
+    host.do(EndpointsListed(ListForm.DELTA, (ListEntry(107, 1, EndpointState.READY, 0.0, 0, 7),)))
+    assert not of_type(Send, host.arrive())
 
 
 def test_an_endpoint_that_changes_its_zone_goes_by_the_new_one():
-    h = two_zones()
-    h.do(SetZoneByHand(0, True))
-    h.do(
+    host = two_zones()
+    host.do(SetZoneByHand(0, True))
+    host.do(
         EndpointsListed(
             ListForm.DELTA,
             (
@@ -174,63 +174,66 @@
             ),
         )
     )
-    assert set(served(h, 10)) == {100}
+    assert set(served(host, 10)) == {100}
 
 
 def test_an_endpoint_out_by_hand_stays_out_when_its_zone_returns():
-    h = two_zones(0, 0, 1)
-    h.do(SetByHand(100, True), SetZoneByHand(0, True), SetZoneByHand(0, False))
-    h.idle(20)
-    assert set(served(h, 40)) == {101, 102}
+    host = two_zones(0, 0, 1)
+    host.do(SetByHand(100, True), SetZoneByHand(0, True), SetZoneByHand(0, False))
+    host.idle(20)
+    assert set(served(host, 40)) == {101, 102}
 
 
 def test_what_may_only_be_repeated_in_the_zone_is_not_sent_elsewhere_while_that_is_out():
     keyed = MessageClass(
         "keyed", aim_us=S, deadline_us=5 * S, effect=Effect.KEYED, key_window_us=5 * S, key_scope="zone"
     )
-    h = two_zones(classes=(keyed,))
-    (send,) = of(Send, h.do(MessageArrived(1, 0, 1, h.now + 5 * S)))
-    zone = h.courier.book.endpoints[send.endpoint].zone
-    h.do(SetZoneByHand(zone, True))
-    acts = h.end(1, Result.ERROR, after=50_000, endpoint=send.endpoint) + h.idle(5)
-    assert not of(Send, acts) and len(of(Fail, acts)) == 1
+    host = two_zones(classes=(keyed,))
+    (send,) = of_type(Send, host.do(MessageArrived(1, 0, 1, host.now + 5 * S)))
+    zone = host.courier.state.endpoints[send.endpoint].zone
+    host.do(SetZoneByHand(zone, True))
+    actions = host.end(1, Result.ERROR, after=50_000, endpoint=send.endpoint) + host.idle(5)
+    assert not of_type(Send, actions) and len(of_type(Fail, actions)) == 1
 
 
 def test_a_return_goes_on_over_an_upgrade():
-    h = two_zones()
-    h.do(ZoneCarried(0, h.now - COLD // 2, h.now + COLD // 2))
-    assert h.courier.zones.share(0, h.now) == pytest.approx(0.6)
-    h.idle(6.1)
-    assert h.courier.zones.state(0, h.now) == ("serving", 1.0, "")
+    host = two_zones()
+    host.do(ZoneCarried(0, host.now - COLD // 2, host.now + COLD // 2))
+    assert host.courier.zones.share(0, host.now) == pytest.approx(0.6)
+    host.idle(6.1)
+    assert host.courier.zones.state(0, host.now) == ("serving", 1.0, "")
 
 
 def test_couriers_do_not_come_back_in_step():
     ends = set()
     for seed in range(50):
         zones = Zones(0.2, COLD, random.Random(seed))
-        zones.leave(1)
+        zones.exclude(1)
         assert zones.bring_back(1, 0)
-        ends.add(zones.back[1][1])
+        ends.add(zones.returning[1][1])
     assert len(ends) == 50 and max(ends) - min(ends) > COLD / 4
 
 
 def test_without_a_zone_out_no_decision_changes():
     def day(touch):
-        h, got = two_zones(0, 1, 1), []
+        host, got = two_zones(0, 1, 1), []
         if touch:
-            h.do(SetZoneByHand(5, True), SetZoneByHand(5, False))
-            h.courier.zones.back.clear()
-            h.courier.turn.random.seed(7)
+            host.do(SetZoneByHand(5, True), SetZoneByHand(5, False))
+            host.courier.zones.returning.clear()
+            host.courier.turn.rng.seed(7)
         else:
-            h.courier.turn.random.seed(7)
-        return got + served(h, 100)
+            host.courier.turn.rng.seed(7)
+        return got + served(host, 100)
 
     assert day(False) == day(True)
 
 
 def test_forty_couriers_bring_a_zone_back_within_the_cold_budget():
-    """Hand-made events: a destination of 40 calls a second, an endpoint in each of two zones. What all send
-    to the zone as it returns stays under the fall multiple of what it can do at that moment, in each 2 s."""
+    """A destination of 40 calls per second with an endpoint in each of two zones.
+
+    What all couriers send to a zone while it returns stays below fall_multiple times its capacity of that
+    moment, in each 2 s.
+    """
     couriers, rate, cold, multiple, now = 40, 40.0, 0.2, 2.0, 1000 * S
     given = dict(
         classes=CLASSES,
@@ -244,44 +247,44 @@
         tick_us=5000,
         kinds=(Kind("k"),),
     )
-    all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
-    told = EndpointsListed(
+    fleet_couriers = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
+    listed = EndpointsListed(
         ListForm.CACHED, tuple(ListEntry(100 + z, 1, EndpointState.READY, rate, 0, z) for z in range(2))
     )
-    for c in all_:
-        c.handle(now, [told, SetZoneByHand(0, True)])
-    chance, calls, sent, start = random.Random(3), [], [], now + 10 * S
+    for one in fleet_couriers:
+        one.handle(now, [listed, SetZoneByHand(0, True)])
+    rng, calls, sent, start = random.Random(3), [], [], now + 10 * S
     for step in range(4000):  # 40 s
         now += 10_000
         inbox = {}
         if now == start:
             inbox = {k: [SetZoneByHand(0, False)] for k in range(couriers)}
         if step % 5 < 2:
-            inbox.setdefault(chance.randrange(couriers), []).append(MessageArrived(step, 0, 1, now + 5 * S))
+            inbox.setdefault(rng.randrange(couriers), []).append(MessageArrived(step, 0, 1, now + 5 * S))
         for _, k, event in [x for x in calls if x[0] <= now]:
             inbox.setdefault(k, []).append(event)
         calls = [x for x in calls if x[0] > now]
         for k, events in inbox.items():
-            for a in of(Send, all_[k].handle(now, events)):
-                if a.endpoint == 100:
+            for action in of_type(Send, fleet_couriers[k].handle(now, events)):
+                if action.endpoint == 100:
                     sent.append(now)
-                attempt = max(t for m, t in all_[k].book.calls if m == a.message)
-                done = AttemptEnded(a.message, attempt, a.endpoint, Result.OK, 50_000, True)
+                attempt = max(t for m, t in fleet_couriers[k].state.calls if m == action.message)
+                done = AttemptEnded(action.message, attempt, action.endpoint, Result.OK, 50_000, True)
                 calls.append((now + 50_000, k, done))
     assert not [t for t in sent if t < start]
     for at in range(start, start + COLD, S // 2):
         able = min(1.0, cold + (1 - cold) * (at - start) / COLD) * rate
         assert sum(at <= t < at + 2 * S for t in sent) <= multiple * able * 2
     late = [t for t in sent if t >= start + 20 * S]
-    assert len(late) > 5 * 20 * 0.5  # and it is back in the end
+    assert len(late) > 5 * 20 * 0.5  # the zone has returned in the end
 
 
 @courier
-async def test_a_zone_at_the_door(fleet):
+async def test_a_zone_in_the_operator_api(fleet):
     fleet.raw = settings()
     fleet.raw["localities"] = ["here", "there"]
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
-    fleet.discovery.targets["b"]["az"] = "annex"  # one that the settings don't name
+    fleet.discovery.targets["b"]["az"] = "annex"  # a zone that the settings do not name
     client = await fleet.inside()
     status, said = await call(fleet.door, "GET", "/zones")
     assert status == 200 and [(z["zone"], z["state"], z["endpoints"]) for z in said["zones"]] == [
@@ -303,7 +306,7 @@
     limit, fleet.host.journal.limit = fleet.host.journal.limit, 0
     assert (await call(fleet.door, "POST", "/zones/annex/maint"))[0] == 503
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 503
-    assert fleet.host.courier.zones.out == {0}  # with nothing changed
+    assert fleet.host.courier.zones.excluded == {0}  # nothing has changed
     fleet.host.journal.limit = limit
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 200
     assert (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]["state"] == "returning"
@@ -330,7 +333,7 @@
     assert a.calls.empty()
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 200
     assert (await a.call())[1]["x-request-id"] == "m"
-    await fleet.upgrade()  # on its way back: the next process goes on with that
+    await fleet.upgrade()  # while the zone returns: the next process continues that
     await healthy(fleet.door)
     assert (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]["state"] == "returning"
 
