--- a/hopmill/cli/journal.py
+++ b/hopmill/cli/journal.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from hopmill.cli.door import table
-from hopmill.net.state import FRAME, NAME, Contents, parse
+from hopmill.net.state import JOURNAL_FILE, RECORD_HEADER, JournalContents, parse_records
 
 KINDS = {"take", "try", "miss", "over", "final", "drain", "hand", "zone", "known", "clock"}
 MOST_ROWS = 200
@@ -22,7 +22,7 @@
 
 @dataclass
 class Reading:
-    contents: Contents
+    contents: JournalContents
     records: Counter[str]
     unknown: Counter[str]  # kinds of a version that is not known here
     unusable: int
@@ -38,15 +38,15 @@
 
 
 def read(folder: Path) -> Reading:
-    path = folder / NAME
+    path = folder / JOURNAL_FILE
     try:
         data = path.read_bytes()
     except (FileNotFoundError, NotADirectoryError):
-        raise NoJournal(f"{folder}: holds no journal ({NAME})") from None
+        raise NoJournal(f"{folder}: holds no journal ({JOURNAL_FILE})") from None
     except OSError as error:
         raise NoJournal(f"{path}: cannot be read: {error.strerror}") from None
-    records, end = parse(data)
-    reading = Reading(Contents(), Counter(), Counter(), 0, len(data), len(data) - end)
+    records, end = parse_records(data)
+    reading = Reading(JournalContents(), Counter(), Counter(), 0, len(data), len(data) - end)
     reading.torn = _is_torn(data[end:])
     for record in records:
         if not isinstance(record, list) or not record or record[0] not in KINDS:
@@ -62,7 +62,10 @@
 
 def _is_torn(tail: bytes) -> bool:
     """Fewer bytes than the tail's own head promises."""
-    return len(tail) < FRAME.size or 0 < len(tail) - FRAME.size < FRAME.unpack_from(tail)[0]
+    return (
+        len(tail) < RECORD_HEADER.size
+        or 0 < len(tail) - RECORD_HEADER.size < RECORD_HEADER.unpack_from(tail)[0]
+    )
 
 
 def show(folder: Path, as_json: bool) -> int:
@@ -71,16 +74,16 @@
     except NoJournal as error:
         print(f"hopmill: {error}", file=sys.stderr)
         return 1
-    held, now = reading.contents.held.values(), reading.contents.scale.now()
+    held, now = reading.contents.messages.values(), reading.contents.scale.now()
     rows = [
         {
             "message": m.id,
-            "class": m.cls,
-            "partner": m.dest,
+            "class": m.class_index,
+            "partner": m.destination,
             "state": m.status or "open",
-            "attempts": m.tries,
+            "attempts": m.attempts,
             "may_have_run": bool(m.may_have_run_at),
-            "left_s": round(m.until - now, 1),
+            "left_s": round(m.expires_at - now, 1),
             "bytes": len(m.body),
         }
         for m in held
@@ -89,10 +92,10 @@
         "bytes": reading.size,
         "open": sum(not m.status for m in held),
         "notices_owed": sum(bool(m.status) for m in held),
-        "over_remembered": len(reading.contents.over),
+        "over_remembered": len(reading.contents.ended_ids),
         "drained": reading.contents.drained,
-        "endpoints_out": sorted(reading.contents.out_by_hand),
-        "zones_out": sorted(reading.contents.zones_out),
+        "endpoints_out": sorted(reading.contents.excluded_endpoints),
+        "zones_out": sorted(reading.contents.excluded_zones),
         "tail_bytes": reading.tail,
     }
     if as_json:
--- a/hopmill/net/accept.py
+++ b/hopmill/net/accept.py
@@ -29,14 +29,14 @@
     def __init__(self, sock: socket.socket, protocol: Callable[[], asyncio.Protocol], a_turn: int) -> None:
         self.sock, self.protocol, self.a_turn = sock, protocol, a_turn
         self.loop = asyncio.get_running_loop()
-        self.joining: set[asyncio.Task[None]] = set()  # accepted, and not with their protocol yet
+        self.pending_joins: set[asyncio.Task[None]] = set()  # accepted, and not with their protocol yet
         self.pausing: asyncio.TimerHandle | None = None
         self.warned_at = -OUT_OF_ROOM_S
         sock.setblocking(False)
         self.start()
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.sock.fileno() >= 0
 
     @property
@@ -55,7 +55,7 @@
 
     def close(self) -> None:
         """Those that the kernel has accepted already are taken: closing the socket would reset them."""
-        if self.open:
+        if self.is_open:
             self.stop()
             self._take(LAST)
             self.stop()
@@ -84,8 +84,8 @@
 
     def join(self, connection: socket.socket, protocol: Callable[[], asyncio.Protocol]) -> None:
         task = self.loop.create_task(self._join(connection, protocol))
-        self.joining.add(task)
-        task.add_done_callback(self.joining.discard)
+        self.pending_joins.add(task)
+        task.add_done_callback(self.pending_joins.discard)
 
     async def _join(self, connection: socket.socket, protocol: Callable[[], asyncio.Protocol]) -> None:
         try:
--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -16,7 +16,7 @@
 from hopmill.net.config import Address
 from hopmill.net.http import LOCAL_ERRORS, Exchange
 from hopmill.net.pool import GIVEN_UP, Left, Link, Loan, Pool, carry_link
-from hopmill.net.upgrade import Cargo
+from hopmill.net.upgrade import HandoverPayload
 
 TAIL_S = 1.0  # how long the rest of an answer whose status line has come is waited for
 MAX_ANSWER = 64 * 1024  # bytes of an answer's body: what is longer is no answer, and is not waited for
@@ -224,7 +224,7 @@
 
     # Upgrades
 
-    def carry(self, cargo: Cargo) -> list[list[Any]]:
+    def carry(self, payload: HandoverPayload) -> list[list[Any]]:
         """The calls out whose request is written; all others have not run, and their connections close."""
         rows = []
         for call in self.out:
@@ -238,7 +238,7 @@
                     [
                         call.endpoint,
                         list(connection.address),
-                        carry_link(cargo, connection),
+                        carry_link(payload, connection),
                         call.started,
                         items,
                         received,
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -12,9 +12,9 @@
 
 from hopmill import logs
 from hopmill.net.accept import Acceptor
-from hopmill.net.put import BadRequest, Put, parse_put
+from hopmill.net.put import BadRequestError, Put, parse_put
 from hopmill.net.resp import IMPROPER, Improper, ProtocolError, RequestReader
-from hopmill.net.upgrade import Cargo
+from hopmill.net.upgrade import HandoverPayload
 
 # A peer may be quiet for so long, in seconds: with no request, half way through one, or with answers to read.
 # TERMS owes an error line or a close in 3 s, and lets idle connections be closed after 2 s: clients may only
@@ -40,7 +40,7 @@
         self.client, self.text = client, b""
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         return not self.client.gone
 
     def send(self, text: bytes) -> None:
@@ -94,7 +94,7 @@
 
     def _due(self) -> float:
         """It only moves on, so a timer set for an earlier one asks again."""
-        if self.reader.unread:
+        if self.reader.has_partial_request:
             return min(self.heard_at + REQUEST_S, self.begun_at + MOST_S)
         return self.proper_at + REQUEST_S
 
@@ -111,7 +111,7 @@
             self.transport.abort()
         elif self._due() > loop.time():
             self._review()
-        elif not self.reader.unread and self.unheard:  # its next request, in this very moment
+        elif not self.reader.has_partial_request and self.unheard:  # its next request, in this very moment
             self.timer = loop.call_later(LINGER_S, self._overdue)
         else:
             self.turn_away()
@@ -119,7 +119,7 @@
     def turn_away(self) -> None:
         """An error line for what will not be whole, if anything; then the end."""
         self.closing = True
-        if self.reader.unread:
+        if self.reader.has_partial_request:
             self._reply().send(b"-ERR no whole request in time\r\n")
         self.flush()
         self._review()
@@ -176,7 +176,7 @@
 
     def _begin(self) -> None:
         """The time of a request runs from its first byte; improper ones before it give it none anew."""
-        if self.fresh and self.reader.unread:
+        if self.fresh and self.reader.has_partial_request:
             self.fresh, self.begun_at = False, self.heard_at
 
     def _proper(self) -> None:
@@ -204,7 +204,7 @@
             try:
                 self.server.put(parse_put(request[1:]), reply)
                 self._proper()
-            except BadRequest as error:
+            except BadRequestError as error:
                 log.warning("put.improper", error=error)
                 reply.send(b"-ERR %s\r\n" % _line(str(error)))
         elif name == b"QUIT":
@@ -255,7 +255,7 @@
 
     @property
     def between_requests(self) -> bool:
-        return not self.pending and not self.reader.unread
+        return not self.pending and not self.reader.has_partial_request
 
     @property
     def unheard(self) -> bool:
@@ -287,13 +287,13 @@
 
     def __init__(self, put: Callable[[Put, Reply], None], max_clients: int) -> None:
         self.put, self.max_clients = put, max_clients
-        self.clients: dict[Client, None] = {}  # the longest unused first
+        self.connections: dict[Client, None] = {}  # the longest unused first
         self.lingering: dict[Client, None] = {}  # those that are read away, the oldest first
         self.acceptor: Acceptor | None = None
         self.drained = self.emptying = False  # PING is answered no; connections are closed between requests
         self.sweeping: asyncio.TimerHandle | None = None
 
-    def drain(self, on: bool) -> None:
+    def set_drained(self, on: bool) -> None:
         """Send clients away, cutting nothing, or take them again. Repeats change nothing."""
         if on is self.drained:
             return
@@ -306,7 +306,7 @@
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self.emptying = True  # from here on each is closed after its answer, too
-        for client in list(self.clients):
+        for client in list(self.connections):
             if loop.time() - client.heard_at >= QUIET_S:
                 client.finish()
         self.sweeping = loop.call_later(SWEEP_S, self._sweep)
@@ -317,20 +317,22 @@
         return self.acceptor.port
 
     def joined(self, client: Client) -> None:
-        self.clients[client] = None
-        if len(self.clients) > self.max_clients:  # open files and memory must stay under their limits
+        self.connections[client] = None
+        if len(self.connections) > self.max_clients:  # open files and memory must stay under their limits
             self._make_room(client)
 
     def _make_room(self, newcomer: Client) -> None:
-        others = [c for c in self.clients if c is not newcomer and not c.pending]  # the longest quiet first
+        others = [
+            c for c in self.connections if c is not newcomer and not c.pending
+        ]  # the longest quiet first
         spare = next((c for c in others if c.between_requests and not c.unheard), None)
         # All others are half way, or answered in a moment: the one that has been quiet longest is stalled.
-        spare = spare or next((c for c in others if c.reader.unread), newcomer)
+        spare = spare or next((c for c in others if c.reader.has_partial_request), newcomer)
         self.left(spare)  # or the next to join in this turn of the loop would close the same again
         spare.turn_away()
 
     def left(self, client: Client) -> None:
-        self.clients.pop(client, None)
+        self.connections.pop(client, None)
         self.lingering.pop(client, None)
 
     def lingers(self, client: Client) -> None:
@@ -343,15 +345,15 @@
     @property
     def empty(self) -> bool:
         """Nobody is connected, or about to be."""
-        return not (self.clients or self.lingering or self.acceptor and self.acceptor.joining)
+        return not (self.connections or self.lingering or self.acceptor and self.acceptor.pending_joins)
 
     def touch(self, client: Client) -> None:
-        if client in self.clients:
-            self.clients[client] = self.clients.pop(client)
+        if client in self.connections:
+            self.connections[client] = self.connections.pop(client)
 
     @property
     def listening(self) -> bool:
-        return self.acceptor is not None and self.acceptor.open
+        return self.acceptor is not None and self.acceptor.is_open
 
     def stop_listening(self) -> None:
         if self.sweeping:
@@ -359,11 +361,11 @@
         if self.acceptor is not None:
             self.acceptor.close()
 
-    def carry(self, cargo: Cargo, most: int) -> list[list[Any]]:
+    def carry(self, payload: HandoverPayload, most: int) -> list[list[Any]]:
         """The connections, most recently used last; nothing is pending on them between two turns."""
         return [
-            [cargo.place(c.fileno), c.reader.carry(), c.heard_at, c.proper_at, c.begun_at, c.fresh]
-            for c in list(self.clients)[-most:]
+            [payload.add_descriptor(c.fileno), c.reader.carry(), c.heard_at, c.proper_at, c.begun_at, c.fresh]
+            for c in list(self.connections)[-most:]
             if c.steady
         ]
 
@@ -376,11 +378,11 @@
         """Close those between requests: one with a request unanswered would lose it. The first request of one
         that has just connected may be under way."""
         now = asyncio.get_running_loop().time()
-        for client in list(self.clients):
+        for client in list(self.connections):
             if client.served or now - client.proper_at >= FIRST_S:
                 client.finish()
 
     def turn_all_away(self) -> None:
         """The process ends: whatever is not whole by now will not be."""
-        for client in list(self.clients):
+        for client in list(self.connections):
             client.turn_away()
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -15,7 +15,7 @@
 from hopmill import interface as i
 from hopmill import logs
 from hopmill.net.calls import Item
-from hopmill.net.upgrade import Cargo, Link, NotHandedOver, Owner, hand_over
+from hopmill.net.upgrade import FolderOwnership, HandoverError, HandoverPayload, HandoverSocket, hand_over
 
 if TYPE_CHECKING:
     from hopmill.net.host import Host
@@ -27,16 +27,16 @@
 log = logs.part("courier")
 
 
-class HandOver:
+class Handover:
     """The host's parts, packed for the next process or unpacked from the one before."""
 
-    def __init__(self, host: Host, owner: Owner, cargo: Cargo | None) -> None:
-        """owner: the right to act on the journal; cargo: what came with it from the process before."""
-        self.host, self.owner, self.cargo = host, owner, cargo or Cargo()
-        if self.cargo.values.get("format") != FORMAT:
-            self.cargo.close()
-            self.cargo = Cargo()
-        self.link: Link | None = None
+    def __init__(self, host: Host, ownership: FolderOwnership, payload: HandoverPayload | None) -> None:
+        """owner: the right to act on the journal; payload: what came with it from the process before."""
+        self.host, self.ownership, self.payload = host, ownership, payload or HandoverPayload()
+        if self.payload.values.get("format") != FORMAT:
+            self.payload.close()
+            self.payload = HandoverPayload()
+        self.link: HandoverSocket | None = None
         self.handing_over: asyncio.Task[None] | None = None
         self.no_upgrade_until = 0.0
         self.leave: Callable[[], None] = lambda: os._exit(0)  # at once: what is open belongs to another now
@@ -44,17 +44,17 @@
     @property
     def carried(self) -> dict[str, Any]:
         """What the process before has handed over; empty if there was none."""
-        return self.cargo.values
+        return self.payload.values
 
     def close(self) -> None:
         if self.link:
             self.host.loop.remove_reader(self.link.sock)
             self.link.close()
-        self.owner.close()
+        self.ownership.close()
 
     def offer(self) -> None:
         try:
-            self.link = Link(self.owner.folder)
+            self.link = HandoverSocket(self.ownership.folder)
         except OSError as error:  # it serves all the same; an upgrade then waits for its end
             log.error("upgrade.not_offered", error=error)
             return
@@ -76,14 +76,14 @@
         for acceptor in acceptors:
             acceptor.stop()
         try:
-            while any(acceptor.joining for acceptor in acceptors):  # none is taken that nobody reads
+            while any(acceptor.pending_joins for acceptor in acceptors):  # none is taken that nobody reads
                 await asyncio.sleep(0)
             for _ in range(LAST_TURNS):  # those that end calls unsent make events anew
                 if host.events or host.intake.arrived:
                     host.turn()
             # From here on the loop stands still: nothing else happens in this process.
-            hand_over(sock, self._cargo(), self.owner, self.leave)
-        except NotHandedOver as error:
+            hand_over(sock, self._payload(), self.ownership, self.leave)
+        except HandoverError as error:
             log.error("upgrade.not_handed_over", error=error)
         except Exception:  # whatever it was, this process is still the owner
             log.exception("upgrade.not_handed_over")
@@ -93,32 +93,34 @@
         self.handing_over, self.no_upgrade_until = None, host.loop.time() + AGAIN_S
         log.warning("upgrade.stood_still", seconds=round(host.loop.time() - began, 3))
         for acceptor in acceptors:
-            if acceptor.open:
+            if acceptor.is_open:
                 acceptor.start()
 
-    def _cargo(self) -> Cargo:
+    def _payload(self) -> HandoverPayload:
         """What the journal does not hold. Both processes' copies count as open descriptors."""
         host = self.host
         room = host.config.sockets - len(os.listdir("/proc/self/fd")) - SPARE_FDS
-        cargo = Cargo({"format": FORMAT})
-        cargo.values.update(
+        payload = HandoverPayload({"format": FORMAT})
+        payload.values.update(
             uids=host.roster.uids,
             known={"rev": host.watch.rev, "targets": list(host.roster.targets.values())},
             waits=[[*key, until] for key, until in host.roster.waits.items()],
             learned=host.courier.carry(),
             returning=self._zones_returning(),
-            calls=host.calls.carry(cargo),
+            calls=host.calls.carry(payload),
             unwritten=host.calls.unwritten(),
-            door=host.door.carry(cargo),
+            door=host.door.carry(payload),
             moved=host.moved_to,
         )
         if host.in_force:
             host.in_force.turn_all_away()
         if host.peers:
-            cargo.values["fleet"] = host.peers.freeze() | {"socket": cargo.place(host.peers.sock.fileno())}
-        cargo.values["clients"] = host.clients.carry(cargo, max(1, room - len(cargo.fds)))
-        cargo.values["idle"] = host.pool.carry_idle(cargo, room - len(cargo.fds))
-        return cargo
+            payload.values["fleet"] = host.peers.freeze() | {
+                "socket": payload.add_descriptor(host.peers.sock.fileno())
+            }
+        payload.values["clients"] = host.clients.carry(payload, max(1, room - len(payload.fds)))
+        payload.values["idle"] = host.pool.carry_idle(payload, room - len(payload.fds))
+        return payload
 
     def resume(self) -> None:
         """The first turn after an upgrade: the module hears what was learned and which calls are out. What it
@@ -127,7 +129,7 @@
         host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
         host.pool.resume_idle(
             [
-                (endpoint, tuple(address), self.sock(place), since, self._born(place, since))
+                (endpoint, tuple(address), self.socket_at(place), since, self._born(place, since))
                 for endpoint, address, place, since, *_ in carried.get("idle", ())
             ]
         )
@@ -137,7 +139,7 @@
         ]
         host.events += [i.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
         for number in carried["unwritten"]:
-            host.note(host.journal.missed, number)
+            host.note(host.journal.record_not_run, number)
         calls = [
             (endpoint, int(started * 1e6), tuple(n for n, _, ended in items if not ended))
             for endpoint, _, _, started, items, *_ in carried["calls"]
@@ -146,36 +148,44 @@
         host.events += [i.CallCarried(*call) for call in calls]
         host.turn()
 
-    def sock(self, place: int) -> socket.socket:
-        return socket.socket(fileno=self.cargo.fds[place])
+    def socket_at(self, place: int) -> socket.socket:
+        return socket.socket(fileno=self.payload.fds[place])
 
     def _born(self, place: int, since: float) -> float:
         """When a connection was opened, wall clock; the version before told only when it was in use."""
-        told = self.cargo.values.get("born", {}).get(place)
+        told = self.payload.values.get("born", {}).get(place)
         return told if told is not None else time.time() - (self.host.loop.time() - since)
 
     def resume_connections(self) -> None:
         """Calls, clients and callers go on; after this all of it has its owner."""
-        carried, host, sock = self.carried, self.host, self.sock
+        carried, host, socket_at = self.carried, self.host, self.socket_at
         if carried["moved"]:
             host.move_discovery((carried["moved"][0], carried["moved"][1]))
         for endpoint, address, place, started, rows, received, *_ in carried["calls"]:
             items = [self._carried_item(*row) for row in rows]
             host.calls.resume(
-                endpoint, tuple(address), sock(place), self._born(place, started), started, items, received
+                endpoint,
+                tuple(address),
+                socket_at(place),
+                self._born(place, started),
+                started,
+                items,
+                received,
             )
         for place, *rest in carried["clients"]:
-            host.clients.resume(sock(place), *rest)
+            host.clients.resume(socket_at(place), *rest)
         door = carried["door"]
         if door["listening"] is not None:
-            host.door.resume(sock(door["listening"]), [(sock(p), heard) for p, heard in door["callers"]])
-        self.cargo = Cargo()
+            host.door.resume(
+                socket_at(door["listening"]), [(socket_at(p), heard) for p, heard in door["callers"]]
+            )
+        self.payload = HandoverPayload()
 
     def _carried_item(self, number: int, timeout_us: int, ended: bool) -> Item:
-        m = self.host.journal.held.get(number)
+        m = self.host.journal.messages.get(number)
         if m is None:
             return Item(number, -1, "", "", b"", timeout_us, True, ended)
-        return Item(number, m.tries - 1, m.id, m.key, m.body, timeout_us, True, ended)
+        return Item(number, m.attempts - 1, m.id, m.key, m.body, timeout_us, True, ended)
 
     def _zones_returning(self) -> list[tuple[str, int, int]]:
         """By name: the next process may number them otherwise."""
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -11,24 +11,24 @@
 
 from hopmill import interface as i
 from hopmill import logs
-from hopmill.policy.courier import Courier
 from hopmill.net import joining
 from hopmill.net.accept import listening_socket
 from hopmill.net.calls import Calls, Hooks, Item, Outcome
 from hopmill.net.clients import BACKLOG, ClientServer, Reply
 from hopmill.net.config import Address, Config, Options
 from hopmill.net.discovery import Notices, Watch
-from hopmill.net.handover import HandOver
+from hopmill.net.handover import Handover
 from hopmill.net.intake import Intake, refusal
 from hopmill.net.observer import Observer
 from hopmill.net.operator import Door
 from hopmill.net.pool import ASKED, Pool
-from hopmill.net.resp import MAX_REQUEST
+from hopmill.net.resp import MAX_REQUEST_BYTES
 from hopmill.net.restart import Restart
 from hopmill.net.roster import Roster
 from hopmill.net.staff import Staff
-from hopmill.net.state import Held, Journal
-from hopmill.net.upgrade import Cargo, Owner
+from hopmill.net.state import Journal, JournaledMessage
+from hopmill.net.upgrade import FolderOwnership, HandoverPayload
+from hopmill.policy.courier import Courier
 
 OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
 UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
@@ -43,48 +43,52 @@
     """One courier on real sockets."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, owner: Owner, cargo: Cargo | None = None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        ownership: FolderOwnership,
+        payload: HandoverPayload | None = None,
     ) -> None:
-        """owner: the right to act on the journal; cargo: what came with it from the process before."""
-        self.loop, self.config, self.s = loop, config, config.settings
-        self.upgrade = HandOver(self, owner, cargo)
-        self.courier = Courier(self.s, config.seed)
+        """owner: the right to act on the journal; payload: what came with it from the process before."""
+        self.loop, self.config, self.settings = loop, config, config.settings
+        self.handover = Handover(self, ownership, payload)
+        self.courier = Courier(self.settings, config.seed)
         self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
         self.in_force: Any = None  # hopmill/net/in_force.py, where something may differ from the file
         self.journal = Journal(
-            owner.folder,
+            ownership.folder,
             config.disk_bytes - joining.fleet_bytes(config),
-            max(c.key_window_us for c in self.s.classes) / 1e6,
+            max(c.key_window_us for c in self.settings.classes) / 1e6,
         )
-        self.roster = Roster(self.s, config.zones, self.courier.may_serve)
+        self.roster = Roster(self.settings, config.zones, self.courier.may_serve)
         self.events: list[i.Event] = []
         self.intake = Intake(self)
         self.guards: dict[int, asyncio.TimerHandle] = {}
         self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
         self.scheduled = False
-        self.last_turn = -self.s.tick_us
+        self.last_turn = -self.settings.tick_us
         self.restart = Restart(self)
         hooks = Hooks(
             lambda endpoint: self.roster.may_write(endpoint, self.clock()),
-            self._begin,
+            self._record_attempts,
             self._ended,
             lambda endpoint, wait_us: self.roster.told_wait(endpoint, self.clock() + wait_us),
             self._probed,
         )
         self.pool = Pool(
             loop,
-            self.s.connection_idle_us,
-            self.s.connect_timeout_us,
+            self.settings.connection_idle_us,
+            self.settings.connect_timeout_us,
             int(config.sockets * IDLE_SHARE),
             self.roster.wanted,
         )
         self.calls = Calls(loop, hooks, self.pool)
-        places = min(config.sockets * CLIENT_SHARE, config.memory_bytes * MEMORY_SHARE / MAX_REQUEST)
+        places = min(config.sockets * CLIENT_SHARE, config.memory_bytes * MEMORY_SHARE / MAX_REQUEST_BYTES)
         self.clients = ClientServer(self.intake.put, max(8, int(places)))
         self.notices = Notices(loop, config.discovery, self._accepted)
-        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.couriers)
+        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.settings.couriers)
         self.options = Options()
-        self.observer = Observer(self.s)
+        self.observer = Observer(self.settings)
         self.metrics: Any = None  # counted only while the operators' door is open
         self.due = 0  # when the next turn was to begin, in us of the monotonic clock
         self.moved_to: Address | None = None  # where discovery went with a changed configuration
@@ -95,39 +99,39 @@
             self.pool,
             self.clients,
             self.clock,
-            self.act,
+            self.handle_now,
             lambda: self.clients.listening and not self.restart.closing_at,
         )
         self.door = Door(self.staff.routes(), config.sockets)
 
     def start(self) -> int:
         """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port."""
-        carried = self.upgrade.carried
+        carried = self.handover.carried
         self.roster.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
         self.listed({"all": True, "targets": known["targets"]}, i.ListForm.CACHED)
         number, zone = self.roster.number, self.roster.zone
-        self.events += [i.SetByHand(number(uid), True) for uid in sorted(self.journal.out_by_hand)]
-        self.events += [i.SetZoneByHand(zone(name), True) for name in sorted(self.journal.zones_out)]
+        self.events += [i.SetByHand(number(uid), True) for uid in sorted(self.journal.excluded_endpoints)]
+        self.events += [i.SetZoneByHand(zone(name), True) for name in sorted(self.journal.excluded_zones)]
         self.watch.rev = known["rev"]
         self.set_options(self.config.options)
         joining.go_by_policy(self)
         if carried:
-            self.upgrade.resume()
+            self.handover.resume()
         else:
             self.restore(set())
             self.turn()
         joining.join_fleet(self)
-        self.clients.drain(self.journal.drained)
+        self.clients.set_drained(self.journal.drained)
         self.watch.open()
         port = self.clients.listen(self._listening_socket())
         if self.config.operator:
             self._count()
             self.door.listen(self.config.operator)
         if carried:
-            self.upgrade.resume_connections()
+            self.handover.resume_connections()
         if self.config.listen_fd is not None:
-            self.upgrade.offer()
+            self.handover.offer()
         return port
 
     def _listening_socket(self) -> socket.socket:
@@ -137,9 +141,9 @@
 
     def restore(self, out: set[int]) -> None:
         """What the journal holds. out: messages whose newest attempt goes on in this process."""
-        for m in list(self.journal.held.values()):
+        for m in list(self.journal.messages.values()):
             if m.status:
-                self.notices.add(m.number, m.id, m.status, m.again_ms)
+                self.notices.add(m.number, m.id, m.status, m.retry_after_ms)
             else:
                 self.events.append(self.arrival(m, m.number in out, True))
                 self.guard(m)
@@ -151,17 +155,19 @@
         """On the module's clock, of a time in the journal."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
-    def arrival(self, m: Held, out: bool = False, restored: bool = False) -> i.MessageArrived:
-        ran, zone = (m.ran_at, m.ran_zone) if out else (m.may_have_run_at, m.may_have_run_zone)
+    def arrival(self, m: JournaledMessage, out: bool = False, restored: bool = False) -> i.MessageArrived:
+        ran, zone = (
+            (m.earlier_run_at, m.earlier_run_zone) if out else (m.may_have_run_at, m.may_have_run_zone)
+        )
         return i.MessageArrived(
             m.number,
-            m.cls,
-            m.dest,
-            self._mono(m.until),
+            m.class_index,
+            m.destination,
+            self._mono(m.expires_at),
             m.tenant,
             m.order,
             m.resubmitted,
-            m.tries,
+            m.attempts,
             self._mono(ran) if ran else -1,
             self.roster.zones.get(zone, -1),
             out,
@@ -170,7 +176,7 @@
 
     # The turn
 
-    def tell(self, event: i.Event) -> None:
+    def post(self, event: i.Event) -> None:
         self.events.append(event)
         self.wake()
 
@@ -180,7 +186,7 @@
             return
         self.scheduled = True
         now = self.clock()
-        early = self.last_turn + self.s.tick_us - now
+        early = self.last_turn + self.settings.tick_us - now
         self.due = now + max(0, early)
         if early <= 0:
             self.loop.call_soon(self.turn)
@@ -210,7 +216,9 @@
         if self.metrics:
             self.metrics.turn((self.clock() - now) / 1e6, late / 1e6)
 
-    def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Reply]]]) -> None:
+    def _carry_out(
+        self, actions: list[i.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
+    ) -> None:
         for a in actions:
             if isinstance(a, (i.Refuse, i.Fail)) and a.message in arrived:
                 m, replies = arrived.pop(a.message)
@@ -218,7 +226,7 @@
                 for reply in replies:
                     reply.send(refusal(a.retry_after_us) if isinstance(a, i.Refuse) else b"-ERR failed\r\n")
         for m, replies in arrived.values():
-            self.intake.take(m, replies)
+            self.intake.accept(m, replies)
         bundles: dict[int, list[Item]] = {}
         for a in actions:
             if isinstance(a, i.Send):
@@ -226,7 +234,7 @@
             elif isinstance(a, (i.Refuse, i.Fail)):
                 self._final(a)
             elif isinstance(a, i.SetTimer):
-                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerDue(a.token))
+                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.post, i.TimerDue(a.token))
             elif isinstance(a, i.CloseIdle):
                 self.pool.close_idle(a.endpoint, ASKED)
             elif isinstance(a, i.Keep):
@@ -246,19 +254,19 @@
 
     # Ends
 
-    def guard(self, m: Held) -> None:
-        delay = max(0.0, m.until + OVERDUE_S - self.journal.scale.now())
+    def guard(self, m: JournaledMessage) -> None:
+        delay = max(0.0, m.expires_at + OVERDUE_S - self.journal.scale.now())
         self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
 
     def _overdue(self, number: int) -> None:
-        m = self.journal.held.get(number)
+        m = self.journal.messages.get(number)
         if m and not m.status:
             messages_log.error("message.overdue", message=m.id)
-            self.tell(i.MessageGone(number))
+            self.post(i.MessageGone(number))
             self.end(m, "undeliverable", 0)
 
     def _final(self, a: i.Refuse | i.Fail) -> None:
-        m = self.journal.held.get(a.message)
+        m = self.journal.messages.get(a.message)
         if m is None or m.status:
             return
         if isinstance(a, i.Refuse):
@@ -266,13 +274,13 @@
         else:
             self.end(m, "undeliverable", 0)
 
-    def end(self, m: Held, status: str, again_ms: int) -> None:
+    def end(self, m: JournaledMessage, status: str, again_ms: int) -> None:
         """Owe the notice, then send it."""
         try:
-            self.journal.final(m.number, status, again_ms)
+            self.journal.record_end(m.number, status, again_ms)
         except OSError as error:  # sent all the same: to end it once more after a restart does no harm
             log.error("journal.failed", error=error)
-            self.journal.settle(m, status, again_ms)
+            self.journal.mark_ended(m, status, again_ms)
         self._unguard(m.number)
         self.attempts.pop(m.number, None)
         self.observer.over(m, status, again_ms)
@@ -284,9 +292,9 @@
 
     def _accepted(self, numbers: list[int]) -> None:
         if messages_log.debugs:
-            for m in (self.journal.held[n] for n in numbers if n in self.journal.held):
+            for m in (self.journal.messages[n] for n in numbers if n in self.journal.messages):
                 self.observer.told(m)
-        self.note(self.journal.told, numbers)
+        self.note(self.journal.record_notices_accepted, numbers)
         self.restart.maybe_exit()
 
     def note(self, write: Any, *args: Any) -> None:
@@ -299,11 +307,11 @@
     # Calls
 
     def _send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
-        m = self.journal.held.get(a.message)
-        attempt = self.attempts.get(a.message, m.tries if m else 0)
+        m = self.journal.messages.get(a.message)
+        attempt = self.attempts.get(a.message, m.attempts if m else 0)
         self.attempts[a.message] = attempt + 1
         if m is None or m.status:
-            self.tell(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
+            self.post(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
             return
         item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
         if messages_log.debugs:
@@ -324,33 +332,33 @@
                     result = i.Result.RESET if item.begun else i.Result.MOOT
                     self._ended(item, endpoint, Outcome(result), 0)
 
-    def _begin(self, endpoint: int, items: list[Item]) -> list[Item]:
+    def _record_attempts(self, endpoint: int, items: list[Item]) -> list[Item]:
         now = self.journal.scale.now()
-        items = [x for x in items if (m := self.journal.held.get(x.number)) and self._repeats(m, now)]
+        items = [x for x in items if (m := self.journal.messages.get(x.number)) and self._repeats(m, now)]
         if not items:
             return items
         try:
-            self.journal.attempt([n.number for n in items], now, self.roster.zone_of(endpoint))
+            self.journal.record_attempt([n.number for n in items], now, self.roster.zone_of(endpoint))
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
         if self.in_force and not self.in_force.may_act():  # the last thing before the call is written
             for item in items:
-                self.note(self.journal.missed, item.number)
+                self.note(self.journal.record_not_run, item.number)
             return []
         return items
 
-    def _repeats(self, m: Held, now: float) -> bool:
+    def _repeats(self, m: JournaledMessage, now: float) -> bool:
         """Whether its class allows another attempt at this moment: the module has decided some time ago, and
         a connection may have taken long to come up."""
-        cls, ran_at = self.s.classes[m.cls], m.may_have_run_at
+        cls, ran_at = self.settings.classes[m.class_index], m.may_have_run_at
         if not ran_at or cls.effect is i.Effect.SAFE:
             return True
         window = cls.key_window_us if cls.effect is i.Effect.KEYED else 0
-        return now < ran_at + (window - 3 * self.s.tick_us) / 1e6
+        return now < ran_at + (window - 3 * self.settings.tick_us) / 1e6
 
     def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.held.get(item.number)
+        m = self.journal.messages.get(item.number)
         over = outcome.over or m is None
         if m and (self.metrics or self.observer.counting or messages_log.debugs):
             self.observer.ended(
@@ -359,15 +367,15 @@
         if outcome.over and m:
             if not m.status:
                 self.observer.over(m, "delivered" if outcome.result is i.Result.OK else "withdrawn")
-            self.note(self.journal.done, m.number)
+            self.note(self.journal.record_done, m.number)
             self._unguard(m.number)
         elif m and item.begun and outcome.result in UNRUN:
-            self.note(self.journal.missed, m.number)
+            self.note(self.journal.record_not_run, m.number)
         if over:
             self.attempts.pop(item.number, None)
         named = dict(outcome.report)
-        report = tuple(named.get(name, 0.0) for name in self.s.report_fields) if named else ()
-        self.tell(
+        report = tuple(named.get(name, 0.0) for name in self.settings.report_fields) if named else ()
+        self.post(
             i.AttemptEnded(
                 item.number,
                 item.attempt,
@@ -383,14 +391,14 @@
         self.restart.maybe_exit()
 
     def _probed(self, endpoint: int, result: i.Result, latency: int) -> None:
-        self.tell(i.ProbeEnded(endpoint, result, latency))
+        self.post(i.ProbeEnded(endpoint, result, latency))
 
     # News
 
     def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> None:
-        self.tell(self.roster.listed(change, form, self.pool))
+        self.post(self.roster.listed(change, form, self.pool))
 
-    def act(self, event: i.Event) -> None:
+    def handle_now(self, event: i.Event) -> None:
         """An operator's word holds from the answer on: its turn comes before that."""
         self.events.append(event)
         self.turn()
@@ -399,7 +407,7 @@
         """Only here is the library read: what is not asked for costs a courier in service no memory."""
         from hopmill.net.metrics import HostState, Metrics
 
-        self.metrics = Metrics(tuple(c.name for c in self.s.classes), HostState(self))
+        self.metrics = Metrics(tuple(c.name for c in self.settings.classes), HostState(self))
         self.observer.meters = self.staff.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
@@ -407,7 +415,7 @@
         if options != self.options:
             log.info("config.options", warm_up=options.warm_up)
             self.options = options
-            self.tell(i.WarmUp(options.warm_up))
+            self.post(i.WarmUp(options.warm_up))
 
     def move_discovery(self, address: Address) -> None:
         """A changed configuration: the list comes from there and notices go there from now on."""
@@ -426,4 +434,4 @@
         self.clients.stop_listening()
         self.door.close()
         self.journal.close()
-        self.upgrade.close()
+        self.handover.close()
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -16,10 +16,10 @@
 from hopmill.fields import ConfigError
 from hopmill.fleet.wire import Sums
 from hopmill.net.clients import Reply
-from hopmill.net.put import Put
 from hopmill.net.intake import refusal
 from hopmill.net.peers import Peers, elapsed_us
-from hopmill.net.resp import MAX_REQUEST
+from hopmill.net.put import Put
+from hopmill.net.resp import MAX_REQUEST_BYTES
 
 if TYPE_CHECKING:
     from hopmill.net.host import Host
@@ -37,7 +37,7 @@
         self.host, self.document = host, document
         self.peers: Peers | None = None
         self.governed = bool(host.config.members and host.config.members.policy)
-        self.own = host.s  # as this courier's file has them
+        self.own = host.settings  # as this courier's file has them
         self.book = books.Book()
         self.applied = -1  # the version that the module goes by
         self.left_out: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
@@ -64,7 +64,7 @@
         now = self.host.loop.time()
         if not self.holding:  # found out by the message itself
             self._hold(True)
-        if now - self.held_at >= WAIT_S or len(self.waiting) >= self.host.s.max_held:
+        if now - self.held_at >= WAIT_S or len(self.waiting) >= self.host.settings.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
             return
         if not self.waiting:
@@ -91,13 +91,13 @@
         if on:
             self.held_at = self.host.loop.time()
         log.info("fleet.standing", may_act=not on, version=self.applied)
-        self.host.act(i.Hold(on))
+        self.host.handle_now(i.Hold(on))
         if not on:
             waiting, self.waiting, now = self.waiting, [], self.host.loop.time()
             for put, reply, at in waiting:
-                if reply.wanted:
-                    left = max(1, put.life_ms - round((now - at) * 1e3))
-                    self.host.intake.put(dataclasses.replace(put, life_ms=left), reply)
+                if reply.is_wanted:
+                    left = max(1, put.lifetime_ms - round((now - at) * 1e3))
+                    self.host.intake.put(dataclasses.replace(put, lifetime_ms=left), reply)
 
     # What is in force
 
@@ -151,7 +151,7 @@
     def _read(self, text: bytes) -> tuple[books.Book, Document]:
         book = books.read(text)
         document = overlay.apply(self.document, book.values)
-        need, room = document.held * MAX_REQUEST, int(self.host.config.memory_bytes * HELD_SHARE)
+        need, room = document.held * MAX_REQUEST_BYTES, int(self.host.config.memory_bytes * HELD_SHARE)
         if document.held > self.document.held and need > room:
             raise ConfigError(f"held: {document.held} messages may take {need >> 20} MiB, room {room >> 20}")
         for zone in document.left_out.zones:
@@ -173,7 +173,7 @@
             if self.book.values.get(path) != book.values.get(path)
         )
         self.trouble, self.book, self.applied = "", book, version
-        self.host.act(self._event(document))
+        self.host.handle_now(self._event(document))
         log.info("fleet.policy", version=version, fields=len(book.values), changed=changes)
         self.reloaded(self.document)
 
@@ -186,11 +186,11 @@
         }
         host = self.host
         settings = dataclasses.replace(self.own, **changed) if changed else self.own
-        host.s = host.roster.s = host.observer.s = settings
+        host.settings = host.roster.s = host.observer.s = settings
         self.left_out = frozenset(document.left_out.endpoints), frozenset(document.left_out.zones)
         endpoints, zones = (
-            {*self.left_out[0], *host.journal.out_by_hand},
-            {*self.left_out[1], *host.journal.zones_out},
+            {*self.left_out[0], *host.journal.excluded_endpoints},
+            {*self.left_out[1], *host.journal.excluded_zones},
         )
         return i.PolicySet(
             settings,
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -7,24 +7,24 @@
 from hopmill import interface as i
 from hopmill import logs
 from hopmill.net.clients import Reply
-from hopmill.net.put import BadRequest, Put
-from hopmill.net.state import Held
+from hopmill.net.put import BadRequestError, Put
+from hopmill.net.state import JournaledMessage
 
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
 messages_log = logs.part("messages")
-Arrived = dict[int, tuple[Held, list[Reply]]]
+Arrived = dict[int, tuple[JournaledMessage, list[Reply]]]
 
 
 class Intake:
     """One owner of the messages that have come and are not answered yet."""
 
     def __init__(self, host: Host) -> None:
-        self.host, s = host, host.s
-        self.numbers = host.journal.last
-        self.classes = {c.name: n for n, c in enumerate(s.classes)}
-        self.tenants = {t.name: n for n, t in enumerate(s.tenants)}
+        self.host, settings = host, host.settings
+        self.numbers = host.journal.last_number
+        self.classes = {c.name: n for n, c in enumerate(settings.classes)}
+        self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
         self.arrived: Arrived = {}
         self.arriving: dict[str, int] = {}  # their ids
 
@@ -39,15 +39,15 @@
         host = self.host
         cls = self.classes.get(put.cls)
         if cls is None:
-            raise BadRequest("c: no such class")
+            raise BadRequestError("c: no such class")
         tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
         if tenant < 0:
-            raise BadRequest("t: no such tenant")
-        if host.s.classes[cls].effect is i.Effect.KEYED and not put.key:
-            raise BadRequest("k: lacks, and the class is keyed")
+            raise BadRequestError("t: no such tenant")
+        if host.settings.classes[cls].effect is i.Effect.KEYED and not put.key:
+            raise BadRequestError("k: lacks, and the class is keyed")
         # PROTOCOL has zeros there unless the class keeps an order; a known id is answered all the same.
-        if put.order and not host.s.classes[cls].ordered and not self._known(put.id):
-            raise BadRequest("key: must be zeros, for the class keeps no order")
+        if put.order and not host.settings.classes[cls].ordered and not self._known(put.id):
+            raise BadRequestError("key: must be zeros, for the class keeps no order")
         if put.id in self.arriving:
             self.arrived[self.arriving[put.id]][1].append(reply)
             return
@@ -57,66 +57,68 @@
         if host.in_force and not host.in_force.may_act():
             host.in_force.wait(put, reply)
             return
-        if host.journal.open + len(self.arrived) >= host.s.max_held:
+        if host.journal.open_count + len(self.arrived) >= host.settings.max_held:
             reply.send(refusal(host.courier.come_back_us()))
             return
         now = host.journal.scale.now()
         self.numbers += 1
-        m = Held(
+        m = JournaledMessage(
             self.numbers,
             put.id,
             cls,
             tenant,
             put.dest,
             put.key,
-            now + put.life_ms / 1e3,
+            now + put.lifetime_ms / 1e3,
             put.resubmitted,
             put.body,
             put.order,
-            ran_at=host.journal.key_ran_at(put.key),
+            earlier_run_at=host.journal.key_first_run_at(put.key),
         )
         self._replace(m)
         self.arrived[m.number] = (m, [reply])
         self.arriving[m.id] = m.number
-        host.observer.put(m, put.life_ms)
-        host.tell(host.arrival(m))
+        host.observer.put(m, put.lifetime_ms)
+        host.post(host.arrival(m))
 
     def _known(self, ident: str) -> bool:
         host = self.host
-        return ident in self.arriving or ident in host.journal.ids or ident in host.journal.over
+        return (
+            ident in self.arriving or ident in host.journal.numbers_by_id or ident in host.journal.ended_ids
+        )
 
-    def _replace(self, m: Held) -> None:
+    def _replace(self, m: JournaledMessage) -> None:
         """A key that is still open here is handed in again only by a client that gave the older one up."""
         host = self.host
         if not m.key:
             return
-        for old in host.journal.held.values():
+        for old in host.journal.messages.values():
             if old.key == m.key and not old.status:
-                if not m.ran_at:
-                    m.ran_at, m.ran_zone = old.may_have_run_at, old.may_have_run_zone
-                host.tell(i.MessageGone(old.number))
+                if not m.earlier_run_at:
+                    m.earlier_run_at, m.earlier_run_zone = old.may_have_run_at, old.may_have_run_zone
+                host.post(i.MessageGone(old.number))
                 last = host.attempts.get(old.number, 0) - 1
                 host.end(old, "deferred", 0)
                 host.calls.cancel(old.number, last)
                 return
 
-    def take(self, m: Held, replies: list[Reply]) -> None:
+    def accept(self, m: JournaledMessage, replies: list[Reply]) -> None:
         """The module has let it in: it is recorded, then answered."""
         host, text = self.host, b"+OK\r\n"
         if host.in_force and not host.in_force.may_act():
-            host.tell(i.MessageGone(m.number))  # the lease ended between the turn's two halves
+            host.post(i.MessageGone(m.number))  # the lease ended between the turn's two halves
             for reply in replies:
                 reply.send(refusal(host.courier.come_back_us()))
             return
-        if not any(r.wanted for r in replies):
-            host.tell(i.MessageGone(m.number))  # nobody heard that it was taken on
+        if not any(r.is_wanted for r in replies):
+            host.post(i.MessageGone(m.number))  # nobody heard that it was taken on
             return
         try:
-            host.journal.take(m)
+            host.journal.record_message(m)
         except OSError as error:
             messages_log.error("message.not_taken", message=m.id, error=error)
             text = refusal(host.courier.come_back_us())
-            host.tell(i.MessageGone(m.number))
+            host.post(i.MessageGone(m.number))
         else:
             host.guard(m)
             host.observer.taken(m)
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -40,10 +40,10 @@
         return
     from hopmill.net.peers import Peers
 
-    carried = host.upgrade.carried.get("fleet")
-    sock = host.upgrade.sock(carried["socket"]) if carried else None
+    carried = host.handover.carried.get("fleet")
+    sock = host.handover.socket_at(carried["socket"]) if carried else None
     host.peers = host.staff.peers = Peers(
-        host.loop, host.config.members, host.upgrade.owner.folder, carried, sock
+        host.loop, host.config.members, host.handover.ownership.folder, carried, sock
     )
     if host.in_force:
         host.in_force.join(host.peers)
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -112,17 +112,17 @@
     def collect(self) -> Iterator[Metric]:
         host = self.host
         for name, text, value in (
-            ("hopmill_messages_held", "Messages taken on and not ended.", host.journal.open),
+            ("hopmill_messages_held", "Messages taken on and not ended.", host.journal.open_count),
             (
                 "hopmill_notices_owed",
                 "Notices that the platform has not accepted.",
                 len(host.notices.waiting),
             ),
             ("hopmill_slots_used", "Calls in flight.", host.courier.book.out),
-            ("hopmill_slots", "Calls that may be in flight.", host.s.slots),
-            ("hopmill_journal_bytes", "Size of the journal.", host.journal.size),
-            ("hopmill_journal_limit_bytes", "What the folder may hold.", host.journal.limit),
-            ("hopmill_clients", "Clients' connections.", len(host.clients.clients)),
+            ("hopmill_slots", "Calls that may be in flight.", host.settings.slots),
+            ("hopmill_journal_bytes", "Size of the journal.", host.journal.size_bytes),
+            ("hopmill_journal_limit_bytes", "What the folder may hold.", host.journal.limit_bytes),
+            ("hopmill_clients", "Clients' connections.", len(host.clients.connections)),
             ("hopmill_drained", "1 while an operator has it drained.", int(host.clients.drained)),
         ):
             yield GaugeMetricFamily(name, text, value=value)
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -10,7 +10,7 @@
 
 from hopmill import interface as i
 from hopmill import logs
-from hopmill.net.state import Held
+from hopmill.net.state import JournaledMessage
 
 log = logs.part("messages")
 
@@ -34,10 +34,10 @@
         self.counting, self.sums = False, [0.0] * 5
         self.taken_at: dict[int, float] = {}  # by number, while it is open and counted
 
-    def _cls(self, m: Held) -> str:
-        return self.s.classes[m.cls].name
+    def _cls(self, m: JournaledMessage) -> str:
+        return self.s.classes[m.class_index].name
 
-    def put(self, m: Held, life_ms: int) -> None:
+    def put(self, m: JournaledMessage, life_ms: int) -> None:
         if log.debugs:
             tenant = self.s.tenants[m.tenant].name if self.s.tenants else None
             log.debug(
@@ -45,27 +45,27 @@
                 message=m.id,
                 cls=self._cls(m),
                 tenant=tenant,
-                partner=m.dest,
+                partner=m.destination,
                 life_ms=life_ms,
                 bytes=len(m.body),
                 resubmitted=m.resubmitted,
             )
 
-    def refused(self, m: Held, wait_us: int) -> None:
+    def refused(self, m: JournaledMessage, wait_us: int) -> None:
         """Answered -BUSY or -ERR before it was taken on."""
         if log.debugs:
             log.debug("message.refused", message=m.id, again_ms=-(-wait_us // 1000))
         self._earned(m, False)
         if self.meters:
-            self.meters.message(m.cls, "refused")
+            self.meters.message(m.class_index, "refused")
 
-    def taken(self, m: Held) -> None:
+    def taken(self, m: JournaledMessage) -> None:
         log.debug("message.taken", message=m.id)
         if self.meters:
             self.taken_at[m.number] = time.monotonic()
-            self.meters.message(m.cls, "taken")
+            self.meters.message(m.class_index, "taken")
 
-    def sent(self, m: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
+    def sent(self, m: JournaledMessage, attempt: int, endpoint: str, timeout_us: int) -> None:
         if log.debugs:
             log.debug(
                 "attempt.sent",
@@ -76,7 +76,13 @@
             )
 
     def ended(
-        self, m: Held, attempt: int, endpoint: str, result: i.Result, latency_us: int, wait_us: int
+        self,
+        m: JournaledMessage,
+        attempt: int,
+        endpoint: str,
+        result: i.Result,
+        latency_us: int,
+        wait_us: int,
     ) -> None:
         if log.debugs:
             log.debug(
@@ -93,23 +99,23 @@
             self.sums[3] += result is i.Result.FULL
             self.sums[4] += result not in (i.Result.OK, i.Result.FULL, i.Result.MOOT)
         if self.meters:
-            self.meters.call(m.dest, result.value, latency_us / 1e6)
+            self.meters.call(m.destination, result.value, latency_us / 1e6)
 
-    def over(self, m: Held, status: str, again_ms: int = 0) -> None:
+    def over(self, m: JournaledMessage, status: str, again_ms: int = 0) -> None:
         """status: delivered (or withdrawn by its endpoint), deferred or undeliverable."""
         if log.debugs:
             log.debug("message.over", message=m.id, status=status, again_ms=again_ms or None)
         self._earned(m, status in ("delivered", "withdrawn"))
         if self.meters:
             since = self.taken_at.pop(m.number, None)
-            self.meters.message(m.cls, status, None if since is None else time.monotonic() - since)
+            self.meters.message(m.class_index, status, None if since is None else time.monotonic() - since)
 
-    def _earned(self, m: Held, delivered: bool) -> None:
+    def _earned(self, m: JournaledMessage, delivered: bool) -> None:
         if self.counting:
-            worth = self.s.classes[m.cls].worth
+            worth = self.s.classes[m.class_index].worth
             self.sums[0] += worth
             self.sums[1] += worth * delivered
 
-    def told(self, m: Held) -> None:
+    def told(self, m: JournaledMessage) -> None:
         """The platform has accepted its notice."""
         log.debug("notice.accepted", message=m.id, status=m.status)
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -16,7 +16,7 @@
 from hopmill import logs
 from hopmill.net.accept import Acceptor, listening_socket
 from hopmill.net.config import Address
-from hopmill.net.upgrade import Cargo
+from hopmill.net.upgrade import HandoverPayload
 
 CALL_S = 3.0  # for a whole call
 LINGER_S = 0.5  # for the caller to read its answer and end; closing on unread bytes would take it away again
@@ -211,16 +211,16 @@
 
     @property
     def acceptors(self) -> list[Acceptor]:
-        return [a for a in (self.acceptor, self.former) if a and a.open]
+        return [a for a in (self.acceptor, self.former) if a and a.is_open]
 
-    def carry(self, cargo: Cargo) -> dict[str, Any]:
+    def carry(self, payload: HandoverPayload) -> dict[str, Any]:
         callers = [
-            [cargo.place(c.transport.get_extra_info("socket").fileno()), bytes(c.heard)]
+            [payload.add_descriptor(c.transport.get_extra_info("socket").fileno()), bytes(c.heard)]
             for c in self.callers
             if not c.answered and not c.transport.is_closing()
         ]
         return {
-            "listening": cargo.place(self.acceptor.sock.fileno()) if self.acceptor else None,
+            "listening": payload.add_descriptor(self.acceptor.sock.fileno()) if self.acceptor else None,
             "callers": callers,
         }
 
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -19,7 +19,7 @@
 from hopmill import logs
 from hopmill.net.config import Address
 from hopmill.net.http import LOCAL_ERRORS, Connection
-from hopmill.net.upgrade import Cargo
+from hopmill.net.upgrade import HandoverPayload
 
 AGAIN_S = 0.05  # with no descriptor left, until the next try: others in this process free some too
 MOST_ROWS = 100  # endpoints that staff are shown in one answer
@@ -105,10 +105,10 @@
         self.done(link, error)
 
 
-def carry_link(cargo: Cargo, link: Link) -> int:
-    """Its place in the cargo. When it was opened goes beside the rows, whose length older versions know."""
-    place = cargo.place(link.sock.fileno())
-    cargo.values.setdefault("born", {})[place] = link.born
+def carry_link(payload: HandoverPayload, link: Link) -> int:
+    """Its place in the payload. When it was opened goes beside the rows, whose length older versions know."""
+    place = payload.add_descriptor(link.sock.fileno())
+    payload.values.setdefault("born", {})[place] = link.born
     return place
 
 
@@ -458,10 +458,12 @@
 
     # Upgrades
 
-    def carry_idle(self, cargo: Cargo, most: int) -> list[list[Any]]:
+    def carry_idle(self, payload: HandoverPayload, most: int) -> list[list[Any]]:
         """The most recently used idle connections."""
         idle = [link for link in reversed(self.idle) if not link.stale()]
-        return [[k.endpoint, list(k.address), carry_link(cargo, k), k.idle_at] for k in idle[: max(0, most)]]
+        return [
+            [k.endpoint, list(k.address), carry_link(payload, k), k.idle_at] for k in idle[: max(0, most)]
+        ]
 
     def resume(self, endpoint: int, address: Address, sock: socket.socket, born: float) -> Link:
         """A lent connection of the process before; its endpoint may have left the list since."""
--- a/hopmill/net/put.py
+++ b/hopmill/net/put.py
@@ -6,13 +6,13 @@
 import re
 from dataclasses import dataclass
 
-from hopmill.net.resp import MAX_BODY
+from hopmill.net.resp import MAX_BODY_BYTES
 
 WORD = re.compile(rb"[\x21-\x7e]{1,256}")
 MAX_DEST = 0xFFFF  # destinations have 16 bits
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     """What is wrong with a request, for its -ERR."""
 
 
@@ -24,7 +24,7 @@
     order: int  # what messages of an ordered class share, 0 if nothing
     cls: str
     tenant: str | None
-    life_ms: int
+    lifetime_ms: int
     dest: int
     key: str
     resubmitted: bool
@@ -34,7 +34,7 @@
 def _number(fields: dict[str, str], name: str) -> int:
     value = fields.get(name, "")
     if not value.isascii() or not value.isdigit() or len(value) > 12:
-        raise BadRequest(f"{name}: must be a whole number")
+        raise BadRequestError(f"{name}: must be a whole number")
     return int(value)
 
 
@@ -48,24 +48,24 @@
 def parse_put(args: list[bytes]) -> Put:
     """The arguments of MSG.PUT."""
     if len(args) != 4:
-        raise BadRequest("wrong number of arguments for 'MSG.PUT'")
+        raise BadRequestError("wrong number of arguments for 'MSG.PUT'")
     order, ident, named, body = args
     if not WORD.fullmatch(ident):
-        raise BadRequest("id: must be printable characters")
-    if len(body) > MAX_BODY:
-        raise BadRequest("body: over 65536 bytes")
+        raise BadRequestError("id: must be printable characters")
+    if len(body) > MAX_BODY_BYTES:
+        raise BadRequestError("body: over 65536 bytes")
     try:
         fields = dict(pair.split("=", 1) for pair in named.decode().split(",") if pair)
     except ValueError:
-        raise BadRequest("fields: must be name=value, with commas between") from None
+        raise BadRequestError("fields: must be name=value, with commas between") from None
     key = fields.get("k", "")
     if key and not WORD.fullmatch(key.encode()):
-        raise BadRequest("k: must be printable characters")
+        raise BadRequestError("k: must be printable characters")
     if "c" not in fields:
-        raise BadRequest("c: lacks")
+        raise BadRequestError("c: lacks")
     dest = _number(fields, "dest")
     if dest > MAX_DEST:
-        raise BadRequest(f"dest: over {MAX_DEST}")
+        raise BadRequestError(f"dest: over {MAX_DEST}")
     return Put(
         ident.decode(),
         order_key(order),
--- a/hopmill/net/resp.py
+++ b/hopmill/net/resp.py
@@ -8,8 +8,8 @@
 
 from typing import Any
 
-MAX_BODY = 64 * 1024
-MAX_REQUEST = MAX_BODY + 4096  # bytes of all elements of a request
+MAX_BODY_BYTES = 64 * 1024
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of all elements of a request
 MAX_ELEMENTS = 16  # the longest command has five
 MAX_LINE = 4096  # of anything that is not a bulk string
 END = b"\r\n"
@@ -41,7 +41,7 @@
         self.proper = True
 
     @property
-    def unread(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether a request has begun and is not whole."""
         return bool(self.buffer) or self.announced > 0
 
@@ -102,7 +102,7 @@
             if self.announced + self.missing > MAX_ELEMENTS + 1:
                 raise ProtocolError("too many elements")
         elif mark == b"$":
-            size = _count(text, MAX_REQUEST - self.taken)
+            size = _count(text, MAX_REQUEST_BYTES - self.taken)
             self.proper = self.proper and not first and size >= 0
             self.bulk, self.taken = size, self.taken + max(0, size)
             self.missing -= size < 0
--- a/hopmill/net/restart.py
+++ b/hopmill/net/restart.py
@@ -30,7 +30,7 @@
         self.closing_at = now + EXIT_S
         if host.peers:
             host.peers.leave()
-        host.tell(i.Closing(host.clock() + int(CALLS_S * 1e6)))
+        host.post(i.Closing(host.clock() + int(CALLS_S * 1e6)))
         host.loop.call_later(LISTEN_S, self._stop_clients)
         host.loop.call_later(LAST_S, self._last_answers)
         host.loop.call_later(EXIT_S, self._exit)
@@ -52,12 +52,14 @@
     def maybe_exit(self) -> None:
         host = self.host
         # What still waits for its turn may be sent until the last call must have begun.
-        done = not host.calls.out and not host.journal.held and not host.events and not host.intake.arrived
+        done = (
+            not host.calls.out and not host.journal.messages and not host.events and not host.intake.arrived
+        )
         if self.closing_at and done and host.clients.empty and not host.clients.listening:
             self._exit()
 
     def _exit(self) -> None:
         if not self.closed.done():
             for number in self.host.calls.unwritten():  # they can't have run: the next process may send them
-                self.host.note(self.host.journal.missed, number)
+                self.host.note(self.host.journal.record_not_run, number)
             self.closed.set_result(None)
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -8,10 +8,10 @@
 from hopmill import interface as i
 from hopmill import observe
 from hopmill.net.clients import ClientServer
-from hopmill.net.staff_fleet import fleet_routes
 from hopmill.net.operator import Page, Routes
 from hopmill.net.pool import MOST_ROWS, Pool
 from hopmill.net.roster import Roster
+from hopmill.net.staff_fleet import fleet_routes
 from hopmill.net.state import Journal
 from hopmill.policy.courier import Courier
 
@@ -65,9 +65,9 @@
         return 200 if taking else 503, {
             "taking_clients": taking,
             "drained": self.clients.drained,
-            "out_by_hand": sorted(self.journal.out_by_hand),
-            "clients": len(self.clients.clients),
-            "messages": self.journal.open,
+            "out_by_hand": sorted(self.journal.excluded_endpoints),
+            "clients": len(self.clients.connections),
+            "messages": self.journal.open_count,
         }
 
     def _metrics(self) -> tuple[int, Page]:
@@ -131,16 +131,16 @@
     def _drain(self, on: bool) -> Answer:
         """Recorded before it is done: a drained courier that is started again still is."""
         if on is not self.journal.drained:
-            self.journal.drain(on)
-        self.clients.drain(on)
+            self.journal.record_drained(on)
+        self.clients.set_drained(on)
         return 200, {"drained": on}
 
     def _set_by_hand(self, uid: str, out: bool) -> Answer:
         """Nothing new starts there after the yes."""
         if uid not in self.roster.uids:
             return 404, {"error": "no such endpoint was ever listed"}
-        if out is not (uid in self.journal.out_by_hand):
-            self.journal.set_by_hand(uid, out)
+        if out is not (uid in self.journal.excluded_endpoints):
+            self.journal.record_endpoint_excluded(uid, out)
             if not (self.in_force and uid in self.in_force.left_out[0]):  # the policy in force does
                 self.act(i.SetByHand(self.roster.uids[uid], out))
         return 200, {"endpoint": uid, "out_by_hand": out}
@@ -149,8 +149,8 @@
         """Nothing new starts there after the yes."""
         if name not in self.roster.zones:
             return 404, {"error": "no such zone was ever named"}
-        if out is not (name in self.journal.zones_out):
-            self.journal.set_zone_by_hand(name, out)
+        if out is not (name in self.journal.excluded_zones):
+            self.journal.record_zone_excluded(name, out)
             if not (self.in_force and name in self.in_force.left_out[1]):
                 self.act(i.SetZoneByHand(self.roster.zones[name], out))
         return 200, {"zone": name, "out_by_hand": out}
--- a/hopmill/net/timescale.py
+++ b/hopmill/net/timescale.py
@@ -13,7 +13,7 @@
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
-def elapsed() -> float:
+def elapsed_s() -> float:
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -29,17 +29,17 @@
 class TimeScale:
     """ahead: of the elapsed clock of this boot."""
 
-    boot: str
-    ahead: float
+    boot_id: str
+    offset_s: float
 
     def now(self) -> float:
-        return elapsed() + self.ahead
+        return elapsed_s() + self.offset_s
 
-    def holds(self) -> bool:
+    def is_of_this_boot(self) -> bool:
         """Whether it is of this boot: then all that was written on it is as old as it seems."""
-        return bool(self.boot) and self.boot == boot_id()
+        return bool(self.boot_id) and self.boot_id == boot_id()
 
 
-def by_the_wall(latest: float, boot: str) -> TimeScale:
+def from_wall_clock(latest: float, boot: str) -> TimeScale:
     """A new one; nothing that was written before it, at `latest` for one, lies ahead of it."""
-    return TimeScale(boot, max(time.time(), latest) - elapsed())
+    return TimeScale(boot, max(time.time(), latest) - elapsed_s())
--- a/hopmill/net/upgrade.py
+++ b/hopmill/net/upgrade.py
@@ -32,18 +32,18 @@
 log = logs.part("upgrade")
 
 
-class NotHandedOver(OSError):
+class HandoverError(OSError):
     """The other side broke off, or was too slow; nothing has changed hands."""
 
 
 @dataclass
-class Cargo:
+class HandoverPayload:
     """What is handed over: plain values, and descriptors that these name by their place in the list."""
 
     values: dict[str, Any] = field(default_factory=dict)
     fds: list[int] = field(default_factory=list)
 
-    def place(self, fd: int) -> int:
+    def add_descriptor(self, fd: int) -> int:
         self.fds.append(fd)
         return len(self.fds) - 1
 
@@ -53,7 +53,7 @@
                 os.close(fd)
 
 
-class Owner:
+class FolderOwnership:
     """The right to act on the folder. It ends with the process, however that ends, or passes on."""
 
     def __init__(self, folder: Path, fd: int) -> None:
@@ -63,7 +63,7 @@
         os.close(self.fd)
 
 
-def try_lock(folder: Path) -> Owner | None:
+def try_lock(folder: Path) -> FolderOwnership | None:
     fd = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -72,15 +72,15 @@
         if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
             return None
         raise
-    return Owner(folder, fd)
+    return FolderOwnership(folder, fd)
 
 
-def become_owner(folder: Path, takes_over: bool) -> tuple[Owner, Cargo | None]:
+def acquire_ownership(folder: Path, takes_over: bool) -> tuple[FolderOwnership, HandoverPayload | None]:
     """Own the folder: at once if nobody does, from the owner if this process may take over."""
     until, said = time.monotonic() + (FREE_S if takes_over else LEFT_S), ""
     while time.monotonic() < until:
-        if owner := try_lock(folder):
-            return owner, None
+        if ownership := try_lock(folder):
+            return ownership, None
         if takes_over:
             try:
                 return take_over(folder)
@@ -109,25 +109,25 @@
 # The new process's side
 
 
-def take_over(folder: Path) -> tuple[Owner, Cargo]:
+def take_over(folder: Path) -> tuple[FolderOwnership, HandoverPayload]:
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(STEP_S)
         with link_path(folder) as path:
             sock.connect(path)
-        cargo = Cargo()
+        payload = HandoverPayload()
         try:
             size, count = HEAD.unpack(_exactly(sock, HEAD.size))
             if size > MAX_FRAME:
                 raise ValueError("the frame is too large")
-            cargo.values = msgpack.unpackb(_exactly(sock, size), strict_map_key=False)
-            while len(cargo.fds) < count:
-                cargo.fds += _descriptors(sock, min(MOST_FDS, count - len(cargo.fds)))
+            payload.values = msgpack.unpackb(_exactly(sock, size), strict_map_key=False)
+            while len(payload.fds) < count:
+                payload.fds += _descriptors(sock, min(MOST_FDS, count - len(payload.fds)))
             sock.sendall(b"have")
             lock = _descriptors(sock, 1)  # 'go': from here on this process acts, and the other never again
         except BaseException:
-            cargo.close()
+            payload.close()
             raise
-        return Owner(folder, lock[0]), cargo
+        return FolderOwnership(folder, lock[0]), payload
 
 
 def _exactly(sock: socket.socket, size: int) -> bytes:
@@ -135,7 +135,7 @@
     while len(data) < size:
         part = sock.recv(min(1 << 16, size - len(data)))
         if not part:
-            raise NotHandedOver("the other side ended")
+            raise HandoverError("the other side ended")
         data += part
     return bytes(data)
 
@@ -143,15 +143,15 @@
 def _descriptors(sock: socket.socket, count: int) -> list[int]:
     data, fds, flags, _ = socket.recv_fds(sock, 1, count)
     if not data or len(fds) != count or flags & socket.MSG_CTRUNC:
-        Cargo(fds=list(fds)).close()
-        raise NotHandedOver("descriptors lack")
+        HandoverPayload(fds=list(fds)).close()
+        raise HandoverError("descriptors lack")
     return list(fds)
 
 
 # The owner's side
 
 
-class Link:
+class HandoverSocket:
     """Where the owner waits for a process that takes over."""
 
     def __init__(self, folder: Path) -> None:
@@ -173,17 +173,19 @@
         self.sock.close()
 
 
-def hand_over(sock: socket.socket, cargo: Cargo, owner: Owner, leave: Callable[[], None]) -> None:
-    """Give all to the process at the other end, then leave; NotHandedOver if this one remains the owner."""
+def hand_over(
+    sock: socket.socket, payload: HandoverPayload, ownership: FolderOwnership, leave: Callable[[], None]
+) -> None:
+    """Give all to the process at the other end, then leave; HandoverError if this one remains the owner."""
     sock.settimeout(STEP_S)
     try:
-        payload = msgpack.packb(cargo.values)
-        sock.sendall(HEAD.pack(len(payload), len(cargo.fds)) + payload)
-        for at in range(0, len(cargo.fds), MOST_FDS):
-            socket.send_fds(sock, [b"."], cargo.fds[at : at + MOST_FDS])
+        frame = msgpack.packb(payload.values)
+        sock.sendall(HEAD.pack(len(frame), len(payload.fds)) + frame)
+        for at in range(0, len(payload.fds), MOST_FDS):
+            socket.send_fds(sock, [b"."], payload.fds[at : at + MOST_FDS])
         if _exactly(sock, 4) != b"have":
-            raise NotHandedOver("the other side spoke out of turn")
-        socket.send_fds(sock, [b"g"], [owner.fd])
+            raise HandoverError("the other side spoke out of turn")
+        socket.send_fds(sock, [b"g"], [ownership.fd])
     except OSError as error:
-        raise NotHandedOver(str(error)) from error
+        raise HandoverError(str(error)) from error
     leave()
--- a/hopmill/serve.py
+++ b/hopmill/serve.py
@@ -13,7 +13,7 @@
 from hopmill import logs
 from hopmill.net.config import Config, ConfigError, Source, load, options
 from hopmill.net.host import Host
-from hopmill.net.upgrade import Cargo, Owner, become_owner
+from hopmill.net.upgrade import FolderOwnership, HandoverPayload, acquire_ownership
 
 log = logs.part("courier")
 config_log = logs.part("config")
@@ -57,16 +57,18 @@
     logs.configure(log.format, log.level, log.levels, log.lines_per_s)
 
 
-async def _serve(config: Config, source: Source, owner: Owner, cargo: Cargo | None) -> None:
+async def _serve(
+    config: Config, source: Source, ownership: FolderOwnership, payload: HandoverPayload | None
+) -> None:
     loop = asyncio.get_running_loop()
-    host = Host(loop, config, owner, cargo)
+    host = Host(loop, config, ownership, payload)
     loop.add_signal_handler(signal.SIGTERM, host.restart.terminate)
     loop.add_signal_handler(signal.SIGINT, host.restart.terminate)
     loop.add_signal_handler(signal.SIGHUP, Reloader(host, source))
     port = host.start()
     gc.collect()
     gc.freeze()  # what is there now stays: full collections need not look at it again
-    log.info("ready", name=config.name, port=port, restored=len(host.journal.held))
+    log.info("ready", name=config.name, port=port, restored=len(host.journal.messages))
     await host.restart.closed
     host.close()
 
@@ -81,8 +83,8 @@
         return 2
     configure_logs(config.log)
     try:
-        owner, cargo = become_owner(config.state, config.listen_fd is not None)
-        asyncio.run(_serve(config, source, owner, cargo))
+        ownership, payload = acquire_ownership(config.state, config.listen_fd is not None)
+        asyncio.run(_serve(config, source, ownership, payload))
     except OSError as error:
         print(f"hopmill: cannot start: {error}", file=sys.stderr)
         return 1
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -47,8 +47,8 @@
     looked = [0]
     may_act, begin, take, set_up, hold = (
         InForce.may_act,
-        Host._begin,
-        Intake.take,
+        Host._record_attempts,
+        Intake.accept,
         InForce._take,
         InForce._hold,
     )
@@ -70,7 +70,7 @@
 
     def takes(self: Intake, m: Any, replies: Any) -> None:
         take(self, m, replies)
-        if self.host.in_force and m.number in self.host.journal.held:
+        if self.host.in_force and m.number in self.host.journal.messages:
             say("took", looked_us=looked[0], version=self.host.in_force.applied, messages=[m.id])
 
     def sets_up(self: InForce, version: int, text: bytes) -> None:
@@ -90,7 +90,7 @@
             say("holds", on=on, version=self.applied)
         hold(self, on)
 
-    InForce.may_act, Host._begin, Intake.take = looks, begins, takes  # type: ignore[method-assign]
+    InForce.may_act, Host._record_attempts, Intake.accept = looks, begins, takes  # type: ignore[method-assign]
     InForce._take, InForce._hold = sets_up, holds  # type: ignore[method-assign]
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 from hopmill import standin
 from hopmill.net.config import load
 from hopmill.net.host import Host
-from hopmill.net.upgrade import become_owner
+from hopmill.net.upgrade import acquire_ownership
 from hopmill.standin.server import Server, answer, read_request
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -213,7 +213,7 @@
     async def inside(self):
         """Start the courier in this process; returns a client of it."""
         config = load(self.env())
-        self.host = Host(asyncio.get_running_loop(), config, *become_owner(config.state, False))
+        self.host = Host(asyncio.get_running_loop(), config, *acquire_ownership(config.state, False))
         self.port = self.host.start()
         return await Client().open(self.port)
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -65,7 +65,7 @@
 def at(host, peer: Peer):
     """The courier's side of a peer's connection, None until it has joined."""
     name = peer.sock.getsockname()
-    sides = [*host.clients.clients, *host.clients.lingering]
+    sides = [*host.clients.connections, *host.clients.lingering]
     return next((c for c in sides if c.transport.get_extra_info("peername") == name), None)
 
 
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -88,7 +88,7 @@
     assert (await e.call())[0] == "/events/bundle"
     finals = [await fleet.discovery.final() for _ in range(2)]
     assert {f["id"]: f["status"] for f in finals} == {"b2": "undeliverable", "b3": "deferred"}
-    assert "b1" in fleet.host.journal.over
+    assert "b1" in fleet.host.journal.ended_ids
 
 
 @courier
@@ -134,7 +134,7 @@
     port = first.writer.get_extra_info("peername")[1]
     crowd = [first]
     for _ in range(60):
-        assert len(fleet.host.clients.clients) < 120 / 3
+        assert len(fleet.host.clients.connections) < 120 / 3
         crowd.append(await Client().open(port))
         assert await crowd[-1].send(first.command(b"PING")) == "+PONG"
     assert await bounded(first.reader.read()) == b""  # the longest unused first
@@ -228,7 +228,7 @@
     await client.put("u", kind="unsafe")
     for status in (500, 503, 204):
         assert await fleet.discovery.final(status) == {"id": "u", "status": "undeliverable"}
-    while fleet.host.journal.held:
+    while fleet.host.journal.messages:
         await asyncio.sleep(0.01)
 
 
@@ -239,7 +239,7 @@
     client.writer.write(client.message("m", kind="unsafe") * 2)
     assert [await client.line() for _ in range(2)] == ["+OK"] * 2
     await e.call()
-    while fleet.host.journal.held:
+    while fleet.host.journal.messages:
         await asyncio.sleep(0.01)
     assert await client.put("m", kind="unsafe") == "+OK"
     await client.put("n")
@@ -265,7 +265,7 @@
     assert "+OK" in answers and answers[-1].startswith("-BUSY ")
     files = (fleet.folder / "state").iterdir()
     assert sum(-(-f.stat().st_size // 512) * 512 for f in files) < 100_000
-    assert len(fleet.host.journal.held) == answers.count("+OK") < 10
+    assert len(fleet.host.journal.messages) == answers.count("+OK") < 10
     e = await fleet.endpoint("a")
     fleet.discovery.rev += 1
     fleet.discovery.drop()  # the watch is opened again and brings the endpoint: room comes free
@@ -394,7 +394,7 @@
             peer.writer.write(first + then)
             got = await bounded(peer.reader.read())
             assert got.startswith(said) and (said or not got)
-            assert not fleet.host.clients.clients
+            assert not fleet.host.clients.connections
 
     asyncio.run(run())
 
@@ -405,7 +405,7 @@
     async def run():
         async with Fleet(tmp_path) as fleet:
             client = await fleet.inside()
-            (peer,), dues = fleet.host.clients.clients, []
+            (peer,), dues = fleet.host.clients.connections, []
             for _ in range(3):
                 assert await client.send(client.command(b"PING")) == "+PONG"
                 dues.append(peer._due())
@@ -432,7 +432,7 @@
             client.writer.write(client.command(b"PING", b"x" * 60_000) * 400)  # more than any buffer holds
 
             async def closed():
-                while fleet.host.clients.clients:
+                while fleet.host.clients.connections:
                     await asyncio.sleep(0.01)
 
             await bounded(closed())
@@ -478,7 +478,7 @@
         await e.call()
     await client.put("m2", kind="keyed", key="k")
     assert (await e.call())[1]["idempotency-key"] == "k"  # inside the window
-    fleet.host.journal.keys["k"] = time.time() - 20
+    fleet.host.journal.first_run_by_key["k"] = time.time() - 20
     assert (await client.put("m3", kind="keyed", key="k")).startswith("-BUSY")
     assert e.calls.empty()
 
@@ -509,9 +509,9 @@
             await e.call()
             monkeypatch.setattr(fleet.host.pool, "lend", lambda *loan: asked.put_nowait(loan))
             loan = await bounded(asked.get())
-            scale, ran_at = fleet.host.journal.scale, fleet.host.journal.held[1].may_have_run_at
-            at = max(scale.now(), ran_at + wall) - scale.ahead
-            monkeypatch.setattr("hopmill.net.timescale.elapsed", lambda: at)
+            scale, ran_at = fleet.host.journal.scale, fleet.host.journal.messages[1].may_have_run_at
+            at = max(scale.now(), ran_at + wall) - scale.offset_s
+            monkeypatch.setattr("hopmill.net.timescale.elapsed_s", lambda: at)
             lend(*loan)
             if calls == 1:
                 assert (await fleet.discovery.final())["id"] == "m"
@@ -552,13 +552,13 @@
     for n in range(40):
         crowd.append(await Client().open(fleet.port))
         crowd[-1].writer.write(b"*5\r\n$7\r\nMSG")
-        while not list(fleet.host.clients.clients)[-1].reader.unread:
+        while not list(fleet.host.clients.connections)[-1].reader.has_partial_request:
             await asyncio.sleep(0)
         if n % 5 == 4:  # an honest one that writes slowly is not the longest quiet
             honest = await Client().open(fleet.port)
             assert await honest.put(f"m{n}") == "+OK"
             honest.writer.close()
-    assert len(fleet.host.clients.clients) <= 60 * 0.3
+    assert len(fleet.host.clients.connections) <= 60 * 0.3
     assert (await crowd[0].line()).startswith("-ERR no whole request")
     first.writer.close()
 
@@ -570,7 +570,7 @@
     await fleet.endpoint("a")
     client = await fleet.inside()
     assert await client.send(client.command(b"PING")) == "+PONG"
-    (peer,) = fleet.host.clients.clients
+    (peer,) = fleet.host.clients.connections
 
     def late(by):
         peer.timer.cancel()
@@ -583,7 +583,7 @@
     late(2.0)
     for byte in message[:30]:
         client.writer.write(bytes([byte]))
-    while not peer.reader.unread:
+    while not peer.reader.has_partial_request:
         await asyncio.sleep(0)
     late(1.5)
     client.writer.write(message[30:40])
@@ -592,7 +592,7 @@
     late(1.0)  # 4.5 s after the request before it, 2.5 s after its own first byte
     assert await client.send(message[40:]) == "+OK"
     client.writer.write(message[:30])
-    while not peer.reader.unread:
+    while not peer.reader.has_partial_request:
         await asyncio.sleep(0)
     late(2.1)  # quiet for longer than that it is stalled
     assert (await client.line()).startswith("-ERR no whole request")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,14 @@
 from hopmill.net import calls as c
 from hopmill.net.accept import Acceptor, listening_socket
 from hopmill.net.discovery import Notices, Watch
-from hopmill.net.state import NAME, Held, Journal, JournalFull, frame, parse
+from hopmill.net.state import (
+    JOURNAL_FILE,
+    Journal,
+    JournaledMessage,
+    JournalFullError,
+    encode_record,
+    parse_records,
+)
 
 FLOOD = b"nonsense\r\n" * 100_000  # far more than the kernel holds of it
 
@@ -64,7 +71,7 @@
             assert await good.send(PING) == "+PONG"
             await sending
             peer.close()
-            assert not fleet.host.journal.held
+            assert not fleet.host.journal.messages
 
     asyncio.run(run())
 
@@ -83,7 +90,7 @@
     await peer.send(put("late"))
     assert await peer.rest() == (b"", "end")
     await until(lambda: at(fleet.host, peer) is None)
-    assert not fleet.host.journal.held and fleet.endpoints["a"].calls.empty()
+    assert not fleet.host.journal.messages and fleet.endpoints["a"].calls.empty()
     peer.close()
 
 
@@ -158,7 +165,7 @@
             fleet.host.wake = wake
             fleet.host.turn()
             taken = when == "after" or end != "reset"
-            assert [m.id for m in fleet.host.journal.held.values()] == ["m"] * taken
+            assert [m.id for m in fleet.host.journal.messages.values()] == ["m"] * taken
             if end == "half_close":
                 assert await (peer.rest() if when == "before" else peer.some()) == (
                     (OK, "end") if when == "before" else OK
@@ -214,7 +221,7 @@
             await until(lambda: side.gone)
             acting.cancel()
             peer.close()
-            assert not {m.id for m in fleet.host.journal.held.values()} - {f"m{n}" for n in range(20)}
+            assert not {m.id for m in fleet.host.journal.messages.values()} - {f"m{n}" for n in range(20)}
 
     asyncio.run(run())
 
@@ -260,12 +267,12 @@
     host.wake = lambda: None  # the turn that would answer does not come before the end
     await whole.send(put("whole", dest=99))
     await half.send(put("half", dest=99)[:50])
-    await until(lambda: host.intake.arrived and side.reader.unread)
+    await until(lambda: host.intake.arrived and side.reader.has_partial_request)
     host.restart.terminate()
     host.restart._last_answers()
     assert await whole.rest() == (OK, "end")
     assert await half.rest() == (b"-ERR no whole request in time\r\n", "end")
-    assert [m.id for m in host.journal.held.values()] == ["whole"]
+    assert [m.id for m in host.journal.messages.values()] == ["whole"]
     whole.close()
     half.close()
 
@@ -279,7 +286,7 @@
     assert await peer.some() == PONG
     fleet.host.restart.terminate()
     fleet.host.clients.stop_listening()
-    for client in list(fleet.host.clients.clients):
+    for client in list(fleet.host.clients.connections):
         client.finish()
     assert side.leaving and not side.gone
     fleet.host.restart.maybe_exit()
@@ -485,7 +492,7 @@
         acceptor.stop()
         acceptor.sock = Full()
         acceptor.close()
-        assert not acceptor.open and acceptor.pausing.cancelled()
+        assert not acceptor.is_open and acceptor.pausing.cancelled()
 
     asyncio.run(run())
 
@@ -530,16 +537,16 @@
             await client.put("m", kind=kind, key="k", life=60_000)
             await e.call()
             assert (await fleet.discovery.final())["id"] == "m"
-            await until(lambda: not fleet.host.journal.held)
-            return (folder / "state" / NAME).read_bytes()
+            await until(lambda: not fleet.host.journal.messages)
+            return (folder / "state" / JOURNAL_FILE).read_bytes()
 
     async def after(folder, journal, records):
         (folder / "state").mkdir(parents=True)
-        (folder / "state" / NAME).write_bytes(journal)
+        (folder / "state" / JOURNAL_FILE).write_bytes(journal)
         async with Fleet(folder) as fleet:
             e = await fleet.endpoint("a")
             await fleet.inside()
-            await until(lambda: not fleet.host.journal.held)
+            await until(lambda: not fleet.host.journal.messages)
             kinds = [record[0] for record in records]
             ended = "final" in kinds or "over" in kinds
             tried = kinds.count("try")
@@ -551,12 +558,12 @@
 
     async def run():
         whole = await life(tmp_path)
-        records, _ = parse(whole)
+        records, _ = parse_records(whole)
         kinds = [record[0] for record in records]
         assert kinds[:3] == ["clock", "take", "try"] and kinds[-1] == "over"
         ends = [0]
         for record in records:
-            ends.append(ends[-1] + len(frame(record)))
+            ends.append(ends[-1] + len(encode_record(record)))
         for n, end in enumerate(ends):
             await after(tmp_path / f"{n}", whole[:end], records[:n])
             if n < len(records):  # the next one is torn
@@ -568,15 +575,17 @@
 def test_a_journal_as_large_as_it_may_be_is_read_in_a_moment(tmp_path):
     # Readiness is owed within 10 s of a part of a core.
     journal = Journal(tmp_path, 3_000_000)
-    with contextlib.suppress(JournalFull):
+    with contextlib.suppress(JournalFullError):
         for n in range(100_000):
-            journal.take(Held(n, f"{n:016x}", 0, 0, 1, "", time.time() + 60, False, b"x" * 40))
-            journal.attempt([n], time.time(), "here")
+            journal.record_message(
+                JournaledMessage(n, f"{n:016x}", 0, 0, 1, "", time.time() + 60, False, b"x" * 40)
+            )
+            journal.record_attempt([n], time.time(), "here")
     journal.close()
-    assert os.path.getsize(tmp_path / NAME) > 500_000
+    assert os.path.getsize(tmp_path / JOURNAL_FILE) > 500_000
     began = time.process_time()
     again = Journal(tmp_path, 3_000_000)
-    assert time.process_time() - began < 1.5 and len(again.held) == len(journal.held) > 5000
+    assert time.process_time() - began < 1.5 and len(again.messages) == len(journal.messages) > 5000
     again.close()
 
 
@@ -605,12 +614,12 @@
     try:
         c.Link.written = property(lambda link: False)  # its endpoint's window is full
         await client.put("m", kind="unsafe")
-        await until(lambda: host.calls.out and host.journal.held[1].trying_at)
+        await until(lambda: host.calls.out and host.journal.messages[1].latest_attempt_at)
         assert host.calls.unwritten() == [1]
         host.restart._exit()
     finally:
         c.Link.written = written
-    assert host.journal.held[1].may_have_run_at == 0
+    assert host.journal.messages[1].may_have_run_at == 0
     listener.close()
 
 
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -268,18 +268,18 @@
 def folder_with(tmp_path, *, cut=0, more=b""):
     j = state.Journal(tmp_path, 10**6)
     for n in (1, 2):
-        j.take(state.Held(n, f"m{n}", 0, 0, 7, "", time.time() + 5, False, b"body"))
-    j.attempt([1], time.time())
-    j.final(2, "deferred", 100)
-    j.set_by_hand("a", True)
+        j.record_message(state.JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 5, False, b"body"))
+    j.record_attempt([1], time.time())
+    j.record_end(2, "deferred", 100)
+    j.record_endpoint_excluded("a", True)
     j.close()
-    path = tmp_path / state.NAME
+    path = tmp_path / state.JOURNAL_FILE
     data = path.read_bytes()
     path.write_bytes(data[: len(data) - cut] + more)
     return path
 
 
-WHOLE = state.frame(["known", 0, {}, {}])
+WHOLE = state.encode_record(["known", 0, {}, {}])
 
 
 @pytest.mark.parametrize(
@@ -291,7 +291,7 @@
         (0, WHOLE[:3], 0, 3),
         # a record is being written, above; below it is
         (0, WHOLE[:-1] + b"\0" + WHOLE, 1, 2 * len(WHOLE)),  # damaged in the middle
-        (0, state.frame(["later", 1]), 1, 0),
+        (0, state.encode_record(["later", 1]), 1, 0),
     ],
 )  # of a version that is not known
 def test_a_folder_is_shown_as_it_is(tmp_path, capsys, cut, more, status, tail):
@@ -302,7 +302,7 @@
     assert journal.show(tmp_path, True) == 0
     told = json.loads(capsys.readouterr().out)
     assert [m["state"] for m in told["messages"]] == ["open", "deferred"] and told["notices_owed"] == 1
-    assert path.read_bytes() == before and os.listdir(tmp_path) == [state.NAME]
+    assert path.read_bytes() == before and os.listdir(tmp_path) == [state.JOURNAL_FILE]
 
 
 @courier
@@ -311,7 +311,7 @@
     for n in range(20):
         assert await client.put(f"m{n}", dest=9) == "+OK"
         got = journal.read(fleet.folder / "state")
-        assert not got.damaged and len(got.contents.held) == n + 1
+        assert not got.damaged and len(got.contents.messages) == n + 1
 
 
 # The demo
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -137,7 +137,7 @@
 @courier
 async def test_what_can_not_be_recorded_gets_a_no_and_is_not_done(fleet):
     client = await fleet.inside()
-    fleet.host.journal.limit = 0
+    fleet.host.journal.limit_bytes = 0
     assert (await call(fleet.door, "POST", "/healthcheck/fail"))[0] == 503
     assert await client.send(PING) == "+PONG"
 
@@ -205,7 +205,7 @@
     await fleet.kill()
     journal = Journal(fleet.folder / "state", 3_000_000)
     journal.compact()
-    assert journal.out_by_hand == {"a"}
+    assert journal.excluded_endpoints == {"a"}
     journal.close()
     client = await fleet.outside()
     assert await client.put("m") == "+OK"
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -118,7 +118,7 @@
             [a for a in actions if a[0] == "Send"]
         ) < 3:
             pass
-        await until(lambda: not fleet.host.journal.held)
+        await until(lambda: not fleet.host.journal.messages)
         seen.append([a for a in actions if a[0] != "SetTimer"])
         client.close()
     assert seen[0] == seen[1] and len(seen[0]) >= 3
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -14,7 +14,7 @@
 
 from hopmill.interface import Result
 from hopmill.net import pool as p
-from hopmill.net.upgrade import Cargo
+from hopmill.net.upgrade import HandoverPayload
 
 
 def run(test):
@@ -373,15 +373,21 @@
 @run
 async def test_an_upgrade_hands_over_when_each_was_opened_beside_the_rows(endpoint, o):
     links = await idle(o, endpoint, 2)
-    cargo = Cargo()
-    rows = o.pool.carry_idle(cargo, 10)
+    payload = HandoverPayload()
+    rows = o.pool.carry_idle(payload, 10)
     assert [len(row) for row in rows] == [4, 4]  # as the version before knows them
-    assert cargo.values["born"] == {0: links[1].born, 1: links[0].born}
+    assert payload.values["born"] == {0: links[1].born, 1: links[0].born}
     other = Outcomes()
     other.pool.place(1, ("127.0.0.1", endpoint.port))
     other.pool.resume_idle(
         [
-            (e, tuple(a), socket.socket(fileno=os.dup(cargo.fds[place])), since, cargo.values["born"][place])
+            (
+                e,
+                tuple(a),
+                socket.socket(fileno=os.dup(payload.fds[place])),
+                since,
+                payload.values["born"][place],
+            )
             for e, a, place, since in rows
         ]
     )
@@ -397,18 +403,18 @@
     await e.call()
     host = fleet.host
     await until(lambda: host.pool.idle)
-    cargo = host.upgrade._cargo()
-    values = cargo.values
+    payload = host.handover._payload()
+    values = payload.values
     del values["born"]
     values["unknown"] = {"x": 1}
     values["idle"] = [[*row, "later field"] for row in values["idle"]]
-    born = host.upgrade._born(0, host.loop.time() - 5)
-    host.upgrade.cargo = Cargo(values, [os.dup(fd) for fd in cargo.fds])
+    born = host.handover._born(0, host.loop.time() - 5)
+    host.handover.payload = HandoverPayload(values, [os.dup(fd) for fd in payload.fds])
     host.pool.close_idle(host.roster.uids["a"])
-    host.upgrade.resume()
+    host.handover.resume()
     assert len(host.pool.idle) == 1 and abs(time.time() - 5 - born) < 1
     del values["idle"]
-    host.upgrade.resume()
+    host.handover.resume()
     assert await client.put("n") == "+OK"
     await e.call()
 
@@ -517,7 +523,7 @@
             assert ids == ["first", "pay", "next", "again", "again"]
             place = fleet.host.pool.places[1]
             assert (place.opened, place.reused) == (3, 2)  # both were lost on one that had been used before
-            await until(lambda: not fleet.host.journal.held)
+            await until(lambda: not fleet.host.journal.messages)
             assert e.calls.empty()
 
     asyncio.run(go())
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from loopback import Client, courier
 
-from hopmill.net.resp import IMPROPER, MAX_ELEMENTS, MAX_REQUEST, ProtocolError, RequestReader
+from hopmill.net.resp import IMPROPER, MAX_ELEMENTS, MAX_REQUEST_BYTES, ProtocolError, RequestReader
 
 
 def read(*parts):
@@ -23,7 +23,7 @@
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
     ends = [0, *cuts, len(stream)]
     got, reader = read(*(stream[a:b] for a, b in zip(ends, ends[1:], strict=False)))
-    assert got == requests and not reader.unread
+    assert got == requests and not reader.has_partial_request
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
         b"GET / HTTP/1.1\r\n",
         b"\x00\x16\x03",
         b"+" + b"x" * 5000,
-        b"*2\r\n$%d\r\n" % (MAX_REQUEST + 1),
+        b"*2\r\n$%d\r\n" % (MAX_REQUEST_BYTES + 1),
         b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n",
     ],
 )
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 from loopback import ROOT, Client, Discovery, Fleet, answer, bounded, courier
 
-from hopmill.net.state import FRAME, Held, Journal, frame
+from hopmill.net.state import RECORD_HEADER, Journal, JournaledMessage, encode_record
 from hopmill.net.timescale import boot_id
 
 
@@ -164,31 +164,35 @@
 def test_compaction_keeps_what_is_open_and_stays_under_the_limit(tmp_path):
     limit = 60_000
     journal = Journal(tmp_path, limit)
-    keep = Held(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
-    journal.take(keep)
-    journal.attempt([1], 123.0)
+    keep = JournaledMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
+    journal.record_message(keep)
+    journal.record_attempt([1], 123.0)
     for n in range(2, 1500):
-        journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
-        journal.attempt([n], 1.0)
-        journal.missed(n)
-        journal.done(n)
-        journal.over.clear()
-        journal.live = sum(m.bytes for m in journal.held.values())
+        journal.record_message(JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
+        journal.record_attempt([n], 1.0)
+        journal.record_not_run(n)
+        journal.record_done(n)
+        journal.ended_ids.clear()
+        journal.live_bytes = sum(m.size_bytes for m in journal.messages.values())
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
     again = Journal(tmp_path, limit)
-    assert (again.held[1].id, again.held[1].tries, again.held[1].may_have_run_at) == ("keep", 1, 123.0)
-    assert list(again.held) == [1] and again.last == 1499
+    assert (again.messages[1].id, again.messages[1].attempts, again.messages[1].may_have_run_at) == (
+        "keep",
+        1,
+        123.0,
+    )
+    assert list(again.messages) == [1] and again.last_number == 1499
     again.close()
 
 
 def test_a_record_with_a_wrong_checksum_ends_the_journal(tmp_path):
-    known = frame(["known", 5, {}, {}])
-    good = frame(["clock", boot_id(), 0.0]) + known
+    known = encode_record(["known", 5, {}, {}])
+    good = encode_record(["clock", boot_id(), 0.0]) + known
     path = tmp_path / "messages.journal"
     path.write_bytes(good + known[:-1] + b"\xff" + good)
     journal = Journal(tmp_path, 100_000)
-    assert journal.last == 5 and path.stat().st_size == len(good)
+    assert journal.last_number == 5 and path.stat().st_size == len(good)
     journal.close()
 
 
@@ -226,8 +230,8 @@
     another_boot(monkeypatch, "one", 10_000.0)
     journal = Journal(tmp_path, 100_000, 8.0)
     for number, key in ((1, ""), (2, "k")):
-        journal.take(Held(number, f"m{number}", 0, 0, 7, key, 10_020.0, False, b"x"))
-    journal.attempt([2], journal.scale.now(), "here")
+        journal.record_message(JournaledMessage(number, f"m{number}", 0, 0, 7, key, 10_020.0, False, b"x"))
+    journal.record_attempt([2], journal.scale.now(), "here")
     journal.close()
     another_boot(monkeypatch, "two", wall)
     scales = set()
@@ -235,26 +239,28 @@
         journal = Journal(tmp_path, 100_000, 8.0)
         scales.add(journal.scale)
         now, went_back = journal.scale.now(), wall < 10_000
-        assert journal.scale.boot == "two" and abs(now - (10_000 if went_back else wall)) < 5
-        assert journal.held[1].until > now if went_back else journal.held[1].until < now
+        assert journal.scale.boot_id == "two" and abs(now - (10_000 if went_back else wall)) < 5
+        assert journal.messages[1].expires_at > now if went_back else journal.messages[1].expires_at < now
         # How long the machine was down is not known: nothing is sent again inside a window.
-        assert now - journal.held[2].may_have_run_at > 8 and now - journal.keys["k"] >= 8 - 1e-3
-        assert journal.held[2].may_have_run_at > 0 and journal.held[1].may_have_run_at == 0
+        assert (
+            now - journal.messages[2].may_have_run_at > 8 and now - journal.first_run_by_key["k"] >= 8 - 1e-3
+        )
+        assert journal.messages[2].may_have_run_at > 0 and journal.messages[1].may_have_run_at == 0
         journal.close()
     assert len(scales) == 1
 
 
 def test_a_journal_of_the_format_before_takes_the_wall_clock_and_keeps_its_windows(tmp_path):
-    held = Held(1, "m1", 0, 0, 7, "k", time.time() + 20, False, b"x")
+    held = JournaledMessage(1, "m1", 0, 0, 7, "k", time.time() + 20, False, b"x")
     tried = ["try", [1], time.time() - 2, "z"]
-    (tmp_path / "messages.journal").write_bytes(frame(held.record()) + frame(tried))
+    (tmp_path / "messages.journal").write_bytes(encode_record(held.to_record()) + encode_record(tried))
     journal = Journal(tmp_path, 100_000, 8.0)
-    assert abs(journal.scale.now() - time.time()) < 1 and journal.scale.holds()
-    assert 1 < journal.scale.now() - journal.held[1].may_have_run_at < 4
+    assert abs(journal.scale.now() - time.time()) < 1 and journal.scale.is_of_this_boot()
+    assert 1 < journal.scale.now() - journal.messages[1].may_have_run_at < 4
     scale = journal.scale
     for _ in range(3000):  # the record of it stays through a rewrite
-        journal.take(Held(2, "m2", 0, 0, 7, "", time.time() + 9, False, b"x"))
-        journal.done(2)
+        journal.record_message(JournaledMessage(2, "m2", 0, 0, 7, "", time.time() + 9, False, b"x"))
+        journal.record_done(2)
     journal.close()
     again = Journal(tmp_path, 100_000, 8.0)
     assert again.scale == scale
@@ -337,39 +343,39 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        frame(["take", 1]),
-        frame(5),
-        frame([]),
-        frame({"a": 1}),
-        frame(["try", 7, 1.0]),
-        frame(["known", 1]),
-        frame(["known", "x", {}, {}]),
-        FRAME.pack(1, zlib.crc32(b"\xc1")) + b"\xc1",
+        encode_record(["take", 1]),
+        encode_record(5),
+        encode_record([]),
+        encode_record({"a": 1}),
+        encode_record(["try", 7, 1.0]),
+        encode_record(["known", 1]),
+        encode_record(["known", "x", {}, {}]),
+        RECORD_HEADER.pack(1, zlib.crc32(b"\xc1")) + b"\xc1",
         b"\0" * 4096,
         b"\xff" * 4096,
     ],
 )
 def test_a_bad_record_does_not_keep_the_courier_from_starting(tmp_path, bad):
-    good = Held(3, "m3", 0, 0, 7, "", time.time() + 9, False, b"x")
-    (tmp_path / "messages.journal").write_bytes(frame(good.record()) + bad)
+    good = JournaledMessage(3, "m3", 0, 0, 7, "", time.time() + 9, False, b"x")
+    (tmp_path / "messages.journal").write_bytes(encode_record(good.to_record()) + bad)
     journal = Journal(tmp_path, 100_000)
-    assert list(journal.held) == [3]
+    assert list(journal.messages) == [3]
     journal.close()
 
 
 def test_ids_are_forgotten_as_they_age_and_not_only_at_a_rewrite(tmp_path, monkeypatch):
     now = [1000.0]
-    monkeypatch.setattr("hopmill.net.timescale.elapsed", lambda: now[0])
+    monkeypatch.setattr("hopmill.net.timescale.elapsed_s", lambda: now[0])
     journal = Journal(tmp_path, 100_000_000)
     monkeypatch.setattr(journal, "compact", lambda: None)
     most = 0
     for number in range(1, 2000):
         now[0] += 0.1
-        journal.take(Held(number, f"m{number}", 0, 0, 7, "", now[0] + 6, False, b"x"))
-        journal.done(number)
-        most = max(most, len(journal.over))
-    assert most <= 30 / 0.1 + 1 and "m1999" in journal.over
-    assert journal.live == 160 * len(journal.over)
+        journal.record_message(JournaledMessage(number, f"m{number}", 0, 0, 7, "", now[0] + 6, False, b"x"))
+        journal.record_done(number)
+        most = max(most, len(journal.ended_ids))
+    assert most <= 30 / 0.1 + 1 and "m1999" in journal.ended_ids
+    assert journal.live_bytes == 160 * len(journal.ended_ids)
     journal.close()
 
 
@@ -377,9 +383,9 @@
     # They are forgotten only when the journal is compacted: a small limit filled up with them before.
     journal = Journal(tmp_path, 60_000)
     for n in range(2000):
-        journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
-        journal.done(n)
-        journal.over = {ident: 0.0 for ident in journal.over}  # long ago
+        journal.record_message(JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
+        journal.record_done(n)
+        journal.ended_ids = {ident: 0.0 for ident in journal.ended_ids}  # long ago
     journal.close()
 
 
@@ -396,18 +402,20 @@
     with tempfile.TemporaryDirectory() as folder:
         journal = Journal(Path(folder), 10**6)
         for what, n in steps:
-            m = journal.held.get(n)
+            m = journal.messages.get(n)
             if what in ("take", "again") and (m is None or what == "again"):
-                journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
+                journal.record_message(
+                    JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x")
+                )
             elif what == "try":
-                journal.attempt([n], time.time())
+                journal.record_attempt([n], time.time())
             elif what == "final" and m and not m.status:
-                journal.final(n, "deferred", 5)
+                journal.record_end(n, "deferred", 5)
             elif what == "failed final" and m and not m.status:  # the disk was full: it is owed all the same
-                journal.settle(m, "undeliverable", 0)
+                journal.mark_ended(m, "undeliverable", 0)
             elif what == "told":
-                journal.told([n])
+                journal.record_notices_accepted([n])
             elif what == "done":
-                journal.done(n)
-            assert journal.open == sum(not m.status for m in journal.held.values())
+                journal.record_done(n)
+            assert journal.open_count == sum(not m.status for m in journal.messages.values())
         journal.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,15 @@
 from loopback import Client, answer, bounded, courier
 from test_operator import PING, call
 
-from hopmill.net.upgrade import Cargo, Link, NotHandedOver, become_owner, hand_over, take_over, try_lock
+from hopmill.net.upgrade import (
+    HandoverError,
+    HandoverPayload,
+    HandoverSocket,
+    acquire_ownership,
+    hand_over,
+    take_over,
+    try_lock,
+)
 
 
 def hold_socket(fleet):
@@ -164,35 +172,35 @@
     fleet.host.door.resume(former, [])
     fleet.host.door.former.close()
     left = asyncio.Event()
-    fleet.host.upgrade.leave = left.set
-    link = Link(fleet.folder / "state")
-    fleet.host.upgrade.link = link
-    fleet.host.loop.add_reader(link.sock, fleet.host.upgrade._asked_to_hand_over)
-    new, cargo = await bounded(asyncio.to_thread(take_over, fleet.folder / "state"))
+    fleet.host.handover.leave = left.set
+    link = HandoverSocket(fleet.folder / "state")
+    fleet.host.handover.link = link
+    fleet.host.loop.add_reader(link.sock, fleet.host.handover._asked_to_hand_over)
+    new, payload = await bounded(asyncio.to_thread(take_over, fleet.folder / "state"))
     await bounded(left.wait())
-    assert cargo.values["door"]["listening"] is not None
+    assert payload.values["door"]["listening"] is not None
     new.close()
-    cargo.close()
+    payload.close()
 
 
 def test_one_owner_at_a_time(tmp_path):
     owner = try_lock(tmp_path)
     assert owner and try_lock(tmp_path) is None
     owner.close()
-    again, cargo = become_owner(tmp_path, takes_over=False)
-    assert cargo is None
+    again, payload = acquire_ownership(tmp_path, takes_over=False)
+    assert payload is None
     again.close()
 
 
-def side(folder, owner, cargo, left):
+def side(folder, owner, payload, left):
     """The owner's side in a thread."""
-    link = Link(folder)
+    link = HandoverSocket(folder)
     link.sock.setblocking(True)
 
     def run():
         try:
-            hand_over(link.sock.accept()[0], cargo, owner, lambda: left.append("left"))
-        except NotHandedOver:
+            hand_over(link.sock.accept()[0], payload, owner, lambda: left.append("left"))
+        except HandoverError:
             left.append("stayed")
         link.close()
 
@@ -204,18 +212,18 @@
 def test_the_lock_passes_with_go_and_is_never_free(tmp_path):
     owner, left = try_lock(tmp_path), []
     pipes = [os.pipe() for _ in range(150)]
-    cargo = Cargo({"format": 1, "x": [1, b"2"]}, [fd for pair in pipes for fd in pair])
-    thread = side(tmp_path, owner, cargo, left)
+    payload = HandoverPayload({"format": 1, "x": [1, b"2"]}, [fd for pair in pipes for fd in pair])
+    thread = side(tmp_path, owner, payload, left)
     new, got = take_over(tmp_path)
     thread.join()
-    assert left == ["left"] and got.values == cargo.values and len(got.fds) == 300
+    assert left == ["left"] and got.values == payload.values and len(got.fds) == 300
     os.write(got.fds[-1], b"x")
     assert os.read(pipes[-1][0], 1) == b"x"  # in their places
     owner.close()
     assert try_lock(tmp_path) is None  # the new one holds it
     new.close()
     got.close()
-    cargo.close()
+    payload.close()
     owner = try_lock(tmp_path)
     assert owner
     owner.close()
@@ -224,7 +232,7 @@
 @pytest.mark.parametrize("frame", [b"", b"\0\0\0\5", b"\0\0\0\1\0\0\0\0\xc1", b"\xff\xff\xff\xff\0\0\0\0"])
 def test_a_new_process_that_is_not_told_go_owns_nothing(tmp_path, frame):
     owner = try_lock(tmp_path)
-    link = Link(tmp_path)
+    link = HandoverSocket(tmp_path)
     link.sock.setblocking(True)
 
     def broken():
@@ -236,9 +244,9 @@
 
     thread = threading.Thread(target=broken)
     thread.start()
-    new, cargo = become_owner(tmp_path, takes_over=True)  # it starts by itself once the owner is gone
+    new, payload = acquire_ownership(tmp_path, takes_over=True)  # it starts by itself once the owner is gone
     thread.join()
-    assert cargo is None
+    assert payload is None
     new.close()
 
 
@@ -246,7 +254,7 @@
     folder = tmp_path / ("x" * 60) / ("y" * 60)
     folder.mkdir(parents=True)
     owner, left = try_lock(folder), []
-    thread = side(folder, owner, Cargo({"format": 1}), left)
+    thread = side(folder, owner, HandoverPayload({"format": 1}), left)
     new, _ = take_over(folder)
     thread.join()
     assert left == ["left"]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,6 @@
 from test_operator import call
 from test_upgrade import healthy, hold_socket
 
-from hopmill.policy.courier import Courier
 from hopmill.interface import (
     AttemptEnded,
     CloseIdle,
@@ -32,6 +31,7 @@
     ZoneCarried,
 )
 from hopmill.net.state import Journal
+from hopmill.policy.courier import Courier
 from hopmill.policy.zones import Zones
 
 COLD = 12 * S
@@ -300,11 +300,11 @@
     assert (await call(fleet.door, "POST", "/zones/nowhere/maint"))[0] == 404
     assert (await call(fleet.door, "GET", "/zones/here/maint"))[0] == 405
     assert (await call(fleet.door, "POST", "/zones"))[0] == 405
-    limit, fleet.host.journal.limit = fleet.host.journal.limit, 0
+    limit, fleet.host.journal.limit_bytes = fleet.host.journal.limit_bytes, 0
     assert (await call(fleet.door, "POST", "/zones/annex/maint"))[0] == 503
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 503
     assert fleet.host.courier.zones.out == {0}  # with nothing changed
-    fleet.host.journal.limit = limit
+    fleet.host.journal.limit_bytes = limit
     assert (await call(fleet.door, "POST", "/zones/here/ready"))[0] == 200
     assert (await call(fleet.door, "GET", "/zones"))[1]["zones"][0]["state"] == "returning"
 
@@ -318,7 +318,7 @@
     await fleet.kill()
     journal = Journal(fleet.folder / "state", 3_000_000)
     journal.compact()
-    assert journal.zones_out == {"here"}
+    assert journal.excluded_zones == {"here"}
     journal.close()
     client = await fleet.outside()
     assert await client.put("m") == "+OK"
