--- a/hopmill/net/accept.py
+++ b/hopmill/net/accept.py
@@ -10,9 +10,9 @@
 from hopmill import logs
 from hopmill.net.config import Address
 
-PAUSE_S = 0.05  # with no descriptor left, until the next try
-LAST = 1024  # connections taken as the socket closes; over any backlog
-OUT_OF_ROOM_S = 5.0  # between two lines of log on that
+RETRY_S = 0.05  # with no descriptor left, until the next try
+MAX_ACCEPTS_AT_CLOSE = 1024  # connections taken as the socket closes; over any backlog
+LOG_INTERVAL_S = 5.0  # between two lines of log on that
 log = logs.part("accept")
 
 
@@ -24,14 +24,18 @@
 class Acceptor:
     """Accepts a few connections in each turn of the loop: some turns pass until these are counted and others
     closed to make room. asyncio's own server sets the socket's backlog, which is not ours to set, and can't
-    say which connections it has taken that no protocol has seen yet."""
+    say which connections it has taken that no protocol_factory has seen yet."""
 
-    def __init__(self, sock: socket.socket, protocol: Callable[[], asyncio.Protocol], a_turn: int) -> None:
-        self.sock, self.protocol, self.a_turn = sock, protocol, a_turn
+    def __init__(
+        self, sock: socket.socket, protocol_factory: Callable[[], asyncio.Protocol], max_per_turn: int
+    ) -> None:
+        self.sock, self.protocol_factory, self.max_per_turn = sock, protocol_factory, max_per_turn
         self.loop = asyncio.get_running_loop()
-        self.pending_joins: set[asyncio.Task[None]] = set()  # accepted, and not with their protocol yet
-        self.pausing: asyncio.TimerHandle | None = None
-        self.warned_at = -OUT_OF_ROOM_S
+        self.pending_joins: set[asyncio.Task[None]] = (
+            set()
+        )  # accepted, and not with their protocol_factory yet
+        self.resume_timer: asyncio.TimerHandle | None = None
+        self.logged_at = -LOG_INTERVAL_S
         sock.setblocking(False)
         self.start()
 
@@ -44,28 +48,28 @@
         return self.sock.getsockname()[1]
 
     def start(self) -> None:
-        self.pausing = None
-        self.loop.add_reader(self.sock, self._ready)
+        self.resume_timer = None
+        self.loop.add_reader(self.sock, self._on_readable)
 
     def stop(self) -> None:
         """Accept no more; what has not been accepted waits in the kernel while the socket is open."""
         self.loop.remove_reader(self.sock)
-        if self.pausing:
-            self.pausing.cancel()
+        if self.resume_timer:
+            self.resume_timer.cancel()
 
     def close(self) -> None:
         """Those that the kernel has accepted already are taken: closing the socket would reset them."""
         if self.is_open:
             self.stop()
-            self._take(LAST)
+            self._accept_up_to(MAX_ACCEPTS_AT_CLOSE)
             self.stop()
             self.sock.close()
 
-    def _ready(self) -> None:
-        self._take(self.a_turn)
+    def _on_readable(self) -> None:
+        self._accept_up_to(self.max_per_turn)
 
-    def _take(self, most: int) -> None:
-        for _ in range(most):
+    def _accept_up_to(self, limit: int) -> None:
+        for _ in range(limit):
             try:
                 connection, _ = self.sock.accept()
             except (BlockingIOError, InterruptedError):
@@ -73,30 +77,32 @@
             except ConnectionAbortedError:
                 continue
             except OSError as error:
-                self._out_of_room(error)
+                self._pause(error)
                 return
             connection.setblocking(False)
             # Asyncio does so only where a socket says which protocol it is of, and those of a listening one
             # that was made without saying so don't. Without it an answer may be held back.
             with contextlib.suppress(OSError):
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.join(connection, self.protocol)
+            self.join(connection, self.protocol_factory)
 
-    def join(self, connection: socket.socket, protocol: Callable[[], asyncio.Protocol]) -> None:
-        task = self.loop.create_task(self._join(connection, protocol))
+    def join(self, connection: socket.socket, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        task = self.loop.create_task(self._join(connection, protocol_factory))
         self.pending_joins.add(task)
         task.add_done_callback(self.pending_joins.discard)
 
-    async def _join(self, connection: socket.socket, protocol: Callable[[], asyncio.Protocol]) -> None:
+    async def _join(
+        self, connection: socket.socket, protocol_factory: Callable[[], asyncio.Protocol]
+    ) -> None:
         try:
-            await self.loop.connect_accepted_socket(protocol, connection)
+            await self.loop.connect_accepted_socket(protocol_factory, connection)
         except OSError as error:
             log.warning("connection.lost", error=error)
             connection.close()
 
-    def _out_of_room(self, error: OSError) -> None:
+    def _pause(self, error: OSError) -> None:
         self.loop.remove_reader(self.sock)
-        self.pausing = self.loop.call_later(PAUSE_S, self.start)
-        if self.loop.time() - self.warned_at >= OUT_OF_ROOM_S:
-            self.warned_at = self.loop.time()
+        self.resume_timer = self.loop.call_later(RETRY_S, self.start)
+        if self.loop.time() - self.logged_at >= LOG_INTERVAL_S:
+            self.logged_at = self.loop.time()
             log.error("accept.paused", error=error)
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -12,18 +12,17 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from hopmill import interface as i
-from hopmill import logs
+from hopmill import interface, logs
 from hopmill.net.calls import Item
 from hopmill.net.upgrade import FolderOwnership, HandoverError, HandoverPayload, HandoverSocket, hand_over
 
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-FORMAT = 1  # of what an upgrade hands over; one that is not known counts as nothing
-LAST_TURNS = 5  # taken before a hand-over, until nothing has come in
-AGAIN_S = 1.0  # after one that failed, until the next is tried: the loop stands still in each
-SPARE_FDS = 24  # what a new process has open before it is given anything
+PAYLOAD_FORMAT = 1  # of what an upgrade hands over; one that is not known counts as nothing
+MAX_LAST_TURNS = 5  # taken before a hand-over, until nothing has come in
+RETRY_INTERVAL_S = 1.0  # after one that failed, until the next is tried: the loop stands still in each
+NEW_PROCESS_FDS = 24  # what a new process has open before it is given anything
 log = logs.part("courier")
 
 
@@ -33,13 +32,15 @@
     def __init__(self, host: Host, ownership: FolderOwnership, payload: HandoverPayload | None) -> None:
         """owner: the right to act on the journal; payload: what came with it from the process before."""
         self.host, self.ownership, self.payload = host, ownership, payload or HandoverPayload()
-        if self.payload.values.get("format") != FORMAT:
+        if self.payload.values.get("format") != PAYLOAD_FORMAT:
             self.payload.close()
             self.payload = HandoverPayload()
-        self.link: HandoverSocket | None = None
-        self.handing_over: asyncio.Task[None] | None = None
-        self.no_upgrade_until = 0.0
-        self.leave: Callable[[], None] = lambda: os._exit(0)  # at once: what is open belongs to another now
+        self.listener: HandoverSocket | None = None
+        self.handover_task: asyncio.Task[None] | None = None
+        self.no_handover_until = 0.0
+        self.exit_process: Callable[[], None] = lambda: os._exit(
+            0
+        )  # at once: what is open belongs to another now
 
     @property
     def carried(self) -> dict[str, Any]:
@@ -47,42 +48,42 @@
         return self.payload.values
 
     def close(self) -> None:
-        if self.link:
-            self.host.loop.remove_reader(self.link.sock)
-            self.link.close()
+        if self.listener:
+            self.host.loop.remove_reader(self.listener.sock)
+            self.listener.close()
         self.ownership.close()
 
-    def offer(self) -> None:
+    def listen(self) -> None:
         try:
-            self.link = HandoverSocket(self.ownership.folder)
+            self.listener = HandoverSocket(self.ownership.folder)
         except OSError as error:  # it serves all the same; an upgrade then waits for its end
             log.error("upgrade.not_offered", error=error)
             return
-        self.host.loop.add_reader(self.link.sock, self._asked_to_hand_over)
+        self.host.loop.add_reader(self.listener.sock, self._on_request)
 
-    def _asked_to_hand_over(self) -> None:
-        sock = self.link.accept() if self.link else None
+    def _on_request(self) -> None:
+        sock = self.listener.accept() if self.listener else None
         if sock is None:
             return
-        if self.handing_over or self.host.loop.time() < self.no_upgrade_until:
+        if self.handover_task or self.host.loop.time() < self.no_handover_until:
             sock.close()  # it asks again
         else:
-            self.handing_over = self.host.loop.create_task(self._hand_over(sock))
+            self.handover_task = self.host.loop.create_task(self._hand_over(sock))
 
     async def _hand_over(self, sock: socket.socket) -> None:
         host = self.host
-        began = host.loop.time()
-        acceptors = [*host.door.acceptors, *([host.clients.acceptor] if host.clients.listening else [])]
+        began_at = host.loop.time()
+        acceptors = [*host.door.acceptors, *([host.clients.acceptor] if host.clients.is_listening else [])]
         for acceptor in acceptors:
             acceptor.stop()
         try:
             while any(acceptor.pending_joins for acceptor in acceptors):  # none is taken that nobody reads
                 await asyncio.sleep(0)
-            for _ in range(LAST_TURNS):  # those that end calls unsent make events anew
+            for _ in range(MAX_LAST_TURNS):  # those that end calls unsent make events anew
                 if host.events or host.intake.arrived:
                     host.turn()
             # From here on the loop stands still: nothing else happens in this process.
-            hand_over(sock, self._payload(), self.ownership, self.leave)
+            hand_over(sock, self._build_payload(), self.ownership, self.exit_process)
         except HandoverError as error:
             log.error("upgrade.not_handed_over", error=error)
         except Exception:  # whatever it was, this process is still the owner
@@ -90,27 +91,27 @@
         sock.close()
         if host.peers:
             host.peers.thaw()
-        self.handing_over, self.no_upgrade_until = None, host.loop.time() + AGAIN_S
-        log.warning("upgrade.stood_still", seconds=round(host.loop.time() - began, 3))
+        self.handover_task, self.no_handover_until = None, host.loop.time() + RETRY_INTERVAL_S
+        log.warning("upgrade.stood_still", seconds=round(host.loop.time() - began_at, 3))
         for acceptor in acceptors:
             if acceptor.is_open:
                 acceptor.start()
 
-    def _payload(self) -> HandoverPayload:
+    def _build_payload(self) -> HandoverPayload:
         """What the journal does not hold. Both processes' copies count as open descriptors."""
         host = self.host
-        room = host.config.sockets - len(os.listdir("/proc/self/fd")) - SPARE_FDS
-        payload = HandoverPayload({"format": FORMAT})
+        room = host.config.sockets - len(os.listdir("/proc/self/fd")) - NEW_PROCESS_FDS
+        payload = HandoverPayload({"format": PAYLOAD_FORMAT})
         payload.values.update(
             uids=host.roster.uids,
             known={"rev": host.watch.rev, "targets": list(host.roster.targets.values())},
             waits=[[*key, until] for key, until in host.roster.waits.items()],
             learned=host.courier.carry(),
-            returning=self._zones_returning(),
+            returning=self._returning_zones(),
             calls=host.calls.carry(payload),
             unwritten=host.calls.unwritten(),
             door=host.door.carry(payload),
-            moved=host.moved_to,
+            moved=host.discovery_moved_to,
         )
         if host.in_force:
             host.in_force.turn_all_away()
@@ -129,32 +130,32 @@
         host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
         host.pool.resume_idle(
             [
-                (endpoint, tuple(address), self.socket_at(place), since, self._born(place, since))
+                (endpoint, tuple(address), self.socket_at(place), since, self._opened_at(place, since))
                 for endpoint, address, place, since, *_ in carried.get("idle", ())
             ]
         )
         host.events += [
-            i.ZoneCarried(host.roster.zone(name), since, until)
+            interface.ZoneCarried(host.roster.zone(name), since, until)
             for name, since, until in carried.get("returning", ())
         ]
-        host.events += [i.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
+        host.events += [interface.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
         for number in carried["unwritten"]:
-            host.note(host.journal.record_not_run, number)
+            host.record_best_effort(host.journal.record_not_run, number)
         calls = [
-            (endpoint, int(started * 1e6), tuple(n for n, _, ended in items if not ended))
+            (endpoint, int(started * 1e6), tuple(number for number, _, ended in items if not ended))
             for endpoint, _, _, started, items, *_ in carried["calls"]
         ]
         host.restore({number for _, _, numbers in calls for number in numbers})
-        host.events += [i.CallCarried(*call) for call in calls]
+        host.events += [interface.CallCarried(*call) for call in calls]
         host.turn()
 
     def socket_at(self, place: int) -> socket.socket:
         return socket.socket(fileno=self.payload.fds[place])
 
-    def _born(self, place: int, since: float) -> float:
+    def _opened_at(self, place: int, since: float) -> float:
         """When a connection was opened, wall clock; the version before told only when it was in use."""
-        told = self.payload.values.get("born", {}).get(place)
-        return told if told is not None else time.time() - (self.host.loop.time() - since)
+        opened_at = self.payload.values.get("born", {}).get(place)
+        return opened_at if opened_at is not None else time.time() - (self.host.loop.time() - since)
 
     def resume_connections(self) -> None:
         """Calls, clients and callers go on; after this all of it has its owner."""
@@ -167,7 +168,7 @@
                 endpoint,
                 tuple(address),
                 socket_at(place),
-                self._born(place, started),
+                self._opened_at(place, started),
                 started,
                 items,
                 received,
@@ -177,17 +178,26 @@
         door = carried["door"]
         if door["listening"] is not None:
             host.door.resume(
-                socket_at(door["listening"]), [(socket_at(p), heard) for p, heard in door["callers"]]
+                socket_at(door["listening"]), [(socket_at(place), heard) for place, heard in door["callers"]]
             )
         self.payload = HandoverPayload()
 
     def _carried_item(self, number: int, timeout_us: int, ended: bool) -> Item:
-        m = self.host.journal.messages.get(number)
-        if m is None:
+        message = self.host.journal.messages.get(number)
+        if message is None:
             return Item(number, -1, "", "", b"", timeout_us, True, ended)
-        return Item(number, m.attempts - 1, m.id, m.key, m.body, timeout_us, True, ended)
+        return Item(
+            number,
+            message.attempts - 1,
+            message.id,
+            message.idempotency_key,
+            message.body,
+            timeout_us,
+            True,
+            ended,
+        )
 
-    def _zones_returning(self) -> list[tuple[str, int, int]]:
+    def _returning_zones(self) -> list[tuple[str, int, int]]:
         """By name: the next process may number them otherwise."""
         names = {number: name for name, number in self.host.roster.zones.items()}
         return [(names[zone], *span) for zone, span in self.host.courier.zones.back.items()]
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -9,8 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from hopmill import interface as i
-from hopmill import logs
+from hopmill import interface, logs
 from hopmill.net import joining
 from hopmill.net.accept import listening_socket
 from hopmill.net.calls import Calls, Hooks, Item, Outcome
@@ -30,12 +29,14 @@
 from hopmill.net.upgrade import FolderOwnership, HandoverPayload
 from hopmill.policy.courier import Courier
 
-OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
-UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
+END_OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
+NOT_RUN_RESULTS = (interface.Result.FULL, interface.Result.CONNECT_FAILED, interface.Result.MOOT)
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself. Clients
 # may hold a third: over that they can't ask at all, so idle connections are closed before there are so many.
-CLIENT_SHARE, IDLE_SHARE = 0.3, 0.2
-MEMORY_SHARE = 1 / 8  # of the memory is for requests that are half way: each may be as long as the longest
+CLIENT_DESCRIPTOR_SHARE, IDLE_DESCRIPTOR_SHARE = 0.3, 0.2
+REQUEST_MEMORY_SHARE = (
+    1 / 8
+)  # of the memory is for requests that are half way: each may be as long as the longest
 log, messages_log, policy_log = logs.part("courier"), logs.part("messages"), logs.part("policy")
 
 
@@ -61,37 +62,40 @@
             max(c.key_window_us for c in self.settings.classes) / 1e6,
         )
         self.roster = Roster(self.settings, config.zones, self.courier.may_serve)
-        self.events: list[i.Event] = []
+        self.events: list[interface.Event] = []
         self.intake = Intake(self)
-        self.guards: dict[int, asyncio.TimerHandle] = {}
-        self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
-        self.scheduled = False
-        self.last_turn = -self.settings.tick_us
+        self.expiry_timers: dict[int, asyncio.TimerHandle] = {}
+        self.next_attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
+        self.turn_scheduled = False
+        self.last_turn_us = -self.settings.tick_us
         self.restart = Restart(self)
         hooks = Hooks(
             lambda endpoint: self.roster.may_write(endpoint, self.clock()),
             self._record_attempts,
-            self._ended,
+            self._attempt_ended,
             lambda endpoint, wait_us: self.roster.told_wait(endpoint, self.clock() + wait_us),
-            self._probed,
+            self._probe_ended,
         )
         self.pool = Pool(
             loop,
             self.settings.connection_idle_us,
             self.settings.connect_timeout_us,
-            int(config.sockets * IDLE_SHARE),
+            int(config.sockets * IDLE_DESCRIPTOR_SHARE),
             self.roster.wanted,
         )
         self.calls = Calls(loop, hooks, self.pool)
-        places = min(config.sockets * CLIENT_SHARE, config.memory_bytes * MEMORY_SHARE / MAX_REQUEST_BYTES)
-        self.clients = ClientServer(self.intake.put, max(8, int(places)))
-        self.notices = Notices(loop, config.discovery, self._accepted)
+        max_clients = min(
+            config.sockets * CLIENT_DESCRIPTOR_SHARE,
+            config.memory_bytes * REQUEST_MEMORY_SHARE / MAX_REQUEST_BYTES,
+        )
+        self.clients = ClientServer(self.intake.put, max(8, int(max_clients)))
+        self.notices = Notices(loop, config.discovery, self._notices_accepted)
         self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.settings.couriers)
         self.options = Options()
         self.observer = Observer(self.settings)
         self.metrics: Any = None  # counted only while the operators' door is open
-        self.due = 0  # when the next turn was to begin, in us of the monotonic clock
-        self.moved_to: Address | None = None  # where discovery went with a changed configuration
+        self.turn_due_us = 0  # when the next turn was to begin, in us of the monotonic clock
+        self.discovery_moved_to: Address | None = None  # where discovery went with a changed configuration
         self.staff = Staff(
             self.courier,
             self.journal,
@@ -100,7 +104,7 @@
             self.clients,
             self.clock,
             self.handle_now,
-            lambda: self.clients.listening and not self.restart.closing_at,
+            lambda: self.clients.is_listening and not self.restart.exit_at,
         )
         self.door = Door(self.staff.routes(), config.sockets)
 
@@ -109,10 +113,14 @@
         carried = self.handover.carried
         self.roster.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
-        self.listed({"all": True, "targets": known["targets"]}, i.ListForm.CACHED)
+        self.listed({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
         number, zone = self.roster.number, self.roster.zone
-        self.events += [i.SetByHand(number(uid), True) for uid in sorted(self.journal.excluded_endpoints)]
-        self.events += [i.SetZoneByHand(zone(name), True) for name in sorted(self.journal.excluded_zones)]
+        self.events += [
+            interface.SetByHand(number(uid), True) for uid in sorted(self.journal.excluded_endpoints)
+        ]
+        self.events += [
+            interface.SetZoneByHand(zone(name), True) for name in sorted(self.journal.excluded_zones)
+        ]
         self.watch.rev = known["rev"]
         self.set_options(self.config.options)
         joining.go_by_policy(self)
@@ -126,12 +134,12 @@
         self.watch.open()
         port = self.clients.listen(self._listening_socket())
         if self.config.operator:
-            self._count()
+            self._enable_metrics()
             self.door.listen(self.config.operator)
         if carried:
             self.handover.resume_connections()
         if self.config.listen_fd is not None:
-            self.handover.offer()
+            self.handover.listen()
         return port
 
     def _listening_socket(self) -> socket.socket:
@@ -139,165 +147,179 @@
             return listening_socket(self.config.listen, BACKLOG)
         return socket.socket(fileno=os.dup(self.config.listen_fd))
 
-    def restore(self, out: set[int]) -> None:
-        """What the journal holds. out: messages whose newest attempt goes on in this process."""
-        for m in list(self.journal.messages.values()):
-            if m.status:
-                self.notices.add(m.number, m.id, m.status, m.retry_after_ms)
+    def restore(self, in_flight: set[int]) -> None:
+        """What the journal holds. in_flight: messages whose newest attempt goes on in this process."""
+        for message in list(self.journal.messages.values()):
+            if message.status:
+                self.notices.add(message.number, message.id, message.status, message.retry_after_ms)
             else:
-                self.events.append(self.arrival(m, m.number in out, True))
-                self.guard(m)
+                self.events.append(self.arrival_event(message, message.number in in_flight, True))
+                self.start_expiry_timer(message)
 
     def clock(self) -> int:
         return time.monotonic_ns() // 1000
 
-    def _mono(self, at: float) -> int:
+    def _to_module_time(self, at: float) -> int:
         """On the module's clock, of a time in the journal."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
-    def arrival(self, m: JournaledMessage, out: bool = False, restored: bool = False) -> i.MessageArrived:
+    def arrival_event(
+        self, message: JournaledMessage, in_flight: bool = False, restored: bool = False
+    ) -> interface.MessageArrived:
         ran, zone = (
-            (m.earlier_run_at, m.earlier_run_zone) if out else (m.may_have_run_at, m.may_have_run_zone)
+            (message.earlier_run_at, message.earlier_run_zone)
+            if in_flight
+            else (message.may_have_run_at, message.may_have_run_zone)
         )
-        return i.MessageArrived(
-            m.number,
-            m.class_index,
-            m.destination,
-            self._mono(m.expires_at),
-            m.tenant,
-            m.order,
-            m.resubmitted,
-            m.attempts,
-            self._mono(ran) if ran else -1,
+        return interface.MessageArrived(
+            message.number,
+            message.class_index,
+            message.destination,
+            self._to_module_time(message.expires_at),
+            message.tenant,
+            message.order_key,
+            message.resubmitted,
+            message.attempts,
+            self._to_module_time(ran) if ran else -1,
             self.roster.zones.get(zone, -1),
-            out,
+            in_flight,
             restored,
         )
 
     # The turn
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: interface.Event) -> None:
         self.events.append(event)
-        self.wake()
+        self.schedule_turn()
 
-    def wake(self) -> None:
+    def schedule_turn(self) -> None:
         """Take a turn as soon as what has come in with this event is read, a tick after the last at least."""
-        if self.scheduled:
+        if self.turn_scheduled:
             return
-        self.scheduled = True
+        self.turn_scheduled = True
         now = self.clock()
-        early = self.last_turn + self.settings.tick_us - now
-        self.due = now + max(0, early)
-        if early <= 0:
+        early_us = self.last_turn_us + self.settings.tick_us - now
+        self.turn_due_us = now + max(0, early_us)
+        if early_us <= 0:
             self.loop.call_soon(self.turn)
         else:
-            self.loop.call_later(early / 1e6, self.turn)
+            self.loop.call_later(early_us / 1e6, self.turn)
 
     def turn(self) -> None:
-        self.scheduled = False
-        self.last_turn = now = self.clock()
-        late, self.due = now - (self.due or now), 0
-        events: list[i.Event] = [i.Connections(*news) for news in self.pool.news()]
+        self.turn_scheduled = False
+        self.last_turn_us = now = self.clock()
+        late_us, self.turn_due_us = now - (self.turn_due_us or now), 0
+        events: list[interface.Event] = [interface.Connections(*news) for news in self.pool.news()]
         events += self.events
         self.events = []
-        arrived = self.intake.turn()
+        arrived = self.intake.take_arrived()
         try:
-            actions: Iterable[i.Action] = self.courier.handle(now, events)
-        except Exception:  # one bad turn must not end the process; each message still has its guard
+            actions: Iterable[interface.Action] = self.courier.handle(now, events)
+        except (
+            Exception
+        ):  # one bad turn must not end the process; each message still has its start_expiry_timer
             log.exception("turn.failed", count=len(events))
-            actions = [i.Fail(n) for n in arrived]
+            actions = [interface.Fail(n) for n in arrived]
         try:
-            self._carry_out(list(actions), arrived)
+            self._execute(list(actions), arrived)
         except Exception:
             log.exception("actions.failed", count=len(actions))
             for _, replies in arrived.values():
                 for reply in replies:
                     reply.send(b"-ERR internal error\r\n")
         if self.metrics:
-            self.metrics.turn((self.clock() - now) / 1e6, late / 1e6)
+            self.metrics.turn((self.clock() - now) / 1e6, late_us / 1e6)
 
-    def _carry_out(
-        self, actions: list[i.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
+    def _execute(
+        self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
     ) -> None:
-        for a in actions:
-            if isinstance(a, (i.Refuse, i.Fail)) and a.message in arrived:
-                m, replies = arrived.pop(a.message)
-                self.observer.refused(m, a.retry_after_us if isinstance(a, i.Refuse) else 0)
+        for action in actions:
+            if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in arrived:
+                message, replies = arrived.pop(action.message)
+                self.observer.refused(
+                    message, action.retry_after_us if isinstance(action, interface.Refuse) else 0
+                )
                 for reply in replies:
-                    reply.send(refusal(a.retry_after_us) if isinstance(a, i.Refuse) else b"-ERR failed\r\n")
-        for m, replies in arrived.values():
-            self.intake.accept(m, replies)
-        bundles: dict[int, list[Item]] = {}
-        for a in actions:
-            if isinstance(a, i.Send):
-                self._send(a, bundles)
-            elif isinstance(a, (i.Refuse, i.Fail)):
-                self._final(a)
-            elif isinstance(a, i.SetTimer):
-                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.post, i.TimerDue(a.token))
-            elif isinstance(a, i.CloseIdle):
-                self.pool.close_idle(a.endpoint, ASKED)
-            elif isinstance(a, i.Keep):
-                self.pool.keep(a.endpoint, a.most)
-            elif isinstance(a, i.OpenIdle):
-                self.pool.warm(a.endpoint)
-            elif isinstance(a, i.Cancel):
-                self.calls.cancel(a.message, a.attempt)
-            elif isinstance(a, i.Probe):
-                self.calls.probe(a.endpoint)
-            elif isinstance(a, i.Log):
-                policy_log.info("policy", text=a.text)
-        for endpoint, items in bundles.items():
-            most = self.roster.batch(endpoint)
-            for at in range(0, len(items), most):
-                self._call(endpoint, items[at : at + most])
+                    reply.send(
+                        refusal(action.retry_after_us)
+                        if isinstance(action, interface.Refuse)
+                        else b"-ERR failed\r\n"
+                    )
+        for message, replies in arrived.values():
+            self.intake.accept(message, replies)
+        batches: dict[int, list[Item]] = {}
+        for action in actions:
+            if isinstance(action, interface.Send):
+                self._send(action, batches)
+            elif isinstance(action, (interface.Refuse, interface.Fail)):
+                self._end_by_action(action)
+            elif isinstance(action, interface.SetTimer):
+                self.loop.call_later(
+                    action.delay_us / 1e6 + 5e-5, self.post, interface.TimerDue(action.token)
+                )
+            elif isinstance(action, interface.CloseIdle):
+                self.pool.close_idle(action.endpoint, ASKED)
+            elif isinstance(action, interface.Keep):
+                self.pool.keep(action.endpoint, action.most)
+            elif isinstance(action, interface.OpenIdle):
+                self.pool.warm(action.endpoint)
+            elif isinstance(action, interface.Cancel):
+                self.calls.cancel(action.message, action.attempt)
+            elif isinstance(action, interface.Probe):
+                self.calls.probe(action.endpoint)
+            elif isinstance(action, interface.Log):
+                policy_log.info("policy", text=action.text)
+        for endpoint, items in batches.items():
+            max_items = self.roster.batch(endpoint)
+            for start in range(0, len(items), max_items):
+                self._call(endpoint, items[start : start + max_items])
 
     # Ends
 
-    def guard(self, m: JournaledMessage) -> None:
-        delay = max(0.0, m.expires_at + OVERDUE_S - self.journal.scale.now())
-        self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
+    def start_expiry_timer(self, message: JournaledMessage) -> None:
+        delay = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
+        self.expiry_timers[message.number] = self.loop.call_later(delay, self._expire, message.number)
 
-    def _overdue(self, number: int) -> None:
-        m = self.journal.messages.get(number)
-        if m and not m.status:
-            messages_log.error("message.overdue", message=m.id)
-            self.post(i.MessageGone(number))
-            self.end(m, "undeliverable", 0)
+    def _expire(self, number: int) -> None:
+        message = self.journal.messages.get(number)
+        if message and not message.status:
+            messages_log.error("message.overdue", message=message.id)
+            self.post(interface.MessageGone(number))
+            self.end_message(message, "undeliverable", 0)
 
-    def _final(self, a: i.Refuse | i.Fail) -> None:
-        m = self.journal.messages.get(a.message)
-        if m is None or m.status:
+    def _end_by_action(self, action: interface.Refuse | interface.Fail) -> None:
+        message = self.journal.messages.get(action.message)
+        if message is None or message.status:
             return
-        if isinstance(a, i.Refuse):
-            self.end(m, "deferred", -(-a.retry_after_us // 1000))
+        if isinstance(action, interface.Refuse):
+            self.end_message(message, "deferred", -(-action.retry_after_us // 1000))
         else:
-            self.end(m, "undeliverable", 0)
+            self.end_message(message, "undeliverable", 0)
 
-    def end(self, m: JournaledMessage, status: str, again_ms: int) -> None:
+    def end_message(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
         """Owe the notice, then send it."""
         try:
-            self.journal.record_end(m.number, status, again_ms)
+            self.journal.record_end(message.number, status, retry_after_ms)
         except OSError as error:  # sent all the same: to end it once more after a restart does no harm
             log.error("journal.failed", error=error)
-            self.journal.mark_ended(m, status, again_ms)
-        self._unguard(m.number)
-        self.attempts.pop(m.number, None)
-        self.observer.over(m, status, again_ms)
-        self.notices.add(m.number, m.id, status, again_ms)
+            self.journal.mark_ended(message, status, retry_after_ms)
+        self._cancel_expiry_timer(message.number)
+        self.next_attempts.pop(message.number, None)
+        self.observer.over(message, status, retry_after_ms)
+        self.notices.add(message.number, message.id, status, retry_after_ms)
 
-    def _unguard(self, number: int) -> None:
-        if guard := self.guards.pop(number, None):
-            guard.cancel()
+    def _cancel_expiry_timer(self, number: int) -> None:
+        if timer := self.expiry_timers.pop(number, None):
+            timer.cancel()
 
-    def _accepted(self, numbers: list[int]) -> None:
+    def _notices_accepted(self, numbers: list[int]) -> None:
         if messages_log.debugs:
-            for m in (self.journal.messages[n] for n in numbers if n in self.journal.messages):
-                self.observer.told(m)
-        self.note(self.journal.record_notices_accepted, numbers)
+            for message in (self.journal.messages[n] for n in numbers if n in self.journal.messages):
+                self.observer.told(message)
+        self.record_best_effort(self.journal.record_notices_accepted, numbers)
         self.restart.maybe_exit()
 
-    def note(self, write: Any, *args: Any) -> None:
+    def record_best_effort(self, write: Any, *args: Any) -> None:
         """A record whose loss does no harm: a restart then takes the more careful view."""
         try:
             write(*args)
@@ -306,20 +328,26 @@
 
     # Calls
 
-    def _send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
-        m = self.journal.messages.get(a.message)
-        attempt = self.attempts.get(a.message, m.attempts if m else 0)
-        self.attempts[a.message] = attempt + 1
-        if m is None or m.status:
-            self.post(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
+    def _send(self, action: interface.Send, batches: dict[int, list[Item]]) -> None:
+        message = self.journal.messages.get(action.message)
+        attempt = self.next_attempts.get(action.message, message.attempts if message else 0)
+        self.next_attempts[action.message] = attempt + 1
+        if message is None or message.status:
+            self.post(
+                interface.AttemptEnded(
+                    action.message, attempt, action.endpoint, interface.Result.MOOT, 0, message is None
+                )
+            )
             return
-        item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
+        item = Item(
+            message.number, attempt, message.id, message.idempotency_key, message.body, action.timeout_us
+        )
         if messages_log.debugs:
-            self.observer.sent(m, attempt, self.roster.uid(a.endpoint), a.timeout_us)
-        if self.roster.batch(a.endpoint) > 1:
-            bundles.setdefault(a.endpoint, []).append(item)
+            self.observer.sent(message, attempt, self.roster.uid(action.endpoint), action.timeout_us)
+        if self.roster.batch(action.endpoint) > 1:
+            batches.setdefault(action.endpoint, []).append(item)
         else:
-            self._call(a.endpoint, [item])
+            self._call(action.endpoint, [item])
 
     def _call(self, endpoint: int, items: list[Item]) -> None:
         try:
@@ -329,59 +357,65 @@
             for item in items:
                 if not item.ended:
                     item.ended = True
-                    result = i.Result.RESET if item.begun else i.Result.MOOT
-                    self._ended(item, endpoint, Outcome(result), 0)
+                    result = interface.Result.RESET if item.begun else interface.Result.MOOT
+                    self._attempt_ended(item, endpoint, Outcome(result), 0)
 
     def _record_attempts(self, endpoint: int, items: list[Item]) -> list[Item]:
         now = self.journal.scale.now()
-        items = [x for x in items if (m := self.journal.messages.get(x.number)) and self._repeats(m, now)]
+        items = [
+            item
+            for item in items
+            if (message := self.journal.messages.get(item.number)) and self._may_attempt_now(message, now)
+        ]
         if not items:
             return items
         try:
-            self.journal.record_attempt([n.number for n in items], now, self.roster.zone_of(endpoint))
+            self.journal.record_attempt([item.number for item in items], now, self.roster.zone_of(endpoint))
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
         if self.in_force and not self.in_force.may_act():  # the last thing before the call is written
             for item in items:
-                self.note(self.journal.record_not_run, item.number)
+                self.record_best_effort(self.journal.record_not_run, item.number)
             return []
         return items
 
-    def _repeats(self, m: JournaledMessage, now: float) -> bool:
+    def _may_attempt_now(self, message: JournaledMessage, now: float) -> bool:
         """Whether its class allows another attempt at this moment: the module has decided some time ago, and
         a connection may have taken long to come up."""
-        cls, ran_at = self.settings.classes[m.class_index], m.may_have_run_at
-        if not ran_at or cls.effect is i.Effect.SAFE:
+        cls, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
+        if not ran_at or cls.effect is interface.Effect.SAFE:
             return True
-        window = cls.key_window_us if cls.effect is i.Effect.KEYED else 0
+        window = cls.key_window_us if cls.effect is interface.Effect.KEYED else 0
         return now < ran_at + (window - 3 * self.settings.tick_us) / 1e6
 
-    def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.messages.get(item.number)
-        over = outcome.over or m is None
-        if m and (self.metrics or self.observer.counting or messages_log.debugs):
+    def _attempt_ended(self, item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
+        message = self.journal.messages.get(item.number)
+        over = outcome.over or message is None
+        if message and (self.metrics or self.observer.counting or messages_log.debugs):
             self.observer.ended(
-                m, item.attempt, self.roster.uid(endpoint), outcome.result, latency, outcome.wait_us
+                message, item.attempt, self.roster.uid(endpoint), outcome.result, latency_us, outcome.wait_us
             )
-        if outcome.over and m:
-            if not m.status:
-                self.observer.over(m, "delivered" if outcome.result is i.Result.OK else "withdrawn")
-            self.note(self.journal.record_done, m.number)
-            self._unguard(m.number)
-        elif m and item.begun and outcome.result in UNRUN:
-            self.note(self.journal.record_not_run, m.number)
+        if outcome.over and message:
+            if not message.status:
+                self.observer.over(
+                    message, "delivered" if outcome.result is interface.Result.OK else "withdrawn"
+                )
+            self.record_best_effort(self.journal.record_done, message.number)
+            self._cancel_expiry_timer(message.number)
+        elif message and item.begun and outcome.result in NOT_RUN_RESULTS:
+            self.record_best_effort(self.journal.record_not_run, message.number)
         if over:
-            self.attempts.pop(item.number, None)
+            self.next_attempts.pop(item.number, None)
         named = dict(outcome.report)
         report = tuple(named.get(name, 0.0) for name in self.settings.report_fields) if named else ()
         self.post(
-            i.AttemptEnded(
+            interface.AttemptEnded(
                 item.number,
                 item.attempt,
                 endpoint,
                 outcome.result,
-                max(1, latency),
+                max(1, latency_us),
                 over,
                 outcome.wait_us,
                 report,
@@ -390,20 +424,20 @@
         )
         self.restart.maybe_exit()
 
-    def _probed(self, endpoint: int, result: i.Result, latency: int) -> None:
-        self.post(i.ProbeEnded(endpoint, result, latency))
+    def _probe_ended(self, endpoint: int, result: interface.Result, latency_us: int) -> None:
+        self.post(interface.ProbeEnded(endpoint, result, latency_us))
 
     # News
 
-    def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> None:
+    def listed(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
         self.post(self.roster.listed(change, form, self.pool))
 
-    def handle_now(self, event: i.Event) -> None:
+    def handle_now(self, event: interface.Event) -> None:
         """An operator's word holds from the answer on: its turn comes before that."""
         self.events.append(event)
         self.turn()
 
-    def _count(self) -> None:
+    def _enable_metrics(self) -> None:
         """Only here is the library read: what is not asked for costs a courier in service no memory."""
         from hopmill.net.metrics import HostState, Metrics
 
@@ -415,11 +449,11 @@
         if options != self.options:
             log.info("config.options", warm_up=options.warm_up)
             self.options = options
-            self.post(i.WarmUp(options.warm_up))
+            self.post(interface.WarmUp(options.warm_up))
 
     def move_discovery(self, address: Address) -> None:
         """A changed configuration: the list comes from there and notices go there from now on."""
-        self.moved_to = address
+        self.discovery_moved_to = address
         self.watch.move(address)
         self.notices.move(address)
 
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -4,8 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hopmill import interface as i
-from hopmill import logs
+from hopmill import interface, logs
 from hopmill.net.clients import Reply
 from hopmill.net.put import BadRequestError, Put
 from hopmill.net.state import JournaledMessage
@@ -22,36 +21,36 @@
 
     def __init__(self, host: Host) -> None:
         self.host, settings = host, host.settings
-        self.numbers = host.journal.last_number
-        self.classes = {c.name: n for n, c in enumerate(settings.classes)}
-        self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
+        self.last_number = host.journal.last_number
+        self.class_indexes = {c.name: index for index, c in enumerate(settings.classes)}
+        self.tenant_indexes = {t.name: index for index, t in enumerate(settings.tenants)}
         self.arrived: Arrived = {}
-        self.arriving: dict[str, int] = {}  # their ids
+        self.arrived_numbers_by_id: dict[str, int] = {}  # their ids
 
-    def turn(self) -> Arrived:
+    def take_arrived(self) -> Arrived:
         """What came since the last turn: this one answers it."""
         arrived, self.arrived = self.arrived, {}
-        self.arriving.clear()
+        self.arrived_numbers_by_id.clear()
         return arrived
 
     def put(self, put: Put, reply: Reply) -> None:
         """A message is handed in. It is answered in the turn that follows."""
         host = self.host
-        cls = self.classes.get(put.cls)
-        if cls is None:
+        class_index = self.class_indexes.get(put.class_name)
+        if class_index is None:
             raise BadRequestError("c: no such class")
-        tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
+        tenant = self.tenant_indexes.get(put.tenant_name or "", -1) if self.tenant_indexes else 0
         if tenant < 0:
             raise BadRequestError("t: no such tenant")
-        if host.settings.classes[cls].effect is i.Effect.KEYED and not put.key:
+        if host.settings.classes[class_index].effect is interface.Effect.KEYED and not put.idempotency_key:
             raise BadRequestError("k: lacks, and the class is keyed")
         # PROTOCOL has zeros there unless the class keeps an order; a known id is answered all the same.
-        if put.order and not host.settings.classes[cls].ordered and not self._known(put.id):
+        if put.order_key and not host.settings.classes[class_index].ordered and not self._is_known(put.id):
             raise BadRequestError("key: must be zeros, for the class keeps no order")
-        if put.id in self.arriving:
-            self.arrived[self.arriving[put.id]][1].append(reply)
+        if put.id in self.arrived_numbers_by_id:
+            self.arrived[self.arrived_numbers_by_id[put.id]][1].append(reply)
             return
-        if self._known(put.id):
+        if self._is_known(put.id):
             reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
             return
         if host.in_force and not host.in_force.may_act():
@@ -61,67 +60,72 @@
             reply.send(refusal(host.courier.come_back_us()))
             return
         now = host.journal.scale.now()
-        self.numbers += 1
-        m = JournaledMessage(
-            self.numbers,
+        self.last_number += 1
+        message = JournaledMessage(
+            self.last_number,
             put.id,
-            cls,
+            class_index,
             tenant,
-            put.dest,
-            put.key,
+            put.destination,
+            put.idempotency_key,
             now + put.lifetime_ms / 1e3,
             put.resubmitted,
             put.body,
-            put.order,
-            earlier_run_at=host.journal.key_first_run_at(put.key),
+            put.order_key,
+            earlier_run_at=host.journal.key_first_run_at(put.idempotency_key),
         )
-        self._replace(m)
-        self.arrived[m.number] = (m, [reply])
-        self.arriving[m.id] = m.number
-        host.observer.put(m, put.lifetime_ms)
-        host.post(host.arrival(m))
+        self._replace_older(message)
+        self.arrived[message.number] = (message, [reply])
+        self.arrived_numbers_by_id[message.id] = message.number
+        host.observer.put(message, put.lifetime_ms)
+        host.post(host.arrival_event(message))
 
-    def _known(self, ident: str) -> bool:
+    def _is_known(self, message_id: str) -> bool:
         host = self.host
         return (
-            ident in self.arriving or ident in host.journal.numbers_by_id or ident in host.journal.ended_ids
+            message_id in self.arrived_numbers_by_id
+            or message_id in host.journal.numbers_by_id
+            or message_id in host.journal.ended_ids
         )
 
-    def _replace(self, m: JournaledMessage) -> None:
+    def _replace_older(self, message: JournaledMessage) -> None:
         """A key that is still open here is handed in again only by a client that gave the older one up."""
         host = self.host
-        if not m.key:
+        if not message.idempotency_key:
             return
-        for old in host.journal.messages.values():
-            if old.key == m.key and not old.status:
-                if not m.earlier_run_at:
-                    m.earlier_run_at, m.earlier_run_zone = old.may_have_run_at, old.may_have_run_zone
-                host.post(i.MessageGone(old.number))
-                last = host.attempts.get(old.number, 0) - 1
-                host.end(old, "deferred", 0)
-                host.calls.cancel(old.number, last)
+        for older in host.journal.messages.values():
+            if older.idempotency_key == message.idempotency_key and not older.status:
+                if not message.earlier_run_at:
+                    message.earlier_run_at, message.earlier_run_zone = (
+                        older.may_have_run_at,
+                        older.may_have_run_zone,
+                    )
+                host.post(interface.MessageGone(older.number))
+                latest_attempt = host.next_attempts.get(older.number, 0) - 1
+                host.end_message(older, "deferred", 0)
+                host.calls.cancel(older.number, latest_attempt)
                 return
 
-    def accept(self, m: JournaledMessage, replies: list[Reply]) -> None:
+    def accept(self, message: JournaledMessage, replies: list[Reply]) -> None:
         """The module has let it in: it is recorded, then answered."""
         host, text = self.host, b"+OK\r\n"
         if host.in_force and not host.in_force.may_act():
-            host.post(i.MessageGone(m.number))  # the lease ended between the turn's two halves
+            host.post(interface.MessageGone(message.number))  # the lease ended between the turn's two halves
             for reply in replies:
                 reply.send(refusal(host.courier.come_back_us()))
             return
         if not any(r.is_wanted for r in replies):
-            host.post(i.MessageGone(m.number))  # nobody heard that it was taken on
+            host.post(interface.MessageGone(message.number))  # nobody heard that it was taken on
             return
         try:
-            host.journal.record_message(m)
+            host.journal.record_message(message)
         except OSError as error:
-            messages_log.error("message.not_taken", message=m.id, error=error)
+            messages_log.error("message.not_taken", message=message.id, error=error)
             text = refusal(host.courier.come_back_us())
-            host.post(i.MessageGone(m.number))
+            host.post(interface.MessageGone(message.number))
         else:
-            host.guard(m)
-            host.observer.taken(m)
+            host.start_expiry_timer(message)
+            host.observer.taken(message)
         for reply in replies:
             reply.send(text)
 
--- a/hopmill/net/resp.py
+++ b/hopmill/net/resp.py
@@ -11,19 +11,19 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of all elements of a request
 MAX_ELEMENTS = 16  # the longest command has five
-MAX_LINE = 4096  # of anything that is not a bulk string
-END = b"\r\n"
+MAX_LINE_BYTES = 4096  # of anything that is not a bulk string
+CRLF = b"\r\n"
 
 
 class ProtocolError(ValueError):
     """Where the next request begins can't be known any more."""
 
 
-class Improper:
+class MalformedValue:
     """A whole value that is no array of bulk strings."""
 
 
-IMPROPER = Improper()
+MALFORMED = MalformedValue()
 
 
 class RequestReader:
@@ -31,95 +31,103 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self._start()
+        self._reset()
 
-    def _start(self) -> None:
+    def _reset(self) -> None:
         self.elements: list[bytes] = []
-        self.missing = 1  # values that the request still lacks
-        self.bulk = -1  # bytes of the bulk string that is being read, -1 for none
-        self.announced = self.taken = 0
-        self.proper = True
+        self.values_missing = 1  # values that the request still lacks
+        self.bulk_size = -1  # bytes of the bulk string that is being read, -1 for none
+        self.values_begun = self.bulk_bytes = 0
+        self.is_well_formed = True
 
     @property
     def has_partial_request(self) -> bool:
         """Whether a request has begun and is not whole."""
-        return bool(self.buffer) or self.announced > 0
+        return bool(self.buffer) or self.values_begun > 0
 
     def carry(self) -> list[Any]:
         """What was read of a request that is not whole, for the process that takes over."""
         return [
             bytes(self.buffer),
             self.elements,
-            self.missing,
-            self.bulk,
-            self.announced,
-            self.taken,
-            self.proper,
+            self.values_missing,
+            self.bulk_size,
+            self.values_begun,
+            self.bulk_bytes,
+            self.is_well_formed,
         ]
 
     def resume(self, carried: list[Any]) -> None:
-        (buffer, self.elements, self.missing, self.bulk, self.announced, self.taken, self.proper) = carried
+        (
+            buffer,
+            self.elements,
+            self.values_missing,
+            self.bulk_size,
+            self.values_begun,
+            self.bulk_bytes,
+            self.is_well_formed,
+        ) = carried
         self.buffer = bytearray(buffer)
 
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
-    def next(self) -> list[bytes] | Improper | None:
+    def next_request(self) -> list[bytes] | MalformedValue | None:
         """The next whole request, or None until more bytes come."""
-        while self.missing:
-            if not (self._bulk() if self.bulk >= 0 else self._line()):
+        while self.values_missing:
+            if not (self._read_bulk() if self.bulk_size >= 0 else self._read_line()):
                 return None
-        request = self.elements if self.proper and self.elements else IMPROPER
-        self._start()
+        request = self.elements if self.is_well_formed and self.elements else MALFORMED
+        self._reset()
         return request
 
-    def _bulk(self) -> bool:
-        if len(self.buffer) < self.bulk + len(END):
+    def _read_bulk(self) -> bool:
+        if len(self.buffer) < self.bulk_size + len(CRLF):
             return False
-        if self.buffer[self.bulk : self.bulk + len(END)] != END:
+        if self.buffer[self.bulk_size : self.bulk_size + len(CRLF)] != CRLF:
             raise ProtocolError("a bulk string is longer than it said")
-        self.elements.append(bytes(self.buffer[: self.bulk]))
-        del self.buffer[: self.bulk + len(END)]
-        self.bulk = -1
-        self.missing -= 1
+        self.elements.append(bytes(self.buffer[: self.bulk_size]))
+        del self.buffer[: self.bulk_size + len(CRLF)]
+        self.bulk_size = -1
+        self.values_missing -= 1
         return True
 
-    def _line(self) -> bool:
-        end = self.buffer.find(END, 0, MAX_LINE)
+    def _read_line(self) -> bool:
+        end = self.buffer.find(CRLF, 0, MAX_LINE_BYTES)
         if end < 0:
-            if len(self.buffer) >= MAX_LINE:
+            if len(self.buffer) >= MAX_LINE_BYTES:
                 raise ProtocolError("a line is too long")
             if self.buffer and self.buffer[:1] not in b"*$+-:":
                 raise ProtocolError("expected an array of bulk strings")
             return False
-        mark, text = bytes(self.buffer[:1]), bytes(self.buffer[1:end])
-        del self.buffer[: end + len(END)]
-        first, self.announced = self.announced == 0, self.announced + 1
-        if mark == b"*":
-            count = max(0, _count(text, MAX_ELEMENTS))
-            self.proper = self.proper and first
-            self.missing += count - 1
-            if self.announced + self.missing > MAX_ELEMENTS + 1:
+        type_byte, text = bytes(self.buffer[:1]), bytes(self.buffer[1:end])
+        del self.buffer[: end + len(CRLF)]
+        is_first, self.values_begun = self.values_begun == 0, self.values_begun + 1
+        if type_byte == b"*":
+            count = max(0, _parse_length(text, MAX_ELEMENTS))
+            self.is_well_formed = self.is_well_formed and is_first
+            self.values_missing += count - 1
+            if self.values_begun + self.values_missing > MAX_ELEMENTS + 1:
                 raise ProtocolError("too many elements")
-        elif mark == b"$":
-            size = _count(text, MAX_REQUEST_BYTES - self.taken)
-            self.proper = self.proper and not first and size >= 0
-            self.bulk, self.taken = size, self.taken + max(0, size)
-            self.missing -= size < 0
-        elif mark and mark in b"+-:":
-            self.proper = False
-            self.missing -= 1
+        elif type_byte == b"$":
+            size = _parse_length(text, MAX_REQUEST_BYTES - self.bulk_bytes)
+            self.is_well_formed = self.is_well_formed and not is_first and size >= 0
+            self.bulk_size, self.bulk_bytes = size, self.bulk_bytes + max(0, size)
+            self.values_missing -= size < 0
+        elif type_byte and type_byte in b"+-:":
+            self.is_well_formed = False
+            self.values_missing -= 1
         else:
             raise ProtocolError("expected an array of bulk strings")
         return True
 
 
-def _count(text: bytes, most: int) -> int:
+def _parse_length(text: bytes, maximum: int) -> int:
     """A length as RESP writes it; -1 stands for none."""
     if text == b"-1":
         return -1
     if not text.isdigit() or len(text) > 9:
         raise ProtocolError("a length must be a whole number")
-    if int(text) > most:
+    if int(text) > maximum:
         raise ProtocolError("too large")
     return int(text)
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -19,19 +19,21 @@
 from hopmill.net.timescale import TimeScale, boot_id, from_wall_clock
 
 RECORD_HEADER = struct.Struct(">II")  # length, checksum
-JOURNAL_FILE, FRESH = "messages.journal", "messages.journal.new"
-BLOCK = 512  # files count in whole blocks
-EACH = 160  # bytes kept free for each message's later records
+JOURNAL_FILE, NEW_JOURNAL_FILE = "messages.journal", "messages.journal.new"
+BLOCK_BYTES = 512  # files count in whole round_up_to_blocks
+ENTRY_RESERVE_BYTES = 160  # bytes kept free for each message's later records
 SPARE_BYTES = 8192  # kept free for all else
-OVER_S = 30.0  # how long the id of a message that is over is known
-KEYS_S = 60.0  # and an idempotency key past its window
-STEP_S = 0.001  # a scale that begins no later than this after the latest record was set back to it
-SMALL = 1 << 17  # a file under this is not worth compacting
+ENDED_ID_RETENTION_S = 30.0  # how long the id of a message that is over is known
+KEY_EXTRA_RETENTION_S = 60.0  # and an idempotency key past its window
+SET_BACK_TOLERANCE_S = (
+    0.001  # a scale that begins no later than this after the latest record was set back to it
+)
+MIN_COMPACTION_BYTES = 1 << 17  # a file under this is not worth compacting
 log = logs.part("journal")
 
 
 class JournalFullError(OSError):
-    """The record would take more than the disk limit allows."""
+    """The record would take extra_bytes than the disk limit allows."""
 
 
 @dataclass
@@ -43,11 +45,11 @@
     class_index: int
     tenant: int
     destination: int
-    key: str
+    idempotency_key: str
     expires_at: float
     resubmitted: bool
     body: bytes
-    order: int = 0
+    order_key: int = 0
     attempts: int = 0
     latest_attempt_at: float = 0.0  # start of the newest attempt, 0 once it has proved that it never ran
     earlier_run_at: float = 0.0  # start of the first attempt that may have run
@@ -69,7 +71,7 @@
 
     @property
     def size_bytes(self) -> int:
-        return len(self.body) + len(self.id) + len(self.key) + EACH
+        return len(self.body) + len(self.id) + len(self.idempotency_key) + ENTRY_RESERVE_BYTES
 
 
 def encode_record(record: list[Any]) -> bytes:
@@ -79,31 +81,31 @@
 
 def parse_records(data: bytes) -> tuple[list[list[Any]], int]:
     """The whole records at the start of data, and where they end."""
-    records, at = [], 0
-    while at + RECORD_HEADER.size <= len(data):
-        size, checksum = RECORD_HEADER.unpack_from(data, at)
-        payload = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + size]
+    records, offset = [], 0
+    while offset + RECORD_HEADER.size <= len(data):
+        size, checksum = RECORD_HEADER.unpack_from(data, offset)
+        payload = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + size]
         if len(payload) != size or zlib.crc32(payload) != checksum or not size:
             break
         try:
             records.append(msgpack.unpackb(payload))
         except (ValueError, msgpack.exceptions.UnpackException) as error:
             log.error("journal.unreadable", error=error)
-        at += RECORD_HEADER.size + size
-    return records, at
+        offset += RECORD_HEADER.size + size
+    return records, offset
 
 
-def blocks(size: int) -> int:
-    return -(-size // BLOCK) * BLOCK
+def round_up_to_blocks(size: int) -> int:
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
 class JournalContents:
     """What records add up to: open messages, owed notices and what is remembered of those that are over."""
 
     def __init__(self, key_window_s: float = 0.0) -> None:
-        self.key_window_s, self.key_s = key_window_s, key_window_s + KEYS_S
+        self.key_window_s, self.key_retention_s = key_window_s, key_window_s + KEY_EXTRA_RETENTION_S
         self.scale = from_wall_clock(0.0, "")  # until a record tells it
-        self.latest = 0.0  # time in a record
+        self.latest_at = 0.0  # time in a record
         self.messages: dict[int, JournaledMessage] = {}
         self.numbers_by_id: dict[str, int] = {}
         self.ended_ids: dict[str, float] = {}  # id: when it was over
@@ -119,81 +121,86 @@
     def apply(self, record: list[Any]) -> None:
         kind = record[0]
         if kind == "take":
-            m = JournaledMessage(*record[1:])
-            if m.number in self.messages:
-                self.open_count -= not self.messages[m.number].status
-            self.messages[m.number], self.numbers_by_id[m.id] = m, m.number
-            self.open_count += not m.status
-            self.last_number = max(self.last_number, m.number)
-            self.live_bytes += m.size_bytes
+            message = JournaledMessage(*record[1:])
+            if message.number in self.messages:
+                self.open_count -= not self.messages[message.number].status
+            self.messages[message.number], self.numbers_by_id[message.id] = message, message.number
+            self.open_count += not message.status
+            self.last_number = max(self.last_number, message.number)
+            self.live_bytes += message.size_bytes
         elif kind == "try":
             for number in record[1]:
-                if m := self.messages.get(number):
-                    m.earlier_run_zone, m.earlier_run_at = m.may_have_run_zone, m.may_have_run_at
-                    m.attempts, m.latest_attempt_at = m.attempts + 1, record[2]
-                    self.latest = max(self.latest, m.latest_attempt_at)
-                    m.latest_attempt_zone = str(record[3]) if len(record) > 3 else ""
-                    if m.key:
-                        self._remember_key(m.key, m.may_have_run_at)
+                if message := self.messages.get(number):
+                    message.earlier_run_zone, message.earlier_run_at = (
+                        message.may_have_run_zone,
+                        message.may_have_run_at,
+                    )
+                    message.attempts, message.latest_attempt_at = message.attempts + 1, record[2]
+                    self.latest_at = max(self.latest_at, message.latest_attempt_at)
+                    message.latest_attempt_zone = str(record[3]) if len(record) > 3 else ""
+                    if message.idempotency_key:
+                        self._remember_key(message.idempotency_key, message.may_have_run_at)
         elif kind == "miss":
-            if m := self.messages.get(record[1]):
-                m.latest_attempt_at = 0.0
-                if m.key and not m.earlier_run_at:
-                    self.live_bytes -= EACH * (self.first_run_by_key.pop(m.key, None) is not None)
+            if message := self.messages.get(record[1]):
+                message.latest_attempt_at = 0.0
+                if message.idempotency_key and not message.earlier_run_at:
+                    self.live_bytes -= ENTRY_RESERVE_BYTES * (
+                        self.first_run_by_key.pop(message.idempotency_key, None) is not None
+                    )
         elif kind == "final":
-            if m := self.messages.get(record[1]):
-                self.live_bytes -= len(m.body)
-                m.body = b""
-                self.mark_ended(m, record[2], record[3])
+            if message := self.messages.get(record[1]):
+                self.live_bytes -= len(message.body)
+                message.body = b""
+                self.mark_ended(message, record[2], record[3])
         elif kind == "over":
             for number in record[1]:
-                if m := self.messages.pop(number, None):
-                    self.open_count -= not m.status
-                    self.numbers_by_id.pop(m.id, None)
-                    self.live_bytes -= m.size_bytes
-                    self._remember_over(m.id, record[2])
+                if message := self.messages.pop(number, None):
+                    self.open_count -= not message.status
+                    self.numbers_by_id.pop(message.id, None)
+                    self.live_bytes -= message.size_bytes
+                    self._remember_ended_id(message.id, record[2])
         elif kind == "clock":
             self.scale = TimeScale(str(record[1]), float(record[2]))
         elif kind == "drain":
             self.drained = bool(record[1])
         elif kind == "hand":
-            self._set(self.excluded_endpoints, str(record[1]), bool(record[2]))
+            self._set_excluded(self.excluded_endpoints, str(record[1]), bool(record[2]))
         elif kind == "zone":
-            self._set(self.excluded_zones, str(record[1]), bool(record[2]))
+            self._set_excluded(self.excluded_zones, str(record[1]), bool(record[2]))
         elif kind == "known":
             self.last_number = max(self.last_number, record[1])
-            for ident, at in record[2].items():
-                self._remember_over(ident, at)
+            for message_id, at in record[2].items():
+                self._remember_ended_id(message_id, at)
             for key, at in record[3].items():
                 self._remember_key(key, at)
 
-    def mark_ended(self, m: JournaledMessage, status: str, again_ms: int) -> None:
+    def mark_ended(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
         """Its end is known; a notice of it is owed."""
-        self.open_count -= not m.status
-        m.status, m.retry_after_ms = status, again_ms
+        self.open_count -= not message.status
+        message.status, message.retry_after_ms = status, retry_after_ms
 
-    def _set(self, names: set[str], name: str, out: bool) -> None:
-        self.live_bytes += (len(name) + EACH) * (out - (name in names))
-        (names.add if out else names.discard)(name)
+    def _set_excluded(self, names: set[str], name: str, excluded: bool) -> None:
+        self.live_bytes += (len(name) + ENTRY_RESERVE_BYTES) * (excluded - (name in names))
+        (names.add if excluded else names.discard)(name)
 
     def key_first_run_at(self, key: str) -> float:
         """When the first attempt with this key that may have run was sent, 0 if none is known."""
         at = self.first_run_by_key.get(key, 0.0) if key else 0.0
-        return at if self.scale.now() - at < self.key_s else 0.0
+        return at if self.scale.now() - at < self.key_retention_s else 0.0
 
-    def _remember_over(self, ident: str, at: float) -> None:
-        if self.ended_ids.pop(ident, None) is None:
-            self.live_bytes += EACH
-        self.latest = max(self.latest, at)
-        self.ended_ids[ident] = at  # the newest last
+    def _remember_ended_id(self, message_id: str, at: float) -> None:
+        if self.ended_ids.pop(message_id, None) is None:
+            self.live_bytes += ENTRY_RESERVE_BYTES
+        self.latest_at = max(self.latest_at, at)
+        self.ended_ids[message_id] = at  # the newest last
         # Not only when the file is rewritten: how often that is hangs on the disk limit, not on the ids' age.
-        while at - self.ended_ids[oldest := next(iter(self.ended_ids))] >= OVER_S:
+        while at - self.ended_ids[oldest := next(iter(self.ended_ids))] >= ENDED_ID_RETENTION_S:
             del self.ended_ids[oldest]
-            self.live_bytes -= EACH
+            self.live_bytes -= ENTRY_RESERVE_BYTES
 
     def _remember_key(self, key: str, at: float) -> None:
         if key not in self.first_run_by_key:
-            self.live_bytes += EACH
+            self.live_bytes += ENTRY_RESERVE_BYTES
             self.first_run_by_key[key] = at
 
 
@@ -202,19 +209,19 @@
 
     def __init__(self, folder: Path, limit_bytes: int, key_window_s: float = 0.0) -> None:
         super().__init__(key_window_s)
-        self.path, self.fresh = folder / JOURNAL_FILE, folder / FRESH
+        self.path, self.new_path = folder / JOURNAL_FILE, folder / NEW_JOURNAL_FILE
         self.limit_bytes = limit_bytes
-        self.fresh.unlink(missing_ok=True)
-        self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
+        self.new_path.unlink(missing_ok=True)
+        self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         self.size_bytes = self._restore()
-        self._set_scale()
+        self._set_time_scale()
 
     def _restore(self) -> int:
         data = self.path.read_bytes()
         records, end = parse_records(data)
         if end < len(data):
             log.warning("journal.tail_cut", bytes=len(data) - end)
-            os.ftruncate(self.file, end)
+            os.ftruncate(self.fd, end)
         for record in records:
             try:
                 self.apply(record)
@@ -222,45 +229,45 @@
                 log.error("journal.unusable", error=error)
         return end
 
-    def _set_scale(self) -> None:
+    def _set_time_scale(self) -> None:
         """That of this boot, where a process before this one wrote in it; else the wall clock's."""
         if self.scale.is_of_this_boot():
             return
-        self.scale = from_wall_clock(self.latest, boot_id())
+        self.scale = from_wall_clock(self.latest_at, boot_id())
         try:
-            if self.scale.now() <= self.latest + STEP_S:
-                self._forget_windows()
+            if self.scale.now() <= self.latest_at + SET_BACK_TOLERANCE_S:
+                self._expire_key_windows()
                 self.compact()  # with the scale in it, or the next start finds out anew
             else:
                 self._write(["clock", self.scale.boot_id, self.scale.offset_s])
         except OSError as error:
             log.error("journal.failed", error=error)
 
-    def _forget_windows(self) -> None:
+    def _expire_key_windows(self) -> None:
         """The wall clock went back between two boots: nobody knows how long the machine was down, so whatever
         may have run is taken to be past its window."""
-        for m in self.messages.values():
-            if m.may_have_run_at:
-                m.earlier_run_zone, m.earlier_run_at = (
-                    m.may_have_run_zone,
-                    min(m.may_have_run_at, self.latest) - self.key_s,
+        for message in self.messages.values():
+            if message.may_have_run_at:
+                message.earlier_run_zone, message.earlier_run_at = (
+                    message.may_have_run_zone,
+                    min(message.may_have_run_at, self.latest_at) - self.key_retention_s,
                 )
         self.first_run_by_key = {
-            key: min(at, self.latest - self.key_window_s) for key, at in self.first_run_by_key.items()
+            key: min(at, self.latest_at - self.key_window_s) for key, at in self.first_run_by_key.items()
         }
 
     def close(self) -> None:
-        os.close(self.file)
+        os.close(self.fd)
 
     # Records: written first, then applied; restoring applies the same ones.
 
-    def record_message(self, m: JournaledMessage) -> None:
+    def record_message(self, message: JournaledMessage) -> None:
         """The message is taken on."""
-        if not self._room(m.size_bytes):
-            self.compact()  # it may be ids and keys that nobody needs any more
-            if not self._room(m.size_bytes):
-                raise JournalFullError(f"no room for {m.size_bytes} bytes")
-        self._write(m.to_record())
+        if not self._has_room_for(message.size_bytes):
+            self.compact()  # it may be ids and keys that nobody needs any extra_bytes
+            if not self._has_room_for(message.size_bytes):
+                raise JournalFullError(f"no room for {message.size_bytes} bytes")
+        self._write(message.to_record())
 
     def record_attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
         """An attempt of these is about to be written, to an endpoint in that zone."""
@@ -271,84 +278,96 @@
         self._write(["miss", number])
 
     def record_done(self, number: int) -> None:
-        """Delivered, withdrawn, or refused before it was taken on: nothing more is owed."""
+        """Delivered, withdrawn, or refused before it was taken on: nothing extra_bytes is owed."""
         self._write(["over", [number], self.scale.now()])
 
-    def record_end(self, number: int, status: str, again_ms: int) -> None:
+    def record_end(self, number: int, status: str, retry_after_ms: int) -> None:
         """A notice is owed."""
-        self._write(["final", number, status, again_ms])
+        self._write(["final", number, status, retry_after_ms])
 
     def record_notices_accepted(self, numbers: list[int]) -> None:
         """Notices were accepted."""
         self._write(["over", numbers, self.scale.now()])
 
-    def record_drained(self, on: bool) -> None:
+    def record_drained(self, drained: bool) -> None:
         """An operator sends the clients away, or calls them back."""
-        self._write(["drain", on])
+        self._write(["drain", drained])
 
-    def record_endpoint_excluded(self, uid: str, out: bool) -> None:
+    def record_endpoint_excluded(self, uid: str, excluded: bool) -> None:
         """An operator leaves an endpoint out, or lets it serve again."""
-        self._write(["hand", uid, out])
+        self._write(["hand", uid, excluded])
 
-    def record_zone_excluded(self, name: str, out: bool) -> None:
+    def record_zone_excluded(self, name: str, excluded: bool) -> None:
         """An operator leaves a zone out, or lets it return."""
-        self._write(["zone", name, out])
+        self._write(["zone", name, excluded])
 
     def _write(self, record: list[Any]) -> None:
         data = encode_record(record)
-        if self.size_bytes + len(data) > max(SMALL, 4 * self.live_bytes) or not self._fits(len(data)):
+        if self.size_bytes + len(data) > max(
+            MIN_COMPACTION_BYTES, 4 * self.live_bytes
+        ) or not self._can_compact_after(len(data)):
             self.compact()
-        if blocks(self.size_bytes + len(data)) > self.limit_bytes:
+        if round_up_to_blocks(self.size_bytes + len(data)) > self.limit_bytes:
             raise JournalFullError("the disk limit is reached")
         try:
-            written = os.write(self.file, data)
+            written = os.write(self.fd, data)
         except OSError:
-            os.ftruncate(self.file, self.size_bytes)
+            os.ftruncate(self.fd, self.size_bytes)
             raise
         if written != len(data):  # a part of a record would hide all that comes after it
-            os.ftruncate(self.file, self.size_bytes)
+            os.ftruncate(self.fd, self.size_bytes)
             raise JournalFullError("the disk is full")
         self.size_bytes += written
         self.apply(record)
 
-    def _room(self, more: int) -> bool:
+    def _has_room_for(self, extra_bytes: int) -> bool:
         """Whether two copies of all that is open, and of this, would stay under the limit."""
-        return blocks(2 * (self.live_bytes + more) + SPARE_BYTES) <= self.limit_bytes
+        return round_up_to_blocks(2 * (self.live_bytes + extra_bytes) + SPARE_BYTES) <= self.limit_bytes
 
-    def _fits(self, more: int) -> bool:
+    def _can_compact_after(self, extra_bytes: int) -> bool:
         """Whether a compacted copy could still stand beside the file."""
-        return blocks(self.size_bytes + more) + blocks(self.live_bytes + SPARE_BYTES) <= self.limit_bytes
+        return (
+            round_up_to_blocks(self.size_bytes + extra_bytes)
+            + round_up_to_blocks(self.live_bytes + SPARE_BYTES)
+            <= self.limit_bytes
+        )
 
     def compact(self) -> None:
         """Write what is still needed into a new file and put it in the old one's place."""
         now = self.scale.now()
-        self.ended_ids = {i: at for i, at in self.ended_ids.items() if now - at < OVER_S}
-        self.first_run_by_key = {k: at for k, at in self.first_run_by_key.items() if now - at < self.key_s}
-        self.live_bytes = sum(m.size_bytes for m in self.messages.values()) + EACH * (
-            len(self.ended_ids) + len(self.first_run_by_key)
+        self.ended_ids = {
+            message_id: at for message_id, at in self.ended_ids.items() if now - at < ENDED_ID_RETENTION_S
+        }
+        self.first_run_by_key = {
+            key: at for key, at in self.first_run_by_key.items() if now - at < self.key_retention_s
+        }
+        self.live_bytes = sum(
+            message.size_bytes for message in self.messages.values()
+        ) + ENTRY_RESERVE_BYTES * (len(self.ended_ids) + len(self.first_run_by_key))
+        self.live_bytes += sum(
+            len(name) + ENTRY_RESERVE_BYTES for name in (*self.excluded_endpoints, *self.excluded_zones)
         )
-        self.live_bytes += sum(len(name) + EACH for name in (*self.excluded_endpoints, *self.excluded_zones))
-        parts = [
+        frames = [
             encode_record(["clock", self.scale.boot_id, self.scale.offset_s]),
             encode_record(["known", self.last_number, self.ended_ids, self.first_run_by_key]),
             encode_record(["drain", self.drained]),
             *(encode_record(["hand", uid, True]) for uid in self.excluded_endpoints),
             *(encode_record(["zone", name, True]) for name in self.excluded_zones),
         ]
-        for m in self.messages.values():
-            parts.append(encode_record(m.to_record()))
-        data = b"".join(parts)
-        if blocks(self.size_bytes) + blocks(len(data)) > self.limit_bytes:
+        for message in self.messages.values():
+            frames.append(encode_record(message.to_record()))
+        data = b"".join(frames)
+        if round_up_to_blocks(self.size_bytes) + round_up_to_blocks(len(data)) > self.limit_bytes:
             return
-        file = os.open(self.fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+        new_fd = os.open(self.new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
-            if os.write(file, data) != len(data):
+            if os.write(new_fd, data) != len(data):
                 raise JournalFullError("the disk is full")
-            os.rename(self.fresh, self.path)
+            os.rename(self.new_path, self.path)
         except OSError as error:  # the old file is whole: go on with it
             log.error("journal.not_compacted", error=error)
-            os.close(file)
-            self.fresh.unlink(missing_ok=True)
+            os.close(new_fd)
+            self.new_path.unlink(missing_ok=True)
             return
-        os.close(self.file)
-        self.file, self.size_bytes = file, len(data)
+        os.close(self.fd)
+        self.fd, self.size_bytes = new_fd, len(data)
--- a/hopmill/net/timescale.py
+++ b/hopmill/net/timescale.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
 def elapsed_s() -> float:
@@ -20,7 +20,7 @@
 def boot_id() -> str:
     """Of this boot and no other; "" if it is not told, which is no boot's."""
     try:
-        return BOOT_ID.read_text().strip()
+        return BOOT_ID_FILE.read_text().strip()
     except OSError:
         return ""
 
@@ -40,6 +40,6 @@
         return bool(self.boot_id) and self.boot_id == boot_id()
 
 
-def from_wall_clock(latest: float, boot: str) -> TimeScale:
-    """A new one; nothing that was written before it, at `latest` for one, lies ahead of it."""
-    return TimeScale(boot, max(time.time(), latest) - elapsed_s())
+def from_wall_clock(latest_at: float, boot: str) -> TimeScale:
+    """A new one; nothing that was written before it, at `latest_at` for one, lies ahead of it."""
+    return TimeScale(boot, max(time.time(), latest_at) - elapsed_s())
--- a/hopmill/net/upgrade.py
+++ b/hopmill/net/upgrade.py
@@ -21,14 +21,17 @@
 
 from hopmill import logs
 
-LOCK, LINK = "owner.lock", "upgrade.sock"
-STEP_S = 0.5  # what each side gives the other for a step: the owner stands still meanwhile
-FREE_S, OFTEN_S = 60.0, 0.05  # how long the lock is waited for beside an owner that hands over, and how often
-LEFT_S = 2.0  # and without one: a process that was killed may take a moment to be gone
-HEAD = struct.Struct(">II")  # bytes of the frame, descriptors after it
-MOST_FDS = 200  # in one message; the kernel takes 253
-MAX_FRAME = 64 << 20
-MAX_PATH = 100  # bytes of a socket's path; the kernel takes 107
+LOCK_FILE, SOCKET_FILE = "owner.lock", "upgrade.sock"
+STEP_TIMEOUT_S = 0.5  # what each side gives the other for a step: the owner stands still meanwhile
+TAKEOVER_WAIT_S, LOCK_POLL_S = (
+    60.0,
+    0.05,
+)  # how long the lock is waited for beside an owner that hands over, and how often
+EXIT_WAIT_S = 2.0  # and without one: a process that was killed may take a moment to be gone
+FRAME_HEADER = struct.Struct(">II")  # bytes of the frame, descriptors after it
+MAX_FDS_PER_MESSAGE = 200  # in one message; the kernel takes 253
+MAX_FRAME_BYTES = 64 << 20
+MAX_SOCKET_PATH_BYTES = 100  # bytes of a socket's path; the kernel takes 107
 log = logs.part("upgrade")
 
 
@@ -64,7 +67,7 @@
 
 
 def try_lock(folder: Path) -> FolderOwnership | None:
-    fd = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    fd = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
@@ -75,35 +78,35 @@
     return FolderOwnership(folder, fd)
 
 
-def acquire_ownership(folder: Path, takes_over: bool) -> tuple[FolderOwnership, HandoverPayload | None]:
+def acquire_ownership(folder: Path, may_take_over: bool) -> tuple[FolderOwnership, HandoverPayload | None]:
     """Own the folder: at once if nobody does, from the owner if this process may take over."""
-    until, said = time.monotonic() + (FREE_S if takes_over else LEFT_S), ""
-    while time.monotonic() < until:
+    deadline, last_error = time.monotonic() + (TAKEOVER_WAIT_S if may_take_over else EXIT_WAIT_S), ""
+    while time.monotonic() < deadline:
         if ownership := try_lock(folder):
             return ownership, None
-        if takes_over:
+        if may_take_over:
             try:
                 return take_over(folder)
             except (OSError, ValueError, msgpack.exceptions.UnpackException) as error:
-                if str(error) != said:
-                    said = str(error)
-                    log.warning("upgrade.not_taken_over", error=said)
-        time.sleep(OFTEN_S)
-    raise OSError(f"{folder / LOCK} is held by another process")
+                if str(error) != last_error:
+                    last_error = str(error)
+                    log.warning("upgrade.not_taken_over", error=last_error)
+        time.sleep(LOCK_POLL_S)
+    raise OSError(f"{folder / LOCK_FILE} is held by another process")
 
 
 @contextlib.contextmanager
-def link_path(folder: Path) -> Any:
+def socket_path(folder: Path) -> Any:
     """The link's path, short enough for a socket."""
-    path = str(folder / LINK)
-    if len(path.encode()) <= MAX_PATH:
+    path = str(folder / SOCKET_FILE)
+    if len(path.encode()) <= MAX_SOCKET_PATH_BYTES:
         yield path
         return
-    at = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    directory_fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{at}/{LINK}"
+        yield f"/proc/self/fd/{directory_fd}/{SOCKET_FILE}"
     finally:
-        os.close(at)
+        os.close(directory_fd)
 
 
 # The new process's side
@@ -111,36 +114,38 @@
 
 def take_over(folder: Path) -> tuple[FolderOwnership, HandoverPayload]:
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(STEP_S)
-        with link_path(folder) as path:
+        sock.settimeout(STEP_TIMEOUT_S)
+        with socket_path(folder) as path:
             sock.connect(path)
         payload = HandoverPayload()
         try:
-            size, count = HEAD.unpack(_exactly(sock, HEAD.size))
-            if size > MAX_FRAME:
+            size, count = FRAME_HEADER.unpack(_receive_exactly(sock, FRAME_HEADER.size))
+            if size > MAX_FRAME_BYTES:
                 raise ValueError("the frame is too large")
-            payload.values = msgpack.unpackb(_exactly(sock, size), strict_map_key=False)
+            payload.values = msgpack.unpackb(_receive_exactly(sock, size), strict_map_key=False)
             while len(payload.fds) < count:
-                payload.fds += _descriptors(sock, min(MOST_FDS, count - len(payload.fds)))
+                payload.fds += _receive_descriptors(sock, min(MAX_FDS_PER_MESSAGE, count - len(payload.fds)))
             sock.sendall(b"have")
-            lock = _descriptors(sock, 1)  # 'go': from here on this process acts, and the other never again
+            lock_fds = _receive_descriptors(
+                sock, 1
+            )  # 'go': from here on this process acts, and the other never again
         except BaseException:
             payload.close()
             raise
-        return FolderOwnership(folder, lock[0]), payload
+        return FolderOwnership(folder, lock_fds[0]), payload
 
 
-def _exactly(sock: socket.socket, size: int) -> bytes:
+def _receive_exactly(sock: socket.socket, size: int) -> bytes:
     data = bytearray()
     while len(data) < size:
-        part = sock.recv(min(1 << 16, size - len(data)))
-        if not part:
+        chunk = sock.recv(min(1 << 16, size - len(data)))
+        if not chunk:
             raise HandoverError("the other side ended")
-        data += part
+        data += chunk
     return bytes(data)
 
 
-def _descriptors(sock: socket.socket, count: int) -> list[int]:
+def _receive_descriptors(sock: socket.socket, count: int) -> list[int]:
     data, fds, flags, _ = socket.recv_fds(sock, 1, count)
     if not data or len(fds) != count or flags & socket.MSG_CTRUNC:
         HandoverPayload(fds=list(fds)).close()
@@ -155,12 +160,12 @@
     """Where the owner waits for a process that takes over."""
 
     def __init__(self, folder: Path) -> None:
-        (folder / LINK).unlink(missing_ok=True)  # an earlier owner's
+        (folder / SOCKET_FILE).unlink(missing_ok=True)  # an earlier owner's
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.setblocking(False)
-        with link_path(folder) as path:
+        with socket_path(folder) as path:
             self.sock.bind(path)
-        os.chmod(folder / LINK, 0o600)
+        os.chmod(folder / SOCKET_FILE, 0o600)
         self.sock.listen(1)
 
     def accept(self) -> socket.socket | None:
@@ -174,18 +179,21 @@
 
 
 def hand_over(
-    sock: socket.socket, payload: HandoverPayload, ownership: FolderOwnership, leave: Callable[[], None]
+    sock: socket.socket,
+    payload: HandoverPayload,
+    ownership: FolderOwnership,
+    exit_process: Callable[[], None],
 ) -> None:
     """Give all to the process at the other end, then leave; HandoverError if this one remains the owner."""
-    sock.settimeout(STEP_S)
+    sock.settimeout(STEP_TIMEOUT_S)
     try:
         frame = msgpack.packb(payload.values)
-        sock.sendall(HEAD.pack(len(frame), len(payload.fds)) + frame)
-        for at in range(0, len(payload.fds), MOST_FDS):
-            socket.send_fds(sock, [b"."], payload.fds[at : at + MOST_FDS])
-        if _exactly(sock, 4) != b"have":
+        sock.sendall(FRAME_HEADER.pack(len(frame), len(payload.fds)) + frame)
+        for start in range(0, len(payload.fds), MAX_FDS_PER_MESSAGE):
+            socket.send_fds(sock, [b"."], payload.fds[start : start + MAX_FDS_PER_MESSAGE])
+        if _receive_exactly(sock, 4) != b"have":
             raise HandoverError("the other side spoke out of turn")
         socket.send_fds(sock, [b"g"], [ownership.fd])
     except OSError as error:
         raise HandoverError(str(error)) from error
-    leave()
+    exit_process()
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -351,7 +351,7 @@
         reload()
         fleet.host.turn()
         assert fleet.host.courier.connections.warm_up is on
-        assert fleet.host.moved_to  # a wrong option does not keep it from following discovery
+        assert fleet.host.discovery_moved_to  # a wrong option does not keep it from following discovery
 
 
 def test_settings_that_cannot_be_are_named(tmp_path):
@@ -386,7 +386,7 @@
     ],
 )
 def test_a_peer_that_sends_no_proper_request_is_closed(tmp_path, monkeypatch, first, then, said):
-    monkeypatch.setattr("hopmill.net.clients.REQUEST_S", 0.1)
+    monkeypatch.setattr("hopmill.net.clients.REQUEST_TIMEOUT_S", 0.1)
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -400,7 +400,7 @@
 
 
 def test_a_client_with_nothing_open_is_closed_and_each_request_gives_it_time_anew(tmp_path, monkeypatch):
-    monkeypatch.setattr("hopmill.net.clients.REQUEST_S", 3600.0)
+    monkeypatch.setattr("hopmill.net.clients.REQUEST_TIMEOUT_S", 3600.0)
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -408,21 +408,21 @@
             (peer,), dues = fleet.host.clients.connections, []
             for _ in range(3):
                 assert await client.send(client.command(b"PING")) == "+PONG"
-                dues.append(peer._due())
+                dues.append(peer._deadline())
             assert dues == sorted(set(dues))
             peer.timer.cancel()
-            peer._overdue()  # set before the newest request: it asks again
-            assert not peer.closing
-            peer.proper_at -= 3600.0
+            peer._on_timeout()  # set before the newest request: it asks again
+            assert not peer.is_closing
+            peer.last_request_at -= 3600.0
             peer.timer.cancel()
-            peer._overdue()
+            peer._on_timeout()
             assert await bounded(client.reader.read()) == b""
 
     asyncio.run(run())
 
 
 def test_a_peer_that_does_not_read_its_answers_is_closed(tmp_path, monkeypatch):
-    monkeypatch.setattr("hopmill.net.clients.REQUEST_S", 0.1)
+    monkeypatch.setattr("hopmill.net.clients.REQUEST_TIMEOUT_S", 0.1)
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -575,9 +575,9 @@
     def late(by):
         peer.timer.cancel()
         peer.timer = None
-        for name in ("heard_at", "proper_at", "begun_at"):
+        for name in ("heard_at", "last_request_at", "request_began_at"):
             setattr(peer, name, getattr(peer, name) - by)
-        peer._overdue()
+        peer._on_timeout()
 
     message = client.message("m")
     late(2.0)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -85,7 +85,7 @@
     side = await joined(fleet.host, peer)
     await peer.send(PING)
     assert await peer.some() == PONG
-    side.finish()
+    side.close_if_idle()
     assert await peer.some() == b""  # it has heard the end, and sends all the same
     await peer.send(put("late"))
     assert await peer.rest() == (b"", "end")
@@ -102,9 +102,9 @@
     side.transport.pause_reading()  # the loop has not come to it yet
     await peer.send(PING)
     await until(lambda: any(fcntl.ioctl(side.fileno, termios.FIONREAD, bytes(4))))
-    side.proper_at -= 60
+    side.last_request_at -= 60
     side._stop_timer()
-    side._overdue()
+    side._on_timeout()
     side.transport.resume_reading()
     assert await peer.some() == PONG
     peer.close()
@@ -122,7 +122,7 @@
         client._handle = lambda request, n=n, client=client: (order.append(n), handle(client, request))
     beside.transport.pause_reading()
     await one.send(PING)
-    await until(lambda: beside.unheard)
+    await until(lambda: beside.has_unread_bytes)
     beside.transport.resume_reading()  # it is read in the next turn of the loop
     side.data_received(PING * 1000)  # in one read
     many.half_close()
@@ -155,14 +155,16 @@
             good = await fleet.inside()
             peer = Peer(fleet.port)
             side = await joined(fleet.host, peer)
-            turns, wake = [], fleet.host.wake
-            fleet.host.wake = lambda: turns.append(1)  # no turn until the test says so
+            turns, wake = [], fleet.host.schedule_turn
+            fleet.host.schedule_turn = lambda: turns.append(1)  # no turn until the test says so
             await peer.send(put("m"))
             await until(lambda: fleet.host.intake.arrived)
             if when == "before":
                 getattr(peer, end)()
-                await until(lambda: side.gone if end == "reset" else side.ended)  # a close may be half a one
-            fleet.host.wake = wake
+                await until(
+                    lambda: side.is_lost if end == "reset" else side.peer_sent_eof
+                )  # a close may be half a one
+            fleet.host.schedule_turn = wake
             fleet.host.turn()
             taken = when == "after" or end != "reset"
             assert [m.id for m in fleet.host.journal.messages.values()] == ["m"] * taken
@@ -172,7 +174,7 @@
                 )
             if when == "after":
                 getattr(peer, end)()
-                await until(lambda: side.gone)
+                await until(lambda: side.is_lost)
             if taken:
                 assert (await e.call())[1]["x-request-id"] == "m"
             assert await good.put("good") == "+OK"
@@ -196,8 +198,8 @@
 
 @pytest.mark.parametrize("bad", BAD)
 def test_a_bad_peer_costs_a_good_client_nothing_and_is_ended(tmp_path, monkeypatch, bad):
-    monkeypatch.setattr("hopmill.net.clients.REQUEST_S", 1.0)
-    monkeypatch.setattr("hopmill.net.clients.MOST_S", 1.2)
+    monkeypatch.setattr("hopmill.net.clients.REQUEST_TIMEOUT_S", 1.0)
+    monkeypatch.setattr("hopmill.net.clients.MAX_REQUEST_S", 1.2)
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -218,7 +220,7 @@
             for n in range(20):
                 assert await asyncio.wait_for(good.put(f"m{n}"), 0.4) == "+OK"
                 assert (await e.call())[1]["x-request-id"] == f"m{n}"
-            await until(lambda: side.gone)
+            await until(lambda: side.is_lost)
             acting.cancel()
             peer.close()
             assert not {m.id for m in fleet.host.journal.messages.values()} - {f"m{n}" for n in range(20)}
@@ -238,7 +240,7 @@
     for peer in peers:
         await peer.send(PING)
     fleet.host.clients.stop_listening()
-    assert not fleet.host.clients.empty
+    assert not fleet.host.clients.is_empty
     for peer in peers:
         assert await peer.some() == PONG
         peer.close()
@@ -264,12 +266,12 @@
     whole, half = Peer(fleet.port), Peer(fleet.port)
     await joined(host, whole)
     side = await joined(host, half)
-    host.wake = lambda: None  # the turn that would answer does not come before the end
+    host.schedule_turn = lambda: None  # the turn that would answer does not come before the end
     await whole.send(put("whole", dest=99))
     await half.send(put("half", dest=99)[:50])
     await until(lambda: host.intake.arrived and side.reader.has_partial_request)
     host.restart.terminate()
-    host.restart._last_answers()
+    host.restart._answer_and_reject()
     assert await whole.rest() == (OK, "end")
     assert await half.rest() == (b"-ERR no whole request in time\r\n", "end")
     assert [m.id for m in host.journal.messages.values()] == ["whole"]
@@ -287,13 +289,13 @@
     fleet.host.restart.terminate()
     fleet.host.clients.stop_listening()
     for client in list(fleet.host.clients.connections):
-        client.finish()
-    assert side.leaving and not side.gone
+        client.close_if_idle()
+    assert side.is_lingering and not side.is_lost
     fleet.host.restart.maybe_exit()
     assert not fleet.host.restart.closed.done()
     assert await peer.some() == b""
     peer.close()
-    await until(lambda: fleet.host.clients.empty)
+    await until(lambda: fleet.host.clients.is_empty)
     fleet.host.restart.maybe_exit()
     assert fleet.host.restart.closed.done()
 
@@ -492,7 +494,7 @@
         acceptor.stop()
         acceptor.sock = Full()
         acceptor.close()
-        assert not acceptor.is_open and acceptor.pausing.cancelled()
+        assert not acceptor.is_open and acceptor.resume_timer.cancelled()
 
     asyncio.run(run())
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -403,12 +403,12 @@
     await e.call()
     host = fleet.host
     await until(lambda: host.pool.idle)
-    payload = host.handover._payload()
+    payload = host.handover._build_payload()
     values = payload.values
     del values["born"]
     values["unknown"] = {"x": 1}
     values["idle"] = [[*row, "later field"] for row in values["idle"]]
-    born = host.handover._born(0, host.loop.time() - 5)
+    born = host.handover._opened_at(0, host.loop.time() - 5)
     host.handover.payload = HandoverPayload(values, [os.dup(fd) for fd in payload.fds])
     host.pool.close_idle(host.roster.uids["a"])
     host.handover.resume()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -5,14 +5,14 @@
 from hypothesis import strategies as st
 from loopback import Client, courier
 
-from hopmill.net.resp import IMPROPER, MAX_ELEMENTS, MAX_REQUEST_BYTES, ProtocolError, RequestReader
+from hopmill.net.resp import MALFORMED, MAX_ELEMENTS, MAX_REQUEST_BYTES, ProtocolError, RequestReader
 
 
 def read(*parts):
     reader, got = RequestReader(), []
     for part in parts:
         reader.feed(part)
-        while (request := reader.next()) is not None:
+        while (request := reader.next_request()) is not None:
             got.append(request)
     return got, reader
 
@@ -40,7 +40,7 @@
     ],
 )
 def test_an_improper_value_is_read_whole(value):
-    assert read(value + Client.command(b"PING"))[0] == [IMPROPER, [b"PING"]]
+    assert read(value + Client.command(b"PING"))[0] == [MALFORMED, [b"PING"]]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -172,10 +172,10 @@
     fleet.host.door.resume(former, [])
     fleet.host.door.former.close()
     left = asyncio.Event()
-    fleet.host.handover.leave = left.set
+    fleet.host.handover.exit_process = left.set
     link = HandoverSocket(fleet.folder / "state")
-    fleet.host.handover.link = link
-    fleet.host.loop.add_reader(link.sock, fleet.host.handover._asked_to_hand_over)
+    fleet.host.handover.listener = link
+    fleet.host.loop.add_reader(link.sock, fleet.host.handover._on_request)
     new, payload = await bounded(asyncio.to_thread(take_over, fleet.folder / "state"))
     await bounded(left.wait())
     assert payload.values["door"]["listening"] is not None
@@ -187,7 +187,7 @@
     owner = try_lock(tmp_path)
     assert owner and try_lock(tmp_path) is None
     owner.close()
-    again, payload = acquire_ownership(tmp_path, takes_over=False)
+    again, payload = acquire_ownership(tmp_path, may_take_over=False)
     assert payload is None
     again.close()
 
@@ -244,7 +244,9 @@
 
     thread = threading.Thread(target=broken)
     thread.start()
-    new, payload = acquire_ownership(tmp_path, takes_over=True)  # it starts by itself once the owner is gone
+    new, payload = acquire_ownership(
+        tmp_path, may_take_over=True
+    )  # it starts by itself once the owner is gone
     thread.join()
     assert payload is None
     new.close()
