--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -18,17 +18,16 @@
 from hopmill import logs
 from hopmill.net.timescale import TimeScale, boot_id, from_wall_clock
 
-RECORD_HEADER = struct.Struct(">II")  # length, checksum
+RECORD_HEADER = struct.Struct(">II")  # length of the payload in bytes, its CRC-32
 JOURNAL_FILE, NEW_JOURNAL_FILE = "messages.journal", "messages.journal.new"
-BLOCK_BYTES = 512  # files count in whole round_up_to_blocks
-ENTRY_RESERVE_BYTES = 160  # bytes kept free for each message's later records
-SPARE_BYTES = 8192  # kept free for all else
-ENDED_ID_RETENTION_S = 30.0  # how long the id of a message that is over is known
-KEY_EXTRA_RETENTION_S = 60.0  # and an idempotency key past its window
-SET_BACK_TOLERANCE_S = (
-    0.001  # a scale that begins no later than this after the latest record was set back to it
-)
-MIN_COMPACTION_BYTES = 1 << 17  # a file under this is not worth compacting
+BLOCK_BYTES = 512  # a file counts against the disk limit in whole blocks
+ENTRY_RESERVE_BYTES = 160  # reserved for the later records of a message, and for each remembered name
+SPARE_BYTES = 8192  # reserved for all other records
+ENDED_ID_RETENTION_S = 30.0  # ids of ended messages are recognized for this long
+KEY_EXTRA_RETENTION_S = 60.0  # idempotency keys are remembered for this long after their window
+# The wall clock counts as set back if the new time scale begins no later than this after the latest record.
+SET_BACK_TOLERANCE_S = 0.001
+MIN_COMPACTION_BYTES = 1 << 17  # smaller files are compacted only for lack of space
 log = logs.part("journal")
 
 
@@ -40,23 +39,23 @@
 class JournaledMessage:
     """A message that the courier owes something: its end, or a notice of it. Times are the journal's."""
 
-    number: int
-    id: str
-    class_index: int
-    tenant: int
+    number: int  # assigned by this courier, unique in the journal
+    id: str  # assigned by the client
+    class_index: int  # in the settings' classes
+    tenant: int  # index in the settings' tenants
     destination: int
-    idempotency_key: str
+    idempotency_key: str  # "" if there is none
     expires_at: float
-    resubmitted: bool
+    resubmitted: bool  # the client marked it as a repeat
     body: bytes
-    order_key: int = 0
-    attempts: int = 0
-    latest_attempt_at: float = 0.0  # start of the newest attempt, 0 once it has proved that it never ran
-    earlier_run_at: float = 0.0  # start of the first attempt that may have run
-    status: str = ""  # of its final notice, which is owed
-    retry_after_ms: int = 0
-    latest_attempt_zone: str = ""  # where the newest attempt went,
-    earlier_run_zone: str = ""  # and the first that may have run; "" if that is not known
+    order_key: int = 0  # shared by messages that are kept in order, 0 for none
+    attempts: int = 0  # begun so far
+    latest_attempt_at: float = 0.0  # start of the newest attempt; 0 once it is known not to have run
+    earlier_run_at: float = 0.0  # start of the first attempt before it that may have run, 0 for none
+    status: str = ""  # of the final notice that is owed; "" while the message is open
+    retry_after_ms: int = 0  # goes into that notice
+    latest_attempt_zone: str = ""  # zone of the newest attempt, "" if not known
+    earlier_run_zone: str = ""  # zone of the attempt of earlier_run_at, "" if not known
 
     @property
     def may_have_run_at(self) -> float:
@@ -104,19 +103,19 @@
 
     def __init__(self, key_window_s: float = 0.0) -> None:
         self.key_window_s, self.key_retention_s = key_window_s, key_window_s + KEY_EXTRA_RETENTION_S
-        self.scale = from_wall_clock(0.0, "")  # until a record tells it
-        self.latest_at = 0.0  # time in a record
+        self.scale = from_wall_clock(0.0, "")  # replaced by that of a `clock` record
+        self.latest_at = 0.0  # the latest time found in the records
         self.messages: dict[int, JournaledMessage] = {}
         self.numbers_by_id: dict[str, int] = {}
-        self.ended_ids: dict[str, float] = {}  # id: when it was over
-        self.first_run_by_key: dict[
-            str, float
-        ] = {}  # key: when the first attempt with it that may have run was sent
-        self.drained = False  # by an operator, until called back
-        self.excluded_endpoints: set[str] = set()  # endpoints' uids, the same
-        self.excluded_zones: set[str] = set()  # zones' names, the same
+        self.ended_ids: dict[str, float] = {}  # id: when the message ended, in that order
+        # Idempotency key: start of the first attempt with it that may have run.
+        self.first_run_by_key: dict[str, float] = {}
+        self.drained = False  # by an operator
+        self.excluded_endpoints: set[str] = set()  # uids, excluded by an operator
+        self.excluded_zones: set[str] = set()  # names, excluded by an operator
+        # live_bytes: upper bound on what a compacted journal takes, with the reserve for later records.
         self.live_bytes = self.last_number = 0
-        self.open_count = 0  # held messages whose end is not settled: `held` has those that owe a notice too
+        self.open_count = 0  # messages without a final status; `messages` also has those that owe a notice
 
     def apply(self, record: list[Any]) -> None:
         kind = record[0]
@@ -192,8 +191,8 @@
         if self.ended_ids.pop(message_id, None) is None:
             self.live_bytes += ENTRY_RESERVE_BYTES
         self.latest_at = max(self.latest_at, at)
-        self.ended_ids[message_id] = at  # the newest last
-        # Not only when the file is rewritten: how often that is hangs on the disk limit, not on the ids' age.
+        self.ended_ids[message_id] = at  # keeps the dict in order of time
+        # compact() is not enough: how often it runs depends on the disk limit, not on the age of the ids.
         while at - self.ended_ids[oldest := next(iter(self.ended_ids))] >= ENDED_ID_RETENTION_S:
             del self.ended_ids[oldest]
             self.live_bytes -= ENTRY_RESERVE_BYTES
@@ -237,7 +236,7 @@
         try:
             if self.scale.now() <= self.latest_at + SET_BACK_TOLERANCE_S:
                 self._expire_key_windows()
-                self.compact()  # with the scale in it, or the next start finds out anew
+                self.compact()  # writes the scale too, so that the next start does not repeat this
             else:
                 self._write(["clock", self.scale.boot_id, self.scale.offset_s])
         except OSError as error:
@@ -259,14 +258,14 @@
     def close(self) -> None:
         os.close(self.fd)
 
-    # Records: written first, then applied; restoring applies the same ones.
+    # A record is written first and then applied; a restart applies the same records.
 
     def record_message(self, message: JournaledMessage) -> None:
         """The message is taken on."""
         if not self._has_room_for(message.size_bytes):
-            self.compact()  # it may be ids and keys that nobody needs any extra_bytes
+            self.compact()  # drops ids and keys that have outlived their retention
             if not self._has_room_for(message.size_bytes):
-                raise JournalFullError(f"no room for {message.size_bytes} bytes")
+                raise JournalFullError(f"no room in the journal for a message of {message.size_bytes} bytes")
         self._write(message.to_record())
 
     def record_attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
@@ -308,15 +307,17 @@
         ) or not self._can_compact_after(len(data)):
             self.compact()
         if round_up_to_blocks(self.size_bytes + len(data)) > self.limit_bytes:
-            raise JournalFullError("the disk limit is reached")
+            raise JournalFullError(
+                f"a record of {len(data)} bytes exceeds the disk limit of {self.limit_bytes} bytes"
+            )
         try:
             written = os.write(self.fd, data)
         except OSError:
             os.ftruncate(self.fd, self.size_bytes)
             raise
-        if written != len(data):  # a part of a record would hide all that comes after it
+        if written != len(data):  # a partial record would make all later ones unreadable
             os.ftruncate(self.fd, self.size_bytes)
-            raise JournalFullError("the disk is full")
+            raise JournalFullError(f"disk full: {written} of {len(data)} bytes written")
         self.size_bytes += written
         self.apply(record)
 
@@ -362,9 +363,9 @@
         new_fd = os.open(self.new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
             if os.write(new_fd, data) != len(data):
-                raise JournalFullError("the disk is full")
+                raise JournalFullError(f"disk full: the compacted journal takes {len(data)} bytes")
             os.rename(self.new_path, self.path)
-        except OSError as error:  # the old file is whole: go on with it
+        except OSError as error:  # the old file is intact and stays in use
             log.error("journal.not_compacted", error=error)
             os.close(new_fd)
             self.new_path.unlink(missing_ok=True)
