--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -1,7 +1,8 @@
-"""The journal in the folder that lasts: what the courier has taken on, and how far each message has come.
+"""The journal in the state folder: messages that the courier is responsible for, and their progress.
 
-Append-only records, each with length and checksum, written with os.write before the thing that they make
-true. What was written outlasts SIGKILL with no sync. A torn tail is cut off and the rest is used.
+The file is append-only. Each record has its length and checksum, and is written with os.write before the
+action that it records. What was written survives SIGKILL without fsync. After a crash a torn record at the
+end is cut off and the rest is used.
 """
 
 from __future__ import annotations
@@ -32,12 +33,16 @@
 
 
 class JournalFullError(OSError):
-    """The record would take extra_bytes than the disk limit allows."""
+    """The record would exceed the disk limit, or the disk is full."""
 
 
 @dataclass
 class JournaledMessage:
-    """A message that the courier owes something: its end, or a notice of it. Times are the journal's."""
+    """A message for which the courier still owes an end or a notice.
+
+    It is stored as a list: the order of the fields is the format. Times (`_at`) are seconds on the journal's
+    time scale.
+    """
 
     number: int  # assigned by this courier, unique in the journal
     id: str  # assigned by the client
@@ -59,27 +64,35 @@
 
     @property
     def may_have_run_at(self) -> float:
+        """Start of the first attempt that may have run, 0 if there is none."""
         return self.earlier_run_at or self.latest_attempt_at
 
     @property
     def may_have_run_zone(self) -> str:
+        """Zone of that attempt, "" if not known."""
         return self.earlier_run_zone if self.earlier_run_at else self.latest_attempt_zone
 
     def to_record(self) -> list[Any]:
+        """Return the `take` record with all fields by position."""
         return ["take", *(getattr(self, f.name) for f in fields(self))]
 
     @property
     def size_bytes(self) -> int:
+        """An upper bound on what the message takes in the journal, with its later records."""
         return len(self.body) + len(self.id) + len(self.idempotency_key) + ENTRY_RESERVE_BYTES
 
 
 def encode_record(record: list[Any]) -> bytes:
+    """Return a record as it is written: header and msgpack payload."""
     payload = msgpack.packb(record)
     return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def parse_records(data: bytes) -> tuple[list[list[Any]], int]:
-    """The whole records at the start of data, and where they end."""
+    """Return the complete records at the start of `data`, and the offset at which they end.
+
+    A record with a correct checksum that cannot be decoded is logged and skipped.
+    """
     records, offset = [], 0
     while offset + RECORD_HEADER.size <= len(data):
         size, checksum = RECORD_HEADER.unpack_from(data, offset)
@@ -95,11 +108,15 @@
 
 
 def round_up_to_blocks(size: int) -> int:
+    """Return the bytes that a file of this size takes on disk."""
     return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
 class JournalContents:
-    """What records add up to: open messages, owed notices and what is remembered of those that are over."""
+    """The state that the records add up to.
+
+    It has open messages, owed notices, what is remembered of ended messages, and what operators set.
+    """
 
     def __init__(self, key_window_s: float = 0.0) -> None:
         self.key_window_s, self.key_retention_s = key_window_s, key_window_s + KEY_EXTRA_RETENTION_S
@@ -118,6 +135,10 @@
         self.open_count = 0  # messages without a final status; `messages` also has those that owe a notice
 
     def apply(self, record: list[Any]) -> None:
+        """Apply one record.
+
+        Raises TypeError, ValueError, LookupError or AttributeError if the record is malformed.
+        """
         kind = record[0]
         if kind == "take":
             message = JournaledMessage(*record[1:])
@@ -174,7 +195,7 @@
                 self._remember_key(key, at)
 
     def mark_ended(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
-        """Its end is known; a notice of it is owed."""
+        """Set the final status of a message; a notice of it is owed from now on."""
         self.open_count -= not message.status
         message.status, message.retry_after_ms = status, retry_after_ms
 
@@ -183,7 +204,7 @@
         (names.add if excluded else names.discard)(name)
 
     def key_first_run_at(self, key: str) -> float:
-        """When the first attempt with this key that may have run was sent, 0 if none is known."""
+        """Return when the first attempt with this key that may have run was sent, 0 if none is known."""
         at = self.first_run_by_key.get(key, 0.0) if key else 0.0
         return at if self.scale.now() - at < self.key_retention_s else 0.0
 
@@ -204,7 +225,7 @@
 
 
 class Journal(JournalContents):
-    """The same with its file, to which each record is written before it is applied."""
+    """The journal with its file. Methods that write raise OSError (JournalFullError for lack of space)."""
 
     def __init__(self, folder: Path, limit_bytes: int, key_window_s: float = 0.0) -> None:
         super().__init__(key_window_s)
@@ -229,7 +250,7 @@
         return end
 
     def _set_time_scale(self) -> None:
-        """That of this boot, where a process before this one wrote in it; else the wall clock's."""
+        """Keep the time scale if it was written in this boot, otherwise start one by the wall clock."""
         if self.scale.is_of_this_boot():
             return
         self.scale = from_wall_clock(self.latest_at, boot_id())
@@ -243,8 +264,10 @@
             log.error("journal.failed", error=error)
 
     def _expire_key_windows(self) -> None:
-        """The wall clock went back between two boots: nobody knows how long the machine was down, so whatever
-        may have run is taken to be past its window."""
+        """Treat whatever may have run as past its idempotency window.
+
+        The wall clock went back between two boots, so it is not known how long the machine was down.
+        """
         for message in self.messages.values():
             if message.may_have_run_at:
                 message.earlier_run_zone, message.earlier_run_at = (
@@ -256,12 +279,13 @@
         }
 
     def close(self) -> None:
+        """Close the file."""
         os.close(self.fd)
 
     # A record is written first and then applied; a restart applies the same records.
 
     def record_message(self, message: JournaledMessage) -> None:
-        """The message is taken on."""
+        """Record that the courier has accepted the message."""
         if not self._has_room_for(message.size_bytes):
             self.compact()  # drops ids and keys that have outlived their retention
             if not self._has_room_for(message.size_bytes):
@@ -269,35 +293,35 @@
         self._write(message.to_record())
 
     def record_attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
-        """An attempt of these is about to be written, to an endpoint in that zone."""
+        """Record that an attempt of these messages is about to be sent to an endpoint in that zone."""
         self._write(["try", numbers, at, zone])
 
     def record_not_run(self, number: int) -> None:
-        """The newest attempt has proved that it never ran."""
+        """Record that the newest attempt is known not to have run."""
         self._write(["miss", number])
 
     def record_done(self, number: int) -> None:
-        """Delivered, withdrawn, or refused before it was taken on: nothing extra_bytes is owed."""
+        """Record that nothing is owed: delivered, withdrawn, or refused before it was accepted."""
         self._write(["over", [number], self.scale.now()])
 
     def record_end(self, number: int, status: str, retry_after_ms: int) -> None:
-        """A notice is owed."""
+        """Record the final status, of which a notice is owed."""
         self._write(["final", number, status, retry_after_ms])
 
     def record_notices_accepted(self, numbers: list[int]) -> None:
-        """Notices were accepted."""
+        """Record that the notices of these messages were accepted; nothing more is owed."""
         self._write(["over", numbers, self.scale.now()])
 
     def record_drained(self, drained: bool) -> None:
-        """An operator sends the clients away, or calls them back."""
+        """Record that an operator drains the courier of clients, or lets clients return."""
         self._write(["drain", drained])
 
     def record_endpoint_excluded(self, uid: str, excluded: bool) -> None:
-        """An operator leaves an endpoint out, or lets it serve again."""
+        """Record that an operator excludes an endpoint, or lets it serve again."""
         self._write(["hand", uid, excluded])
 
     def record_zone_excluded(self, name: str, excluded: bool) -> None:
-        """An operator leaves a zone out, or lets it return."""
+        """Record that an operator excludes a zone, or lets it serve again."""
         self._write(["zone", name, excluded])
 
     def _write(self, record: list[Any]) -> None:
@@ -322,11 +346,11 @@
         self.apply(record)
 
     def _has_room_for(self, extra_bytes: int) -> bool:
-        """Whether two copies of all that is open, and of this, would stay under the limit."""
+        """Return whether two copies of all live entries with this one stay under the limit."""
         return round_up_to_blocks(2 * (self.live_bytes + extra_bytes) + SPARE_BYTES) <= self.limit_bytes
 
     def _can_compact_after(self, extra_bytes: int) -> bool:
-        """Whether a compacted copy could still stand beside the file."""
+        """Return whether a compacted copy still fits beside the file after a write of this size."""
         return (
             round_up_to_blocks(self.size_bytes + extra_bytes)
             + round_up_to_blocks(self.live_bytes + SPARE_BYTES)
@@ -334,7 +358,7 @@
         )
 
     def compact(self) -> None:
-        """Write what is still needed into a new file and put it in the old one's place."""
+        """Write the live entries to a new file and replace the old one, if both fit under the limit."""
         now = self.scale.now()
         self.ended_ids = {
             message_id: at for message_id, at in self.ended_ids.items() if now - at < ENDED_ID_RETENTION_S
