--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -29,6 +29,8 @@
 # After the last answer, in seconds: what still comes is read away, and a client that never had an answer may
 # be that much older than its first request.
 LINGER_S, FIRST_REQUEST_GRACE_S = 0.15, 0.4
+MAX_ERROR_BYTES = 200
+LINGERING_DIVISOR = 10
 MAX_ACCEPTS_PER_TURN = 16  # in one turn of the loop
 MAX_REQUESTS_PER_TURN = 32  # of one client before others have their turn
 MAX_MALFORMED_VALUES = 16  # values in a row: what sends more of them is no client
@@ -63,7 +65,7 @@
         self.has_served = bool(carried)  # has had a proper request
         self.malformed_count = 0  # values since the last proper one
         self.resume_handle: asyncio.Handle | None = None  # with what is read and not handled yet
-        self.heard_at = 0.0  # when it last sent anything, or connected
+        self.last_data_at = 0.0  # when it last sent anything, or connected
         self.last_request_at = 0.0  # when its newest proper request was whole, or it connected
         self.request_began_at = 0.0  # when what came after that began; the first with the connection
         self.awaits_first_byte = False  # nothing has come since that request
@@ -72,9 +74,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.heard_at = self.last_request_at = self.request_began_at = asyncio.get_running_loop().time()
+        self.last_data_at = self.last_request_at = self.request_began_at = asyncio.get_running_loop().time()
         if self.carried:
-            reader, self.heard_at, self.last_request_at, self.request_began_at, self.awaits_first_byte = (
+            reader, self.last_data_at, self.last_request_at, self.request_began_at, self.awaits_first_byte = (
                 self.carried
             )
             self.reader.resume(reader)
@@ -101,7 +103,7 @@
     def _deadline(self) -> float:
         """It only moves on, so a timer set for an earlier one asks again."""
         if self.reader.has_partial_request:
-            return min(self.heard_at + REQUEST_TIMEOUT_S, self.request_began_at + MAX_REQUEST_S)
+            return min(self.last_data_at + REQUEST_TIMEOUT_S, self.request_began_at + MAX_REQUEST_S)
         return self.last_request_at + REQUEST_TIMEOUT_S
 
     def _stop_timer(self) -> None:
@@ -151,7 +153,7 @@
         if self.is_closing:
             return
         self.server.touch(self)
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_data_at = asyncio.get_running_loop().time()
         self.reader.feed(data)
         if self.resume_handle is None:
             self._process_requests()
@@ -185,12 +187,12 @@
     def _note_request_start(self) -> None:
         """The time of a request runs from its first byte; improper ones before it give it none anew."""
         if self.awaits_first_byte and self.reader.has_partial_request:
-            self.awaits_first_byte, self.request_began_at = False, self.heard_at
+            self.awaits_first_byte, self.request_began_at = False, self.last_data_at
 
     def _request_completed(self) -> None:
         """A proper request is whole: the time for the next one counts anew."""
         self.last_request_at, self.awaits_first_byte, self.has_served, self.malformed_count = (
-            self.heard_at,
+            self.last_data_at,
             True,
             True,
             0,
@@ -292,7 +294,7 @@
 
 
 def _one_line(text: str) -> bytes:
-    return " ".join(text.split()).encode("ascii", "replace")[:200]
+    return " ".join(text.split()).encode("ascii", "replace")[:MAX_ERROR_BYTES]
 
 
 class ClientServer:
@@ -322,7 +324,7 @@
         loop = asyncio.get_running_loop()
         self.closes_after_answer = True  # from here on each is closed after its answer, too
         for client in list(self.connections):
-            if loop.time() - client.heard_at >= DRAIN_IDLE_S:
+            if loop.time() - client.last_data_at >= DRAIN_IDLE_S:
                 client.close_if_idle()
         self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_quiet)
 
@@ -356,7 +358,7 @@
         """They hold descriptors too, so only few may."""
         self.connection_left(client)
         self.lingering[client] = None
-        if len(self.lingering) > max(2, self.max_clients // 10):
+        if len(self.lingering) > max(2, self.max_clients // LINGERING_DIVISOR):
             next(iter(self.lingering)).transport.abort()
 
     @property
@@ -384,7 +386,7 @@
             [
                 payload.add_descriptor(c.fileno),
                 c.reader.carry(),
-                c.heard_at,
+                c.last_data_at,
                 c.last_request_at,
                 c.request_began_at,
                 c.awaits_first_byte,
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -100,7 +100,7 @@
     def _build_payload(self) -> HandoverPayload:
         """What the journal does not hold. Both processes' copies count as open descriptors."""
         host = self.host
-        room = host.config.sockets - len(os.listdir("/proc/self/fd")) - NEW_PROCESS_FDS
+        free_fds = host.config.sockets - len(os.listdir("/proc/self/fd")) - NEW_PROCESS_FDS
         payload = HandoverPayload({"format": PAYLOAD_FORMAT})
         payload.values.update(
             uids=host.roster.uids,
@@ -119,8 +119,8 @@
             payload.values["fleet"] = host.peers.freeze() | {
                 "socket": payload.add_descriptor(host.peers.sock.fileno())
             }
-        payload.values["clients"] = host.clients.carry(payload, max(1, room - len(payload.fds)))
-        payload.values["idle"] = host.pool.carry_idle(payload, room - len(payload.fds))
+        payload.values["clients"] = host.clients.carry(payload, max(1, free_fds - len(payload.fds)))
+        payload.values["idle"] = host.pool.carry_idle(payload, free_fds - len(payload.fds))
         return payload
 
     def resume(self) -> None:
@@ -130,8 +130,8 @@
         host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
         host.pool.resume_idle(
             [
-                (endpoint, tuple(address), self.socket_at(place), since, self._opened_at(place, since))
-                for endpoint, address, place, since, *_ in carried.get("idle", ())
+                (endpoint, tuple(address), self.socket_at(fd_index), since, self._opened_at(fd_index, since))
+                for endpoint, address, fd_index, since, *_ in carried.get("idle", ())
             ]
         )
         host.events += [
@@ -149,12 +149,12 @@
         host.events += [interface.CallCarried(*call) for call in calls]
         host.turn()
 
-    def socket_at(self, place: int) -> socket.socket:
-        return socket.socket(fileno=self.payload.fds[place])
+    def socket_at(self, fd_index: int) -> socket.socket:
+        return socket.socket(fileno=self.payload.fds[fd_index])
 
-    def _opened_at(self, place: int, since: float) -> float:
+    def _opened_at(self, fd_index: int, since: float) -> float:
         """When a connection was opened, wall clock; the version before told only when it was in use."""
-        opened_at = self.payload.values.get("born", {}).get(place)
+        opened_at = self.payload.values.get("born", {}).get(fd_index)
         return opened_at if opened_at is not None else time.time() - (self.host.loop.time() - since)
 
     def resume_connections(self) -> None:
@@ -162,23 +162,24 @@
         carried, host, socket_at = self.carried, self.host, self.socket_at
         if carried["moved"]:
             host.move_discovery((carried["moved"][0], carried["moved"][1]))
-        for endpoint, address, place, started, rows, received, *_ in carried["calls"]:
+        for endpoint, address, fd_index, started, rows, received, *_ in carried["calls"]:
             items = [self._carried_item(*row) for row in rows]
             host.calls.resume(
                 endpoint,
                 tuple(address),
-                socket_at(place),
-                self._opened_at(place, started),
+                socket_at(fd_index),
+                self._opened_at(fd_index, started),
                 started,
                 items,
                 received,
             )
-        for place, *rest in carried["clients"]:
-            host.clients.resume(socket_at(place), *rest)
+        for fd_index, *rest in carried["clients"]:
+            host.clients.resume(socket_at(fd_index), *rest)
         door = carried["door"]
         if door["listening"] is not None:
             host.door.resume(
-                socket_at(door["listening"]), [(socket_at(place), heard) for place, heard in door["callers"]]
+                socket_at(door["listening"]),
+                [(socket_at(fd_index), heard) for fd_index, heard in door["callers"]],
             )
         self.payload = HandoverPayload()
 
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -29,6 +29,8 @@
 from hopmill.net.upgrade import FolderOwnership, HandoverPayload
 from hopmill.policy.courier import Courier
 
+KEY_WINDOW_MARGIN_TICKS = 3
+TIMER_MARGIN_S = 5e-5
 END_OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
 NOT_RUN_RESULTS = (interface.Result.FULL, interface.Result.CONNECT_FAILED, interface.Result.MOOT)
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself. Clients
@@ -166,7 +168,7 @@
     def arrival_event(
         self, message: JournaledMessage, in_flight: bool = False, restored: bool = False
     ) -> interface.MessageArrived:
-        ran, zone = (
+        ran_at, zone = (
             (message.earlier_run_at, message.earlier_run_zone)
             if in_flight
             else (message.may_have_run_at, message.may_have_run_zone)
@@ -180,7 +182,7 @@
             message.order_key,
             message.resubmitted,
             message.attempts,
-            self._to_module_time(ran) if ran else -1,
+            self._to_module_time(ran_at) if ran_at else -1,
             self.roster.zones.get(zone, -1),
             in_flight,
             restored,
@@ -219,7 +221,7 @@
             Exception
         ):  # one bad turn must not end the process; each message still has its start_expiry_timer
             log.exception("turn.failed", count=len(events))
-            actions = [interface.Fail(n) for n in arrived]
+            actions = [interface.Fail(number) for number in arrived]
         try:
             self._execute(list(actions), arrived)
         except Exception:
@@ -255,7 +257,7 @@
                 self._end_by_action(action)
             elif isinstance(action, interface.SetTimer):
                 self.loop.call_later(
-                    action.delay_us / 1e6 + 5e-5, self.post, interface.TimerDue(action.token)
+                    action.delay_us / 1e6 + TIMER_MARGIN_S, self.post, interface.TimerDue(action.token)
                 )
             elif isinstance(action, interface.CloseIdle):
                 self.pool.close_idle(action.endpoint, ASKED)
@@ -277,8 +279,8 @@
     # Ends
 
     def start_expiry_timer(self, message: JournaledMessage) -> None:
-        delay = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
-        self.expiry_timers[message.number] = self.loop.call_later(delay, self._expire, message.number)
+        delay_s = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
+        self.expiry_timers[message.number] = self.loop.call_later(delay_s, self._expire, message.number)
 
     def _expire(self, number: int) -> None:
         message = self.journal.messages.get(number)
@@ -383,15 +385,15 @@
     def _may_attempt_now(self, message: JournaledMessage, now: float) -> bool:
         """Whether its class allows another attempt at this moment: the module has decided some time ago, and
         a connection may have taken long to come up."""
-        cls, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
-        if not ran_at or cls.effect is interface.Effect.SAFE:
+        message_class, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
+        if not ran_at or message_class.effect is interface.Effect.SAFE:
             return True
-        window = cls.key_window_us if cls.effect is interface.Effect.KEYED else 0
-        return now < ran_at + (window - 3 * self.settings.tick_us) / 1e6
+        window_us = message_class.key_window_us if message_class.effect is interface.Effect.KEYED else 0
+        return now < ran_at + (window_us - KEY_WINDOW_MARGIN_TICKS * self.settings.tick_us) / 1e6
 
     def _attempt_ended(self, item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
         message = self.journal.messages.get(item.number)
-        over = outcome.over or message is None
+        is_over = outcome.over or message is None
         if message and (self.metrics or self.observer.counting or messages_log.debugs):
             self.observer.ended(
                 message, item.attempt, self.roster.uid(endpoint), outcome.result, latency_us, outcome.wait_us
@@ -405,10 +407,10 @@
             self._cancel_expiry_timer(message.number)
         elif message and item.begun and outcome.result in NOT_RUN_RESULTS:
             self.record_best_effort(self.journal.record_not_run, message.number)
-        if over:
+        if is_over:
             self.next_attempts.pop(item.number, None)
-        named = dict(outcome.report)
-        report = tuple(named.get(name, 0.0) for name in self.settings.report_fields) if named else ()
+        values = dict(outcome.report)
+        report = tuple(values.get(name, 0.0) for name in self.settings.report_fields) if values else ()
         self.post(
             interface.AttemptEnded(
                 item.number,
@@ -416,7 +418,7 @@
                 endpoint,
                 outcome.result,
                 max(1, latency_us),
-                over,
+                is_over,
                 outcome.wait_us,
                 report,
                 item.idle_us,
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -108,7 +108,7 @@
 
     def accept(self, message: JournaledMessage, replies: list[Reply]) -> None:
         """The module has let it in: it is recorded, then answered."""
-        host, text = self.host, b"+OK\r\n"
+        host, answer = self.host, b"+OK\r\n"
         if host.in_force and not host.in_force.may_act():
             host.post(interface.MessageGone(message.number))  # the lease ended between the turn's two halves
             for reply in replies:
@@ -121,13 +121,13 @@
             host.journal.record_message(message)
         except OSError as error:
             messages_log.error("message.not_taken", message=message.id, error=error)
-            text = refusal(host.courier.come_back_us())
+            answer = refusal(host.courier.come_back_us())
             host.post(interface.MessageGone(message.number))
         else:
             host.start_expiry_timer(message)
             host.observer.taken(message)
         for reply in replies:
-            reply.send(text)
+            reply.send(answer)
 
 
 def refusal(wait_us: int) -> bytes:
--- a/hopmill/net/restart.py
+++ b/hopmill/net/restart.py
@@ -12,6 +12,7 @@
 
 # In seconds from SIGTERM: new clients come until LISTEN_UNTIL_S, calls may last until CALLS_UNTIL_S. What is
 # not whole at REJECT_AT_S is turned away, and has until EXIT_AT_S to hear so.
+CLIENT_POLL_S = 0.02
 LISTEN_UNTIL_S, CALLS_UNTIL_S, REJECT_AT_S, EXIT_AT_S = 0.5, 3.2, 3.3, 3.5
 
 
@@ -40,7 +41,7 @@
         host.clients.stop_listening()
         host.clients.close_idle()
         if not host.clients.is_empty:
-            host.loop.call_later(0.02, self._close_clients)
+            host.loop.call_later(CLIENT_POLL_S, self._close_clients)
         self.maybe_exit()
 
     def _answer_and_reject(self) -> None:
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -575,7 +575,7 @@
     def late(by):
         peer.timer.cancel()
         peer.timer = None
-        for name in ("heard_at", "last_request_at", "request_began_at"):
+        for name in ("last_data_at", "last_request_at", "request_began_at"):
             setattr(peer, name, getattr(peer, name) - by)
         peer._on_timeout()
 
@@ -587,7 +587,7 @@
         await asyncio.sleep(0)
     late(1.5)
     client.writer.write(message[30:40])
-    while loop.time() - peer.heard_at > 1.0:
+    while loop.time() - peer.last_data_at > 1.0:
         await asyncio.sleep(0)
     late(1.0)  # 4.5 s after the request before it, 2.5 s after its own first byte
     assert await client.send(message[40:]) == "+OK"
