--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -29,16 +29,15 @@
 from hopmill.net.upgrade import FolderOwnership, HandoverPayload
 from hopmill.policy.courier import Courier
 
-KEY_WINDOW_MARGIN_TICKS = 3
-TIMER_MARGIN_S = 5e-5
-END_OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
+KEY_WINDOW_MARGIN_TICKS = 3  # no attempt begins this close to the end of its key's window
+TIMER_MARGIN_S = 5e-5  # added to the module's timers
+END_OVERDUE_S = 0.1  # a message this long past its expiry is ended here, should the module have failed to
 NOT_RUN_RESULTS = (interface.Result.FULL, interface.Result.CONNECT_FAILED, interface.Result.MOOT)
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself. Clients
-# may hold a third: over that they can't ask at all, so idle connections are closed before there are so many.
+# may hold a third; beyond that none can connect, so idle connections are closed before there are so many.
 CLIENT_DESCRIPTOR_SHARE, IDLE_DESCRIPTOR_SHARE = 0.3, 0.2
-REQUEST_MEMORY_SHARE = (
-    1 / 8
-)  # of the memory is for requests that are half way: each may be as long as the longest
+# Share of the memory for partly received requests, each of which may have the maximum size.
+REQUEST_MEMORY_SHARE = 1 / 8
 log, messages_log, policy_log = logs.part("courier"), logs.part("messages"), logs.part("policy")
 
 
@@ -56,8 +55,8 @@
         self.loop, self.config, self.settings = loop, config, config.settings
         self.handover = Handover(self, ownership, payload)
         self.courier = Courier(self.settings, config.seed)
-        self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
-        self.in_force: Any = None  # hopmill/net/in_force.py, where something may differ from the file
+        self.peers: Any = None  # set if the configuration names a fleet
+        self.in_force: Any = None  # set if settings may differ from the file's
         self.journal = Journal(
             ownership.folder,
             config.disk_bytes - joining.fleet_bytes(config),
@@ -67,7 +66,7 @@
         self.events: list[interface.Event] = []
         self.intake = Intake(self)
         self.expiry_timers: dict[int, asyncio.TimerHandle] = {}
-        self.next_attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
+        self.next_attempts: dict[int, int] = {}  # message number: number of its next attempt
         self.turn_scheduled = False
         self.last_turn_us = -self.settings.tick_us
         self.restart = Restart(self)
@@ -95,9 +94,9 @@
         self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.settings.couriers)
         self.options = Options()
         self.observer = Observer(self.settings)
-        self.metrics: Any = None  # counted only while the operators' door is open
-        self.turn_due_us = 0  # when the next turn was to begin, in us of the monotonic clock
-        self.discovery_moved_to: Address | None = None  # where discovery went with a changed configuration
+        self.metrics: Any = None  # set only while the operator API is enabled
+        self.turn_due_us = 0  # when the next turn is due, on the monotonic clock; 0 for none
+        self.discovery_moved_to: Address | None = None  # address of discovery after a reload
         self.staff = Staff(
             self.courier,
             self.journal,
@@ -188,7 +187,7 @@
             restored,
         )
 
-    # The turn
+    # Turns
 
     def post(self, event: interface.Event) -> None:
         self.events.append(event)
@@ -217,9 +216,8 @@
         arrived = self.intake.take_arrived()
         try:
             actions: Iterable[interface.Action] = self.courier.handle(now, events)
-        except (
-            Exception
-        ):  # one bad turn must not end the process; each message still has its start_expiry_timer
+        except Exception:
+            # One failed turn must not end the process; each message still has its expiry timer.
             log.exception("turn.failed", count=len(events))
             actions = [interface.Fail(number) for number in arrived]
         try:
@@ -276,7 +274,7 @@
             for start in range(0, len(items), max_items):
                 self._call(endpoint, items[start : start + max_items])
 
-    # Ends
+    # Ends of messages
 
     def start_expiry_timer(self, message: JournaledMessage) -> None:
         delay_s = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
@@ -302,7 +300,7 @@
         """Owe the notice, then send it."""
         try:
             self.journal.record_end(message.number, status, retry_after_ms)
-        except OSError as error:  # sent all the same: to end it once more after a restart does no harm
+        except OSError as error:  # the notice is sent all the same: a second one after a restart is harmless
             log.error("journal.failed", error=error)
             self.journal.mark_ended(message, status, retry_after_ms)
         self._cancel_expiry_timer(message.number)
@@ -354,7 +352,7 @@
     def _call(self, endpoint: int, items: list[Item]) -> None:
         try:
             self.calls.send(endpoint, items)
-        except Exception:  # its slots and messages must not hang on it
+        except Exception:  # must not leave slots and messages occupied
             log.exception("call.failed", endpoint=self.roster.uid(endpoint))
             for item in items:
                 if not item.ended:
@@ -376,7 +374,7 @@
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
-        if self.in_force and not self.in_force.may_act():  # the last thing before the call is written
+        if self.in_force and not self.in_force.may_act():  # the last check before the call is written
             for item in items:
                 self.record_best_effort(self.journal.record_not_run, item.number)
             return []
@@ -429,7 +427,7 @@
     def _probe_ended(self, endpoint: int, result: interface.Result, latency_us: int) -> None:
         self.post(interface.ProbeEnded(endpoint, result, latency_us))
 
-    # News
+    # Changes of endpoints, options and configuration
 
     def listed(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
         self.post(self.roster.listed(change, form, self.pool))
