--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -1,4 +1,8 @@
-"""The turn: gathers events, lets the decision module act on them, carries its actions out in order."""
+"""Runs the courier's turns on real sockets.
+
+A turn hands the events gathered since the last one to the decision module and carries out its actions in
+order.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +46,7 @@
 
 
 class Host:
-    """One courier on real sockets."""
+    """One courier: owns the event loop's parts, the journal and the decision module."""
 
     def __init__(
         self,
@@ -51,7 +55,10 @@
         ownership: FolderOwnership,
         payload: HandoverPayload | None = None,
     ) -> None:
-        """owner: the right to act on the journal; payload: what came with it from the process before."""
+        """Set up the parts.
+
+        ownership: the right to act on the journal. payload: what the previous process handed over.
+        """
         self.loop, self.config, self.settings = loop, config, config.settings
         self.handover = Handover(self, ownership, payload)
         self.courier = Courier(self.settings, config.seed)
@@ -110,7 +117,10 @@
         self.door = Door(self.staff.routes(), config.sockets)
 
     def start(self) -> int:
-        """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port."""
+        """Restore state, take the first turn, then listen; from then on PING is answered.
+
+        Returns the clients' port.
+        """
         carried = self.handover.carried
         self.roster.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
@@ -149,7 +159,10 @@
         return socket.socket(fileno=os.dup(self.config.listen_fd))
 
     def restore(self, in_flight: set[int]) -> None:
-        """What the journal holds. in_flight: messages whose newest attempt goes on in this process."""
+        """Take over the messages in the journal.
+
+        in_flight: numbers of messages whose newest attempt continues in this process.
+        """
         for message in list(self.journal.messages.values()):
             if message.status:
                 self.notices.add(message.number, message.id, message.status, message.retry_after_ms)
@@ -158,15 +171,20 @@
                 self.start_expiry_timer(message)
 
     def clock(self) -> int:
+        """Return the monotonic clock in microseconds, the time that the module works with."""
         return time.monotonic_ns() // 1000
 
     def _to_module_time(self, at: float) -> int:
-        """On the module's clock, of a time in the journal."""
+        """Convert a time of the journal to the module's clock, in microseconds."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
     def arrival_event(
         self, message: JournaledMessage, in_flight: bool = False, restored: bool = False
     ) -> interface.MessageArrived:
+        """Return the event that makes a message known to the module.
+
+        in_flight: its newest attempt continues in this process, so only earlier ones count as having run.
+        """
         ran_at, zone = (
             (message.earlier_run_at, message.earlier_run_zone)
             if in_flight
@@ -190,11 +208,12 @@
     # Turns
 
     def post(self, event: interface.Event) -> None:
+        """Add an event to the next turn, and schedule one."""
         self.events.append(event)
         self.schedule_turn()
 
     def schedule_turn(self) -> None:
-        """Take a turn as soon as what has come in with this event is read, a tick after the last at least."""
+        """Schedule a turn after the input that can be read now, at least a tick after the last turn."""
         if self.turn_scheduled:
             return
         self.turn_scheduled = True
@@ -207,6 +226,7 @@
             self.loop.call_later(early_us / 1e6, self.turn)
 
     def turn(self) -> None:
+        """Let the module handle the events gathered so far, and carry out its actions."""
         self.turn_scheduled = False
         self.last_turn_us = now = self.clock()
         late_us, self.turn_due_us = now - (self.turn_due_us or now), 0
@@ -233,6 +253,7 @@
     def _execute(
         self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
     ) -> None:
+        """Carry out actions in order; `arrived` are the new messages of this turn, by number."""
         for action in actions:
             if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in arrived:
                 message, replies = arrived.pop(action.message)
@@ -277,6 +298,7 @@
     # Ends of messages
 
     def start_expiry_timer(self, message: JournaledMessage) -> None:
+        """Make sure that the message ends shortly after its expiry, whatever the module does."""
         delay_s = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
         self.expiry_timers[message.number] = self.loop.call_later(delay_s, self._expire, message.number)
 
@@ -297,7 +319,7 @@
             self.end_message(message, "undeliverable", 0)
 
     def end_message(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
-        """Owe the notice, then send it."""
+        """Record the final status of a message, then send the notice."""
         try:
             self.journal.record_end(message.number, status, retry_after_ms)
         except OSError as error:  # the notice is sent all the same: a second one after a restart is harmless
@@ -320,7 +342,7 @@
         self.restart.maybe_exit()
 
     def record_best_effort(self, write: Any, *args: Any) -> None:
-        """A record whose loss does no harm: a restart then takes the more careful view."""
+        """Write a record whose loss is harmless: without it a restart takes the more cautious view."""
         try:
             write(*args)
         except OSError as error:
@@ -361,6 +383,10 @@
                     self._attempt_ended(item, endpoint, Outcome(result), 0)
 
     def _record_attempts(self, endpoint: int, items: list[Item]) -> list[Item]:
+        """Record that these items are about to be sent; called just before a call is written.
+
+        Returns the items that may be sent, none if the record cannot be written.
+        """
         now = self.journal.scale.now()
         items = [
             item
@@ -381,8 +407,10 @@
         return items
 
     def _may_attempt_now(self, message: JournaledMessage, now: float) -> bool:
-        """Whether its class allows another attempt at this moment: the module has decided some time ago, and
-        a connection may have taken long to come up."""
+        """Return whether the message's class allows another attempt at this moment.
+
+        The module's decision may be some time old, since a connection may have taken long to open.
+        """
         message_class, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
         if not ran_at or message_class.effect is interface.Effect.SAFE:
             return True
@@ -430,35 +458,36 @@
     # Changes of endpoints, options and configuration
 
     def listed(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
+        """Apply a complete list or a change of endpoints from discovery."""
         self.post(self.roster.listed(change, form, self.pool))
 
     def handle_now(self, event: interface.Event) -> None:
-        """An operator's word holds from the answer on: its turn comes before that."""
+        """Handle an event in a turn at once, so that it is in force when an operator gets the answer."""
         self.events.append(event)
         self.turn()
 
     def _enable_metrics(self) -> None:
-        """Only here is the library read: what is not asked for costs a courier in service no memory."""
+        """Count metrics from now on. The library is imported only here, to save memory if it is not used."""
         from hopmill.net.metrics import HostState, Metrics
 
         self.metrics = Metrics(tuple(c.name for c in self.settings.classes), HostState(self))
         self.observer.meters = self.staff.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
-        """Only what changes is told: while a part is off the module never hears of it."""
+        """Apply the options; the module is notified only of changes."""
         if options != self.options:
             log.info("config.options", warm_up=options.warm_up)
             self.options = options
             self.post(interface.WarmUp(options.warm_up))
 
     def move_discovery(self, address: Address) -> None:
-        """A changed configuration: the list comes from there and notices go there from now on."""
+        """Watch and notify discovery at another address from now on."""
         self.discovery_moved_to = address
         self.watch.move(address)
         self.notices.move(address)
 
     def close(self) -> None:
-        """Let go of everything at once; the journal already holds what is open."""
+        """Close everything at once; open messages are in the journal already."""
         if self.peers:
             self.peers.close()
         self.watch.stop()
