--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -33,7 +33,7 @@
 LINGERING_DIVISOR = 10
 MAX_ACCEPTS_PER_TURN = 16  # in one turn of the loop
 MAX_REQUESTS_PER_TURN = 32  # of one client before others have their turn
-MAX_MALFORMED_VALUES = 16  # values in a row: what sends more of them is no client
+MAX_INVALID_REQUESTS = 16  # values in a row: what sends more of them is no client
 log = logs.part("clients")
 
 
@@ -63,7 +63,7 @@
         self.is_lost = self.is_closing = self.writing_paused = False
         self.is_lingering = self.peer_sent_eof = False  # this side, that side has said that it sends no more
         self.has_served = bool(carried)  # has had a proper request
-        self.malformed_count = 0  # values since the last proper one
+        self.invalid_count = 0  # values since the last proper one
         self.resume_handle: asyncio.Handle | None = None  # with what is read and not handled yet
         self.last_data_at = 0.0  # when it last sent anything, or connected
         self.last_request_at = 0.0  # when its newest proper request was whole, or it connected
@@ -167,7 +167,7 @@
                 if self.is_closing or self.writing_paused or (request := self.reader.next_request()) is None:
                     break
                 self._handle(request)
-                if self.malformed_count > MAX_MALFORMED_VALUES:
+                if self.invalid_count > MAX_INVALID_REQUESTS:
                     self.is_closing = True
                     self.flush()
             else:
@@ -191,7 +191,7 @@
 
     def _request_completed(self) -> None:
         """A proper request is whole: the time for the next one counts anew."""
-        self.last_request_at, self.awaits_first_byte, self.has_served, self.malformed_count = (
+        self.last_request_at, self.awaits_first_byte, self.has_served, self.invalid_count = (
             self.last_data_at,
             True,
             True,
@@ -204,7 +204,7 @@
 
     def _handle(self, request: list[bytes] | MalformedValue) -> None:
         reply = self._add_reply()
-        self.malformed_count += 1  # deadline it is known to be proper
+        self.invalid_count += 1  # deadline it is known to be proper
         if request is MALFORMED:
             reply.send(b"-ERR expected an array of bulk strings\r\n")
             return
