--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -16,24 +16,24 @@
 from hopmill.net.resp import MALFORMED, MalformedValue, ProtocolError, RequestReader
 from hopmill.net.upgrade import HandoverPayload
 
-# A peer may be quiet for so long, in seconds: with no request, half way through one, or with answers to read.
-# TERMS owes an error line or a close in 3 s, and lets idle connections be closed after 2 s: clients may only
-# have so many, and those kept idle are missing for others. A request that comes slowly may take
-# MAX_REQUEST_S.
+# In seconds. A client without a request, in the middle of one, or with unread answers is closed once it has
+# been idle for REQUEST_TIMEOUT_S: the platform's terms require an error line or a close within 3 s and allow
+# idle connections to be closed after 2 s, and their number is limited, so idle ones keep other clients out.
+# A request that arrives slowly may take MAX_REQUEST_S.
 REQUEST_TIMEOUT_S, MAX_REQUEST_S = 2.05, 2.8
-BACKLOG = 512  # connections that wait to be accepted
-# A drain, in seconds: the front asks ten times a second, and new clients come until 0.2 s after a no. From
-# DRAIN_GRACE_S on connections are closed between requests, those of quiet clients once quiet for
-# DRAIN_IDLE_S.
+BACKLOG = 512  # connections waiting to be accepted
+# In seconds after an operator drains the courier. The load balancer asks ten times a second, and new clients
+# may come until 0.2 s after the first error answer. From DRAIN_GRACE_S on connections are closed between
+# requests, those of idle clients after DRAIN_IDLE_S without data.
 DRAIN_GRACE_S, DRAIN_IDLE_S, DRAIN_SWEEP_S = 0.5, 0.2, 0.05
-# After the last answer, in seconds: what still comes is read away, and a client that never had an answer may
-# be that much older than its first request.
+# In seconds. After the last answer a connection is read for LINGER_S, and what comes is discarded. A client
+# that has not sent its first request yet may take FIRST_REQUEST_GRACE_S before it counts as idle.
 LINGER_S, FIRST_REQUEST_GRACE_S = 0.15, 0.4
-MAX_ERROR_BYTES = 200
-LINGERING_DIVISOR = 10
-MAX_ACCEPTS_PER_TURN = 16  # in one turn of the loop
-MAX_REQUESTS_PER_TURN = 32  # of one client before others have their turn
-MAX_INVALID_REQUESTS = 16  # values in a row: what sends more of them is no client
+MAX_ERROR_BYTES = 200  # of the text of an error answer
+LINGERING_DIVISOR = 10  # one in so many of the clients' connections may linger
+MAX_ACCEPTS_PER_TURN = 16  # new connections in one iteration of the event loop
+MAX_REQUESTS_PER_TURN = 32  # handled for one client before other clients' requests
+MAX_INVALID_REQUESTS = 16  # in a row; a peer that sends more is disconnected
 log = logs.part("clients")
 
 
@@ -61,16 +61,17 @@
         self.reader = RequestReader()
         self.pending_replies: deque[Reply] = deque()
         self.is_lost = self.is_closing = self.writing_paused = False
-        self.is_lingering = self.peer_sent_eof = False  # this side, that side has said that it sends no more
-        self.has_served = bool(carried)  # has had a proper request
-        self.invalid_count = 0  # values since the last proper one
-        self.resume_handle: asyncio.Handle | None = None  # with what is read and not handled yet
-        self.last_data_at = 0.0  # when it last sent anything, or connected
-        self.last_request_at = 0.0  # when its newest proper request was whole, or it connected
-        self.request_began_at = 0.0  # when what came after that began; the first with the connection
-        self.awaits_first_byte = False  # nothing has come since that request
+        # Whether this side, and whether the peer, has announced that it sends no more.
+        self.is_lingering = self.peer_sent_eof = False
+        self.has_served = bool(carried)  # it has sent a valid request
+        self.invalid_count = 0  # requests since the last valid one
+        self.resume_handle: asyncio.Handle | None = None  # set while data waits to be processed
+        self.last_data_at = 0.0  # when it last sent data, or connected; these times are the event loop's
+        self.last_request_at = 0.0  # when its last valid request was complete, or it connected
+        self.request_began_at = 0.0  # first byte after that request, or time of connection
+        self.awaits_first_byte = False  # no byte has arrived since that request
         self.transport: asyncio.Transport
-        self.timer: asyncio.TimerHandle | None = None  # for the next request
+        self.timer: asyncio.TimerHandle | None = None  # for the next request, reading answers or lingering
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -95,7 +96,7 @@
         """The time for the next proper request, or for reading the answers, runs unless it does already."""
         if self.timer is None and not self.is_lost:
             loop = asyncio.get_running_loop()
-            is_late = self.is_closing or self.writing_paused  # for its answers, from now on
+            is_late = self.is_closing or self.writing_paused  # must read its answers within the time-out
             self.timer = loop.call_at(
                 loop.time() + REQUEST_TIMEOUT_S if is_late else self._deadline(), self._on_timeout
             )
@@ -115,13 +116,11 @@
         """Nothing else ends a peer that sends nothing, or never ends its request, and holds a descriptor."""
         self.timer = None
         loop = asyncio.get_running_loop()
-        if self.is_closing or self.transport.get_write_buffer_size():  # it does not read either
+        if self.is_closing or self.transport.get_write_buffer_size():  # it does not read its answers
             self.transport.abort()
         elif self._deadline() > loop.time():
             self._ensure_timer()
-        elif (
-            not self.reader.has_partial_request and self.has_unread_bytes
-        ):  # its next request, in this very moment
+        elif not self.reader.has_partial_request and self.has_unread_bytes:  # its next request is arriving
             self.timer = loop.call_later(LINGER_S, self._on_timeout)
         else:
             self.reject()
@@ -142,7 +141,7 @@
     def pause_writing(self) -> None:
         self.writing_paused = True
         self._ensure_timer()
-        self.transport.pause_reading()  # one that does not read its answers is not read from either
+        self.transport.pause_reading()  # no new requests from a client that does not read its answers
 
     def resume_writing(self) -> None:
         self.writing_paused = False
@@ -173,7 +172,7 @@
             else:
                 self._process_later()
             self._note_request_start()
-        except ProtocolError as error:  # where the next request begins can't be known any more
+        except ProtocolError as error:  # the start of the next request cannot be determined
             self.is_closing = True
             self._add_reply().send(b"-ERR Protocol error: %s\r\n" % _one_line(str(error)))
         if not self.resume_handle and not self.writing_paused and not self.is_closing:
@@ -181,7 +180,7 @@
         self._ensure_timer()
 
     def _process_later(self) -> None:
-        self.transport.pause_reading()  # its end too is heard after what came before it
+        self.transport.pause_reading()  # so that EOF is seen only after the data before it
         self.resume_handle = asyncio.get_running_loop().call_soon(self._process_requests)
 
     def _note_request_start(self) -> None:
@@ -204,7 +203,7 @@
 
     def _handle(self, request: list[bytes] | MalformedValue) -> None:
         reply = self._add_reply()
-        self.invalid_count += 1  # deadline it is known to be proper
+        self.invalid_count += 1  # reset by _request_completed
         if request is MALFORMED:
             reply.send(b"-ERR expected an array of bulk strings\r\n")
             return
@@ -232,7 +231,8 @@
         answers = []
         while self.pending_replies and self.pending_replies[0].text:
             answers.append(self.pending_replies.popleft().text)
-        if answers and not self.is_lost and not self.transport.is_closing():  # broken, and not lost yet
+        # The transport may be closing before connection_lost is called.
+        if answers and not self.is_lost and not self.transport.is_closing():
             self.transport.write(b"".join(answers))
         if self.is_closing and not self.pending_replies:
             self._start_linger()
@@ -246,14 +246,14 @@
         if self.is_lingering or self.is_lost or self.transport.is_closing():
             return
         self.is_closing = self.is_lingering = True
-        self.reader = RequestReader()  # a crowd that is turned away holds no memory while it goes
+        self.reader = RequestReader()  # many lingering connections must not hold memory
         self._stop_timer()
         if self.peer_sent_eof:
             self.transport.close()
             return
         try:
-            self.transport.write_eof()  # once what is buffered is written
-        except OSError:  # reset, and not read yet
+            self.transport.write_eof()  # after the buffered answers
+        except OSError:  # reset by the peer, and not noticed yet
             self.transport.abort()
             return
         self.transport.resume_reading()
@@ -302,12 +302,11 @@
 
     def __init__(self, put: Callable[[Put, Reply], None], max_clients: int) -> None:
         self.put, self.max_clients = put, max_clients
-        self.connections: dict[ClientConnection, None] = {}  # the longest unused first
-        self.lingering: dict[ClientConnection, None] = {}  # those that are read away, the oldest first
+        self.connections: dict[ClientConnection, None] = {}  # least recently used first
+        self.lingering: dict[ClientConnection, None] = {}  # being read until their end, oldest first
         self.acceptor: Acceptor | None = None
-        self.drained = self.closes_after_answer = (
-            False  # PING is answered no; connections are closed between requests
-        )
+        # Whether PING is answered with an error; whether connections are closed between requests.
+        self.drained = self.closes_after_answer = False
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     def set_drained(self, drained: bool) -> None:
@@ -322,7 +321,7 @@
 
     def _close_quiet(self) -> None:
         loop = asyncio.get_running_loop()
-        self.closes_after_answer = True  # from here on each is closed after its answer, too
+        self.closes_after_answer = True  # from now on busy connections are closed after their answer
         for client in list(self.connections):
             if loop.time() - client.last_data_at >= DRAIN_IDLE_S:
                 client.close_if_idle()
@@ -335,19 +334,17 @@
 
     def connection_joined(self, client: ClientConnection) -> None:
         self.connections[client] = None
-        if len(self.connections) > self.max_clients:  # open files and memory must stay under their limits
+        if len(self.connections) > self.max_clients:  # to keep to the limits on open files and memory
             self._make_room(client)
 
     def _make_room(self, newcomer: ClientConnection) -> None:
-        others = [
-            c for c in self.connections if c is not newcomer and not c.pending_replies
-        ]  # the longest quiet first
+        # Least recently used first.
+        others = [c for c in self.connections if c is not newcomer and not c.pending_replies]
         closable = next((c for c in others if c.is_between_requests and not c.has_unread_bytes), None)
-        # All others are half way, or answered in a moment: the one that has been quiet longest is stalled.
+        # All others have partial requests or are about to be answered: the one idle longest is stalled.
         closable = closable or next((c for c in others if c.reader.has_partial_request), newcomer)
-        self.connection_left(
-            closable
-        )  # or the next to join in this turn of the loop would close the same again
+        # Removed at once, or the next to join in this iteration of the loop would choose the same one.
+        self.connection_left(closable)
         closable.reject()
 
     def connection_left(self, client: ClientConnection) -> None:
--- a/hopmill/net/restart.py
+++ b/hopmill/net/restart.py
@@ -10,16 +10,16 @@
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-# In seconds from SIGTERM: new clients come until LISTEN_UNTIL_S, calls may last until CALLS_UNTIL_S. What is
-# not whole at REJECT_AT_S is turned away, and has until EXIT_AT_S to hear so.
-CLIENT_POLL_S = 0.02
+CLIENT_POLL_S = 0.02  # interval of closing idle clients until none is left
+# In seconds from SIGTERM: new clients are accepted until LISTEN_UNTIL_S, calls may last until CALLS_UNTIL_S,
+# incomplete requests are rejected at REJECT_AT_S, and the process ends at EXIT_AT_S.
 LISTEN_UNTIL_S, CALLS_UNTIL_S, REJECT_AT_S, EXIT_AT_S = 0.5, 3.2, 3.3, 3.5
 
 
 class Restart:
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.exit_at = 0.0  # when the process ends, by the loop's clock; 0 while it serves
+        self.exit_at = 0.0  # when the process ends at the latest, on the loop's clock; 0 while it serves
         self.closed: asyncio.Future[None] = host.loop.create_future()
 
     def terminate(self) -> None:
@@ -52,7 +52,7 @@
 
     def maybe_exit(self) -> None:
         host = self.host
-        # What still waits for its turn may be sent until the last call must have begun.
+        # Events and arrived messages may still lead to calls before the shutdown deadline.
         done = (
             not host.calls.out and not host.journal.messages and not host.events and not host.intake.arrived
         )
@@ -61,6 +61,6 @@
 
     def _exit(self) -> None:
         if not self.closed.done():
-            for number in self.host.calls.unwritten():  # they can't have run: the next process may send them
+            for number in self.host.calls.unwritten():  # cannot have run, so the next process may send them
                 self.host.record_best_effort(self.host.journal.record_not_run, number)
             self.closed.set_result(None)
