--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -1,4 +1,4 @@
-"""The RESP2 server that clients hand messages in at."""
+"""The RESP2 server to which clients submit messages."""
 
 from __future__ import annotations
 
@@ -38,23 +38,29 @@
 
 
 class Reply:
-    """The place of one answer; answers leave in the order of their requests."""
+    """The place of one answer in its connection: answers are sent in the order of their requests."""
 
     def __init__(self, client: ClientConnection) -> None:
         self.client, self.text = client, b""
 
     @property
     def is_wanted(self) -> bool:
+        """Whether the client is still connected."""
         return not self.client.is_lost
 
     def send(self, text: bytes) -> None:
+        """Answer the request; only the first answer counts."""
         if not self.text:
             self.text = text
             self.client.flush()
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection."""
+    """One client's connection.
+
+    carried: what the previous process handed over of this connection: state of the reader, last_data_at,
+    last_request_at, request_began_at, awaits_first_byte.
+    """
 
     def __init__(self, server: ClientServer, carried: tuple[Any, ...] = ()) -> None:
         self.server, self.carried = server, carried
@@ -74,6 +80,7 @@
         self.timer: asyncio.TimerHandle | None = None  # for the next request, reading answers or lingering
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start, or go on from what the previous process handed over."""
         self.transport = transport  # type: ignore[assignment]
         self.last_data_at = self.last_request_at = self.request_began_at = asyncio.get_running_loop().time()
         if self.carried:
@@ -86,6 +93,7 @@
         self.server.connection_joined(self)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Cancel what is scheduled and leave the server."""
         self.is_lost = True
         self._stop_timer()
         if self.resume_handle:
@@ -93,7 +101,7 @@
         self.server.connection_left(self)
 
     def _ensure_timer(self) -> None:
-        """The time for the next proper request, or for reading the answers, runs unless it does already."""
+        """Run the time-out for the next valid request, or for reading the answers, if it is not running."""
         if self.timer is None and not self.is_lost:
             loop = asyncio.get_running_loop()
             is_late = self.is_closing or self.writing_paused  # must read its answers within the time-out
@@ -102,7 +110,10 @@
             )
 
     def _deadline(self) -> float:
-        """It only moves on, so a timer set for an earlier one asks again."""
+        """Return when the next valid request is due.
+
+        It only moves forward, so a timer that was set for an earlier deadline checks again.
+        """
         if self.reader.has_partial_request:
             return min(self.last_data_at + REQUEST_TIMEOUT_S, self.request_began_at + MAX_REQUEST_S)
         return self.last_request_at + REQUEST_TIMEOUT_S
@@ -113,7 +124,10 @@
             self.timer = None
 
     def _on_timeout(self) -> None:
-        """Nothing else ends a peer that sends nothing, or never ends its request, and holds a descriptor."""
+        """End a peer that is idle or never completes its request.
+
+        Nothing else would, and it occupies a descriptor.
+        """
         self.timer = None
         loop = asyncio.get_running_loop()
         if self.is_closing or self.transport.get_write_buffer_size():  # it does not read its answers
@@ -126,7 +140,7 @@
             self.reject()
 
     def reject(self) -> None:
-        """An error line for what will not be whole, if anything; then the end."""
+        """Answer an incomplete request with an error line, then close."""
         self.is_closing = True
         if self.reader.has_partial_request:
             self._add_reply().send(b"-ERR no whole request in time\r\n")
@@ -134,21 +148,24 @@
         self._ensure_timer()
 
     def eof_received(self) -> bool:
-        """A client that has peer_sent_eof its sending still gets the answers that it waits for."""
+        """Close, but only after the pending answers."""
         self.is_closing = self.peer_sent_eof = True
         return bool(self.pending_replies)
 
     def pause_writing(self) -> None:
+        """Stop reading while the client does not read its answers."""
         self.writing_paused = True
         self._ensure_timer()
         self.transport.pause_reading()  # no new requests from a client that does not read its answers
 
     def resume_writing(self) -> None:
+        """Go on with the requests that were read meanwhile."""
         self.writing_paused = False
         self._ensure_timer()
         self._process_later()
 
     def data_received(self, data: bytes) -> None:
+        """Process what was received; ignored once the connection is closing."""
         if self.is_closing:
             return
         self.server.touch(self)
@@ -158,7 +175,7 @@
             self._process_requests()
 
     def _process_requests(self) -> None:
-        """Some requests; what one client sends at once must not hold all others."""
+        """Handle a limited number of requests, so that one client does not delay all others."""
         self.resume_handle = None
         try:
             self._note_request_start()
@@ -184,12 +201,15 @@
         self.resume_handle = asyncio.get_running_loop().call_soon(self._process_requests)
 
     def _note_request_start(self) -> None:
-        """The time of a request runs from its first byte; improper ones before it give it none anew."""
+        """Start the time of a request at its first byte.
+
+        Invalid requests before it do not restart the time.
+        """
         if self.awaits_first_byte and self.reader.has_partial_request:
             self.awaits_first_byte, self.request_began_at = False, self.last_data_at
 
     def _request_completed(self) -> None:
-        """A proper request is whole: the time for the next one counts anew."""
+        """Note a complete valid request: the time for the next one starts again."""
         self.last_request_at, self.awaits_first_byte, self.has_served, self.invalid_count = (
             self.last_data_at,
             True,
@@ -228,6 +248,7 @@
             reply.send(b"-ERR unknown command\r\n")
 
     def flush(self) -> None:
+        """Write the answers that are due, and close if the connection is to end."""
         answers = []
         while self.pending_replies and self.pending_replies[0].text:
             answers.append(self.pending_replies.popleft().text)
@@ -240,9 +261,11 @@
             self.close_if_idle()
 
     def _start_linger(self) -> None:
-        """Say that nothing more comes, and read away what the client still sends: a connection that is closed
-        over unread bytes is reset, and answers under way may go with it. What is read from here on is never
-        taken on: the client sees the end, and hands it in on another connection."""
+        """Send EOF, and read and discard what the client still sends.
+
+        Closing a connection with unread data resets it, and answers in transit may be lost. Nothing read from
+        here on is accepted: the client sees EOF and submits the request on another connection.
+        """
         if self.is_lingering or self.is_lost or self.transport.is_closing():
             return
         self.is_closing = self.is_lingering = True
@@ -270,25 +293,27 @@
 
     @property
     def is_between_requests(self) -> bool:
+        """Whether there is neither a partial request nor an answer to come."""
         return not self.pending_replies and not self.reader.has_partial_request
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Bytes have come that are not read yet: a close now would cut a request."""
+        """Whether the kernel has data that was not read yet: closing now would cut off a request."""
         return any(fcntl.ioctl(self.fileno, termios.FIONREAD, bytes(4)))
 
     @property
     def fileno(self) -> int:
+        """The descriptor of the socket."""
         return self.transport.get_extra_info("socket").fileno()
 
     @property
     def can_be_handed_over(self) -> bool:
-        """Open, with nothing that this process still has to write or to end."""
+        """Whether it is open, and this process has nothing left to write or to end on it."""
         ending = self.is_lost or self.is_closing or self.writing_paused or self.transport.is_closing()
         return not ending and not self.pending_replies and not self.transport.get_write_buffer_size()
 
     def close_if_idle(self) -> None:
-        """Close if that cuts nothing."""
+        """Close the connection if no request or answer is cut off by that."""
         if self.is_between_requests and not self.transport.is_closing() and not self.has_unread_bytes:
             self._start_linger()
 
@@ -298,7 +323,7 @@
 
 
 class ClientServer:
-    """Accepts clients; `put` takes what they hand in."""
+    """Accepts clients; `put` receives each message with the reply to answer it by."""
 
     def __init__(self, put: Callable[[Put, Reply], None], max_clients: int) -> None:
         self.put, self.max_clients = put, max_clients
@@ -310,7 +335,7 @@
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     def set_drained(self, drained: bool) -> None:
-        """Send clients away, cutting nothing, or take them again. Repeats change nothing."""
+        """Close clients' connections without cutting off requests, or accept clients again. Idempotent."""
         if drained is self.drained:
             return
         self.drained, self.closes_after_answer = drained, False
@@ -328,11 +353,12 @@
         self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_quiet)
 
     def listen(self, sock: socket.socket) -> int:
-        """Take clients; returns the port."""
+        """Accept clients on this socket; returns its port."""
         self.acceptor = Acceptor(sock, lambda: ClientConnection(self), MAX_ACCEPTS_PER_TURN)
         return self.acceptor.port
 
     def connection_joined(self, client: ClientConnection) -> None:
+        """Add a connection; if there are too many, another one is closed."""
         self.connections[client] = None
         if len(self.connections) > self.max_clients:  # to keep to the limits on open files and memory
             self._make_room(client)
@@ -348,11 +374,12 @@
         closable.reject()
 
     def connection_left(self, client: ClientConnection) -> None:
+        """Forget a connection."""
         self.connections.pop(client, None)
         self.lingering.pop(client, None)
 
     def connection_lingers(self, client: ClientConnection) -> None:
-        """They hold descriptors too, so only few may."""
+        """Keep a connection that is read until its end; only few, as each occupies a descriptor."""
         self.connection_left(client)
         self.lingering[client] = None
         if len(self.lingering) > max(2, self.max_clients // LINGERING_DIVISOR):
@@ -360,25 +387,31 @@
 
     @property
     def is_empty(self) -> bool:
-        """Nobody is connected, or about to be."""
+        """Whether no client is connected or about to be."""
         return not (self.connections or self.lingering or self.acceptor and self.acceptor.pending_joins)
 
     def touch(self, client: ClientConnection) -> None:
+        """Mark a connection as the most recently used."""
         if client in self.connections:
             self.connections[client] = self.connections.pop(client)
 
     @property
     def is_listening(self) -> bool:
+        """Whether new clients are accepted."""
         return self.acceptor is not None and self.acceptor.is_open
 
     def stop_listening(self) -> None:
+        """Accept the clients that the kernel has accepted already, then no more."""
         if self.sweep_timer:
             self.sweep_timer.cancel()
         if self.acceptor is not None:
             self.acceptor.close()
 
     def carry(self, payload: HandoverPayload, limit: int) -> list[list[Any]]:
-        """The connections, limit recently used last; nothing is pending on them between two turns."""
+        """Return up to `limit` connections for the next process, the most recently used ones.
+
+        Between two turns no answer is pending on them.
+        """
         return [
             [
                 payload.add_descriptor(c.fileno),
@@ -393,19 +426,21 @@
         ]
 
     def resume(self, sock: socket.socket, *carried: Any) -> None:
-        """Go on with a connection of the process before this one."""
+        """Go on with a connection of the previous process."""
         assert self.acceptor is not None
         self.acceptor.join(sock, lambda: ClientConnection(self, carried))
 
     def close_idle(self) -> None:
-        """Close those between requests: one with a request unanswered would lose it. The first request of one
-        that has just connected may be under way."""
+        """Close the connections that are between requests.
+
+        Others would lose their request. New connections are spared: their first request may be in transit.
+        """
         now = asyncio.get_running_loop().time()
         for client in list(self.connections):
             if client.has_served or now - client.last_request_at >= FIRST_REQUEST_GRACE_S:
                 client.close_if_idle()
 
     def reject_all(self) -> None:
-        """The process ends: whatever is not whole by now will not be."""
+        """Reject incomplete requests on all connections, as the process ends."""
         for client in list(self.connections):
             client.reject()
--- a/hopmill/net/restart.py
+++ b/hopmill/net/restart.py
@@ -17,13 +17,18 @@
 
 
 class Restart:
+    """Ends the process in steps, without losing requests or calls. `closed` is set at the end."""
+
     def __init__(self, host: Host) -> None:
         self.host = host
         self.exit_at = 0.0  # when the process ends at the latest, on the loop's clock; 0 while it serves
         self.closed: asyncio.Future[None] = host.loop.create_future()
 
     def terminate(self) -> None:
-        """A planned restart: clients that still come are served, what is not done stays in the journal."""
+        """Begin a planned restart; repeats change nothing.
+
+        Clients that connect soon after are still served. What is not done by the end stays in the journal.
+        """
         host = self.host
         if self.exit_at:
             return
@@ -45,12 +50,13 @@
         self.maybe_exit()
 
     def _answer_and_reject(self) -> None:
-        """What has come is still answered: on the way out the kernel would drop it unread."""
+        """Answer what has arrived, which would be lost unread at the exit, and reject incomplete requests."""
         if self.host.intake.arrived:
             self.host.turn()
         self.host.clients.reject_all()
 
     def maybe_exit(self) -> None:
+        """End the process early if nothing is left to do and no client is connected."""
         host = self.host
         # Events and arrived messages may still lead to calls before the shutdown deadline.
         done = (
