--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -19,10 +19,10 @@
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-PAYLOAD_FORMAT = 1  # of what an upgrade hands over; one that is not known counts as nothing
-MAX_LAST_TURNS = 5  # taken before a hand-over, until nothing has come in
-RETRY_INTERVAL_S = 1.0  # after one that failed, until the next is tried: the loop stands still in each
-NEW_PROCESS_FDS = 24  # what a new process has open before it is given anything
+PAYLOAD_FORMAT = 1  # version of the payload; one of another format is ignored
+MAX_LAST_TURNS = 5  # taken before a hand-over, while there are events
+RETRY_INTERVAL_S = 1.0  # after a failed hand-over, since each one blocks the event loop
+NEW_PROCESS_FDS = 24  # descriptors that a new process has open before it receives any
 log = logs.part("courier")
 
 
@@ -38,9 +38,8 @@
         self.listener: HandoverSocket | None = None
         self.handover_task: asyncio.Task[None] | None = None
         self.no_handover_until = 0.0
-        self.exit_process: Callable[[], None] = lambda: os._exit(
-            0
-        )  # at once: what is open belongs to another now
+        # Ends the process at once, without cleaning up: what is open belongs to the next process.
+        self.exit_process: Callable[[], None] = lambda: os._exit(0)
 
     @property
     def carried(self) -> dict[str, Any]:
@@ -56,7 +55,7 @@
     def listen(self) -> None:
         try:
             self.listener = HandoverSocket(self.ownership.folder)
-        except OSError as error:  # it serves all the same; an upgrade then waits for its end
+        except OSError as error:  # it serves all the same; an upgrade then has to wait for its exit
             log.error("upgrade.not_offered", error=error)
             return
         self.host.loop.add_reader(self.listener.sock, self._on_request)
@@ -66,7 +65,7 @@
         if sock is None:
             return
         if self.handover_task or self.host.loop.time() < self.no_handover_until:
-            sock.close()  # it asks again
+            sock.close()  # the new process tries again
         else:
             self.handover_task = self.host.loop.create_task(self._hand_over(sock))
 
@@ -77,16 +76,16 @@
         for acceptor in acceptors:
             acceptor.stop()
         try:
-            while any(acceptor.pending_joins for acceptor in acceptors):  # none is taken that nobody reads
+            while any(acceptor.pending_joins for acceptor in acceptors):  # must be in the payload
                 await asyncio.sleep(0)
-            for _ in range(MAX_LAST_TURNS):  # those that end calls unsent make events anew
+            for _ in range(MAX_LAST_TURNS):  # ending unsent calls causes new events
                 if host.events or host.intake.arrived:
                     host.turn()
-            # From here on the loop stands still: nothing else happens in this process.
+            # From here on the event loop is blocked: nothing else happens in this process.
             hand_over(sock, self._build_payload(), self.ownership, self.exit_process)
         except HandoverError as error:
             log.error("upgrade.not_handed_over", error=error)
-        except Exception:  # whatever it was, this process is still the owner
+        except Exception:  # this process still owns the folder
             log.exception("upgrade.not_handed_over")
         sock.close()
         if host.peers:
--- a/hopmill/net/upgrade.py
+++ b/hopmill/net/upgrade.py
@@ -22,16 +22,14 @@
 from hopmill import logs
 
 LOCK_FILE, SOCKET_FILE = "owner.lock", "upgrade.sock"
-STEP_TIMEOUT_S = 0.5  # what each side gives the other for a step: the owner stands still meanwhile
-TAKEOVER_WAIT_S, LOCK_POLL_S = (
-    60.0,
-    0.05,
-)  # how long the lock is waited for beside an owner that hands over, and how often
-EXIT_WAIT_S = 2.0  # and without one: a process that was killed may take a moment to be gone
-FRAME_HEADER = struct.Struct(">II")  # bytes of the frame, descriptors after it
-MAX_FDS_PER_MESSAGE = 200  # in one message; the kernel takes 253
+STEP_TIMEOUT_S = 0.5  # for each step of the other side; the owner is blocked meanwhile
+# How long a process that may take over waits for the lock, and how often it tries.
+TAKEOVER_WAIT_S, LOCK_POLL_S = 60.0, 0.05
+EXIT_WAIT_S = 2.0  # for a process that may not take over: one that was killed takes a moment to exit
+FRAME_HEADER = struct.Struct(">II")  # bytes of the frame, number of descriptors after it
+MAX_FDS_PER_MESSAGE = 200  # the kernel accepts 253
 MAX_FRAME_BYTES = 64 << 20
-MAX_SOCKET_PATH_BYTES = 100  # bytes of a socket's path; the kernel takes 107
+MAX_SOCKET_PATH_BYTES = 100  # the kernel accepts 107
 log = logs.part("upgrade")
 
 
@@ -109,7 +107,7 @@
         os.close(directory_fd)
 
 
-# The new process's side
+# The side of the new process
 
 
 def take_over(folder: Path) -> tuple[FolderOwnership, HandoverPayload]:
@@ -121,14 +119,13 @@
         try:
             size, count = FRAME_HEADER.unpack(_receive_exactly(sock, FRAME_HEADER.size))
             if size > MAX_FRAME_BYTES:
-                raise ValueError("the frame is too large")
+                raise ValueError(f"the frame exceeds {MAX_FRAME_BYTES} bytes")
             payload.values = msgpack.unpackb(_receive_exactly(sock, size), strict_map_key=False)
             while len(payload.fds) < count:
                 payload.fds += _receive_descriptors(sock, min(MAX_FDS_PER_MESSAGE, count - len(payload.fds)))
             sock.sendall(b"have")
-            lock_fds = _receive_descriptors(
-                sock, 1
-            )  # 'go': from here on this process acts, and the other never again
+            # With the lock received, only this process acts on the folder from here on.
+            lock_fds = _receive_descriptors(sock, 1)
         except BaseException:
             payload.close()
             raise
@@ -140,7 +137,7 @@
     while len(data) < size:
         chunk = sock.recv(min(1 << 16, size - len(data)))
         if not chunk:
-            raise HandoverError("the other side ended")
+            raise HandoverError("the other process closed the connection")
         data += chunk
     return bytes(data)
 
@@ -149,18 +146,18 @@
     data, fds, flags, _ = socket.recv_fds(sock, 1, count)
     if not data or len(fds) != count or flags & socket.MSG_CTRUNC:
         HandoverPayload(fds=list(fds)).close()
-        raise HandoverError("descriptors lack")
+        raise HandoverError("fewer descriptors received than announced")
     return list(fds)
 
 
-# The owner's side
+# The side of the owner
 
 
 class HandoverSocket:
     """Where the owner waits for a process that takes over."""
 
     def __init__(self, folder: Path) -> None:
-        (folder / SOCKET_FILE).unlink(missing_ok=True)  # an earlier owner's
+        (folder / SOCKET_FILE).unlink(missing_ok=True)  # left by an earlier owner
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         with socket_path(folder) as path:
@@ -192,7 +189,7 @@
         for start in range(0, len(payload.fds), MAX_FDS_PER_MESSAGE):
             socket.send_fds(sock, [b"."], payload.fds[start : start + MAX_FDS_PER_MESSAGE])
         if _receive_exactly(sock, 4) != b"have":
-            raise HandoverError("the other side spoke out of turn")
+            raise HandoverError("unexpected answer from the new process")
         socket.send_fds(sock, [b"g"], [ownership.fd])
     except OSError as error:
         raise HandoverError(str(error)) from error
