--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -1,6 +1,6 @@
-"""An upgrade, from both sides: what this process passes to the next, and what it goes on with from the last.
+"""Both sides of an upgrade: what this process hands over, and how it resumes from what it received.
 
-docs/operations.md has the steps.
+docs/operations.md describes the steps.
 """
 
 from __future__ import annotations
@@ -27,10 +27,13 @@
 
 
 class Handover:
-    """The host's parts, packed for the next process or unpacked from the one before."""
+    """Packs the parts of the host for the next process, or unpacks those of the previous one."""
 
     def __init__(self, host: Host, ownership: FolderOwnership, payload: HandoverPayload | None) -> None:
-        """owner: the right to act on the journal; payload: what came with it from the process before."""
+        """Keep what the previous process handed over.
+
+        ownership: the right to act on the journal. payload: None if there was no hand-over.
+        """
         self.host, self.ownership, self.payload = host, ownership, payload or HandoverPayload()
         if self.payload.values.get("format") != PAYLOAD_FORMAT:
             self.payload.close()
@@ -43,16 +46,18 @@
 
     @property
     def carried(self) -> dict[str, Any]:
-        """What the process before has handed over; empty if there was none."""
+        """What the previous process handed over; empty if there was no hand-over."""
         return self.payload.values
 
     def close(self) -> None:
+        """Stop listening and give up the ownership of the folder."""
         if self.listener:
             self.host.loop.remove_reader(self.listener.sock)
             self.listener.close()
         self.ownership.close()
 
     def listen(self) -> None:
+        """Listen for a new process that asks to take over."""
         try:
             self.listener = HandoverSocket(self.ownership.folder)
         except OSError as error:  # it serves all the same; an upgrade then has to wait for its exit
@@ -97,7 +102,10 @@
                 acceptor.start()
 
     def _build_payload(self) -> HandoverPayload:
-        """What the journal does not hold. Both processes' copies count as open descriptors."""
+        """Return the state that the journal does not hold.
+
+        The copies in both processes count as open descriptors.
+        """
         host = self.host
         free_fds = host.config.sockets - len(os.listdir("/proc/self/fd")) - NEW_PROCESS_FDS
         payload = HandoverPayload({"format": PAYLOAD_FORMAT})
@@ -123,8 +131,10 @@
         return payload
 
     def resume(self) -> None:
-        """The first turn after an upgrade: the module hears what was learned and which calls are out. What it
-        sends then may go over the idle connections, so these have their owner before."""
+        """Take the first turn after an upgrade, with what was learned and which calls are in flight.
+
+        New calls of that turn may use the idle connections, so these are handed to the pool first.
+        """
         carried, host = self.carried, self.host
         host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
         host.pool.resume_idle(
@@ -149,15 +159,22 @@
         host.turn()
 
     def socket_at(self, fd_index: int) -> socket.socket:
+        """Return the socket of a received descriptor."""
         return socket.socket(fileno=self.payload.fds[fd_index])
 
     def _opened_at(self, fd_index: int, since: float) -> float:
-        """When a connection was opened, wall clock; the version before told only when it was in use."""
+        """Return when a connection was opened, in seconds of the wall clock.
+
+        Earlier builds hand over only since when it has been in use or idle.
+        """
         opened_at = self.payload.values.get("born", {}).get(fd_index)
         return opened_at if opened_at is not None else time.time() - (self.host.loop.time() - since)
 
     def resume_connections(self) -> None:
-        """Calls, clients and callers go on; after this all of it has its owner."""
+        """Resume calls, clients and calls to the operator API.
+
+        After this every received descriptor has an owner.
+        """
         carried, host, socket_at = self.carried, self.host, self.socket_at
         if carried["moved"]:
             host.move_discovery((carried["moved"][0], carried["moved"][1]))
@@ -198,6 +215,6 @@
         )
 
     def _returning_zones(self) -> list[tuple[str, int, int]]:
-        """By name: the next process may number them otherwise."""
+        """Return the returning zones by name: the next process may number zones differently."""
         names = {number: name for name, number in self.host.roster.zones.items()}
         return [(names[zone], *span) for zone, span in self.host.courier.zones.back.items()]
--- a/hopmill/net/upgrade.py
+++ b/hopmill/net/upgrade.py
@@ -1,6 +1,7 @@
-"""One owner of the folder that lasts, and how it passes to a new process. docs/operations.md has the steps.
+"""Ownership of the state folder, and how it passes to a new process.
 
-Both sides of the hand-over block: nothing else may happen in either process while the owner is settled.
+docs/operations.md describes the steps. Both sides block during the hand-over: nothing else may happen in
+either process until the owner is settled.
 """
 
 from __future__ import annotations
@@ -34,37 +35,44 @@
 
 
 class HandoverError(OSError):
-    """The other side broke off, or was too slow; nothing has changed hands."""
+    """The other side closed the connection or was too slow; the owner is the same as before."""
 
 
 @dataclass
 class HandoverPayload:
-    """What is handed over: plain values, and descriptors that these name by their place in the list."""
+    """What is handed over: plain values, and descriptors to which they refer by index."""
 
     values: dict[str, Any] = field(default_factory=dict)
     fds: list[int] = field(default_factory=list)
 
     def add_descriptor(self, fd: int) -> int:
+        """Add a descriptor and return its index."""
         self.fds.append(fd)
         return len(self.fds) - 1
 
     def close(self) -> None:
+        """Close all descriptors."""
         for fd in self.fds:
             with contextlib.suppress(OSError):
                 os.close(fd)
 
 
 class FolderOwnership:
-    """The right to act on the folder. It ends with the process, however that ends, or passes on."""
+    """The right to act on the folder, held by a lock on a file.
+
+    It ends with the process, however that ends, or passes to another one.
+    """
 
     def __init__(self, folder: Path, fd: int) -> None:
         self.folder, self.fd = folder, fd
 
     def close(self) -> None:
+        """Give up the ownership."""
         os.close(self.fd)
 
 
 def try_lock(folder: Path) -> FolderOwnership | None:
+    """Return the ownership of the folder, or None if another process has it."""
     fd = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -77,7 +85,11 @@
 
 
 def acquire_ownership(folder: Path, may_take_over: bool) -> tuple[FolderOwnership, HandoverPayload | None]:
-    """Own the folder: at once if nobody does, from the owner if this process may take over."""
+    """Become the owner of the folder, with the payload if a former owner handed over.
+
+    If nobody owns it, that happens at once; a process that may take over asks the owner. Raises OSError if
+    another process keeps the lock.
+    """
     deadline, last_error = time.monotonic() + (TAKEOVER_WAIT_S if may_take_over else EXIT_WAIT_S), ""
     while time.monotonic() < deadline:
         if ownership := try_lock(folder):
@@ -95,7 +107,7 @@
 
 @contextlib.contextmanager
 def socket_path(folder: Path) -> Any:
-    """The link's path, short enough for a socket."""
+    """Yield the path of the hand-over socket; if too long, one by a descriptor of the folder."""
     path = str(folder / SOCKET_FILE)
     if len(path.encode()) <= MAX_SOCKET_PATH_BYTES:
         yield path
@@ -111,6 +123,10 @@
 
 
 def take_over(folder: Path) -> tuple[FolderOwnership, HandoverPayload]:
+    """Take over from the owner.
+
+    Raises OSError, ValueError or UnpackException if that fails; then the owner is the same as before.
+    """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(STEP_TIMEOUT_S)
         with socket_path(folder) as path:
@@ -154,7 +170,7 @@
 
 
 class HandoverSocket:
-    """Where the owner waits for a process that takes over."""
+    """The socket on which the owner waits for a process that takes over."""
 
     def __init__(self, folder: Path) -> None:
         (folder / SOCKET_FILE).unlink(missing_ok=True)  # left by an earlier owner
@@ -166,12 +182,14 @@
         self.sock.listen(1)
 
     def accept(self) -> socket.socket | None:
+        """Return a connection, or None if there is none."""
         try:
             return self.sock.accept()[0]
         except OSError:
             return None
 
     def close(self) -> None:
+        """Stop listening."""
         self.sock.close()
 
 
@@ -181,7 +199,10 @@
     ownership: FolderOwnership,
     exit_process: Callable[[], None],
 ) -> None:
-    """Give all to the process at the other end, then leave; HandoverError if this one remains the owner."""
+    """Hand everything to the process at the other end, then exit by `exit_process`.
+
+    Raises HandoverError if this process remains the owner.
+    """
     sock.settimeout(STEP_TIMEOUT_S)
     try:
         frame = msgpack.packb(payload.values)
