--- a/hopmill/net/accept.py
+++ b/hopmill/net/accept.py
@@ -10,9 +10,9 @@
 from hopmill import logs
 from hopmill.net.config import Address
 
-RETRY_S = 0.05  # with no descriptor left, until the next try
-MAX_ACCEPTS_AT_CLOSE = 1024  # connections taken as the socket closes; over any backlog
-LOG_INTERVAL_S = 5.0  # between two lines of log on that
+RETRY_S = 0.05  # after accept has failed, usually for lack of descriptors
+MAX_ACCEPTS_AT_CLOSE = 1024  # before the socket is closed; more than any backlog
+LOG_INTERVAL_S = 5.0  # at least, between two log lines on failed accepts
 log = logs.part("accept")
 
 
@@ -31,9 +31,8 @@
     ) -> None:
         self.sock, self.protocol_factory, self.max_per_turn = sock, protocol_factory, max_per_turn
         self.loop = asyncio.get_running_loop()
-        self.pending_joins: set[asyncio.Task[None]] = (
-            set()
-        )  # accepted, and not with their protocol_factory yet
+        # Connections that were accepted and are not with their protocol yet.
+        self.pending_joins: set[asyncio.Task[None]] = set()
         self.resume_timer: asyncio.TimerHandle | None = None
         self.logged_at = -LOG_INTERVAL_S
         sock.setblocking(False)
@@ -80,8 +79,8 @@
                 self._pause(error)
                 return
             connection.setblocking(False)
-            # Asyncio does so only where a socket says which protocol it is of, and those of a listening one
-            # that was made without saying so don't. Without it an answer may be held back.
+            # asyncio sets this only on sockets with an explicit protocol number, which those accepted from a
+            # listening socket that was created without one do not have. Without it answers may be delayed.
             with contextlib.suppress(OSError):
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.join(connection, self.protocol_factory)
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -25,7 +25,7 @@
         self.class_indexes = {c.name: index for index, c in enumerate(settings.classes)}
         self.tenant_indexes = {t.name: index for index, t in enumerate(settings.tenants)}
         self.arrived: Arrived = {}
-        self.arrived_numbers_by_id: dict[str, int] = {}  # their ids
+        self.arrived_numbers_by_id: dict[str, int] = {}
 
     def take_arrived(self) -> Arrived:
         """What came since the last turn: this one answers it."""
@@ -44,14 +44,14 @@
             raise BadRequestError("t: no such tenant")
         if host.settings.classes[class_index].effect is interface.Effect.KEYED and not put.idempotency_key:
             raise BadRequestError("k: lacks, and the class is keyed")
-        # PROTOCOL has zeros there unless the class keeps an order; a known id is answered all the same.
+        # The protocol requires zeros unless the class is ordered; a known id is accepted all the same.
         if put.order_key and not host.settings.classes[class_index].ordered and not self._is_known(put.id):
             raise BadRequestError("key: must be zeros, for the class keeps no order")
         if put.id in self.arrived_numbers_by_id:
             self.arrived[self.arrived_numbers_by_id[put.id]][1].append(reply)
             return
         if self._is_known(put.id):
-            reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
+            reply.send(b"+OK\r\n")  # submitted again: it is in progress or has ended
             return
         if host.in_force and not host.in_force.may_act():
             host.in_force.wait(put, reply)
@@ -110,12 +110,12 @@
         """The module has let it in: it is recorded, then answered."""
         host, answer = self.host, b"+OK\r\n"
         if host.in_force and not host.in_force.may_act():
-            host.post(interface.MessageGone(message.number))  # the lease ended between the turn's two halves
+            host.post(interface.MessageGone(message.number))  # the lease ended during this turn
             for reply in replies:
                 reply.send(refusal(host.courier.come_back_us()))
             return
         if not any(r.is_wanted for r in replies):
-            host.post(interface.MessageGone(message.number))  # nobody heard that it was taken on
+            host.post(interface.MessageGone(message.number))  # no client would learn that it was accepted
             return
         try:
             host.journal.record_message(message)
--- a/hopmill/net/put.py
+++ b/hopmill/net/put.py
@@ -21,13 +21,13 @@
     """A message as it is handed in."""
 
     id: str
-    order_key: int  # what messages of an ordered class share, 0 if nothing
+    order_key: int  # shared by messages of an ordered class that are kept in order, 0 for none
     class_name: str
     tenant_name: str | None
-    lifetime_ms: int
+    lifetime_ms: int  # until it expires
     destination: int
-    idempotency_key: str
-    resubmitted: bool
+    idempotency_key: str  # "" if there is none
+    resubmitted: bool  # the client marked it as a repeat
     body: bytes
 
 
--- a/hopmill/net/resp.py
+++ b/hopmill/net/resp.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of all elements of a request
-MAX_ELEMENTS = 16  # the longest command has five
-MAX_LINE_BYTES = 4096  # of anything that is not a bulk string
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # of all elements of a request
+MAX_ELEMENTS = 16  # of a request; the longest command has five
+MAX_LINE_BYTES = 4096  # of any value that is not a bulk string
 CRLF = b"\r\n"
 
 
@@ -35,8 +35,9 @@
 
     def _reset(self) -> None:
         self.elements: list[bytes] = []
-        self.values_missing = 1  # values that the request still lacks
-        self.bulk_size = -1  # bytes of the bulk string that is being read, -1 for none
+        self.values_missing = 1  # until the request is complete
+        self.bulk_size = -1  # of the bulk string that is being read, -1 for none
+        # Values begun, and total size of their bulk strings.
         self.values_begun = self.bulk_bytes = 0
         self.is_well_formed = True
 
