--- a/hopmill/net/accept.py
+++ b/hopmill/net/accept.py
@@ -1,4 +1,4 @@
-"""Accepting connections on a listening socket that may be shared with another process."""
+"""Accepts connections on a listening socket that may be shared with another process."""
 
 from __future__ import annotations
 
@@ -17,14 +17,18 @@
 
 
 def listening_socket(address: Address, backlog: int) -> socket.socket:
+    """Return a listening socket for an IPv4 or IPv6 address. Raises OSError."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     return socket.create_server(address, family=family, backlog=backlog)
 
 
 class Acceptor:
-    """Accepts a few connections in each turn of the loop: some turns pass until these are counted and others
-    closed to make room. asyncio's own server sets the socket's backlog, which is not ours to set, and can't
-    say which connections it has taken that no protocol_factory has seen yet."""
+    """Accepts a few connections in each iteration of the event loop.
+
+    It takes some iterations until new connections are counted and others are closed to make room. asyncio's
+    own server is not used: it sets the backlog of the socket, which is not this program's to set, and cannot
+    tell which connections it has accepted that no protocol has received yet.
+    """
 
     def __init__(
         self, sock: socket.socket, protocol_factory: Callable[[], asyncio.Protocol], max_per_turn: int
@@ -40,24 +44,30 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether the listening socket is open."""
         return self.sock.fileno() >= 0
 
     @property
     def port(self) -> int:
+        """The port of the listening socket."""
         return self.sock.getsockname()[1]
 
     def start(self) -> None:
+        """Start or resume accepting."""
         self.resume_timer = None
         self.loop.add_reader(self.sock, self._on_readable)
 
     def stop(self) -> None:
-        """Accept no more; what has not been accepted waits in the kernel while the socket is open."""
+        """Stop accepting; while the socket is open, further connections wait in the kernel."""
         self.loop.remove_reader(self.sock)
         if self.resume_timer:
             self.resume_timer.cancel()
 
     def close(self) -> None:
-        """Those that the kernel has accepted already are taken: closing the socket would reset them."""
+        """Close the socket, after accepting the connections that the kernel has completed.
+
+        Closing the socket would reset them.
+        """
         if self.is_open:
             self.stop()
             self._accept_up_to(MAX_ACCEPTS_AT_CLOSE)
@@ -86,6 +96,7 @@
             self.join(connection, self.protocol_factory)
 
     def join(self, connection: socket.socket, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        """Connect a socket with its protocol."""
         task = self.loop.create_task(self._join(connection, protocol_factory))
         self.pending_joins.add(task)
         task.add_done_callback(self.pending_joins.discard)
@@ -100,6 +111,7 @@
             connection.close()
 
     def _pause(self, error: OSError) -> None:
+        """Stop accepting for a moment after an error."""
         self.loop.remove_reader(self.sock)
         self.resume_timer = self.loop.call_later(RETRY_S, self.start)
         if self.loop.time() - self.logged_at >= LOG_INTERVAL_S:
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -1,4 +1,7 @@
-"""What clients hand in, until it is taken on or turned away. It knows no protocol but the reply's lines."""
+"""Messages that clients submit, until they are accepted or refused.
+
+Of the protocol it knows only the lines of the answers.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class Intake:
-    """One owner of the messages that have come and are not answered yet."""
+    """Holds the messages that have arrived and are not answered yet."""
 
     def __init__(self, host: Host) -> None:
         self.host, settings = host, host.settings
@@ -28,13 +31,16 @@
         self.arrived_numbers_by_id: dict[str, int] = {}
 
     def take_arrived(self) -> Arrived:
-        """What came since the last turn: this one answers it."""
+        """Return and forget what has arrived since the last turn; the caller answers it."""
         arrived, self.arrived = self.arrived, {}
         self.arrived_numbers_by_id.clear()
         return arrived
 
     def put(self, put: Put, reply: Reply) -> None:
-        """A message is handed in. It is answered in the turn that follows."""
+        """Take a submitted message, which is answered in the next turn unless it can be answered at once.
+
+        Raises BadRequestError.
+        """
         host = self.host
         class_index = self.class_indexes.get(put.class_name)
         if class_index is None:
@@ -89,7 +95,10 @@
         )
 
     def _replace_older(self, message: JournaledMessage) -> None:
-        """A key that is still open here is handed in again only by a client that gave the older one up."""
+        """End an open message with the same idempotency key.
+
+        A client submits a key that is still open again only if it has given up the older message.
+        """
         host = self.host
         if not message.idempotency_key:
             return
@@ -107,7 +116,7 @@
                 return
 
     def accept(self, message: JournaledMessage, replies: list[Reply]) -> None:
-        """The module has let it in: it is recorded, then answered."""
+        """Record a message that the module has admitted, then answer the client."""
         host, answer = self.host, b"+OK\r\n"
         if host.in_force and not host.in_force.may_act():
             host.post(interface.MessageGone(message.number))  # the lease ended during this turn
@@ -131,4 +140,5 @@
 
 
 def refusal(wait_us: int) -> bytes:
+    """Return the answer to a message that is not accepted, with the time after which to retry if known."""
     return b"-BUSY %d\r\n" % -(-wait_us // 1000) if wait_us > 0 else b"-BUSY\r\n"
--- a/hopmill/net/put.py
+++ b/hopmill/net/put.py
@@ -1,4 +1,4 @@
-"""MSG.PUT: a message as clients hand it in."""
+"""The MSG.PUT command, by which clients submit a message."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class BadRequestError(ValueError):
-    """What is wrong with a request, for its -ERR."""
+    """A request is invalid; the text is sent to the client after -ERR."""
 
 
 @dataclass(frozen=True)
 class Put:
-    """A message as it is handed in."""
+    """The arguments of MSG.PUT."""
 
     id: str
     order_key: int  # shared by messages of an ordered class that are kept in order, 0 for none
@@ -39,14 +39,14 @@
 
 
 def hash_order_key(text: bytes) -> int:
-    """Any text as a number that is the same after a restart; zeros stand for none."""
+    """Return a 64-bit number for any text, the same in every process; 0 for zeros, which stand for no key."""
     if not text.strip(b"0"):
         return 0
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
 def parse_put(arguments: list[bytes]) -> Put:
-    """The arguments of MSG.PUT."""
+    """Parse the arguments of MSG.PUT: order key, id, fields, body. Raises BadRequestError."""
     if len(arguments) != 4:
         raise BadRequestError("wrong number of arguments for 'MSG.PUT'")
     order, message_id, encoded_fields, body = arguments
--- a/hopmill/net/resp.py
+++ b/hopmill/net/resp.py
@@ -1,7 +1,9 @@
-"""Requests in RESP2, read with bounds that hold before anything is set aside for them.
+"""A reader of RESP2 requests that checks each announced size before it allocates memory for it.
 
-A peer names the size of what it will send. A general parser believes it: hiredis makes a list as long as an
-array announces, so one line of 13 bytes stalled the courier for seconds or took more memory than it has.
+A peer announces the sizes of what it will send. A general parser trusts them: hiredis creates a list of the
+length that an array announces, so a line of 13 bytes can stall the courier for seconds or exhaust its memory.
+
+RESP2: https://redis.io/docs/latest/develop/reference/protocol-spec/
 """
 
 from __future__ import annotations
@@ -16,18 +18,18 @@
 
 
 class ProtocolError(ValueError):
-    """Where the next request begins can't be known any more."""
+    """The start of the next request cannot be determined."""
 
 
 class MalformedValue:
-    """A whole value that is no array of bulk strings."""
+    """The type of MALFORMED: a complete value that is not an array of bulk strings."""
 
 
 MALFORMED = MalformedValue()
 
 
 class RequestReader:
-    """Takes bytes as they come and gives whole requests."""
+    """Collects received bytes and returns complete requests."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
@@ -43,11 +45,11 @@
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether a request has begun and is not whole."""
+        """Whether a request has begun and is not complete."""
         return bool(self.buffer) or self.values_begun > 0
 
     def carry(self) -> list[Any]:
-        """What was read of a request that is not whole, for the process that takes over."""
+        """Return what was read of an incomplete request, for the process that takes over."""
         return [
             bytes(self.buffer),
             self.elements,
@@ -59,6 +61,7 @@
         ]
 
     def resume(self, carried: list[Any]) -> None:
+        """Go on from what `carry` of the previous process returned."""
         (
             buffer,
             self.elements,
@@ -71,10 +74,14 @@
         self.buffer = bytearray(buffer)
 
     def feed(self, data: bytes) -> None:
+        """Add received bytes."""
         self.buffer += data
 
     def next_request(self) -> list[bytes] | MalformedValue | None:
-        """The next whole request, or None until more bytes come."""
+        """Return the next request, MALFORMED for a value that is none, or None until more bytes arrive.
+
+        Raises ProtocolError.
+        """
         while self.values_missing:
             if not (self._read_bulk() if self.bulk_size >= 0 else self._read_line()):
                 return None
@@ -83,6 +90,7 @@
         return request
 
     def _read_bulk(self) -> bool:
+        """Read the rest of a bulk string; returns False until it has arrived."""
         if len(self.buffer) < self.bulk_size + len(CRLF):
             return False
         if self.buffer[self.bulk_size : self.bulk_size + len(CRLF)] != CRLF:
@@ -94,6 +102,7 @@
         return True
 
     def _read_line(self) -> bool:
+        """Read the line that begins a value; returns False until it has arrived."""
         end = self.buffer.find(CRLF, 0, MAX_LINE_BYTES)
         if end < 0:
             if len(self.buffer) >= MAX_LINE_BYTES:
@@ -124,7 +133,7 @@
 
 
 def _parse_length(text: bytes, maximum: int) -> int:
-    """A length as RESP writes it; -1 stands for none."""
+    """Return a length as RESP2 encodes it; -1 stands for a null value."""
     if text == b"-1":
         return -1
     if not text.isdigit() or len(text) > 9:
