--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -14,7 +14,7 @@
 
 
 @courier
-async def test_a_message_goes_on_unchanged(fleet):
+async def test_a_message_is_forwarded_unchanged(fleet):
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     body = bytes(range(256)) * 8 + b"\r\n*1\r\n$4\r\nPING\r\n"
@@ -37,7 +37,7 @@
 
 
 @courier
-async def test_a_told_wait_is_heeded_and_passed_on(fleet):
+async def test_a_retry_after_is_obeyed_and_passed_on(fleet):
     # A wait binds from when its answer was written, for every message to that destination.
     e = await fleet.endpoint("a", answer(429, Retry_After="0.7"))
     client = await fleet.inside()
@@ -73,7 +73,7 @@
 
 
 @courier
-async def test_a_bundle_with_mixed_ends(fleet):
+async def test_a_batch_with_mixed_results(fleet):
     def mixed(body):
         rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
         return answer(200, rows, Retry_After="0.3")
@@ -143,7 +143,7 @@
 
 
 @courier
-async def test_a_key_counts_only_where_the_class_keeps_an_order(fleet):
+async def test_an_order_key_is_allowed_only_in_an_ordered_class(fleet):
     fleet.raw["classes"][0]["sequential"] = True
     await fleet.endpoint("a")
     client = await fleet.inside()
@@ -247,7 +247,7 @@
 
 
 @courier
-async def test_with_no_room_it_refuses_and_says_when_to_come_again(fleet):
+async def test_a_full_courier_refuses_with_a_retry_after(fleet):
     fleet.raw = settings(policyLimits__maxOpen=4)
     client = await fleet.inside()  # no endpoint: all that is taken on waits
     client.writer.write(b"".join(client.message(f"m{n}") for n in range(6)))
@@ -354,7 +354,7 @@
         assert fleet.host.discovery_moved_to  # a wrong option does not keep it from following discovery
 
 
-def test_settings_that_cannot_be_are_named(tmp_path):
+def test_invalid_settings_are_named(tmp_path):
     async def run():
         async with Fleet(tmp_path, settings(familyInfo__maxCalls=0)) as fleet:
             return fleet.env()
@@ -399,7 +399,7 @@
     asyncio.run(run())
 
 
-def test_a_client_with_nothing_open_is_closed_and_each_request_gives_it_time_anew(tmp_path, monkeypatch):
+def test_an_idle_client_is_closed_and_each_request_restarts_its_timeout(tmp_path, monkeypatch):
     monkeypatch.setattr("hopmill.net.clients.REQUEST_TIMEOUT_S", 3600.0)
 
     async def run():
@@ -442,7 +442,7 @@
 
 
 @courier
-async def test_a_client_that_ends_its_sending_still_hears_its_answer(fleet):
+async def test_a_client_that_half_closes_still_gets_its_answer(fleet):
     # Ending a connection with no answer loses the message.
     e = await fleet.endpoint("a")
     client = await fleet.inside()
@@ -523,7 +523,7 @@
 
 
 @pytest.mark.parametrize("news", ["wait", "drain"])
-def test_news_holds_for_calls_that_were_decided_before_it(tmp_path, news):
+def test_a_change_applies_to_calls_that_were_decided_before_it(tmp_path, news):
     # It can come while a connection is made for a call: the host looks once more before it writes.
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -544,7 +544,7 @@
 
 
 @courier
-async def test_a_crowd_that_stops_half_way_keeps_no_client_out(fleet):
+async def test_many_partial_requests_keep_no_client_out(fleet):
     fleet.limits["sockets"] = 60
     await fleet.endpoint("a")
     first = await fleet.inside()
@@ -564,7 +564,7 @@
 
 
 @courier
-async def test_a_request_has_its_own_time_and_one_that_goes_on_coming_is_let_finish(fleet):
+async def test_a_request_has_its_own_timeout_and_a_slow_one_may_finish(fleet):
     # Its time ran from the request before it: one begun late was cut off half way.
     loop = asyncio.get_running_loop()
     await fleet.endpoint("a")
@@ -598,7 +598,7 @@
     assert (await client.line()).startswith("-ERR no whole request")
 
 
-def test_places_for_clients_follow_the_memory_too(tmp_path):
+def test_the_limit_of_clients_depends_on_the_memory_too(tmp_path):
     async def places(folder, **limits):
         folder.mkdir()
         async with Fleet(folder, **limits) as fleet:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -59,7 +59,7 @@
         (PING + b"\x00" * 300_000, PONG + b"-ERR Protocol error: a line is too long\r\n"),
     ],
 )
-def test_an_error_line_is_not_lost_over_what_is_unread(tmp_path, sent, said):
+def test_an_error_line_is_not_lost_to_unread_data(tmp_path, sent, said):
     # A close over unread bytes resets the connection, and the line may go with it.
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -77,7 +77,7 @@
 
 
 @courier
-async def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_taken_on(fleet):
+async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_accepted(fleet):
     # It is handed in again on a new connection: taken on here too, its first life would count for nothing.
     await fleet.endpoint("a")
     await fleet.inside()
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("end", ["half_close", "reset", "close"])
 @pytest.mark.parametrize("when", ["before", "after"])
-def test_a_client_that_ends_beside_its_answer(tmp_path, end, when):
+def test_a_client_that_closes_as_it_is_answered(tmp_path, end, when):
     """when: its end comes before the turn that answers, or after its answer was written."""
 
     async def run():
@@ -260,7 +260,7 @@
 
 
 @courier
-async def test_what_has_come_in_is_answered_on_the_way_out_and_half_a_request_turned_away(fleet):
+async def test_requests_are_answered_at_the_exit_and_partial_ones_rejected(fleet):
     await fleet.inside()
     host = fleet.host
     whole, half = Peer(fleet.port), Peer(fleet.port)
@@ -309,7 +309,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize(("ids", "whole"), [("a", WHOLE), ("ab", answer(200, ROWS)), ("ab", CHUNKED)])
-def test_an_answer_cut_at_any_byte_tells_no_more_than_what_came(how, ids, whole):
+def test_a_response_cut_at_any_byte_reports_only_what_arrived(how, ids, whole):
     first_line = whole.index(b"\n") + 1
 
     async def run():
@@ -499,7 +499,7 @@
     asyncio.run(run())
 
 
-def test_a_notice_on_a_connection_that_fell_silent_is_told_in_time_on_another():
+def test_a_notice_on_a_connection_that_stopped_answering_is_sent_in_time_on_another():
     # Half a second after a message's time its notice is too late; it was sent again after a whole one.
     async def run():
         got = asyncio.Queue()
@@ -626,7 +626,7 @@
 
 
 @courier
-async def test_a_crowd_one_byte_short_of_the_largest_requests_stays_within_the_memory(fleet):
+async def test_many_requests_one_byte_short_of_complete_stay_within_the_memory(fleet):
     # As many as the descriptors allow, far more than the memory does: those that stopped half way go first.
     await fleet.endpoint("a")
     fleet.limits |= {"memory_mb": 48, "sockets": 4000}
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -39,7 +39,7 @@
         b"*2\r\n$-1\r\n$1\r\na\r\n",
     ],
 )
-def test_an_improper_value_is_read_whole(value):
+def test_a_malformed_value_is_read_completely(value):
     assert read(value + Client.command(b"PING"))[0] == [MALFORMED, [b"PING"]]
 
 
@@ -63,7 +63,7 @@
         b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n",
     ],
 )
-def test_what_cannot_be_read_or_is_too_large_is_turned_down_at_its_announcement(bad):
+def test_an_invalid_or_too_large_size_is_rejected_when_announced(bad):
     with pytest.raises(ProtocolError):
         read(bad)
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -23,7 +23,7 @@
 
 
 @courier
-async def test_what_was_taken_on_outlasts_sigkill(fleet):
+async def test_accepted_messages_survive_sigkill(fleet):
     # In flight when the process dies: each may have run, so only what may be repeated goes again.
     e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
     f = await fleet.endpoint("b", "hang", dest=2)
@@ -85,7 +85,7 @@
 
 
 @courier
-async def test_a_final_without_its_204_is_told_again(fleet):
+async def test_a_notice_without_its_204_is_sent_again(fleet):
     await fleet.endpoint("a", answer(500))
     fleet.discovery.notice_status = [500] * 1000
     client = await fleet.outside()
@@ -250,7 +250,7 @@
     assert len(scales) == 1
 
 
-def test_a_journal_of_the_format_before_takes_the_wall_clock_and_keeps_its_windows(tmp_path):
+def test_a_journal_of_an_earlier_format_takes_the_wall_clock_and_keeps_its_windows(tmp_path):
     held = JournaledMessage(1, "m1", 0, 0, 7, "k", time.time() + 20, False, b"x")
     tried = ["try", [1], time.time() - 2, "z"]
     (tmp_path / "messages.journal").write_bytes(encode_record(held.to_record()) + encode_record(tried))
@@ -268,7 +268,7 @@
 
 
 @courier
-async def test_running_out_of_files_does_not_end_it(fleet):
+async def test_running_out_of_files_does_not_end_the_process(fleet):
     # More clients than descriptors: the longest unused are closed, the process and its calls go on.
     e = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
@@ -379,7 +379,7 @@
     journal.close()
 
 
-def test_ids_that_nobody_needs_any_more_do_not_keep_new_messages_out(tmp_path):
+def test_expired_ids_do_not_keep_new_messages_out(tmp_path):
     # They are forgotten only when the journal is compacted: a small limit filled up with them before.
     journal = Journal(tmp_path, 60_000)
     for n in range(2000):
@@ -398,7 +398,7 @@
         max_size=40,
     )
 )
-def test_open_messages_are_counted_as_they_are(steps):
+def test_open_count_matches_the_open_messages(steps):
     with tempfile.TemporaryDirectory() as folder:
         journal = Journal(Path(folder), 10**6)
         for what, n in steps:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -135,7 +135,7 @@
 
 
 @courier
-async def test_killed_just_before_or_after_a_start_beside_it(fleet):
+async def test_an_owner_killed_while_the_next_process_starts(fleet):
     # The owner dies while the new process starts: that one starts as after SIGKILL.
     hold_socket(fleet)
     client = await fleet.outside()
@@ -166,7 +166,7 @@
 
 
 @courier
-async def test_a_courier_whose_former_door_has_closed_hands_over_again(fleet):
+async def test_a_courier_whose_former_operator_api_has_closed_hands_over_again(fleet):
     await fleet.inside()
     former = socket.create_server(("127.0.0.1", 0))
     fleet.host.door.resume(former, [])
@@ -209,7 +209,7 @@
     return thread
 
 
-def test_the_lock_passes_with_go_and_is_never_free(tmp_path):
+def test_the_lock_passes_to_the_new_process_and_is_never_free(tmp_path):
     owner, left = try_lock(tmp_path), []
     pipes = [os.pipe() for _ in range(150)]
     payload = HandoverPayload({"format": 1, "x": [1, b"2"]}, [fd for pair in pipes for fd in pair])
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize("frame", [b"", b"\0\0\0\5", b"\0\0\0\1\0\0\0\0\xc1", b"\xff\xff\xff\xff\0\0\0\0"])
-def test_a_new_process_that_is_not_told_go_owns_nothing(tmp_path, frame):
+def test_a_new_process_without_the_lock_owns_nothing(tmp_path, frame):
     owner = try_lock(tmp_path)
     link = HandoverSocket(tmp_path)
     link.sock.setblocking(True)
