--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,7 +19,7 @@
 from hopmill.standin.server import Server, answer, read_request
 
 ROOT = pathlib.Path(__file__).parent.parent
-LIMIT = 15.0  # no wait of a test lasts longer
+LIMIT = 15.0  # seconds; no wait of a test lasts longer
 
 
 def settings(**changes):
@@ -102,7 +102,7 @@
         super().__init__()
         self.script, self.calls, self.accepted = list(script), asyncio.Queue(), 0
         self.ended = asyncio.Queue()
-        self.release = None  # an event that answers wait for
+        self.release = None  # an event; responses are held back until it is set
 
     async def serve(self, reader, writer):
         self.accepted += 1
@@ -152,7 +152,7 @@
         return await self.send(self.message(ident, **more))
 
 
-DOOR = "127.0.0.2"  # not the others' address: a port that is free there is not taken by a client meanwhile
+DOOR = "127.0.0.2"  # an address of its own, so that no client connection takes the free port meanwhile
 
 
 def free_port():
@@ -167,7 +167,7 @@
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3, **limits}
         self.discovery, self.endpoints, self.host, self.process = Discovery(), {}, None, None
         self.door, self.port = free_port(), 0
-        self.listening, self.processes = None, []  # the clients' socket, where the platform holds it
+        self.listening, self.processes = None, []  # the clients' socket, if the platform holds it
 
     async def __aenter__(self):
         (self.folder / "state").mkdir(exist_ok=True)
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -38,7 +38,7 @@
 
 @courier
 async def test_a_retry_after_is_obeyed_and_passed_on(fleet):
-    # A wait binds from when its answer was written, for every message to that destination.
+    # A retry-after counts from when its response was written, for every message to that destination.
     e = await fleet.endpoint("a", answer(429, Retry_After="0.7"))
     client = await fleet.inside()
     await client.put("m1")
@@ -78,7 +78,7 @@
         rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
         return answer(200, rows, Retry_After="0.3")
 
-    # The first call teaches the courier that more than one may be out; then three travel as one.
+    # After the first call the courier knows that it may send more than one; then three go in one batch.
     e = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
     client = await fleet.inside()
     await client.put("b0", dest=9)
@@ -93,7 +93,7 @@
 
 @courier
 async def test_bad_client_input(fleet):
-    # A bad request gets -ERR and the connection goes on; only lost framing ends it.
+    # An invalid request gets -ERR and the connection stays; only lost framing ends it.
     await fleet.endpoint("a")
     client = await fleet.inside()
     c = client.command
@@ -137,7 +137,7 @@
         assert len(fleet.host.clients.connections) < 120 / 3
         crowd.append(await Client().open(port))
         assert await crowd[-1].send(first.command(b"PING")) == "+PONG"
-    assert await bounded(first.reader.read()) == b""  # the longest unused first
+    assert await bounded(first.reader.read()) == b""  # least recently used first
     for client in crowd:
         client.writer.close()
 
@@ -154,7 +154,7 @@
 
     assert (await put(b"m1", "unsafe")).startswith("-ERR key")
     assert await put(b"m1", "safe") == "+OK"
-    assert await put(b"m1", "unsafe") == "+OK"  # its id is known: it is taken care of
+    assert await put(b"m1", "unsafe") == "+OK"  # its id is known, so it was accepted before
 
 
 @pytest.mark.parametrize(
@@ -192,7 +192,7 @@
     client = await fleet.inside()
     await bounded(fleet.discovery.watches.get())
     await fleet.discovery.stop()
-    await client.put("m1")  # goes on with the list that it has
+    await client.put("m1")  # uses the list that it has
     await fleet.endpoints["a"].call()
     b = await fleet.endpoint("b", dest=8)
     fleet.discovery.rev += 1
@@ -203,7 +203,7 @@
 
 
 def test_a_silent_watch_is_opened_again(tmp_path, monkeypatch):
-    # A cut connection stays open and silent: only the missing empty lines tell.
+    # A connection cut by the network stays open without data: only the missing keep-alive lines show it.
     monkeypatch.setattr("hopmill.net.discovery.SILENCE_S", 0.2)
 
     class Mute(Discovery):
@@ -249,7 +249,7 @@
 @courier
 async def test_a_full_courier_refuses_with_a_retry_after(fleet):
     fleet.raw = settings(policyLimits__maxOpen=4)
-    client = await fleet.inside()  # no endpoint: all that is taken on waits
+    client = await fleet.inside()  # no endpoint, so accepted messages wait
     client.writer.write(b"".join(client.message(f"m{n}") for n in range(6)))
     answers = [await client.line() for n in range(6)]
     busy = [a for a in answers if a.startswith("-BUSY ")]
@@ -258,7 +258,7 @@
 
 @courier
 async def test_a_full_disk_refuses(fleet):
-    # Old and new journal together must stay under the limit: more than that is a crash.
+    # The old and the new journal together must stay under the limit: exceeding it counts as a crash.
     fleet.limits["disk_mb"] = 0.1
     client = await fleet.inside()
     answers = [await client.put(f"m{n}", body=b"x" * 9000) for n in range(10)]
@@ -268,7 +268,7 @@
     assert len(fleet.host.journal.messages) == answers.count("+OK") < 10
     e = await fleet.endpoint("a")
     fleet.discovery.rev += 1
-    fleet.discovery.drop()  # the watch is opened again and brings the endpoint: room comes free
+    fleet.discovery.drop()  # the watch reconnects and lists the endpoint, so messages are delivered
     for _ in range(answers.count("+OK")):
         await e.call()
     assert await client.put("small") == "+OK"
@@ -329,7 +329,7 @@
             return fleet.env(), fleet.folder / "config.json"
 
     env, path = asyncio.run(run())
-    assert load(env).options == Options()  # off unless it is named
+    assert load(env).options == Options()  # off by default
     config = json.loads(path.read_text())
     path.write_text(json.dumps({**config, "connections": {"warm_up": True}}))
     assert load(env).options.warm_up
@@ -351,7 +351,7 @@
         reload()
         fleet.host.turn()
         assert fleet.host.courier.connections.warm_up is on
-        assert fleet.host.discovery_moved_to  # a wrong option does not keep it from following discovery
+        assert fleet.host.discovery_moved_to  # invalid options do not prevent the move of discovery
 
 
 def test_invalid_settings_are_named(tmp_path):
@@ -411,7 +411,7 @@
                 dues.append(peer._deadline())
             assert dues == sorted(set(dues))
             peer.timer.cancel()
-            peer._on_timeout()  # set before the newest request: it asks again
+            peer._on_timeout()  # the timer was set before the newest request, so it checks again
             assert not peer.is_closing
             peer.last_request_at -= 3600.0
             peer.timer.cancel()
@@ -443,7 +443,7 @@
 
 @courier
 async def test_a_client_that_half_closes_still_gets_its_answer(fleet):
-    # Ending a connection with no answer loses the message.
+    # Closing the connection without an answer would lose the message.
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     client.writer.write(client.message("m"))
@@ -455,7 +455,7 @@
 
 @courier
 async def test_a_call_that_fails_inside_is_ended(fleet):
-    # An error in the courier's own code must neither end the process nor hold a slot for good.
+    # An exception in the courier must neither end the process nor occupy a slot forever.
     await fleet.endpoint("a")
     client = await fleet.inside()
     with pytest.MonkeyPatch.context() as patch:
@@ -469,7 +469,7 @@
 
 @courier
 async def test_a_known_key_keeps_its_age(fleet):
-    # Past the destination's memory of a key, another attempt could take effect twice.
+    # Once the destination has forgotten a key, another attempt could take effect twice.
     e = await fleet.endpoint("a", answer(500), answer(500), answer(500))
     client = await fleet.inside()
     await client.put("m1", kind="keyed", key="k")
@@ -485,21 +485,21 @@
 
 @courier
 async def test_a_key_that_is_still_open_is_taken_over_by_the_newer_message(fleet):
-    # A client that heard no answer in time hands its message in anew: two copies must not be out at once.
+    # A client that got no answer in time submits its message again: two copies must not be in flight at once.
     e = await fleet.endpoint("a", "hang")
     client = await fleet.inside()
     await client.put("m1", kind="keyed", key="k")
     await e.call()
     await client.put("m2", kind="keyed", key="k")
     assert (await fleet.discovery.final()) == {"id": "m1", "status": "deferred"}
-    await bounded(e.ended.get())  # the older call was given up
+    await bounded(e.ended.get())  # the older call was cancelled
     path, headers, *_ = await e.call()
     assert (headers["x-request-id"], headers["idempotency-key"]) == ("m2", "k")
 
 
 @pytest.mark.parametrize(("kind", "wall", "calls"), [("keyed", 7.9, 2), ("keyed", 8.1, 1), ("safe", 5.0, 2)])
 def test_a_repeat_keeps_its_window_though_it_is_written_late(tmp_path, monkeypatch, kind, wall, calls):
-    # Decided inside the window, written after it: the key is forgotten, and it would take effect twice.
+    # An attempt decided inside the key window but written after it could take effect twice.
     async def run():
         async with Fleet(tmp_path) as fleet:
             e = await fleet.endpoint("a", "reset")
@@ -524,7 +524,7 @@
 
 @pytest.mark.parametrize("news", ["wait", "drain"])
 def test_a_change_applies_to_calls_that_were_decided_before_it(tmp_path, news):
-    # It can come while a connection is made for a call: the host looks once more before it writes.
+    # It may arrive while a connection is opened for a call: the host checks again before it writes.
     async def run():
         async with Fleet(tmp_path) as fleet:
             e = await fleet.endpoint("a")
@@ -554,7 +554,7 @@
         crowd[-1].writer.write(b"*5\r\n$7\r\nMSG")
         while not list(fleet.host.clients.connections)[-1].reader.has_partial_request:
             await asyncio.sleep(0)
-        if n % 5 == 4:  # an honest one that writes slowly is not the longest quiet
+        if n % 5 == 4:  # a correct client among them is not the one idle longest
             honest = await Client().open(fleet.port)
             assert await honest.put(f"m{n}") == "+OK"
             honest.writer.close()
@@ -565,7 +565,7 @@
 
 @courier
 async def test_a_request_has_its_own_timeout_and_a_slow_one_may_finish(fleet):
-    # Its time ran from the request before it: one begun late was cut off half way.
+    # The timeout was counted from the request before: one that began late was cut off.
     loop = asyncio.get_running_loop()
     await fleet.endpoint("a")
     client = await fleet.inside()
@@ -594,7 +594,7 @@
     client.writer.write(message[:30])
     while not peer.reader.has_partial_request:
         await asyncio.sleep(0)
-    late(2.1)  # quiet for longer than that it is stalled
+    late(2.1)  # idle for longer than the timeout: it is stalled
     assert (await client.line()).startswith("-ERR no whole request")
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -34,7 +34,7 @@
     parse_records,
 )
 
-FLOOD = b"nonsense\r\n" * 100_000  # far more than the kernel holds of it
+FLOOD = b"nonsense\r\n" * 100_000  # far more than the kernel buffers
 
 
 # Clients
@@ -42,7 +42,7 @@
 
 @courier
 async def test_an_answer_is_never_held_back_by_the_system(fleet):
-    # A listening socket that was made without naming its protocol gave connections without TCP_NODELAY.
+    # A listening socket created without a protocol number gave connections without TCP_NODELAY.
     await fleet.inside()
     peer = Peer(fleet.port)
     sock = (await joined(fleet.host, peer)).transport.get_extra_info("socket")
@@ -60,7 +60,7 @@
     ],
 )
 def test_an_error_line_is_not_lost_to_unread_data(tmp_path, sent, said):
-    # A close over unread bytes resets the connection, and the line may go with it.
+    # Closing with unread data resets the connection, and the error line may be lost.
     async def run():
         async with Fleet(tmp_path) as fleet:
             good = await fleet.inside()
@@ -78,7 +78,7 @@
 
 @courier
 async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_accepted(fleet):
-    # It is handed in again on a new connection: taken on here too, its first life would count for nothing.
+    # The client submits it again on a new connection, since it cannot learn that it was accepted here.
     await fleet.endpoint("a")
     await fleet.inside()
     peer = Peer(fleet.port)
@@ -86,7 +86,7 @@
     await peer.send(PING)
     assert await peer.some() == PONG
     side.close_if_idle()
-    assert await peer.some() == b""  # it has heard the end, and sends all the same
+    assert await peer.some() == b""  # it has seen EOF, and sends all the same
     await peer.send(put("late"))
     assert await peer.rest() == (b"", "end")
     await until(lambda: at(fleet.host, peer) is None)
@@ -99,7 +99,7 @@
     await fleet.inside()
     peer = Peer(fleet.port)
     side = await joined(fleet.host, peer)
-    side.transport.pause_reading()  # the loop has not come to it yet
+    side.transport.pause_reading()  # the event loop has not read the data yet
     await peer.send(PING)
     await until(lambda: any(fcntl.ioctl(side.fileno, termios.FIONREAD, bytes(4))))
     side.last_request_at -= 60
@@ -112,7 +112,7 @@
 
 @courier
 async def test_requests_that_come_at_once_are_all_answered_with_others_between(fleet):
-    # A quarter of a megabyte in one read took up to half a second of a whole core, and nobody else was heard.
+    # Handling a read of 256 KiB at once took up to half a second, during which no other client was served.
     await fleet.inside()
     many, one = Peer(fleet.port), Peer(fleet.port)
     side, beside = await joined(fleet.host, many), await joined(fleet.host, one)
@@ -123,7 +123,7 @@
     beside.transport.pause_reading()
     await one.send(PING)
     await until(lambda: beside.has_unread_bytes)
-    beside.transport.resume_reading()  # it is read in the next turn of the loop
+    beside.transport.resume_reading()  # it is read in the next iteration of the event loop
     side.data_received(PING * 1000)  # in one read
     many.half_close()
     assert await one.some() == PONG
@@ -156,14 +156,14 @@
             peer = Peer(fleet.port)
             side = await joined(fleet.host, peer)
             turns, wake = [], fleet.host.schedule_turn
-            fleet.host.schedule_turn = lambda: turns.append(1)  # no turn until the test says so
+            fleet.host.schedule_turn = lambda: turns.append(1)  # no turn until the test runs one
             await peer.send(put("m"))
             await until(lambda: fleet.host.intake.arrived)
             if when == "before":
                 getattr(peer, end)()
                 await until(
                     lambda: side.is_lost if end == "reset" else side.peer_sent_eof
-                )  # a close may be half a one
+                )  # a close may look like a half-close
             fleet.host.schedule_turn = wake
             fleet.host.turn()
             taken = when == "after" or end != "reset"
@@ -251,7 +251,7 @@
     await fleet.inside()
     peer = Peer(fleet.port)
     await joined(fleet.host, peer)
-    fleet.host.clients.close_idle()  # its request is still on its way
+    fleet.host.clients.close_idle()  # its request is still in transit
     await peer.send(put("first", dest=99))
     assert await peer.some() == OK
     fleet.host.clients.close_idle()
@@ -266,7 +266,7 @@
     whole, half = Peer(fleet.port), Peer(fleet.port)
     await joined(host, whole)
     side = await joined(host, half)
-    host.schedule_turn = lambda: None  # the turn that would answer does not come before the end
+    host.schedule_turn = lambda: None  # no turn answers before the exit
     await whole.send(put("whole", dest=99))
     await half.send(put("half", dest=99)[:50])
     await until(lambda: host.intake.arrived and side.reader.has_partial_request)
@@ -319,7 +319,7 @@
             ends = dict(await o.send(endpoint.port, *ids))
             told = cut >= (first_line if ids == "a" else len(whole))
             results = {end.result for end in ends.values()}
-            # A reset may come before what was sent is read: then it is lost, and may have run.
+            # A reset may arrive before the response is read: then that is lost, and the call may have run.
             allowed = (
                 [{Result.OK}]
                 if told and how == "end"
@@ -356,7 +356,7 @@
         await until(lambda: endpoint.open)
         loop = asyncio.get_running_loop()
         endpoint.open[0].setblocking(False)
-        assert await bounded(loop.sock_recv(endpoint.open[0], 1)) == b""  # the courier has ended it
+        assert await bounded(loop.sock_recv(endpoint.open[0], 1)) == b""  # the courier has closed it
         assert not o.calls.out and not o.pool.idle
         o.calls.close()
         endpoint.close()
@@ -386,7 +386,7 @@
             "a",
             {"cancelled": Result.MOOT, "timed out": Result.CONNECT_FAILED}[given_up],
         )
-        for link, args in held:  # now it is up
+        for link, args in held:  # now it is connected
             connected(link, *args)
         await asyncio.sleep(0)
         assert endpoint.calls.empty() and not o.begun and not o.calls.out
@@ -448,7 +448,7 @@
         if how == "move":
             watch.move(("127.0.0.1", port))
         lists.end(how)
-        # Two hundred couriers wait 5 to 20 s where discovery is busy; what it would tell counts in 0.5 s.
+        # Two hundred couriers wait 5 to 20 s for a busy discovery; its changes have to apply within 0.5 s.
         assert (await asyncio.wait_for(lists.asked.get(), 2.0)).endswith("from=4")
         lists.say(line(5))
         await until(lambda: len(told) == 2)
@@ -500,7 +500,7 @@
 
 
 def test_a_notice_on_a_connection_that_stopped_answering_is_sent_in_time_on_another():
-    # Half a second after a message's time its notice is too late; it was sent again after a whole one.
+    # A notice is too late half a second after the message's expiry; it was repeated only after a second.
     async def run():
         got = asyncio.Queue()
 
@@ -568,14 +568,14 @@
             ends.append(ends[-1] + len(encode_record(record)))
         for n, end in enumerate(ends):
             await after(tmp_path / f"{n}", whole[:end], records[:n])
-            if n < len(records):  # the next one is torn
+            if n < len(records):  # the next record is torn
                 await after(tmp_path / f"{n}-torn", whole[: ends[n + 1] - 3], records[:n])
 
     asyncio.run(run())
 
 
 def test_a_journal_as_large_as_it_may_be_is_read_in_a_moment(tmp_path):
-    # Readiness is owed within 10 s of a part of a core.
+    # The courier must be ready within 10 s on a share of a core.
     journal = Journal(tmp_path, 3_000_000)
     with contextlib.suppress(JournalFullError):
         for n in range(100_000):
@@ -614,7 +614,7 @@
     client = await fleet.inside()
     host, written = fleet.host, c.Link.written
     try:
-        c.Link.written = property(lambda link: False)  # its endpoint's window is full
+        c.Link.written = property(lambda link: False)  # the endpoint's TCP window is full
         await client.put("m", kind="unsafe")
         await until(lambda: host.calls.out and host.journal.messages[1].latest_attempt_at)
         assert host.calls.unwritten() == [1]
@@ -627,7 +627,7 @@
 
 @courier
 async def test_many_requests_one_byte_short_of_complete_stay_within_the_memory(fleet):
-    # As many as the descriptors allow, far more than the memory does: those that stopped half way go first.
+    # As many connections as descriptors allow, far more than memory does: stalled ones are closed first.
     await fleet.endpoint("a")
     fleet.limits |= {"memory_mb": 48, "sockets": 4000}
     (await fleet.outside()).close()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -70,7 +70,7 @@
 
 @courier
 async def test_a_huge_array_is_an_error_line_and_stalls_nobody(fleet):
-    # One such line had made the old parser set aside a list of that length: a stall of seconds, or the end.
+    # A parser that trusts such a line allocates a list of that length and stalls, or runs out of memory.
     client = await fleet.inside()
     for announced in (b"*1000000000\r\n", b"*2\r\n$3\r\nabc\r\n*4294967295\r\n"):
         peer = await Client().open(fleet.port)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -24,7 +24,7 @@
 
 @courier
 async def test_accepted_messages_survive_sigkill(fleet):
-    # In flight when the process dies: each may have run, so only what may be repeated goes again.
+    # Calls in flight when the process dies may have run, so only what may be repeated is sent again.
     e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
     f = await fleet.endpoint("b", "hang", dest=2)
     g = await fleet.endpoint("c", "hang", dest=3)
@@ -44,14 +44,14 @@
     assert (await g.call())[1]["idempotency-key"] == "k"
     assert (await h.call())[1]["x-request-id"] == "held"
     assert f.calls.empty()
-    assert await client.put("safe", dest=1) == "+OK"  # known: not run again
+    assert await client.put("safe", dest=1) == "+OK"  # its id is known, so it is not run again
     await client.put("next", dest=1)
     assert (await e.call())[1]["x-request-id"] == "next"
 
 
 @courier
 async def test_a_key_that_holds_in_one_zone_is_repeated_there_alone_after_sigkill(fleet):
-    # The zone of the first attempt was kept in the process only: the next one took any for it.
+    # The zone of the first attempt was kept only in memory, and the next process used any zone.
     fleet.raw["classes"][1] |= {"keyScope": "zone"}
     there = await fleet.endpoint("there", "hang", dest=3)
     fleet.discovery.target("there", there.port, 3, zone="there")
@@ -126,7 +126,7 @@
 
 @courier
 async def test_sigterm_under_traffic(fleet):
-    # New connections go on coming for a while, a call that is out is let finish, nothing answered is lost.
+    # New connections are accepted for a while, calls in flight may finish, accepted messages are not lost.
     e = await fleet.endpoint("a")
     client = await fleet.outside()
     start = time.monotonic()
@@ -196,7 +196,7 @@
     journal.close()
 
 
-# The journal's time. A process that reads it finds a wall clock that was set meanwhile.
+# The journal's time scale: the wall clock was set between two processes.
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
@@ -235,13 +235,13 @@
     journal.close()
     another_boot(monkeypatch, "two", wall)
     scales = set()
-    for _ in range(2):  # the second finds a journal of its own boot
+    for _ in range(2):  # the second process finds a journal of its own boot
         journal = Journal(tmp_path, 100_000, 8.0)
         scales.add(journal.scale)
         now, went_back = journal.scale.now(), wall < 10_000
         assert journal.scale.boot_id == "two" and abs(now - (10_000 if went_back else wall)) < 5
         assert journal.messages[1].expires_at > now if went_back else journal.messages[1].expires_at < now
-        # How long the machine was down is not known: nothing is sent again inside a window.
+        # It is unknown how long the machine was down: nothing is sent again inside a window.
         assert (
             now - journal.messages[2].may_have_run_at > 8 and now - journal.first_run_by_key["k"] >= 8 - 1e-3
         )
@@ -258,7 +258,7 @@
     assert abs(journal.scale.now() - time.time()) < 1 and journal.scale.is_of_this_boot()
     assert 1 < journal.scale.now() - journal.messages[1].may_have_run_at < 4
     scale = journal.scale
-    for _ in range(3000):  # the record of it stays through a rewrite
+    for _ in range(3000):  # compaction keeps the record of the scale
         journal.record_message(JournaledMessage(2, "m2", 0, 0, 7, "", time.time() + 9, False, b"x"))
         journal.record_done(2)
     journal.close()
@@ -269,7 +269,7 @@
 
 @courier
 async def test_running_out_of_files_does_not_end_the_process(fleet):
-    # More clients than descriptors: the longest unused are closed, the process and its calls go on.
+    # More clients than descriptors: the least recently used are closed, the process and its calls go on.
     e = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
     await fleet.outside(files=40)
@@ -289,7 +289,7 @@
 async def test_a_burst_of_connections_leaves_descriptors_for_the_rest(fleet):
     fleet.limits["sockets"] = 120
     await fleet.outside(files=120)
-    fleet.process.send_signal(signal.SIGSTOP)  # so that all of them wait to be accepted at once
+    fleet.process.send_signal(signal.SIGSTOP)  # so that all connections wait to be accepted at once
     crowd = []
     for _ in range(300):
         crowd.append(socket.create_connection(("127.0.0.1", fleet.port)))
@@ -305,7 +305,7 @@
 
 @courier
 async def test_sighup_moves_discovery(fleet):
-    # The environment goes on naming the old place; the file names the new one.
+    # The environment still names the old address; the file names the new one.
     a = await fleet.endpoint("a", answer(500))
     client = await fleet.outside()
     await bounded(fleet.discovery.watches.get())
@@ -318,7 +318,7 @@
     path = fleet.folder / "config.json"
     config = json.loads(path.read_text())
     path.write_text("{")
-    fleet.process.send_signal(signal.SIGHUP)  # one that can't be read changes nothing
+    fleet.process.send_signal(signal.SIGHUP)  # an unreadable file changes nothing
     while "config.not_used" not in (line := (await bounded(fleet.process.stderr.readline())).decode()):
         assert line, "the courier ended"
     path.write_text(json.dumps({**config, "discovery": f"127.0.0.1:{fleet.discovery.port}"}))
@@ -380,7 +380,7 @@
 
 
 def test_expired_ids_do_not_keep_new_messages_out(tmp_path):
-    # They are forgotten only when the journal is compacted: a small limit filled up with them before.
+    # Ids were dropped only when the journal was compacted, and filled a small limit before that.
     journal = Journal(tmp_path, 60_000)
     for n in range(2000):
         journal.record_message(JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
@@ -411,7 +411,9 @@
                 journal.record_attempt([n], time.time())
             elif what == "final" and m and not m.status:
                 journal.record_end(n, "deferred", 5)
-            elif what == "failed final" and m and not m.status:  # the disk was full: it is owed all the same
+            elif (
+                what == "failed final" and m and not m.status
+            ):  # the disk was full: the notice is owed all the same
                 journal.mark_ended(m, "undeliverable", 0)
             elif what == "told":
                 journal.record_notices_accepted([n])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -59,18 +59,18 @@
     assert await bounded(fleet.former.wait()) == 0
     await healthy(fleet.door)
     assert (await call(fleet.former_door, "GET", "/healthcheck"))[0] == 200  # for a while
-    gate.set()  # the answers come on the connections that the calls went out on
+    gate.set()  # the responses arrive on the connections of the calls
     half.writer.write(message[50:])
-    assert await half.line() == "+OK"  # on the connection that it had
+    assert await half.line() == "+OK"  # on its old connection
     assert await fresh.put("after", dest=4) == "+OK" and await client.put("more", dest=1) == "+OK"
     assert await (await Client().open(fleet.port)).put("new", dest=1) == "+OK"
     assert {(await e.call())[1]["x-request-id"] for _ in range(3)} == {"half", "more", "new"}
-    assert (await told.call())[3] - told_at >= 1.2  # the told wait is kept
-    assert e.accepted == 1  # its idle connection is used on
+    assert (await told.call())[3] - told_at >= 1.2  # the retry-after is kept
+    assert e.accepted == 1  # its idle connection is used again
     fleet.discovery.target("n", e.port, 9)
     fleet.discovery.change("n")
     assert (await e.call())[1]["x-request-id"] == "nowhere"
-    # What was out has ended as delivered: a restart neither sends it again nor has a notice for it.
+    # Calls in flight have ended as delivered: a restart neither sends them again nor notifies.
     await fleet.kill()
     await fleet.outside()
     assert slow.calls.empty() and bundles.calls.empty() and fleet.discovery.finals.empty()
@@ -121,7 +121,7 @@
     e = await fleet.endpoint("a")
     client = await fleet.outside()
     assert await client.put("first") == "+OK"
-    for read in (0, 4, 64):  # at several steps
+    for read in (0, 4, 64):  # the new process dies at several steps
         await died_having_read(read, fleet.folder / "state" / "upgrade.sock")
         while b"upgrade.not_handed_over" not in await bounded(fleet.process.stderr.readline()):
             pass
@@ -136,7 +136,7 @@
 
 @courier
 async def test_an_owner_killed_while_the_next_process_starts(fleet):
-    # The owner dies while the new process starts: that one starts as after SIGKILL.
+    # The owner dies while the new process starts: that one starts as after a crash.
     hold_socket(fleet)
     client = await fleet.outside()
     assert await client.put("m", dest=5) == "+OK"
@@ -218,9 +218,9 @@
     thread.join()
     assert left == ["left"] and got.values == payload.values and len(got.fds) == 300
     os.write(got.fds[-1], b"x")
-    assert os.read(pipes[-1][0], 1) == b"x"  # in their places
+    assert os.read(pipes[-1][0], 1) == b"x"  # in the same order
     owner.close()
-    assert try_lock(tmp_path) is None  # the new one holds it
+    assert try_lock(tmp_path) is None  # the new process holds it
     new.close()
     got.close()
     payload.close()
@@ -244,9 +244,7 @@
 
     thread = threading.Thread(target=broken)
     thread.start()
-    new, payload = acquire_ownership(
-        tmp_path, may_take_over=True
-    )  # it starts by itself once the owner is gone
+    new, payload = acquire_ownership(tmp_path, may_take_over=True)  # it gets the lock once the owner is gone
     thread.join()
     assert payload is None
     new.close()
