--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,7 +23,7 @@
 
 
 def settings(**changes):
-    """Settings as on the wire; a change is given as group__name=value."""
+    """Return settings as on the wire; a change is given as group__name=value."""
     raw = {
         "classes": [
             {
@@ -81,11 +81,12 @@
 
 
 async def bounded(awaitable):
+    """Await with the time limit of the tests."""
     return await asyncio.wait_for(awaitable, LIMIT)
 
 
 async def until(condition):
-    """Wait for it, a bounded time."""
+    """Wait until the condition holds, within the time limit."""
 
     async def poll():
         while not condition():
@@ -95,8 +96,11 @@
 
 
 class Endpoint(Server):
-    """Answers calls by a script, then 200. A step is bytes, a function of the body, 'reset', 'hang', or
-    ('end', bytes): the connection ends after these."""
+    """Answers calls by a script, then 200.
+
+    A step is bytes, a function of the body, 'reset', 'hang', or ('end', bytes): the connection ends after
+    these.
+    """
 
     def __init__(self, *script):
         super().__init__()
@@ -105,6 +109,7 @@
         self.release = None  # an event; responses are held back until it is set
 
     async def serve(self, reader, writer):
+        """Answer the calls of one connection by the script."""
         self.accepted += 1
         try:
             while True:
@@ -128,11 +133,15 @@
             self.ended.put_nowait(None)
 
     async def call(self):
+        """Return the next call: path, headers, body, time of the event loop."""
         return await bounded(self.calls.get())
 
 
 class Discovery(standin.Discovery):
+    """A stand-in for discovery whose waits are bounded."""
+
     async def final(self, status=204):
+        """Return the next notice that was answered with this status."""
         while True:
             got, line = await bounded(self.finals.get())
             if got == status:
@@ -140,15 +149,18 @@
 
 
 class Client(standin.Client):
-    """Hands messages in, each step in a bounded time."""
+    """Submits messages, each step within the time limit."""
 
     async def open(self, port):
+        """Connect to the courier."""
         return await bounded(super().open(port))
 
     async def line(self):
+        """Return the next line of an answer."""
         return await bounded(super().line())
 
     async def put(self, ident, **more):
+        """Submit a message and return the answer."""
         return await self.send(self.message(ident, **more))
 
 
@@ -156,6 +168,7 @@
 
 
 def free_port():
+    """Return a port that is free at the address of the operator API."""
     return standin.free_port(DOOR)
 
 
@@ -187,11 +200,13 @@
             await server.stop()
 
     async def endpoint(self, uid, *script, dest=7, kind="plain", rate=100.0):
+        """Start a scripted endpoint and list it in discovery."""
         endpoint = self.endpoints[uid] = await Endpoint(*script).start()
         self.discovery.target(uid, endpoint.port, dest, kind, rate=rate)
         return endpoint
 
     def env(self):
+        """Write the configuration; return the environment of a courier."""
         config = {
             "name": "n0",
             "seed": "8c1f30d27a5be964",
@@ -223,7 +238,7 @@
         return await Client().open(self.port)
 
     async def start(self, files=0):
-        """A process that is ready, and the port that it says it is ready on."""
+        """Start a process and wait until it is ready; returns it with its port."""
 
         def limit():
             if files:
@@ -237,6 +252,7 @@
                 return process, int(line.split(" port=")[1].split()[0])
 
     async def launch(self, **more):
+        """Start a process without waiting."""
         env = {**os.environ, **self.env()}
         if self.listening:
             env["LB_LISTEN_FD"] = str(self.listening.fileno())
@@ -248,17 +264,18 @@
         return process
 
     async def upgrade(self):
-        """Start the next process beside the first, with a door of its own, as the platform does."""
+        """Start the next process beside the first, with an operator API of its own, as the platform does."""
         self.former, self.former_door, self.door = self.process, self.door, free_port()
         self.process, _ = await self.start()
 
     async def kill(self):
+        """Kill the courier with SIGKILL."""
         self.process.send_signal(signal.SIGKILL)
         await bounded(self.process.wait())
 
 
 def courier(test):
-    """Runs a test with a fleet."""
+    """Run a test with a fleet."""
 
     def run(tmp_path):
         async def inner():
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Peers on raw sockets for the tests of crossings: each byte, half-close and reset is the test's own."""
+"""Connections on raw sockets whose bytes, half-closes and resets the test controls."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Peer:
-    """A client's connection that reads and sends nothing of its own accord."""
+    """A client connection that reads and sends only when the test says so."""
 
     def __init__(self, port: int, room: int = 0) -> None:
-        """room: bytes of its receive buffer, 0 for the system's own."""
+        """room: size of its receive buffer in bytes, 0 for the default of the system."""
         self.loop = asyncio.get_running_loop()
         self.sock = socket.socket()
         if room:
@@ -25,22 +25,25 @@
         self.sock.setblocking(False)
 
     async def send(self, data: bytes) -> None:
-        """As much as the other side takes; what it has ended is not an error here."""
+        """Send as much as the other side accepts; a closed connection is not an error here."""
         with contextlib.suppress(ConnectionError):
             await bounded(self.loop.sock_sendall(self.sock, data))
 
     def half_close(self) -> None:
+        """Send EOF."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
+        """Reset the connection."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
     async def some(self) -> bytes:
+        """Return what arrives next, b"" for EOF."""
         return await bounded(self.loop.sock_recv(self.sock, 1 << 16))
 
     async def rest(self) -> tuple[bytes, str]:
-        """All until its end, and which end: `end` or `reset`."""
+        """Return everything until the end, and how it ended: `end` or `reset`."""
         got = b""
         while True:
             try:
@@ -52,10 +55,12 @@
             got += data
 
     def close(self) -> None:
+        """Close the connection."""
         self.sock.close()
 
 
 def put(ident: str, **more) -> bytes:
+    """Return the bytes of a MSG.PUT request."""
     return Client.message(ident, **more)
 
 
@@ -63,20 +68,23 @@
 
 
 def at(host, peer: Peer):
-    """The courier's side of a peer's connection, None until it has joined."""
+    """Return the courier's side of a peer's connection, None until it has joined."""
     name = peer.sock.getsockname()
     sides = [*host.clients.connections, *host.clients.lingering]
     return next((c for c in sides if c.transport.get_extra_info("peername") == name), None)
 
 
 async def joined(host, peer: Peer):
+    """Wait for the courier's side of a peer's connection and return it."""
     await until(lambda: at(host, peer) is not None)
     return at(host, peer)
 
 
 class Answering:
-    """An endpoint that answers its first call with exactly these bytes, then ends in the way it is told to:
-    `end`, `reset`, or `stay` open and silent; later connections get a whole 200."""
+    """An endpoint that answers its first call with exactly these bytes, then ends the connection.
+
+    how: `end`, `reset`, or `stay` (open without data). Later connections get a complete 200.
+    """
 
     def __init__(self, text: bytes, how: str) -> None:
         self.text, self.how, self.calls = text, how, 0
@@ -106,6 +114,7 @@
                 sock.close()
 
     def close(self) -> None:
+        """Stop serving and close all sockets."""
         self.task.cancel()
         for sock in (self.listener, *self.open):
             sock.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,7 @@
-"""Paths that end something, at the instant in which something is still owed. docs/endings.md has the table.
+"""Closes, resets, kills and time-outs at the moment in which something is still owed.
 
-The order is forced by bytes, ends and held-back turns; the few waits are for the courier's own times.
+docs/endings.md has the table. The order of events is forced by bytes, closes and held-back turns; the few
+waits are for the courier's own time-outs.
 """
 
 import asyncio
@@ -147,7 +148,7 @@
 @pytest.mark.parametrize("end", ["half_close", "reset", "close"])
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_client_that_closes_as_it_is_answered(tmp_path, end, when):
-    """when: its end comes before the turn that answers, or after its answer was written."""
+    """when: it closes before the turn that answers, or after the answer was written."""
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -400,7 +401,7 @@
 
 
 class Lists:
-    """A stand-in of the watch that writes exactly what it is told to."""
+    """A stand-in for the watch that writes exactly what the test tells it to."""
 
     def __init__(self):
         self.asked, self.open = asyncio.Queue(), []
@@ -530,7 +531,7 @@
 
 @pytest.mark.parametrize("kind", ["safe", "keyed", "unsafe"])
 def test_a_process_that_was_killed_between_any_two_writes_owes_no_more_and_no_less(tmp_path, kind):
-    """The journal of one message is cut after each record, and inside each: that is what a kill leaves."""
+    """The journal of one message is cut after and inside each record, as a kill would leave it."""
 
     async def life(folder):
         async with Fleet(folder) as fleet:
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""Requests in RESP2: whole ones, improper ones, and sizes that are announced but never come."""
+"""RESP2 requests: complete ones, malformed ones, and announced sizes that never arrive."""
 
 import pytest
 from hypothesis import given
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -106,7 +106,7 @@
 
 
 async def died_having_read(size, path):
-    """A new process's side that ends so early; for a while after a failed try it is closed at once."""
+    """The side of a new process that ends early; right after a failed hand-over it is closed at once."""
     while True:
         with socket.socket(socket.AF_UNIX) as peer:
             peer.connect(str(path))
@@ -193,7 +193,7 @@
 
 
 def side(folder, owner, payload, left):
-    """The owner's side in a thread."""
+    """Run the side of the owner in a thread."""
     link = HandoverSocket(folder)
     link.sock.setblocking(True)
 
