--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -254,6 +254,21 @@
         self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
     ) -> None:
         """Carry out actions in order; `arrived` are the new messages of this turn, by number."""
+        self._answer_refused(actions, arrived)
+        for message, replies in arrived.values():
+            self.intake.accept(message, replies)
+        batches: dict[int, list[Item]] = {}
+        for action in actions:
+            self._execute_one(action, batches)
+        for endpoint, items in batches.items():
+            max_items = self.roster.batch(endpoint)
+            for start in range(0, len(items), max_items):
+                self._call(endpoint, items[start : start + max_items])
+
+    def _answer_refused(
+        self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
+    ) -> None:
+        """Answer the new messages that the module refuses, and remove them from `arrived`."""
         for action in actions:
             if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in arrived:
                 message, replies = arrived.pop(action.message)
@@ -266,34 +281,29 @@
                         if isinstance(action, interface.Refuse)
                         else b"-ERR failed\r\n"
                     )
-        for message, replies in arrived.values():
-            self.intake.accept(message, replies)
-        batches: dict[int, list[Item]] = {}
-        for action in actions:
-            if isinstance(action, interface.Send):
-                self._send(action, batches)
-            elif isinstance(action, (interface.Refuse, interface.Fail)):
-                self._end_by_action(action)
-            elif isinstance(action, interface.SetTimer):
-                self.loop.call_later(
-                    action.delay_us / 1e6 + TIMER_MARGIN_S, self.post, interface.TimerDue(action.token)
-                )
-            elif isinstance(action, interface.CloseIdle):
-                self.pool.close_idle(action.endpoint, ASKED)
-            elif isinstance(action, interface.Keep):
-                self.pool.keep(action.endpoint, action.most)
-            elif isinstance(action, interface.OpenIdle):
-                self.pool.warm(action.endpoint)
-            elif isinstance(action, interface.Cancel):
-                self.calls.cancel(action.message, action.attempt)
-            elif isinstance(action, interface.Probe):
-                self.calls.probe(action.endpoint)
-            elif isinstance(action, interface.Log):
-                policy_log.info("policy", text=action.text)
-        for endpoint, items in batches.items():
-            max_items = self.roster.batch(endpoint)
-            for start in range(0, len(items), max_items):
-                self._call(endpoint, items[start : start + max_items])
+
+    def _execute_one(self, action: interface.Action, batches: dict[int, list[Item]]) -> None:
+        """Carry out an action; items for endpoints that take several per call are gathered in `batches`."""
+        if isinstance(action, interface.Send):
+            self._send(action, batches)
+        elif isinstance(action, (interface.Refuse, interface.Fail)):
+            self._end_by_action(action)
+        elif isinstance(action, interface.SetTimer):
+            self.loop.call_later(
+                action.delay_us / 1e6 + TIMER_MARGIN_S, self.post, interface.TimerDue(action.token)
+            )
+        elif isinstance(action, interface.CloseIdle):
+            self.pool.close_idle(action.endpoint, ASKED)
+        elif isinstance(action, interface.Keep):
+            self.pool.keep(action.endpoint, action.most)
+        elif isinstance(action, interface.OpenIdle):
+            self.pool.warm(action.endpoint)
+        elif isinstance(action, interface.Cancel):
+            self.calls.cancel(action.message, action.attempt)
+        elif isinstance(action, interface.Probe):
+            self.calls.probe(action.endpoint)
+        elif isinstance(action, interface.Log):
+            policy_log.info("policy", text=action.text)
 
     # Ends of messages
 
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -65,9 +65,18 @@
         if host.journal.open_count + len(self.arrived) >= host.settings.max_held:
             reply.send(refusal(host.courier.come_back_us()))
             return
-        now = host.journal.scale.now()
+        message = self._new_message(put, class_index, tenant)
+        self._replace_older(message)
+        self.arrived[message.number] = (message, [reply])
+        self.arrived_numbers_by_id[message.id] = message.number
+        host.observer.put(message, put.lifetime_ms)
+        host.post(host.arrival_event(message))
+
+    def _new_message(self, put: Put, class_index: int, tenant: int) -> JournaledMessage:
+        """Return the message with the next number; its expiry counts from now."""
+        now = self.host.journal.scale.now()
         self.last_number += 1
-        message = JournaledMessage(
+        return JournaledMessage(
             self.last_number,
             put.id,
             class_index,
@@ -78,13 +87,8 @@
             put.resubmitted,
             put.body,
             put.order_key,
-            earlier_run_at=host.journal.key_first_run_at(put.idempotency_key),
+            earlier_run_at=self.host.journal.key_first_run_at(put.idempotency_key),
         )
-        self._replace_older(message)
-        self.arrived[message.number] = (message, [reply])
-        self.arrived_numbers_by_id[message.id] = message.number
-        host.observer.put(message, put.lifetime_ms)
-        host.post(host.arrival_event(message))
 
     def _is_known(self, message_id: str) -> bool:
         host = self.host
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -141,44 +141,18 @@
         """
         kind = record[0]
         if kind == "take":
-            message = JournaledMessage(*record[1:])
-            if message.number in self.messages:
-                self.open_count -= not self.messages[message.number].status
-            self.messages[message.number], self.numbers_by_id[message.id] = message, message.number
-            self.open_count += not message.status
-            self.last_number = max(self.last_number, message.number)
-            self.live_bytes += message.size_bytes
+            self._apply_message(record)
         elif kind == "try":
-            for number in record[1]:
-                if message := self.messages.get(number):
-                    message.earlier_run_zone, message.earlier_run_at = (
-                        message.may_have_run_zone,
-                        message.may_have_run_at,
-                    )
-                    message.attempts, message.latest_attempt_at = message.attempts + 1, record[2]
-                    self.latest_at = max(self.latest_at, message.latest_attempt_at)
-                    message.latest_attempt_zone = str(record[3]) if len(record) > 3 else ""
-                    if message.idempotency_key:
-                        self._remember_key(message.idempotency_key, message.may_have_run_at)
+            self._apply_attempt(record)
         elif kind == "miss":
-            if message := self.messages.get(record[1]):
-                message.latest_attempt_at = 0.0
-                if message.idempotency_key and not message.earlier_run_at:
-                    self.live_bytes -= ENTRY_RESERVE_BYTES * (
-                        self.first_run_by_key.pop(message.idempotency_key, None) is not None
-                    )
+            self._apply_not_run(record)
         elif kind == "final":
             if message := self.messages.get(record[1]):
                 self.live_bytes -= len(message.body)
                 message.body = b""
                 self.mark_ended(message, record[2], record[3])
         elif kind == "over":
-            for number in record[1]:
-                if message := self.messages.pop(number, None):
-                    self.open_count -= not message.status
-                    self.numbers_by_id.pop(message.id, None)
-                    self.live_bytes -= message.size_bytes
-                    self._remember_ended_id(message.id, record[2])
+            self._apply_over(record)
         elif kind == "clock":
             self.scale = TimeScale(str(record[1]), float(record[2]))
         elif kind == "drain":
@@ -194,6 +168,48 @@
             for key, at in record[3].items():
                 self._remember_key(key, at)
 
+    def _apply_message(self, record: list[Any]) -> None:
+        """Add an accepted message."""
+        message = JournaledMessage(*record[1:])
+        if message.number in self.messages:
+            self.open_count -= not self.messages[message.number].status
+        self.messages[message.number], self.numbers_by_id[message.id] = message, message.number
+        self.open_count += not message.status
+        self.last_number = max(self.last_number, message.number)
+        self.live_bytes += message.size_bytes
+
+    def _apply_attempt(self, record: list[Any]) -> None:
+        """Note an attempt of messages, which may run from now on."""
+        for number in record[1]:
+            if message := self.messages.get(number):
+                message.earlier_run_zone, message.earlier_run_at = (
+                    message.may_have_run_zone,
+                    message.may_have_run_at,
+                )
+                message.attempts, message.latest_attempt_at = message.attempts + 1, record[2]
+                self.latest_at = max(self.latest_at, message.latest_attempt_at)
+                message.latest_attempt_zone = str(record[3]) if len(record) > 3 else ""
+                if message.idempotency_key:
+                    self._remember_key(message.idempotency_key, message.may_have_run_at)
+
+    def _apply_not_run(self, record: list[Any]) -> None:
+        """Take back the newest attempt of a message, which did not run."""
+        if message := self.messages.get(record[1]):
+            message.latest_attempt_at = 0.0
+            if message.idempotency_key and not message.earlier_run_at:
+                self.live_bytes -= ENTRY_RESERVE_BYTES * (
+                    self.first_run_by_key.pop(message.idempotency_key, None) is not None
+                )
+
+    def _apply_over(self, record: list[Any]) -> None:
+        """Forget messages for which nothing is owed, and remember their ids."""
+        for number in record[1]:
+            if message := self.messages.pop(number, None):
+                self.open_count -= not message.status
+                self.numbers_by_id.pop(message.id, None)
+                self.live_bytes -= message.size_bytes
+                self._remember_ended_id(message.id, record[2])
+
     def mark_ended(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
         """Set the final status of a message; a notice of it is owed from now on."""
         self.open_count -= not message.status
