--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -1,4 +1,4 @@
-"""The RESP2 server that clients hand messages in at."""
+"""The RESP2 server to which clients submit messages."""
 
 from __future__ import annotations
 
@@ -12,375 +12,435 @@
 
 from hopmill import logs
 from hopmill.net.accept import Acceptor
-from hopmill.net.put import BadRequest, Put, parse_put
-from hopmill.net.resp import IMPROPER, Improper, ProtocolError, RequestReader
-from hopmill.net.upgrade import Cargo
-
-# A peer may be quiet for so long, in seconds: with no request, half way through one, or with answers to read.
-# TERMS owes an error line or a close in 3 s, and lets idle connections be closed after 2 s: clients may only
-# have so many, and those kept idle are missing for others. A request that comes slowly may take MOST_S.
-REQUEST_S, MOST_S = 2.05, 2.8
-BACKLOG = 512  # connections that wait to be accepted
-# A drain, in seconds: the front asks ten times a second, and new clients come until 0.2 s after a no. From
-# EMPTY_S on connections are closed between requests, those of quiet clients once quiet for QUIET_S.
-EMPTY_S, QUIET_S, SWEEP_S = 0.5, 0.2, 0.05
-# After the last answer, in seconds: what still comes is read away, and a client that never had an answer may
-# be that much older than its first request.
-LINGER_S, FIRST_S = 0.15, 0.4
-ACCEPTS = 16  # in one turn of the loop
-REQUESTS = 32  # of one client before others have their turn
-MOST_IMPROPER = 16  # values in a row: what sends more of them is no client
+from hopmill.net.put import BadRequestError, Put, parse_put
+from hopmill.net.resp import MALFORMED, MalformedValue, ProtocolError, RequestReader
+from hopmill.net.upgrade import HandoverPayload
+
+# In seconds. A client without a request, in the middle of one, or with unread answers is closed once it has
+# been idle for REQUEST_TIMEOUT_S: the platform's terms require an error line or a close within 3 s and allow
+# idle connections to be closed after 2 s, and their number is limited, so idle ones keep other clients out.
+# A request that arrives slowly may take MAX_REQUEST_S.
+REQUEST_TIMEOUT_S, MAX_REQUEST_S = 2.05, 2.8
+BACKLOG = 512  # connections waiting to be accepted
+# In seconds after an operator drains the courier. The load balancer asks ten times a second, and new clients
+# may come until 0.2 s after the first error answer. From DRAIN_GRACE_S on connections are closed between
+# requests, those of idle clients after DRAIN_IDLE_S without data.
+DRAIN_GRACE_S, DRAIN_IDLE_S, DRAIN_SWEEP_S = 0.5, 0.2, 0.05
+# In seconds. After the last answer a connection is read for LINGER_S, and what comes is discarded. A client
+# that has not sent its first request yet may take FIRST_REQUEST_GRACE_S before it counts as idle.
+LINGER_S, FIRST_REQUEST_GRACE_S = 0.15, 0.4
+MAX_ERROR_BYTES = 200  # of the text of an error answer
+LINGERING_DIVISOR = 10  # one in so many of the clients' connections may linger
+MAX_ACCEPTS_PER_TURN = 16  # new connections in one iteration of the event loop
+MAX_REQUESTS_PER_TURN = 32  # handled for one client before other clients' requests
+MAX_INVALID_REQUESTS = 16  # in a row; a peer that sends more is disconnected
 log = logs.part("clients")
 
 
 class Reply:
-    """The place of one answer; answers leave in the order of their requests."""
+    """The place of one answer in its connection: answers are sent in the order of their requests."""
 
-    def __init__(self, client: Client) -> None:
+    def __init__(self, client: ClientConnection) -> None:
         self.client, self.text = client, b""
 
     @property
-    def wanted(self) -> bool:
-        return not self.client.gone
+    def is_wanted(self) -> bool:
+        """Whether the client is still connected."""
+        return not self.client.is_lost
 
     def send(self, text: bytes) -> None:
+        """Answer the request; only the first answer counts."""
         if not self.text:
             self.text = text
             self.client.flush()
 
 
-class Client(asyncio.Protocol):
-    """One client's connection."""
+class ClientConnection(asyncio.Protocol):
+    """One client's connection.
+
+    carried: what the previous process handed over of this connection: state of the reader, last_data_at,
+    last_request_at, request_began_at, awaits_first_byte.
+    """
 
     def __init__(self, server: ClientServer, carried: tuple[Any, ...] = ()) -> None:
         self.server, self.carried = server, carried
         self.reader = RequestReader()
-        self.pending: deque[Reply] = deque()
-        self.gone = self.closing = self.paused = False
-        self.leaving = self.ended = False  # this side, that side has said that it sends no more
-        self.served = bool(carried)  # has had a proper request
-        self.improper = 0  # values since the last proper one
-        self.going_on: asyncio.Handle | None = None  # with what is read and not handled yet
-        self.heard_at = 0.0  # when it last sent anything, or connected
-        self.proper_at = 0.0  # when its newest proper request was whole, or it connected
-        self.begun_at = 0.0  # when what came after that began; the first with the connection
-        self.fresh = False  # nothing has come since that request
+        self.pending_replies: deque[Reply] = deque()
+        self.is_lost = self.is_closing = self.writing_paused = False
+        # Whether this side, and whether the peer, has announced that it sends no more.
+        self.is_lingering = self.peer_sent_eof = False
+        self.has_served = bool(carried)  # it has sent a valid request
+        self.invalid_count = 0  # requests since the last valid one
+        self.resume_handle: asyncio.Handle | None = None  # set while data waits to be processed
+        self.last_data_at = 0.0  # when it last sent data, or connected; these times are the event loop's
+        self.last_request_at = 0.0  # when its last valid request was complete, or it connected
+        self.request_began_at = 0.0  # first byte after that request, or time of connection
+        self.awaits_first_byte = False  # no byte has arrived since that request
         self.transport: asyncio.Transport
-        self.timer: asyncio.TimerHandle | None = None  # for the next request
+        self.timer: asyncio.TimerHandle | None = None  # for the next request, reading answers or lingering
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start, or go on from what the previous process handed over."""
         self.transport = transport  # type: ignore[assignment]
-        self.heard_at = self.proper_at = self.begun_at = asyncio.get_running_loop().time()
+        self.last_data_at = self.last_request_at = self.request_began_at = asyncio.get_running_loop().time()
         if self.carried:
-            reader, self.heard_at, self.proper_at, self.begun_at, self.fresh = self.carried
+            reader, self.last_data_at, self.last_request_at, self.request_began_at, self.awaits_first_byte = (
+                self.carried
+            )
             self.reader.resume(reader)
-            self._go_on_later()
-        self._review()
-        self.server.joined(self)
+            self._process_later()
+        self._ensure_timer()
+        self.server.connection_joined(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.gone = True
+        """Cancel what is scheduled and leave the server."""
+        self.is_lost = True
         self._stop_timer()
-        if self.going_on:
-            self.going_on.cancel()
-        self.server.left(self)
+        if self.resume_handle:
+            self.resume_handle.cancel()
+        self.server.connection_left(self)
 
-    def _review(self) -> None:
-        """The time for the next proper request, or for reading the answers, runs unless it does already."""
-        if self.timer is None and not self.gone:
+    def _ensure_timer(self) -> None:
+        """Run the time-out for the next valid request, or for reading the answers, if it is not running."""
+        if self.timer is None and not self.is_lost:
             loop = asyncio.get_running_loop()
-            late = self.closing or self.paused  # for its answers, from now on
-            self.timer = loop.call_at(loop.time() + REQUEST_S if late else self._due(), self._overdue)
+            is_late = self.is_closing or self.writing_paused  # must read its answers within the time-out
+            self.timer = loop.call_at(
+                loop.time() + REQUEST_TIMEOUT_S if is_late else self._deadline(), self._on_timeout
+            )
+
+    def _deadline(self) -> float:
+        """Return when the next valid request is due.
 
-    def _due(self) -> float:
-        """It only moves on, so a timer set for an earlier one asks again."""
-        if self.reader.unread:
-            return min(self.heard_at + REQUEST_S, self.begun_at + MOST_S)
-        return self.proper_at + REQUEST_S
+        It only moves forward, so a timer that was set for an earlier deadline checks again.
+        """
+        if self.reader.has_partial_request:
+            return min(self.last_data_at + REQUEST_TIMEOUT_S, self.request_began_at + MAX_REQUEST_S)
+        return self.last_request_at + REQUEST_TIMEOUT_S
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def _overdue(self) -> None:
-        """Nothing else ends a peer that sends nothing, or never ends its request, and holds a descriptor."""
+    def _on_timeout(self) -> None:
+        """End a peer that is idle or never completes its request.
+
+        Nothing else would, and it occupies a descriptor.
+        """
         self.timer = None
         loop = asyncio.get_running_loop()
-        if self.closing or self.transport.get_write_buffer_size():  # it does not read either
+        if self.is_closing or self.transport.get_write_buffer_size():  # it does not read its answers
             self.transport.abort()
-        elif self._due() > loop.time():
-            self._review()
-        elif not self.reader.unread and self.unheard:  # its next request, in this very moment
-            self.timer = loop.call_later(LINGER_S, self._overdue)
+        elif self._deadline() > loop.time():
+            self._ensure_timer()
+        elif not self.reader.has_partial_request and self.has_unread_bytes:  # its next request is arriving
+            self.timer = loop.call_later(LINGER_S, self._on_timeout)
         else:
-            self.turn_away()
+            self.reject()
 
-    def turn_away(self) -> None:
-        """An error line for what will not be whole, if anything; then the end."""
-        self.closing = True
-        if self.reader.unread:
-            self._reply().send(b"-ERR no whole request in time\r\n")
+    def reject(self) -> None:
+        """Answer an incomplete request with an error line, then close."""
+        self.is_closing = True
+        if self.reader.has_partial_request:
+            self._add_reply().send(b"-ERR no whole request in time\r\n")
         self.flush()
-        self._review()
+        self._ensure_timer()
 
     def eof_received(self) -> bool:
-        """A client that has ended its sending still gets the answers that it waits for."""
-        self.closing = self.ended = True
-        return bool(self.pending)
+        """Close, but only after the pending answers."""
+        self.is_closing = self.peer_sent_eof = True
+        return bool(self.pending_replies)
 
     def pause_writing(self) -> None:
-        self.paused = True
-        self._review()
-        self.transport.pause_reading()  # one that does not read its answers is not read from either
+        """Stop reading while the client does not read its answers."""
+        self.writing_paused = True
+        self._ensure_timer()
+        self.transport.pause_reading()  # no new requests from a client that does not read its answers
 
     def resume_writing(self) -> None:
-        self.paused = False
-        self._review()
-        self._go_on_later()
+        """Go on with the requests that were read meanwhile."""
+        self.writing_paused = False
+        self._ensure_timer()
+        self._process_later()
 
     def data_received(self, data: bytes) -> None:
-        if self.closing:
+        """Process what was received; ignored once the connection is closing."""
+        if self.is_closing:
             return
         self.server.touch(self)
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_data_at = asyncio.get_running_loop().time()
         self.reader.feed(data)
-        if self.going_on is None:
-            self._go_on()
+        if self.resume_handle is None:
+            self._process_requests()
 
-    def _go_on(self) -> None:
-        """Some requests; what one client sends at once must not hold all others."""
-        self.going_on = None
+    def _process_requests(self) -> None:
+        """Handle a limited number of requests, so that one client does not delay all others."""
+        self.resume_handle = None
         try:
-            self._begin()
-            for _ in range(REQUESTS):
-                if self.closing or self.paused or (request := self.reader.next()) is None:
+            self._note_request_start()
+            for _ in range(MAX_REQUESTS_PER_TURN):
+                if self.is_closing or self.writing_paused or (request := self.reader.next_request()) is None:
                     break
                 self._handle(request)
-                if self.improper > MOST_IMPROPER:
-                    self.closing = True
+                if self.invalid_count > MAX_INVALID_REQUESTS:
+                    self.is_closing = True
                     self.flush()
             else:
-                self._go_on_later()
-            self._begin()
-        except ProtocolError as error:  # where the next request begins can't be known any more
-            self.closing = True
-            self._reply().send(b"-ERR Protocol error: %s\r\n" % _line(str(error)))
-        if not self.going_on and not self.paused and not self.closing:
+                self._process_later()
+            self._note_request_start()
+        except ProtocolError as error:  # the start of the next request cannot be determined
+            self.is_closing = True
+            self._add_reply().send(b"-ERR Protocol error: %s\r\n" % _one_line(str(error)))
+        if not self.resume_handle and not self.writing_paused and not self.is_closing:
             self.transport.resume_reading()
-        self._review()
-
-    def _go_on_later(self) -> None:
-        self.transport.pause_reading()  # its end too is heard after what came before it
-        self.going_on = asyncio.get_running_loop().call_soon(self._go_on)
-
-    def _begin(self) -> None:
-        """The time of a request runs from its first byte; improper ones before it give it none anew."""
-        if self.fresh and self.reader.unread:
-            self.fresh, self.begun_at = False, self.heard_at
-
-    def _proper(self) -> None:
-        """A proper request is whole: the time for the next one counts anew."""
-        self.proper_at, self.fresh, self.served, self.improper = self.heard_at, True, True, 0
-
-    def _reply(self) -> Reply:
-        self.pending.append(Reply(self))
-        return self.pending[-1]
-
-    def _handle(self, request: list[bytes] | Improper) -> None:
-        reply = self._reply()
-        self.improper += 1  # until it is known to be proper
-        if request is IMPROPER:
+        self._ensure_timer()
+
+    def _process_later(self) -> None:
+        self.transport.pause_reading()  # so that EOF is seen only after the data before it
+        self.resume_handle = asyncio.get_running_loop().call_soon(self._process_requests)
+
+    def _note_request_start(self) -> None:
+        """Start the time of a request at its first byte.
+
+        Invalid requests before it do not restart the time.
+        """
+        if self.awaits_first_byte and self.reader.has_partial_request:
+            self.awaits_first_byte, self.request_began_at = False, self.last_data_at
+
+    def _request_completed(self) -> None:
+        """Note a complete valid request: the time for the next one starts again."""
+        self.last_request_at, self.awaits_first_byte, self.has_served, self.invalid_count = (
+            self.last_data_at,
+            True,
+            True,
+            0,
+        )
+
+    def _add_reply(self) -> Reply:
+        self.pending_replies.append(Reply(self))
+        return self.pending_replies[-1]
+
+    def _handle(self, request: list[bytes] | MalformedValue) -> None:
+        reply = self._add_reply()
+        self.invalid_count += 1  # reset by _request_completed
+        if request is MALFORMED:
             reply.send(b"-ERR expected an array of bulk strings\r\n")
             return
-        name = request[0].upper()
-        if name == b"PING" and len(request) <= 2:
-            self._proper()
+        command = request[0].upper()
+        if command == b"PING" and len(request) <= 2:
+            self._request_completed()
             if self.server.drained:
                 reply.send(b"-ERR drained by an operator\r\n")
             else:
                 reply.send(b"$%d\r\n%s\r\n" % (len(request[1]), request[1]) if request[1:] else b"+PONG\r\n")
-        elif name == b"MSG.PUT":
+        elif command == b"MSG.PUT":
             try:
                 self.server.put(parse_put(request[1:]), reply)
-                self._proper()
-            except BadRequest as error:
+                self._request_completed()
+            except BadRequestError as error:
                 log.warning("put.improper", error=error)
-                reply.send(b"-ERR %s\r\n" % _line(str(error)))
-        elif name == b"QUIT":
-            self.closing = True
+                reply.send(b"-ERR %s\r\n" % _one_line(str(error)))
+        elif command == b"QUIT":
+            self.is_closing = True
             reply.send(b"+OK\r\n")
         else:
             reply.send(b"-ERR unknown command\r\n")
 
     def flush(self) -> None:
-        out = []
-        while self.pending and self.pending[0].text:
-            out.append(self.pending.popleft().text)
-        if out and not self.gone and not self.transport.is_closing():  # broken, and not lost yet
-            self.transport.write(b"".join(out))
-        if self.closing and not self.pending:
-            self._leave()
-        elif out and self.server.emptying:
-            self.finish()
-
-    def _leave(self) -> None:
-        """Say that nothing more comes, and read away what the client still sends: a connection that is closed
-        over unread bytes is reset, and answers under way may go with it. What is read from here on is never
-        taken on: the client sees the end, and hands it in on another connection."""
-        if self.leaving or self.gone or self.transport.is_closing():
+        """Write the answers that are due, and close if the connection is to end."""
+        answers = []
+        while self.pending_replies and self.pending_replies[0].text:
+            answers.append(self.pending_replies.popleft().text)
+        # The transport may be closing before connection_lost is called.
+        if answers and not self.is_lost and not self.transport.is_closing():
+            self.transport.write(b"".join(answers))
+        if self.is_closing and not self.pending_replies:
+            self._start_linger()
+        elif answers and self.server.closes_after_answer:
+            self.close_if_idle()
+
+    def _start_linger(self) -> None:
+        """Send EOF, and read and discard what the client still sends.
+
+        Closing a connection with unread data resets it, and answers in transit may be lost. Nothing read from
+        here on is accepted: the client sees EOF and submits the request on another connection.
+        """
+        if self.is_lingering or self.is_lost or self.transport.is_closing():
             return
-        self.closing = self.leaving = True
-        self.reader = RequestReader()  # a crowd that is turned away holds no memory while it goes
+        self.is_closing = self.is_lingering = True
+        self.reader = RequestReader()  # many lingering connections must not hold memory
         self._stop_timer()
-        if self.ended:
+        if self.peer_sent_eof:
             self.transport.close()
             return
         try:
-            self.transport.write_eof()  # once what is buffered is written
-        except OSError:  # reset, and not read yet
+            self.transport.write_eof()  # after the buffered answers
+        except OSError:  # reset by the peer, and not noticed yet
             self.transport.abort()
             return
         self.transport.resume_reading()
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(LINGER_S, self._lingered, loop.time() + REQUEST_S)
-        self.server.lingers(self)
+        self.timer = loop.call_later(LINGER_S, self._end_linger, loop.time() + REQUEST_TIMEOUT_S)
+        self.server.connection_lingers(self)
 
-    def _lingered(self, until: float) -> None:
+    def _end_linger(self, deadline: float) -> None:
         loop = asyncio.get_running_loop()
-        if self.transport.get_write_buffer_size() and loop.time() < until:
-            self.timer = loop.call_later(LINGER_S, self._lingered, until)
+        if self.transport.get_write_buffer_size() and loop.time() < deadline:
+            self.timer = loop.call_later(LINGER_S, self._end_linger, deadline)
         else:
             self.transport.abort()
 
     @property
-    def between_requests(self) -> bool:
-        return not self.pending and not self.reader.unread
+    def is_between_requests(self) -> bool:
+        """Whether there is neither a partial request nor an answer to come."""
+        return not self.pending_replies and not self.reader.has_partial_request
 
     @property
-    def unheard(self) -> bool:
-        """Bytes have come that are not read yet: a close now would cut a request."""
+    def has_unread_bytes(self) -> bool:
+        """Whether the kernel has data that was not read yet: closing now would cut off a request."""
         return any(fcntl.ioctl(self.fileno, termios.FIONREAD, bytes(4)))
 
     @property
     def fileno(self) -> int:
+        """The descriptor of the socket."""
         return self.transport.get_extra_info("socket").fileno()
 
     @property
-    def steady(self) -> bool:
-        """Open, with nothing that this process still has to write or to end."""
-        ending = self.gone or self.closing or self.paused or self.transport.is_closing()
-        return not ending and not self.pending and not self.transport.get_write_buffer_size()
+    def can_be_handed_over(self) -> bool:
+        """Whether it is open, and this process has nothing left to write or to end on it."""
+        ending = self.is_lost or self.is_closing or self.writing_paused or self.transport.is_closing()
+        return not ending and not self.pending_replies and not self.transport.get_write_buffer_size()
 
-    def finish(self) -> None:
-        """Close if that cuts nothing."""
-        if self.between_requests and not self.transport.is_closing() and not self.unheard:
-            self._leave()
+    def close_if_idle(self) -> None:
+        """Close the connection if no request or answer is cut off by that."""
+        if self.is_between_requests and not self.transport.is_closing() and not self.has_unread_bytes:
+            self._start_linger()
 
 
-def _line(text: str) -> bytes:
-    return " ".join(text.split()).encode("ascii", "replace")[:200]
+def _one_line(text: str) -> bytes:
+    return " ".join(text.split()).encode("ascii", "replace")[:MAX_ERROR_BYTES]
 
 
 class ClientServer:
-    """Accepts clients; `put` takes what they hand in."""
+    """Accepts clients; `put` receives each message with the reply to answer it by."""
 
     def __init__(self, put: Callable[[Put, Reply], None], max_clients: int) -> None:
         self.put, self.max_clients = put, max_clients
-        self.clients: dict[Client, None] = {}  # the longest unused first
-        self.lingering: dict[Client, None] = {}  # those that are read away, the oldest first
+        self.connections: dict[ClientConnection, None] = {}  # least recently used first
+        self.lingering: dict[ClientConnection, None] = {}  # being read until their end, oldest first
         self.acceptor: Acceptor | None = None
-        self.drained = self.emptying = False  # PING is answered no; connections are closed between requests
-        self.sweeping: asyncio.TimerHandle | None = None
+        # Whether PING is answered with an error; whether connections are closed between requests.
+        self.drained = self.closes_after_answer = False
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
-    def drain(self, on: bool) -> None:
-        """Send clients away, cutting nothing, or take them again. Repeats change nothing."""
-        if on is self.drained:
+    def set_drained(self, drained: bool) -> None:
+        """Close clients' connections without cutting off requests, or accept clients again. Idempotent."""
+        if drained is self.drained:
             return
-        self.drained, self.emptying = on, False
-        if self.sweeping:
-            self.sweeping.cancel()
-        if on:
-            self.sweeping = asyncio.get_running_loop().call_later(EMPTY_S, self._sweep)
+        self.drained, self.closes_after_answer = drained, False
+        if self.sweep_timer:
+            self.sweep_timer.cancel()
+        if drained:
+            self.sweep_timer = asyncio.get_running_loop().call_later(DRAIN_GRACE_S, self._close_quiet)
 
-    def _sweep(self) -> None:
+    def _close_quiet(self) -> None:
         loop = asyncio.get_running_loop()
-        self.emptying = True  # from here on each is closed after its answer, too
-        for client in list(self.clients):
-            if loop.time() - client.heard_at >= QUIET_S:
-                client.finish()
-        self.sweeping = loop.call_later(SWEEP_S, self._sweep)
+        self.closes_after_answer = True  # from now on busy connections are closed after their answer
+        for client in list(self.connections):
+            if loop.time() - client.last_data_at >= DRAIN_IDLE_S:
+                client.close_if_idle()
+        self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_quiet)
 
     def listen(self, sock: socket.socket) -> int:
-        """Take clients; returns the port."""
-        self.acceptor = Acceptor(sock, lambda: Client(self), ACCEPTS)
+        """Accept clients on this socket; returns its port."""
+        self.acceptor = Acceptor(sock, lambda: ClientConnection(self), MAX_ACCEPTS_PER_TURN)
         return self.acceptor.port
 
-    def joined(self, client: Client) -> None:
-        self.clients[client] = None
-        if len(self.clients) > self.max_clients:  # open files and memory must stay under their limits
+    def connection_joined(self, client: ClientConnection) -> None:
+        """Add a connection; if there are too many, another one is closed."""
+        self.connections[client] = None
+        if len(self.connections) > self.max_clients:  # to keep to the limits on open files and memory
             self._make_room(client)
 
-    def _make_room(self, newcomer: Client) -> None:
-        others = [c for c in self.clients if c is not newcomer and not c.pending]  # the longest quiet first
-        spare = next((c for c in others if c.between_requests and not c.unheard), None)
-        # All others are half way, or answered in a moment: the one that has been quiet longest is stalled.
-        spare = spare or next((c for c in others if c.reader.unread), newcomer)
-        self.left(spare)  # or the next to join in this turn of the loop would close the same again
-        spare.turn_away()
-
-    def left(self, client: Client) -> None:
-        self.clients.pop(client, None)
+    def _make_room(self, newcomer: ClientConnection) -> None:
+        # Least recently used first.
+        others = [c for c in self.connections if c is not newcomer and not c.pending_replies]
+        closable = next((c for c in others if c.is_between_requests and not c.has_unread_bytes), None)
+        # All others have partial requests or are about to be answered: the one idle longest is stalled.
+        closable = closable or next((c for c in others if c.reader.has_partial_request), newcomer)
+        # Removed at once, or the next to join in this iteration of the loop would choose the same one.
+        self.connection_left(closable)
+        closable.reject()
+
+    def connection_left(self, client: ClientConnection) -> None:
+        """Forget a connection."""
+        self.connections.pop(client, None)
         self.lingering.pop(client, None)
 
-    def lingers(self, client: Client) -> None:
-        """They hold descriptors too, so only few may."""
-        self.left(client)
+    def connection_lingers(self, client: ClientConnection) -> None:
+        """Keep a connection that is read until its end; only few, as each occupies a descriptor."""
+        self.connection_left(client)
         self.lingering[client] = None
-        if len(self.lingering) > max(2, self.max_clients // 10):
+        if len(self.lingering) > max(2, self.max_clients // LINGERING_DIVISOR):
             next(iter(self.lingering)).transport.abort()
 
     @property
-    def empty(self) -> bool:
-        """Nobody is connected, or about to be."""
-        return not (self.clients or self.lingering or self.acceptor and self.acceptor.joining)
+    def is_empty(self) -> bool:
+        """Whether no client is connected or about to be."""
+        return not (self.connections or self.lingering or self.acceptor and self.acceptor.pending_joins)
 
-    def touch(self, client: Client) -> None:
-        if client in self.clients:
-            self.clients[client] = self.clients.pop(client)
+    def touch(self, client: ClientConnection) -> None:
+        """Mark a connection as the most recently used."""
+        if client in self.connections:
+            self.connections[client] = self.connections.pop(client)
 
     @property
-    def listening(self) -> bool:
-        return self.acceptor is not None and self.acceptor.open
+    def is_listening(self) -> bool:
+        """Whether new clients are accepted."""
+        return self.acceptor is not None and self.acceptor.is_open
 
     def stop_listening(self) -> None:
-        if self.sweeping:
-            self.sweeping.cancel()
+        """Accept the clients that the kernel has accepted already, then no more."""
+        if self.sweep_timer:
+            self.sweep_timer.cancel()
         if self.acceptor is not None:
             self.acceptor.close()
 
-    def carry(self, cargo: Cargo, most: int) -> list[list[Any]]:
-        """The connections, most recently used last; nothing is pending on them between two turns."""
+    def carry(self, payload: HandoverPayload, limit: int) -> list[list[Any]]:
+        """Return up to `limit` connections for the next process, the most recently used ones.
+
+        Between two turns no answer is pending on them.
+        """
         return [
-            [cargo.place(c.fileno), c.reader.carry(), c.heard_at, c.proper_at, c.begun_at, c.fresh]
-            for c in list(self.clients)[-most:]
-            if c.steady
+            [
+                payload.add_descriptor(c.fileno),
+                c.reader.carry(),
+                c.last_data_at,
+                c.last_request_at,
+                c.request_began_at,
+                c.awaits_first_byte,
+            ]
+            for c in list(self.connections)[-limit:]
+            if c.can_be_handed_over
         ]
 
     def resume(self, sock: socket.socket, *carried: Any) -> None:
-        """Go on with a connection of the process before this one."""
+        """Go on with a connection of the previous process."""
         assert self.acceptor is not None
-        self.acceptor.join(sock, lambda: Client(self, carried))
+        self.acceptor.join(sock, lambda: ClientConnection(self, carried))
 
     def close_idle(self) -> None:
-        """Close those between requests: one with a request unanswered would lose it. The first request of one
-        that has just connected may be under way."""
+        """Close the connections that are between requests.
+
+        Others would lose their request. New connections are spared: their first request may be in transit.
+        """
         now = asyncio.get_running_loop().time()
-        for client in list(self.clients):
-            if client.served or now - client.proper_at >= FIRST_S:
-                client.finish()
-
-    def turn_all_away(self) -> None:
-        """The process ends: whatever is not whole by now will not be."""
-        for client in list(self.clients):
-            client.turn_away()
+        for client in list(self.connections):
+            if client.has_served or now - client.last_request_at >= FIRST_REQUEST_GRACE_S:
+                client.close_if_idle()
+
+    def reject_all(self) -> None:
+        """Reject incomplete requests on all connections, as the process ends."""
+        for client in list(self.connections):
+            client.reject()
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -1,6 +1,6 @@
-"""An upgrade, from both sides: what this process passes to the next, and what it goes on with from the last.
+"""Both sides of an upgrade: what this process hands over, and how it resumes from what it received.
 
-docs/operations.md has the steps.
+docs/operations.md describes the steps.
 """
 
 from __future__ import annotations
@@ -12,172 +12,209 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from hopmill import interface as i
-from hopmill import logs
+from hopmill import interface, logs
 from hopmill.net.calls import Item
-from hopmill.net.upgrade import Cargo, Link, NotHandedOver, Owner, hand_over
+from hopmill.net.upgrade import FolderOwnership, HandoverError, HandoverPayload, HandoverSocket, hand_over
 
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-FORMAT = 1  # of what an upgrade hands over; one that is not known counts as nothing
-LAST_TURNS = 5  # taken before a hand-over, until nothing has come in
-AGAIN_S = 1.0  # after one that failed, until the next is tried: the loop stands still in each
-SPARE_FDS = 24  # what a new process has open before it is given anything
+PAYLOAD_FORMAT = 1  # version of the payload; one of another format is ignored
+MAX_LAST_TURNS = 5  # taken before a hand-over, while there are events
+RETRY_INTERVAL_S = 1.0  # after a failed hand-over, since each one blocks the event loop
+NEW_PROCESS_FDS = 24  # descriptors that a new process has open before it receives any
 log = logs.part("courier")
 
 
-class HandOver:
-    """The host's parts, packed for the next process or unpacked from the one before."""
+class Handover:
+    """Packs the parts of the host for the next process, or unpacks those of the previous one."""
 
-    def __init__(self, host: Host, owner: Owner, cargo: Cargo | None) -> None:
-        """owner: the right to act on the journal; cargo: what came with it from the process before."""
-        self.host, self.owner, self.cargo = host, owner, cargo or Cargo()
-        if self.cargo.values.get("format") != FORMAT:
-            self.cargo.close()
-            self.cargo = Cargo()
-        self.link: Link | None = None
-        self.handing_over: asyncio.Task[None] | None = None
-        self.no_upgrade_until = 0.0
-        self.leave: Callable[[], None] = lambda: os._exit(0)  # at once: what is open belongs to another now
+    def __init__(self, host: Host, ownership: FolderOwnership, payload: HandoverPayload | None) -> None:
+        """Keep what the previous process handed over.
+
+        ownership: the right to act on the journal. payload: None if there was no hand-over.
+        """
+        self.host, self.ownership, self.payload = host, ownership, payload or HandoverPayload()
+        if self.payload.values.get("format") != PAYLOAD_FORMAT:
+            self.payload.close()
+            self.payload = HandoverPayload()
+        self.listener: HandoverSocket | None = None
+        self.handover_task: asyncio.Task[None] | None = None
+        self.no_handover_until = 0.0
+        # Ends the process at once, without cleaning up: what is open belongs to the next process.
+        self.exit_process: Callable[[], None] = lambda: os._exit(0)
 
     @property
     def carried(self) -> dict[str, Any]:
-        """What the process before has handed over; empty if there was none."""
-        return self.cargo.values
+        """What the previous process handed over; empty if there was no hand-over."""
+        return self.payload.values
 
     def close(self) -> None:
-        if self.link:
-            self.host.loop.remove_reader(self.link.sock)
-            self.link.close()
-        self.owner.close()
-
-    def offer(self) -> None:
+        """Stop listening and give up the ownership of the folder."""
+        if self.listener:
+            self.host.loop.remove_reader(self.listener.sock)
+            self.listener.close()
+        self.ownership.close()
+
+    def listen(self) -> None:
+        """Listen for a new process that asks to take over."""
         try:
-            self.link = Link(self.owner.folder)
-        except OSError as error:  # it serves all the same; an upgrade then waits for its end
+            self.listener = HandoverSocket(self.ownership.folder)
+        except OSError as error:  # it serves all the same; an upgrade then has to wait for its exit
             log.error("upgrade.not_offered", error=error)
             return
-        self.host.loop.add_reader(self.link.sock, self._asked_to_hand_over)
+        self.host.loop.add_reader(self.listener.sock, self._on_request)
 
-    def _asked_to_hand_over(self) -> None:
-        sock = self.link.accept() if self.link else None
+    def _on_request(self) -> None:
+        sock = self.listener.accept() if self.listener else None
         if sock is None:
             return
-        if self.handing_over or self.host.loop.time() < self.no_upgrade_until:
-            sock.close()  # it asks again
+        if self.handover_task or self.host.loop.time() < self.no_handover_until:
+            sock.close()  # the new process tries again
         else:
-            self.handing_over = self.host.loop.create_task(self._hand_over(sock))
+            self.handover_task = self.host.loop.create_task(self._hand_over(sock))
 
     async def _hand_over(self, sock: socket.socket) -> None:
         host = self.host
-        began = host.loop.time()
-        acceptors = [*host.door.acceptors, *([host.clients.acceptor] if host.clients.listening else [])]
+        began_at = host.loop.time()
+        acceptors = [*host.door.acceptors, *([host.clients.acceptor] if host.clients.is_listening else [])]
         for acceptor in acceptors:
             acceptor.stop()
         try:
-            while any(acceptor.joining for acceptor in acceptors):  # none is taken that nobody reads
+            while any(acceptor.pending_joins for acceptor in acceptors):  # must be in the payload
                 await asyncio.sleep(0)
-            for _ in range(LAST_TURNS):  # those that end calls unsent make events anew
+            for _ in range(MAX_LAST_TURNS):  # ending unsent calls causes new events
                 if host.events or host.intake.arrived:
                     host.turn()
-            # From here on the loop stands still: nothing else happens in this process.
-            hand_over(sock, self._cargo(), self.owner, self.leave)
-        except NotHandedOver as error:
+            # From here on the event loop is blocked: nothing else happens in this process.
+            hand_over(sock, self._build_payload(), self.ownership, self.exit_process)
+        except HandoverError as error:
             log.error("upgrade.not_handed_over", error=error)
-        except Exception:  # whatever it was, this process is still the owner
+        except Exception:  # this process still owns the folder
             log.exception("upgrade.not_handed_over")
         sock.close()
         if host.peers:
             host.peers.thaw()
-        self.handing_over, self.no_upgrade_until = None, host.loop.time() + AGAIN_S
-        log.warning("upgrade.stood_still", seconds=round(host.loop.time() - began, 3))
+        self.handover_task, self.no_handover_until = None, host.loop.time() + RETRY_INTERVAL_S
+        log.warning("upgrade.stood_still", seconds=round(host.loop.time() - began_at, 3))
         for acceptor in acceptors:
-            if acceptor.open:
+            if acceptor.is_open:
                 acceptor.start()
 
-    def _cargo(self) -> Cargo:
-        """What the journal does not hold. Both processes' copies count as open descriptors."""
+    def _build_payload(self) -> HandoverPayload:
+        """Return the state that the journal does not hold.
+
+        The copies in both processes count as open descriptors.
+        """
         host = self.host
-        room = host.config.sockets - len(os.listdir("/proc/self/fd")) - SPARE_FDS
-        cargo = Cargo({"format": FORMAT})
-        cargo.values.update(
+        free_fds = host.config.sockets - len(os.listdir("/proc/self/fd")) - NEW_PROCESS_FDS
+        payload = HandoverPayload({"format": PAYLOAD_FORMAT})
+        payload.values.update(
             uids=host.roster.uids,
             known={"rev": host.watch.rev, "targets": list(host.roster.targets.values())},
             waits=[[*key, until] for key, until in host.roster.waits.items()],
             learned=host.courier.carry(),
-            returning=self._zones_returning(),
-            calls=host.calls.carry(cargo),
+            returning=self._returning_zones(),
+            calls=host.calls.carry(payload),
             unwritten=host.calls.unwritten(),
-            door=host.door.carry(cargo),
-            moved=host.moved_to,
+            door=host.door.carry(payload),
+            moved=host.discovery_moved_to,
         )
         if host.in_force:
             host.in_force.turn_all_away()
         if host.peers:
-            cargo.values["fleet"] = host.peers.freeze() | {"socket": cargo.place(host.peers.sock.fileno())}
-        cargo.values["clients"] = host.clients.carry(cargo, max(1, room - len(cargo.fds)))
-        cargo.values["idle"] = host.pool.carry_idle(cargo, room - len(cargo.fds))
-        return cargo
+            payload.values["fleet"] = host.peers.freeze() | {
+                "socket": payload.add_descriptor(host.peers.sock.fileno())
+            }
+        payload.values["clients"] = host.clients.carry(payload, max(1, free_fds - len(payload.fds)))
+        payload.values["idle"] = host.pool.carry_idle(payload, free_fds - len(payload.fds))
+        return payload
 
     def resume(self) -> None:
-        """The first turn after an upgrade: the module hears what was learned and which calls are out. What it
-        sends then may go over the idle connections, so these have their owner before."""
+        """Take the first turn after an upgrade, with what was learned and which calls are in flight.
+
+        New calls of that turn may use the idle connections, so these are handed to the pool first.
+        """
         carried, host = self.carried, self.host
         host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
         host.pool.resume_idle(
             [
-                (endpoint, tuple(address), self.sock(place), since, self._born(place, since))
-                for endpoint, address, place, since, *_ in carried.get("idle", ())
+                (endpoint, tuple(address), self.socket_at(fd_index), since, self._opened_at(fd_index, since))
+                for endpoint, address, fd_index, since, *_ in carried.get("idle", ())
             ]
         )
         host.events += [
-            i.ZoneCarried(host.roster.zone(name), since, until)
+            interface.ZoneCarried(host.roster.zone(name), since, until)
             for name, since, until in carried.get("returning", ())
         ]
-        host.events += [i.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
+        host.events += [interface.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
         for number in carried["unwritten"]:
-            host.note(host.journal.missed, number)
+            host.record_best_effort(host.journal.record_not_run, number)
         calls = [
-            (endpoint, int(started * 1e6), tuple(n for n, _, ended in items if not ended))
+            (endpoint, int(started * 1e6), tuple(number for number, _, ended in items if not ended))
             for endpoint, _, _, started, items, *_ in carried["calls"]
         ]
         host.restore({number for _, _, numbers in calls for number in numbers})
-        host.events += [i.CallCarried(*call) for call in calls]
+        host.events += [interface.CallCarried(*call) for call in calls]
         host.turn()
 
-    def sock(self, place: int) -> socket.socket:
-        return socket.socket(fileno=self.cargo.fds[place])
+    def socket_at(self, fd_index: int) -> socket.socket:
+        """Return the socket of a received descriptor."""
+        return socket.socket(fileno=self.payload.fds[fd_index])
 
-    def _born(self, place: int, since: float) -> float:
-        """When a connection was opened, wall clock; the version before told only when it was in use."""
-        told = self.cargo.values.get("born", {}).get(place)
-        return told if told is not None else time.time() - (self.host.loop.time() - since)
+    def _opened_at(self, fd_index: int, since: float) -> float:
+        """Return when a connection was opened, in seconds of the wall clock.
+
+        Earlier builds hand over only since when it has been in use or idle.
+        """
+        opened_at = self.payload.values.get("born", {}).get(fd_index)
+        return opened_at if opened_at is not None else time.time() - (self.host.loop.time() - since)
 
     def resume_connections(self) -> None:
-        """Calls, clients and callers go on; after this all of it has its owner."""
-        carried, host, sock = self.carried, self.host, self.sock
+        """Resume calls, clients and calls to the operator API.
+
+        After this every received descriptor has an owner.
+        """
+        carried, host, socket_at = self.carried, self.host, self.socket_at
         if carried["moved"]:
             host.move_discovery((carried["moved"][0], carried["moved"][1]))
-        for endpoint, address, place, started, rows, received, *_ in carried["calls"]:
+        for endpoint, address, fd_index, started, rows, received, *_ in carried["calls"]:
             items = [self._carried_item(*row) for row in rows]
             host.calls.resume(
-                endpoint, tuple(address), sock(place), self._born(place, started), started, items, received
+                endpoint,
+                tuple(address),
+                socket_at(fd_index),
+                self._opened_at(fd_index, started),
+                started,
+                items,
+                received,
             )
-        for place, *rest in carried["clients"]:
-            host.clients.resume(sock(place), *rest)
+        for fd_index, *rest in carried["clients"]:
+            host.clients.resume(socket_at(fd_index), *rest)
         door = carried["door"]
         if door["listening"] is not None:
-            host.door.resume(sock(door["listening"]), [(sock(p), heard) for p, heard in door["callers"]])
-        self.cargo = Cargo()
+            host.door.resume(
+                socket_at(door["listening"]),
+                [(socket_at(fd_index), heard) for fd_index, heard in door["callers"]],
+            )
+        self.payload = HandoverPayload()
 
     def _carried_item(self, number: int, timeout_us: int, ended: bool) -> Item:
-        m = self.host.journal.held.get(number)
-        if m is None:
+        message = self.host.journal.messages.get(number)
+        if message is None:
             return Item(number, -1, "", "", b"", timeout_us, True, ended)
-        return Item(number, m.tries - 1, m.id, m.key, m.body, timeout_us, True, ended)
+        return Item(
+            number,
+            message.attempts - 1,
+            message.id,
+            message.idempotency_key,
+            message.body,
+            timeout_us,
+            True,
+            ended,
+        )
 
-    def _zones_returning(self) -> list[tuple[str, int, int]]:
-        """By name: the next process may number them otherwise."""
+    def _returning_zones(self) -> list[tuple[str, int, int]]:
+        """Return the returning zones by name: the next process may number zones differently."""
         names = {number: name for name, number in self.host.roster.zones.items()}
         return [(names[zone], *span) for zone, span in self.host.courier.zones.returning.items()]
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -1,4 +1,8 @@
-"""The turn: gathers events, lets the decision module act on them, carries its actions out in order."""
+"""Runs the courier's turns on real sockets.
+
+A turn hands the events gathered since the last one to the decision module and carries out its actions in
+order.
+"""
 
 from __future__ import annotations
 
@@ -9,85 +13,97 @@
 from collections.abc import Iterable
 from typing import Any
 
-from hopmill import interface as i
-from hopmill import logs
-from hopmill.policy.courier import Courier
+from hopmill import interface, logs
 from hopmill.net import joining
 from hopmill.net.accept import listening_socket
 from hopmill.net.calls import Calls, Hooks, Item, Outcome
 from hopmill.net.clients import BACKLOG, ClientServer, Reply
 from hopmill.net.config import Address, Config, Options
 from hopmill.net.discovery import Notices, Watch
-from hopmill.net.handover import HandOver
+from hopmill.net.handover import Handover
 from hopmill.net.intake import Intake, refusal
 from hopmill.net.observer import Observer
 from hopmill.net.operator import Door
 from hopmill.net.pool import ASKED, Pool
-from hopmill.net.resp import MAX_REQUEST
+from hopmill.net.resp import MAX_REQUEST_BYTES
 from hopmill.net.restart import Restart
 from hopmill.net.roster import Roster
 from hopmill.net.staff import Staff
-from hopmill.net.state import Held, Journal
-from hopmill.net.upgrade import Cargo, Owner
+from hopmill.net.state import Journal, JournaledMessage
+from hopmill.net.upgrade import FolderOwnership, HandoverPayload
+from hopmill.policy.courier import Courier
 
-OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
-UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
+KEY_WINDOW_MARGIN_TICKS = 3  # no attempt begins this close to the end of its key's window
+TIMER_MARGIN_S = 5e-5  # added to the module's timers
+END_OVERDUE_S = 0.1  # a message this long past its expiry is ended here, should the module have failed to
+NOT_RUN_RESULTS = (interface.Result.FULL, interface.Result.CONNECT_FAILED, interface.Result.MOOT)
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself. Clients
-# may hold a third: over that they can't ask at all, so idle connections are closed before there are so many.
-CLIENT_SHARE, IDLE_SHARE = 0.3, 0.2
-MEMORY_SHARE = 1 / 8  # of the memory is for requests that are half way: each may be as long as the longest
+# may hold a third; beyond that none can connect, so idle connections are closed before there are so many.
+CLIENT_DESCRIPTOR_SHARE, IDLE_DESCRIPTOR_SHARE = 0.3, 0.2
+# Share of the memory for partly received requests, each of which may have the maximum size.
+REQUEST_MEMORY_SHARE = 1 / 8
 log, messages_log, policy_log = logs.part("courier"), logs.part("messages"), logs.part("policy")
 
 
 class Host:
-    """One courier on real sockets."""
+    """One courier: owns the event loop's parts, the journal and the decision module."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, owner: Owner, cargo: Cargo | None = None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        ownership: FolderOwnership,
+        payload: HandoverPayload | None = None,
     ) -> None:
-        """owner: the right to act on the journal; cargo: what came with it from the process before."""
-        self.loop, self.config, self.s = loop, config, config.settings
-        self.upgrade = HandOver(self, owner, cargo)
-        self.courier = Courier(self.s, config.seed)
-        self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
-        self.in_force: Any = None  # hopmill/net/in_force.py, where something may differ from the file
+        """Set up the parts.
+
+        ownership: the right to act on the journal. payload: what the previous process handed over.
+        """
+        self.loop, self.config, self.settings = loop, config, config.settings
+        self.handover = Handover(self, ownership, payload)
+        self.courier = Courier(self.settings, config.seed)
+        self.peers: Any = None  # set if the configuration names a fleet
+        self.in_force: Any = None  # set if settings may differ from the file's
         self.journal = Journal(
-            owner.folder,
+            ownership.folder,
             config.disk_bytes - joining.fleet_bytes(config),
-            max(c.key_window_us for c in self.s.classes) / 1e6,
+            max(c.key_window_us for c in self.settings.classes) / 1e6,
         )
-        self.roster = Roster(self.s, config.zones, self.courier.may_serve)
-        self.events: list[i.Event] = []
+        self.roster = Roster(self.settings, config.zones, self.courier.may_serve)
+        self.events: list[interface.Event] = []
         self.intake = Intake(self)
-        self.guards: dict[int, asyncio.TimerHandle] = {}
-        self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
-        self.scheduled = False
-        self.last_turn = -self.s.tick_us
+        self.expiry_timers: dict[int, asyncio.TimerHandle] = {}
+        self.next_attempts: dict[int, int] = {}  # message number: number of its next attempt
+        self.turn_scheduled = False
+        self.last_turn_us = -self.settings.tick_us
         self.restart = Restart(self)
         hooks = Hooks(
             lambda endpoint: self.roster.may_write(endpoint, self.clock()),
-            self._begin,
-            self._ended,
+            self._record_attempts,
+            self._attempt_ended,
             lambda endpoint, wait_us: self.roster.told_wait(endpoint, self.clock() + wait_us),
-            self._probed,
+            self._probe_ended,
         )
         self.pool = Pool(
             loop,
-            self.s.connection_idle_us,
-            self.s.connect_timeout_us,
-            int(config.sockets * IDLE_SHARE),
+            self.settings.connection_idle_us,
+            self.settings.connect_timeout_us,
+            int(config.sockets * IDLE_DESCRIPTOR_SHARE),
             self.roster.wanted,
         )
         self.calls = Calls(loop, hooks, self.pool)
-        places = min(config.sockets * CLIENT_SHARE, config.memory_bytes * MEMORY_SHARE / MAX_REQUEST)
-        self.clients = ClientServer(self.intake.put, max(8, int(places)))
-        self.notices = Notices(loop, config.discovery, self._accepted)
-        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.couriers)
+        max_clients = min(
+            config.sockets * CLIENT_DESCRIPTOR_SHARE,
+            config.memory_bytes * REQUEST_MEMORY_SHARE / MAX_REQUEST_BYTES,
+        )
+        self.clients = ClientServer(self.intake.put, max(8, int(max_clients)))
+        self.notices = Notices(loop, config.discovery, self._notices_accepted)
+        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.settings.couriers)
         self.options = Options()
-        self.observer = Observer(self.s)
-        self.metrics: Any = None  # counted only while the operators' door is open
-        self.due = 0  # when the next turn was to begin, in us of the monotonic clock
-        self.moved_to: Address | None = None  # where discovery went with a changed configuration
+        self.observer = Observer(self.settings)
+        self.metrics: Any = None  # set only while the operator API is enabled
+        self.turn_due_us = 0  # when the next turn is due, on the monotonic clock; 0 for none
+        self.discovery_moved_to: Address | None = None  # address of discovery after a reload
         self.staff = Staff(
             self.courier,
             self.journal,
@@ -95,39 +111,46 @@
             self.pool,
             self.clients,
             self.clock,
-            self.act,
-            lambda: self.clients.listening and not self.restart.closing_at,
+            self.handle_now,
+            lambda: self.clients.is_listening and not self.restart.exit_at,
         )
         self.door = Door(self.staff.routes(), config.sockets)
 
     def start(self) -> int:
-        """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port."""
-        carried = self.upgrade.carried
+        """Restore state, take the first turn, then listen; from then on PING is answered.
+
+        Returns the clients' port.
+        """
+        carried = self.handover.carried
         self.roster.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
-        self.listed({"all": True, "targets": known["targets"]}, i.ListForm.CACHED)
+        self.listed({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
         number, zone = self.roster.number, self.roster.zone
-        self.events += [i.SetByHand(number(uid), True) for uid in sorted(self.journal.out_by_hand)]
-        self.events += [i.SetZoneByHand(zone(name), True) for name in sorted(self.journal.zones_out)]
+        self.events += [
+            interface.SetByHand(number(uid), True) for uid in sorted(self.journal.excluded_endpoints)
+        ]
+        self.events += [
+            interface.SetZoneByHand(zone(name), True) for name in sorted(self.journal.excluded_zones)
+        ]
         self.watch.rev = known["rev"]
         self.set_options(self.config.options)
         joining.go_by_policy(self)
         if carried:
-            self.upgrade.resume()
+            self.handover.resume()
         else:
             self.restore(set())
             self.turn()
         joining.join_fleet(self)
-        self.clients.drain(self.journal.drained)
+        self.clients.set_drained(self.journal.drained)
         self.watch.open()
         port = self.clients.listen(self._listening_socket())
         if self.config.operator:
-            self._count()
+            self._enable_metrics()
             self.door.listen(self.config.operator)
         if carried:
-            self.upgrade.resume_connections()
+            self.handover.resume_connections()
         if self.config.listen_fd is not None:
-            self.upgrade.offer()
+            self.handover.listen()
         return port
 
     def _listening_socket(self) -> socket.socket:
@@ -135,162 +158,201 @@
             return listening_socket(self.config.listen, BACKLOG)
         return socket.socket(fileno=os.dup(self.config.listen_fd))
 
-    def restore(self, out: set[int]) -> None:
-        """What the journal holds. out: messages whose newest attempt goes on in this process."""
-        for m in list(self.journal.held.values()):
-            if m.status:
-                self.notices.add(m.number, m.id, m.status, m.again_ms)
+    def restore(self, in_flight: set[int]) -> None:
+        """Take over the messages in the journal.
+
+        in_flight: numbers of messages whose newest attempt continues in this process.
+        """
+        for message in list(self.journal.messages.values()):
+            if message.status:
+                self.notices.add(message.number, message.id, message.status, message.retry_after_ms)
             else:
-                self.events.append(self.arrival(m, m.number in out, True))
-                self.guard(m)
+                self.events.append(self.arrival_event(message, message.number in in_flight, True))
+                self.start_expiry_timer(message)
 
     def clock(self) -> int:
+        """Return the monotonic clock in microseconds, the time that the module works with."""
         return time.monotonic_ns() // 1000
 
-    def _mono(self, at: float) -> int:
-        """On the module's clock, of a time in the journal."""
+    def _to_module_time(self, at: float) -> int:
+        """Convert a time of the journal to the module's clock, in microseconds."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
-    def arrival(self, m: Held, out: bool = False, restored: bool = False) -> i.MessageArrived:
-        ran, zone = (m.ran_at, m.ran_zone) if out else (m.may_have_run_at, m.may_have_run_zone)
-        return i.MessageArrived(
-            m.number,
-            m.cls,
-            m.dest,
-            self._mono(m.until),
-            m.tenant,
-            m.order,
-            m.resubmitted,
-            m.tries,
-            self._mono(ran) if ran else -1,
+    def arrival_event(
+        self, message: JournaledMessage, in_flight: bool = False, restored: bool = False
+    ) -> interface.MessageArrived:
+        """Return the event that makes a message known to the module.
+
+        in_flight: its newest attempt continues in this process, so only earlier ones count as having run.
+        """
+        ran_at, zone = (
+            (message.earlier_run_at, message.earlier_run_zone)
+            if in_flight
+            else (message.may_have_run_at, message.may_have_run_zone)
+        )
+        return interface.MessageArrived(
+            message.number,
+            message.class_index,
+            message.destination,
+            self._to_module_time(message.expires_at),
+            message.tenant,
+            message.order_key,
+            message.resubmitted,
+            message.attempts,
+            self._to_module_time(ran_at) if ran_at else -1,
             self.roster.zones.get(zone, -1),
-            out,
+            in_flight,
             restored,
         )
 
-    # The turn
+    # Turns
 
-    def tell(self, event: i.Event) -> None:
+    def post(self, event: interface.Event) -> None:
+        """Add an event to the next turn, and schedule one."""
         self.events.append(event)
-        self.wake()
+        self.schedule_turn()
 
-    def wake(self) -> None:
-        """Take a turn as soon as what has come in with this event is read, a tick after the last at least."""
-        if self.scheduled:
+    def schedule_turn(self) -> None:
+        """Schedule a turn after the input that can be read now, at least a tick after the last turn."""
+        if self.turn_scheduled:
             return
-        self.scheduled = True
+        self.turn_scheduled = True
         now = self.clock()
-        early = self.last_turn + self.s.tick_us - now
-        self.due = now + max(0, early)
-        if early <= 0:
+        early_us = self.last_turn_us + self.settings.tick_us - now
+        self.turn_due_us = now + max(0, early_us)
+        if early_us <= 0:
             self.loop.call_soon(self.turn)
         else:
-            self.loop.call_later(early / 1e6, self.turn)
+            self.loop.call_later(early_us / 1e6, self.turn)
 
     def turn(self) -> None:
-        self.scheduled = False
-        self.last_turn = now = self.clock()
-        late, self.due = now - (self.due or now), 0
-        events: list[i.Event] = [i.Connections(*news) for news in self.pool.news()]
+        """Let the module handle the events gathered so far, and carry out its actions."""
+        self.turn_scheduled = False
+        self.last_turn_us = now = self.clock()
+        late_us, self.turn_due_us = now - (self.turn_due_us or now), 0
+        events: list[interface.Event] = [interface.Connections(*news) for news in self.pool.news()]
         events += self.events
         self.events = []
-        arrived = self.intake.turn()
+        arrived = self.intake.take_arrived()
         try:
-            actions: Iterable[i.Action] = self.courier.handle(now, events)
-        except Exception:  # one bad turn must not end the process; each message still has its guard
+            actions: Iterable[interface.Action] = self.courier.handle(now, events)
+        except Exception:
+            # One failed turn must not end the process; each message still has its expiry timer.
             log.exception("turn.failed", count=len(events))
-            actions = [i.Fail(n) for n in arrived]
+            actions = [interface.Fail(number) for number in arrived]
         try:
-            self._carry_out(list(actions), arrived)
+            self._execute(list(actions), arrived)
         except Exception:
             log.exception("actions.failed", count=len(actions))
             for _, replies in arrived.values():
                 for reply in replies:
                     reply.send(b"-ERR internal error\r\n")
         if self.metrics:
-            self.metrics.turn((self.clock() - now) / 1e6, late / 1e6)
+            self.metrics.turn((self.clock() - now) / 1e6, late_us / 1e6)
 
-    def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Reply]]]) -> None:
-        for a in actions:
-            if isinstance(a, (i.Refuse, i.Fail)) and a.message in arrived:
-                m, replies = arrived.pop(a.message)
-                self.observer.refused(m, a.retry_after_us if isinstance(a, i.Refuse) else 0)
+    def _execute(
+        self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
+    ) -> None:
+        """Carry out actions in order; `arrived` are the new messages of this turn, by number."""
+        self._answer_refused(actions, arrived)
+        for message, replies in arrived.values():
+            self.intake.accept(message, replies)
+        batches: dict[int, list[Item]] = {}
+        for action in actions:
+            self._execute_one(action, batches)
+        for endpoint, items in batches.items():
+            max_items = self.roster.batch(endpoint)
+            for start in range(0, len(items), max_items):
+                self._call(endpoint, items[start : start + max_items])
+
+    def _answer_refused(
+        self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
+    ) -> None:
+        """Answer the new messages that the module refuses, and remove them from `arrived`."""
+        for action in actions:
+            if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in arrived:
+                message, replies = arrived.pop(action.message)
+                self.observer.refused(
+                    message, action.retry_after_us if isinstance(action, interface.Refuse) else 0
+                )
                 for reply in replies:
-                    reply.send(refusal(a.retry_after_us) if isinstance(a, i.Refuse) else b"-ERR failed\r\n")
-        for m, replies in arrived.values():
-            self.intake.take(m, replies)
-        bundles: dict[int, list[Item]] = {}
-        for a in actions:
-            if isinstance(a, i.Send):
-                self._send(a, bundles)
-            elif isinstance(a, (i.Refuse, i.Fail)):
-                self._final(a)
-            elif isinstance(a, i.SetTimer):
-                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerDue(a.token))
-            elif isinstance(a, i.CloseIdle):
-                self.pool.close_idle(a.endpoint, ASKED)
-            elif isinstance(a, i.Keep):
-                self.pool.keep(a.endpoint, a.most)
-            elif isinstance(a, i.OpenIdle):
-                self.pool.warm(a.endpoint)
-            elif isinstance(a, i.Cancel):
-                self.calls.cancel(a.message, a.attempt)
-            elif isinstance(a, i.Probe):
-                self.calls.probe(a.endpoint)
-            elif isinstance(a, i.Log):
-                policy_log.info("policy", text=a.text)
-        for endpoint, items in bundles.items():
-            most = self.roster.batch(endpoint)
-            for at in range(0, len(items), most):
-                self._call(endpoint, items[at : at + most])
-
-    # Ends
-
-    def guard(self, m: Held) -> None:
-        delay = max(0.0, m.until + OVERDUE_S - self.journal.scale.now())
-        self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
-
-    def _overdue(self, number: int) -> None:
-        m = self.journal.held.get(number)
-        if m and not m.status:
-            messages_log.error("message.overdue", message=m.id)
-            self.tell(i.MessageGone(number))
-            self.end(m, "undeliverable", 0)
-
-    def _final(self, a: i.Refuse | i.Fail) -> None:
-        m = self.journal.held.get(a.message)
-        if m is None or m.status:
+                    reply.send(
+                        refusal(action.retry_after_us)
+                        if isinstance(action, interface.Refuse)
+                        else b"-ERR failed\r\n"
+                    )
+
+    def _execute_one(self, action: interface.Action, batches: dict[int, list[Item]]) -> None:
+        """Carry out an action; items for endpoints that take several per call are gathered in `batches`."""
+        if isinstance(action, interface.Send):
+            self._send(action, batches)
+        elif isinstance(action, (interface.Refuse, interface.Fail)):
+            self._end_by_action(action)
+        elif isinstance(action, interface.SetTimer):
+            self.loop.call_later(
+                action.delay_us / 1e6 + TIMER_MARGIN_S, self.post, interface.TimerDue(action.token)
+            )
+        elif isinstance(action, interface.CloseIdle):
+            self.pool.close_idle(action.endpoint, ASKED)
+        elif isinstance(action, interface.Keep):
+            self.pool.keep(action.endpoint, action.most)
+        elif isinstance(action, interface.OpenIdle):
+            self.pool.warm(action.endpoint)
+        elif isinstance(action, interface.Cancel):
+            self.calls.cancel(action.message, action.attempt)
+        elif isinstance(action, interface.Probe):
+            self.calls.probe(action.endpoint)
+        elif isinstance(action, interface.Log):
+            policy_log.info("policy", text=action.text)
+
+    # Ends of messages
+
+    def start_expiry_timer(self, message: JournaledMessage) -> None:
+        """Make sure that the message ends shortly after its expiry, whatever the module does."""
+        delay_s = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
+        self.expiry_timers[message.number] = self.loop.call_later(delay_s, self._expire, message.number)
+
+    def _expire(self, number: int) -> None:
+        message = self.journal.messages.get(number)
+        if message and not message.status:
+            messages_log.error("message.overdue", message=message.id)
+            self.post(interface.MessageGone(number))
+            self.end_message(message, "undeliverable", 0)
+
+    def _end_by_action(self, action: interface.Refuse | interface.Fail) -> None:
+        message = self.journal.messages.get(action.message)
+        if message is None or message.status:
             return
-        if isinstance(a, i.Refuse):
-            self.end(m, "deferred", -(-a.retry_after_us // 1000))
+        if isinstance(action, interface.Refuse):
+            self.end_message(message, "deferred", -(-action.retry_after_us // 1000))
         else:
-            self.end(m, "undeliverable", 0)
+            self.end_message(message, "undeliverable", 0)
 
-    def end(self, m: Held, status: str, again_ms: int) -> None:
-        """Owe the notice, then send it."""
+    def end_message(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
+        """Record the final status of a message, then send the notice."""
         try:
-            self.journal.final(m.number, status, again_ms)
-        except OSError as error:  # sent all the same: to end it once more after a restart does no harm
+            self.journal.record_end(message.number, status, retry_after_ms)
+        except OSError as error:  # the notice is sent all the same: a second one after a restart is harmless
             log.error("journal.failed", error=error)
-            self.journal.settle(m, status, again_ms)
-        self._unguard(m.number)
-        self.attempts.pop(m.number, None)
-        self.observer.over(m, status, again_ms)
-        self.notices.add(m.number, m.id, status, again_ms)
+            self.journal.mark_ended(message, status, retry_after_ms)
+        self._cancel_expiry_timer(message.number)
+        self.next_attempts.pop(message.number, None)
+        self.observer.over(message, status, retry_after_ms)
+        self.notices.add(message.number, message.id, status, retry_after_ms)
 
-    def _unguard(self, number: int) -> None:
-        if guard := self.guards.pop(number, None):
-            guard.cancel()
+    def _cancel_expiry_timer(self, number: int) -> None:
+        if timer := self.expiry_timers.pop(number, None):
+            timer.cancel()
 
-    def _accepted(self, numbers: list[int]) -> None:
+    def _notices_accepted(self, numbers: list[int]) -> None:
         if messages_log.debugs:
-            for m in (self.journal.held[n] for n in numbers if n in self.journal.held):
-                self.observer.told(m)
-        self.note(self.journal.told, numbers)
+            for message in (self.journal.messages[n] for n in numbers if n in self.journal.messages):
+                self.observer.told(message)
+        self.record_best_effort(self.journal.record_notices_accepted, numbers)
         self.restart.maybe_exit()
 
-    def note(self, write: Any, *args: Any) -> None:
-        """A record whose loss does no harm: a restart then takes the more careful view."""
+    def record_best_effort(self, write: Any, *args: Any) -> None:
+        """Write a record whose loss is harmless: without it a restart takes the more cautious view."""
         try:
             write(*args)
         except OSError as error:
@@ -298,83 +360,101 @@
 
     # Calls
 
-    def _send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
-        m = self.journal.held.get(a.message)
-        attempt = self.attempts.get(a.message, m.tries if m else 0)
-        self.attempts[a.message] = attempt + 1
-        if m is None or m.status:
-            self.tell(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
+    def _send(self, action: interface.Send, batches: dict[int, list[Item]]) -> None:
+        message = self.journal.messages.get(action.message)
+        attempt = self.next_attempts.get(action.message, message.attempts if message else 0)
+        self.next_attempts[action.message] = attempt + 1
+        if message is None or message.status:
+            self.post(
+                interface.AttemptEnded(
+                    action.message, attempt, action.endpoint, interface.Result.MOOT, 0, message is None
+                )
+            )
             return
-        item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
+        item = Item(
+            message.number, attempt, message.id, message.idempotency_key, message.body, action.timeout_us
+        )
         if messages_log.debugs:
-            self.observer.sent(m, attempt, self.roster.uid(a.endpoint), a.timeout_us)
-        if self.roster.batch(a.endpoint) > 1:
-            bundles.setdefault(a.endpoint, []).append(item)
+            self.observer.sent(message, attempt, self.roster.uid(action.endpoint), action.timeout_us)
+        if self.roster.batch(action.endpoint) > 1:
+            batches.setdefault(action.endpoint, []).append(item)
         else:
-            self._call(a.endpoint, [item])
+            self._call(action.endpoint, [item])
 
     def _call(self, endpoint: int, items: list[Item]) -> None:
         try:
             self.calls.send(endpoint, items)
-        except Exception:  # its slots and messages must not hang on it
+        except Exception:  # must not leave slots and messages occupied
             log.exception("call.failed", endpoint=self.roster.uid(endpoint))
             for item in items:
                 if not item.ended:
                     item.ended = True
-                    result = i.Result.RESET if item.begun else i.Result.MOOT
-                    self._ended(item, endpoint, Outcome(result), 0)
+                    result = interface.Result.RESET if item.begun else interface.Result.MOOT
+                    self._attempt_ended(item, endpoint, Outcome(result), 0)
+
+    def _record_attempts(self, endpoint: int, items: list[Item]) -> list[Item]:
+        """Record that these items are about to be sent; called just before a call is written.
 
-    def _begin(self, endpoint: int, items: list[Item]) -> list[Item]:
+        Returns the items that may be sent, none if the record cannot be written.
+        """
         now = self.journal.scale.now()
-        items = [x for x in items if (m := self.journal.held.get(x.number)) and self._repeats(m, now)]
+        items = [
+            item
+            for item in items
+            if (message := self.journal.messages.get(item.number)) and self._may_attempt_now(message, now)
+        ]
         if not items:
             return items
         try:
-            self.journal.attempt([n.number for n in items], now, self.roster.zone_of(endpoint))
+            self.journal.record_attempt([item.number for item in items], now, self.roster.zone_of(endpoint))
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
-        if self.in_force and not self.in_force.may_act():  # the last thing before the call is written
+        if self.in_force and not self.in_force.may_act():  # the last check before the call is written
             for item in items:
-                self.note(self.journal.missed, item.number)
+                self.record_best_effort(self.journal.record_not_run, item.number)
             return []
         return items
 
-    def _repeats(self, m: Held, now: float) -> bool:
-        """Whether its class allows another attempt at this moment: the module has decided some time ago, and
-        a connection may have taken long to come up."""
-        cls, ran_at = self.s.classes[m.cls], m.may_have_run_at
-        if not ran_at or cls.effect is i.Effect.SAFE:
+    def _may_attempt_now(self, message: JournaledMessage, now: float) -> bool:
+        """Return whether the message's class allows another attempt at this moment.
+
+        The module's decision may be some time old, since a connection may have taken long to open.
+        """
+        message_class, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
+        if not ran_at or message_class.effect is interface.Effect.SAFE:
             return True
-        window = cls.key_window_us if cls.effect is i.Effect.KEYED else 0
-        return now < ran_at + (window - 3 * self.s.tick_us) / 1e6
+        window_us = message_class.key_window_us if message_class.effect is interface.Effect.KEYED else 0
+        return now < ran_at + (window_us - KEY_WINDOW_MARGIN_TICKS * self.settings.tick_us) / 1e6
 
-    def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.held.get(item.number)
-        over = outcome.over or m is None
-        if m and (self.metrics or self.observer.counting or messages_log.debugs):
+    def _attempt_ended(self, item: Item, endpoint: int, outcome: Outcome, latency_us: int) -> None:
+        message = self.journal.messages.get(item.number)
+        is_over = outcome.over or message is None
+        if message and (self.metrics or self.observer.counting or messages_log.debugs):
             self.observer.ended(
-                m, item.attempt, self.roster.uid(endpoint), outcome.result, latency, outcome.wait_us
+                message, item.attempt, self.roster.uid(endpoint), outcome.result, latency_us, outcome.wait_us
             )
-        if outcome.over and m:
-            if not m.status:
-                self.observer.over(m, "delivered" if outcome.result is i.Result.OK else "withdrawn")
-            self.note(self.journal.done, m.number)
-            self._unguard(m.number)
-        elif m and item.begun and outcome.result in UNRUN:
-            self.note(self.journal.missed, m.number)
-        if over:
-            self.attempts.pop(item.number, None)
-        named = dict(outcome.report)
-        report = tuple(named.get(name, 0.0) for name in self.s.report_fields) if named else ()
-        self.tell(
-            i.AttemptEnded(
+        if outcome.over and message:
+            if not message.status:
+                self.observer.over(
+                    message, "delivered" if outcome.result is interface.Result.OK else "withdrawn"
+                )
+            self.record_best_effort(self.journal.record_done, message.number)
+            self._cancel_expiry_timer(message.number)
+        elif message and item.begun and outcome.result in NOT_RUN_RESULTS:
+            self.record_best_effort(self.journal.record_not_run, message.number)
+        if is_over:
+            self.next_attempts.pop(item.number, None)
+        values = dict(outcome.report)
+        report = tuple(values.get(name, 0.0) for name in self.settings.report_fields) if values else ()
+        self.post(
+            interface.AttemptEnded(
                 item.number,
                 item.attempt,
                 endpoint,
                 outcome.result,
-                max(1, latency),
-                over,
+                max(1, latency_us),
+                is_over,
                 outcome.wait_us,
                 report,
                 item.idle_us,
@@ -382,41 +462,42 @@
         )
         self.restart.maybe_exit()
 
-    def _probed(self, endpoint: int, result: i.Result, latency: int) -> None:
-        self.tell(i.ProbeEnded(endpoint, result, latency))
+    def _probe_ended(self, endpoint: int, result: interface.Result, latency_us: int) -> None:
+        self.post(interface.ProbeEnded(endpoint, result, latency_us))
 
-    # News
+    # Changes of endpoints, options and configuration
 
-    def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> None:
-        self.tell(self.roster.listed(change, form, self.pool))
+    def listed(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
+        """Apply a complete list or a change of endpoints from discovery."""
+        self.post(self.roster.listed(change, form, self.pool))
 
-    def act(self, event: i.Event) -> None:
-        """An operator's word holds from the answer on: its turn comes before that."""
+    def handle_now(self, event: interface.Event) -> None:
+        """Handle an event in a turn at once, so that it is in force when an operator gets the answer."""
         self.events.append(event)
         self.turn()
 
-    def _count(self) -> None:
-        """Only here is the library read: what is not asked for costs a courier in service no memory."""
+    def _enable_metrics(self) -> None:
+        """Count metrics from now on. The library is imported only here, to save memory if it is not used."""
         from hopmill.net.metrics import HostState, Metrics
 
-        self.metrics = Metrics(tuple(c.name for c in self.s.classes), HostState(self))
+        self.metrics = Metrics(tuple(c.name for c in self.settings.classes), HostState(self))
         self.observer.meters = self.staff.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
-        """Only what changes is told: while a part is off the module never hears of it."""
+        """Apply the options; the module is notified only of changes."""
         if options != self.options:
             log.info("config.options", warm_up=options.warm_up)
             self.options = options
-            self.tell(i.WarmUp(options.warm_up))
+            self.post(interface.WarmUp(options.warm_up))
 
     def move_discovery(self, address: Address) -> None:
-        """A changed configuration: the list comes from there and notices go there from now on."""
-        self.moved_to = address
+        """Watch and notify discovery at another address from now on."""
+        self.discovery_moved_to = address
         self.watch.move(address)
         self.notices.move(address)
 
     def close(self) -> None:
-        """Let go of everything at once; the journal already holds what is open."""
+        """Close everything at once; open messages are in the journal already."""
         if self.peers:
             self.peers.close()
         self.watch.stop()
@@ -426,4 +507,4 @@
         self.clients.stop_listening()
         self.door.close()
         self.journal.close()
-        self.upgrade.close()
+        self.handover.close()
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -1,128 +1,148 @@
-"""What clients hand in, until it is taken on or turned away. It knows no protocol but the reply's lines."""
+"""Messages that clients submit, until they are accepted or refused.
+
+Of the protocol it knows only the lines of the answers.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from hopmill import interface as i
-from hopmill import logs
+from hopmill import interface, logs
 from hopmill.net.clients import Reply
-from hopmill.net.put import BadRequest, Put
-from hopmill.net.state import Held
+from hopmill.net.put import BadRequestError, Put
+from hopmill.net.state import JournaledMessage
 
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
 messages_log = logs.part("messages")
-Arrived = dict[int, tuple[Held, list[Reply]]]
+Arrived = dict[int, tuple[JournaledMessage, list[Reply]]]
 
 
 class Intake:
-    """One owner of the messages that have come and are not answered yet."""
+    """Holds the messages that have arrived and are not answered yet."""
 
     def __init__(self, host: Host) -> None:
-        self.host, s = host, host.s
-        self.numbers = host.journal.last
-        self.classes = {c.name: n for n, c in enumerate(s.classes)}
-        self.tenants = {t.name: n for n, t in enumerate(s.tenants)}
+        self.host, settings = host, host.settings
+        self.last_number = host.journal.last_number
+        self.class_indexes = {c.name: index for index, c in enumerate(settings.classes)}
+        self.tenant_indexes = {t.name: index for index, t in enumerate(settings.tenants)}
         self.arrived: Arrived = {}
-        self.arriving: dict[str, int] = {}  # their ids
+        self.arrived_numbers_by_id: dict[str, int] = {}
 
-    def turn(self) -> Arrived:
-        """What came since the last turn: this one answers it."""
+    def take_arrived(self) -> Arrived:
+        """Return and forget what has arrived since the last turn; the caller answers it."""
         arrived, self.arrived = self.arrived, {}
-        self.arriving.clear()
+        self.arrived_numbers_by_id.clear()
         return arrived
 
     def put(self, put: Put, reply: Reply) -> None:
-        """A message is handed in. It is answered in the turn that follows."""
+        """Take a submitted message, which is answered in the next turn unless it can be answered at once.
+
+        Raises BadRequestError.
+        """
         host = self.host
-        cls = self.classes.get(put.cls)
-        if cls is None:
-            raise BadRequest("c: no such class")
-        tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
+        class_index = self.class_indexes.get(put.class_name)
+        if class_index is None:
+            raise BadRequestError("c: no such class")
+        tenant = self.tenant_indexes.get(put.tenant_name or "", -1) if self.tenant_indexes else 0
         if tenant < 0:
-            raise BadRequest("t: no such tenant")
-        if host.s.classes[cls].effect is i.Effect.KEYED and not put.key:
-            raise BadRequest("k: lacks, and the class is keyed")
-        # PROTOCOL has zeros there unless the class keeps an order; a known id is answered all the same.
-        if put.order and not host.s.classes[cls].ordered and not self._known(put.id):
-            raise BadRequest("key: must be zeros, for the class keeps no order")
-        if put.id in self.arriving:
-            self.arrived[self.arriving[put.id]][1].append(reply)
+            raise BadRequestError("t: no such tenant")
+        if host.settings.classes[class_index].effect is interface.Effect.KEYED and not put.idempotency_key:
+            raise BadRequestError("k: lacks, and the class is keyed")
+        # The protocol requires zeros unless the class is ordered; a known id is accepted all the same.
+        if put.order_key and not host.settings.classes[class_index].ordered and not self._is_known(put.id):
+            raise BadRequestError("key: must be zeros, for the class keeps no order")
+        if put.id in self.arrived_numbers_by_id:
+            self.arrived[self.arrived_numbers_by_id[put.id]][1].append(reply)
             return
-        if self._known(put.id):
-            reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
+        if self._is_known(put.id):
+            reply.send(b"+OK\r\n")  # submitted again: it is in progress or has ended
             return
         if host.in_force and not host.in_force.may_act():
             host.in_force.wait(put, reply)
             return
-        if host.journal.open + len(self.arrived) >= host.s.max_held:
+        if host.journal.open_count + len(self.arrived) >= host.settings.max_held:
             reply.send(refusal(host.courier.come_back_us()))
             return
-        now = host.journal.scale.now()
-        self.numbers += 1
-        m = Held(
-            self.numbers,
+        message = self._new_message(put, class_index, tenant)
+        self._replace_older(message)
+        self.arrived[message.number] = (message, [reply])
+        self.arrived_numbers_by_id[message.id] = message.number
+        host.observer.put(message, put.lifetime_ms)
+        host.post(host.arrival_event(message))
+
+    def _new_message(self, put: Put, class_index: int, tenant: int) -> JournaledMessage:
+        """Return the message with the next number; its expiry counts from now."""
+        now = self.host.journal.scale.now()
+        self.last_number += 1
+        return JournaledMessage(
+            self.last_number,
             put.id,
-            cls,
+            class_index,
             tenant,
-            put.dest,
-            put.key,
-            now + put.life_ms / 1e3,
+            put.destination,
+            put.idempotency_key,
+            now + put.lifetime_ms / 1e3,
             put.resubmitted,
             put.body,
-            put.order,
-            ran_at=host.journal.key_ran_at(put.key),
+            put.order_key,
+            earlier_run_at=self.host.journal.key_first_run_at(put.idempotency_key),
         )
-        self._replace(m)
-        self.arrived[m.number] = (m, [reply])
-        self.arriving[m.id] = m.number
-        host.observer.put(m, put.life_ms)
-        host.tell(host.arrival(m))
 
-    def _known(self, ident: str) -> bool:
+    def _is_known(self, message_id: str) -> bool:
         host = self.host
-        return ident in self.arriving or ident in host.journal.ids or ident in host.journal.over
+        return (
+            message_id in self.arrived_numbers_by_id
+            or message_id in host.journal.numbers_by_id
+            or message_id in host.journal.ended_ids
+        )
+
+    def _replace_older(self, message: JournaledMessage) -> None:
+        """End an open message with the same idempotency key.
 
-    def _replace(self, m: Held) -> None:
-        """A key that is still open here is handed in again only by a client that gave the older one up."""
+        A client submits a key that is still open again only if it has given up the older message.
+        """
         host = self.host
-        if not m.key:
+        if not message.idempotency_key:
             return
-        for old in host.journal.held.values():
-            if old.key == m.key and not old.status:
-                if not m.ran_at:
-                    m.ran_at, m.ran_zone = old.may_have_run_at, old.may_have_run_zone
-                host.tell(i.MessageGone(old.number))
-                last = host.attempts.get(old.number, 0) - 1
-                host.end(old, "deferred", 0)
-                host.calls.cancel(old.number, last)
+        for older in host.journal.messages.values():
+            if older.idempotency_key == message.idempotency_key and not older.status:
+                if not message.earlier_run_at:
+                    message.earlier_run_at, message.earlier_run_zone = (
+                        older.may_have_run_at,
+                        older.may_have_run_zone,
+                    )
+                host.post(interface.MessageGone(older.number))
+                latest_attempt = host.next_attempts.get(older.number, 0) - 1
+                host.end_message(older, "deferred", 0)
+                host.calls.cancel(older.number, latest_attempt)
                 return
 
-    def take(self, m: Held, replies: list[Reply]) -> None:
-        """The module has let it in: it is recorded, then answered."""
-        host, text = self.host, b"+OK\r\n"
+    def accept(self, message: JournaledMessage, replies: list[Reply]) -> None:
+        """Record a message that the module has admitted, then answer the client."""
+        host, answer = self.host, b"+OK\r\n"
         if host.in_force and not host.in_force.may_act():
-            host.tell(i.MessageGone(m.number))  # the lease ended between the turn's two halves
+            host.post(interface.MessageGone(message.number))  # the lease ended during this turn
             for reply in replies:
                 reply.send(refusal(host.courier.come_back_us()))
             return
-        if not any(r.wanted for r in replies):
-            host.tell(i.MessageGone(m.number))  # nobody heard that it was taken on
+        if not any(r.is_wanted for r in replies):
+            host.post(interface.MessageGone(message.number))  # no client would learn that it was accepted
             return
         try:
-            host.journal.take(m)
+            host.journal.record_message(message)
         except OSError as error:
-            messages_log.error("message.not_taken", message=m.id, error=error)
-            text = refusal(host.courier.come_back_us())
-            host.tell(i.MessageGone(m.number))
+            messages_log.error("message.not_taken", message=message.id, error=error)
+            answer = refusal(host.courier.come_back_us())
+            host.post(interface.MessageGone(message.number))
         else:
-            host.guard(m)
-            host.observer.taken(m)
+            host.start_expiry_timer(message)
+            host.observer.taken(message)
         for reply in replies:
-            reply.send(text)
+            reply.send(answer)
 
 
 def refusal(wait_us: int) -> bytes:
+    """Return the answer to a message that is not accepted, with the time after which to retry if known."""
     return b"-BUSY %d\r\n" % -(-wait_us // 1000) if wait_us > 0 else b"-BUSY\r\n"
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -1,7 +1,8 @@
-"""The journal in the folder that lasts: what the courier has taken on, and how far each message has come.
+"""The journal in the state folder: messages that the courier is responsible for, and their progress.
 
-Append-only records, each with length and checksum, written with os.write before the thing that they make
-true. What was written outlasts SIGKILL with no sync. A torn tail is cut off and the rest is used.
+The file is append-only. Each record has its length and checksum, and is written with os.write before the
+action that it records. What was written survives SIGKILL without fsync. After a crash a torn record at the
+end is cut off and the rest is used.
 """
 
 from __future__ import annotations
@@ -16,203 +17,247 @@
 import msgpack
 
 from hopmill import logs
-from hopmill.net.timescale import TimeScale, boot_id, by_the_wall
-
-FRAME = struct.Struct(">II")  # length, checksum
-NAME, FRESH = "messages.journal", "messages.journal.new"
-BLOCK = 512  # files count in whole blocks
-EACH = 160  # bytes kept free for each message's later records
-SPARE_BYTES = 8192  # kept free for all else
-OVER_S = 30.0  # how long the id of a message that is over is known
-KEYS_S = 60.0  # and an idempotency key past its window
-STEP_S = 0.001  # a scale that begins no later than this after the latest record was set back to it
-SMALL = 1 << 17  # a file under this is not worth compacting
+from hopmill.net.timescale import TimeScale, boot_id, from_wall_clock
+
+RECORD_HEADER = struct.Struct(">II")  # length of the payload in bytes, its CRC-32
+JOURNAL_FILE, NEW_JOURNAL_FILE = "messages.journal", "messages.journal.new"
+BLOCK_BYTES = 512  # a file counts against the disk limit in whole blocks
+ENTRY_RESERVE_BYTES = 160  # reserved for the later records of a message, and for each remembered name
+SPARE_BYTES = 8192  # reserved for all other records
+ENDED_ID_RETENTION_S = 30.0  # ids of ended messages are recognized for this long
+KEY_EXTRA_RETENTION_S = 60.0  # idempotency keys are remembered for this long after their window
+# The wall clock counts as set back if the new time scale begins no later than this after the latest record.
+SET_BACK_TOLERANCE_S = 0.001
+MIN_COMPACTION_BYTES = 1 << 17  # smaller files are compacted only for lack of space
 log = logs.part("journal")
 
 
-class JournalFull(OSError):
-    """The record would take more than the disk limit allows."""
+class JournalFullError(OSError):
+    """The record would exceed the disk limit, or the disk is full."""
 
 
 @dataclass
-class Held:
-    """A message that the courier owes something: its end, or a notice of it. Times are the journal's."""
-
-    number: int
-    id: str
-    cls: int
-    tenant: int
-    dest: int
-    key: str
-    until: float
-    resubmitted: bool
+class JournaledMessage:
+    """A message for which the courier still owes an end or a notice.
+
+    It is stored as a list: the order of the fields is the format. Times (`_at`) are seconds on the journal's
+    time scale.
+    """
+
+    number: int  # assigned by this courier, unique in the journal
+    id: str  # assigned by the client
+    class_index: int  # in the settings' classes
+    tenant: int  # index in the settings' tenants
+    destination: int
+    idempotency_key: str  # "" if there is none
+    expires_at: float
+    resubmitted: bool  # the client marked it as a repeat
     body: bytes
-    order: int = 0
-    tries: int = 0
-    trying_at: float = 0.0  # start of the newest attempt, 0 once it has proved that it never ran
-    ran_at: float = 0.0  # start of the first attempt that may have run
-    status: str = ""  # of its final notice, which is owed
-    again_ms: int = 0
-    trying_zone: str = ""  # where the newest attempt went,
-    ran_zone: str = ""  # and the first that may have run; "" if that is not known
+    order_key: int = 0  # shared by messages that are kept in order, 0 for none
+    attempts: int = 0  # begun so far
+    latest_attempt_at: float = 0.0  # start of the newest attempt; 0 once it is known not to have run
+    earlier_run_at: float = 0.0  # start of the first attempt before it that may have run, 0 for none
+    status: str = ""  # of the final notice that is owed; "" while the message is open
+    retry_after_ms: int = 0  # goes into that notice
+    latest_attempt_zone: str = ""  # zone of the newest attempt, "" if not known
+    earlier_run_zone: str = ""  # zone of the attempt of earlier_run_at, "" if not known
 
     @property
     def may_have_run_at(self) -> float:
-        return self.ran_at or self.trying_at
+        """Start of the first attempt that may have run, 0 if there is none."""
+        return self.earlier_run_at or self.latest_attempt_at
 
     @property
     def may_have_run_zone(self) -> str:
-        return self.ran_zone if self.ran_at else self.trying_zone
+        """Zone of that attempt, "" if not known."""
+        return self.earlier_run_zone if self.earlier_run_at else self.latest_attempt_zone
 
-    def record(self) -> list[Any]:
+    def to_record(self) -> list[Any]:
+        """Return the `take` record with all fields by position."""
         return ["take", *(getattr(self, f.name) for f in fields(self))]
 
     @property
-    def bytes(self) -> int:
-        return len(self.body) + len(self.id) + len(self.key) + EACH
+    def size_bytes(self) -> int:
+        """An upper bound on what the message takes in the journal, with its later records."""
+        return len(self.body) + len(self.id) + len(self.idempotency_key) + ENTRY_RESERVE_BYTES
 
 
-def frame(record: list[Any]) -> bytes:
+def encode_record(record: list[Any]) -> bytes:
+    """Return a record as it is written: header and msgpack payload."""
     payload = msgpack.packb(record)
-    return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def parse(data: bytes) -> tuple[list[list[Any]], int]:
-    """The whole records at the start of data, and where they end."""
-    records, at = [], 0
-    while at + FRAME.size <= len(data):
-        size, checksum = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size : at + FRAME.size + size]
+def parse_records(data: bytes) -> tuple[list[list[Any]], int]:
+    """Return the complete records at the start of `data`, and the offset at which they end.
+
+    A record with a correct checksum that cannot be decoded is logged and skipped.
+    """
+    records, offset = [], 0
+    while offset + RECORD_HEADER.size <= len(data):
+        size, checksum = RECORD_HEADER.unpack_from(data, offset)
+        payload = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + size]
         if len(payload) != size or zlib.crc32(payload) != checksum or not size:
             break
         try:
             records.append(msgpack.unpackb(payload))
         except (ValueError, msgpack.exceptions.UnpackException) as error:
             log.error("journal.unreadable", error=error)
-        at += FRAME.size + size
-    return records, at
+        offset += RECORD_HEADER.size + size
+    return records, offset
+
 
+def round_up_to_blocks(size: int) -> int:
+    """Return the bytes that a file of this size takes on disk."""
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
-def blocks(size: int) -> int:
-    return -(-size // BLOCK) * BLOCK
 
+class JournalContents:
+    """The state that the records add up to.
 
-class Contents:
-    """What records add up to: open messages, owed notices and what is remembered of those that are over."""
+    It has open messages, owed notices, what is remembered of ended messages, and what operators set.
+    """
 
     def __init__(self, key_window_s: float = 0.0) -> None:
-        self.key_window_s, self.key_s = key_window_s, key_window_s + KEYS_S
-        self.scale = by_the_wall(0.0, "")  # until a record tells it
-        self.latest = 0.0  # time in a record
-        self.held: dict[int, Held] = {}
-        self.ids: dict[str, int] = {}
-        self.over: dict[str, float] = {}  # id: when it was over
-        self.keys: dict[str, float] = {}  # key: when the first attempt with it that may have run was sent
-        self.drained = False  # by an operator, until called back
-        self.out_by_hand: set[str] = set()  # endpoints' uids, the same
-        self.zones_out: set[str] = set()  # zones' names, the same
-        self.live = self.last = 0
-        self.open = 0  # held messages whose end is not settled: `held` has those that owe a notice too
+        self.key_window_s, self.key_retention_s = key_window_s, key_window_s + KEY_EXTRA_RETENTION_S
+        self.scale = from_wall_clock(0.0, "")  # replaced by that of a `clock` record
+        self.latest_at = 0.0  # the latest time found in the records
+        self.messages: dict[int, JournaledMessage] = {}
+        self.numbers_by_id: dict[str, int] = {}
+        self.ended_ids: dict[str, float] = {}  # id: when the message ended, in that order
+        # Idempotency key: start of the first attempt with it that may have run.
+        self.first_run_by_key: dict[str, float] = {}
+        self.drained = False  # by an operator
+        self.excluded_endpoints: set[str] = set()  # uids, excluded by an operator
+        self.excluded_zones: set[str] = set()  # names, excluded by an operator
+        # live_bytes: upper bound on what a compacted journal takes, with the reserve for later records.
+        self.live_bytes = self.last_number = 0
+        self.open_count = 0  # messages without a final status; `messages` also has those that owe a notice
 
     def apply(self, record: list[Any]) -> None:
+        """Apply one record.
+
+        Raises TypeError, ValueError, LookupError or AttributeError if the record is malformed.
+        """
         kind = record[0]
         if kind == "take":
-            m = Held(*record[1:])
-            if m.number in self.held:
-                self.open -= not self.held[m.number].status
-            self.held[m.number], self.ids[m.id] = m, m.number
-            self.open += not m.status
-            self.last = max(self.last, m.number)
-            self.live += m.bytes
+            self._apply_message(record)
         elif kind == "try":
-            for number in record[1]:
-                if m := self.held.get(number):
-                    m.ran_zone, m.ran_at = m.may_have_run_zone, m.may_have_run_at
-                    m.tries, m.trying_at = m.tries + 1, record[2]
-                    self.latest = max(self.latest, m.trying_at)
-                    m.trying_zone = str(record[3]) if len(record) > 3 else ""
-                    if m.key:
-                        self._remember_key(m.key, m.may_have_run_at)
+            self._apply_attempt(record)
         elif kind == "miss":
-            if m := self.held.get(record[1]):
-                m.trying_at = 0.0
-                if m.key and not m.ran_at:
-                    self.live -= EACH * (self.keys.pop(m.key, None) is not None)
+            self._apply_not_run(record)
         elif kind == "final":
-            if m := self.held.get(record[1]):
-                self.live -= len(m.body)
-                m.body = b""
-                self.settle(m, record[2], record[3])
+            if message := self.messages.get(record[1]):
+                self.live_bytes -= len(message.body)
+                message.body = b""
+                self.mark_ended(message, record[2], record[3])
         elif kind == "over":
-            for number in record[1]:
-                if m := self.held.pop(number, None):
-                    self.open -= not m.status
-                    self.ids.pop(m.id, None)
-                    self.live -= m.bytes
-                    self._remember_over(m.id, record[2])
+            self._apply_over(record)
         elif kind == "clock":
             self.scale = TimeScale(str(record[1]), float(record[2]))
         elif kind == "drain":
             self.drained = bool(record[1])
         elif kind == "hand":
-            self._set(self.out_by_hand, str(record[1]), bool(record[2]))
+            self._set_excluded(self.excluded_endpoints, str(record[1]), bool(record[2]))
         elif kind == "zone":
-            self._set(self.zones_out, str(record[1]), bool(record[2]))
+            self._set_excluded(self.excluded_zones, str(record[1]), bool(record[2]))
         elif kind == "known":
-            self.last = max(self.last, record[1])
-            for ident, at in record[2].items():
-                self._remember_over(ident, at)
+            self.last_number = max(self.last_number, record[1])
+            for message_id, at in record[2].items():
+                self._remember_ended_id(message_id, at)
             for key, at in record[3].items():
                 self._remember_key(key, at)
 
-    def settle(self, m: Held, status: str, again_ms: int) -> None:
-        """Its end is known; a notice of it is owed."""
-        self.open -= not m.status
-        m.status, m.again_ms = status, again_ms
-
-    def _set(self, names: set[str], name: str, out: bool) -> None:
-        self.live += (len(name) + EACH) * (out - (name in names))
-        (names.add if out else names.discard)(name)
-
-    def key_ran_at(self, key: str) -> float:
-        """When the first attempt with this key that may have run was sent, 0 if none is known."""
-        at = self.keys.get(key, 0.0) if key else 0.0
-        return at if self.scale.now() - at < self.key_s else 0.0
-
-    def _remember_over(self, ident: str, at: float) -> None:
-        if self.over.pop(ident, None) is None:
-            self.live += EACH
-        self.latest = max(self.latest, at)
-        self.over[ident] = at  # the newest last
-        # Not only when the file is rewritten: how often that is hangs on the disk limit, not on the ids' age.
-        while at - self.over[oldest := next(iter(self.over))] >= OVER_S:
-            del self.over[oldest]
-            self.live -= EACH
+    def _apply_message(self, record: list[Any]) -> None:
+        """Add an accepted message."""
+        message = JournaledMessage(*record[1:])
+        if message.number in self.messages:
+            self.open_count -= not self.messages[message.number].status
+        self.messages[message.number], self.numbers_by_id[message.id] = message, message.number
+        self.open_count += not message.status
+        self.last_number = max(self.last_number, message.number)
+        self.live_bytes += message.size_bytes
+
+    def _apply_attempt(self, record: list[Any]) -> None:
+        """Note an attempt of messages, which may run from now on."""
+        for number in record[1]:
+            if message := self.messages.get(number):
+                message.earlier_run_zone, message.earlier_run_at = (
+                    message.may_have_run_zone,
+                    message.may_have_run_at,
+                )
+                message.attempts, message.latest_attempt_at = message.attempts + 1, record[2]
+                self.latest_at = max(self.latest_at, message.latest_attempt_at)
+                message.latest_attempt_zone = str(record[3]) if len(record) > 3 else ""
+                if message.idempotency_key:
+                    self._remember_key(message.idempotency_key, message.may_have_run_at)
+
+    def _apply_not_run(self, record: list[Any]) -> None:
+        """Take back the newest attempt of a message, which did not run."""
+        if message := self.messages.get(record[1]):
+            message.latest_attempt_at = 0.0
+            if message.idempotency_key and not message.earlier_run_at:
+                self.live_bytes -= ENTRY_RESERVE_BYTES * (
+                    self.first_run_by_key.pop(message.idempotency_key, None) is not None
+                )
+
+    def _apply_over(self, record: list[Any]) -> None:
+        """Forget messages for which nothing is owed, and remember their ids."""
+        for number in record[1]:
+            if message := self.messages.pop(number, None):
+                self.open_count -= not message.status
+                self.numbers_by_id.pop(message.id, None)
+                self.live_bytes -= message.size_bytes
+                self._remember_ended_id(message.id, record[2])
+
+    def mark_ended(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
+        """Set the final status of a message; a notice of it is owed from now on."""
+        self.open_count -= not message.status
+        message.status, message.retry_after_ms = status, retry_after_ms
+
+    def _set_excluded(self, names: set[str], name: str, excluded: bool) -> None:
+        self.live_bytes += (len(name) + ENTRY_RESERVE_BYTES) * (excluded - (name in names))
+        (names.add if excluded else names.discard)(name)
+
+    def key_first_run_at(self, key: str) -> float:
+        """Return when the first attempt with this key that may have run was sent, 0 if none is known."""
+        at = self.first_run_by_key.get(key, 0.0) if key else 0.0
+        return at if self.scale.now() - at < self.key_retention_s else 0.0
+
+    def _remember_ended_id(self, message_id: str, at: float) -> None:
+        if self.ended_ids.pop(message_id, None) is None:
+            self.live_bytes += ENTRY_RESERVE_BYTES
+        self.latest_at = max(self.latest_at, at)
+        self.ended_ids[message_id] = at  # keeps the dict in order of time
+        # compact() is not enough: how often it runs depends on the disk limit, not on the age of the ids.
+        while at - self.ended_ids[oldest := next(iter(self.ended_ids))] >= ENDED_ID_RETENTION_S:
+            del self.ended_ids[oldest]
+            self.live_bytes -= ENTRY_RESERVE_BYTES
 
     def _remember_key(self, key: str, at: float) -> None:
-        if key not in self.keys:
-            self.live += EACH
-            self.keys[key] = at
+        if key not in self.first_run_by_key:
+            self.live_bytes += ENTRY_RESERVE_BYTES
+            self.first_run_by_key[key] = at
 
 
-class Journal(Contents):
-    """The same with its file, to which each record is written before it is applied."""
+class Journal(JournalContents):
+    """The journal with its file. Methods that write raise OSError (JournalFullError for lack of space)."""
 
     def __init__(self, folder: Path, limit_bytes: int, key_window_s: float = 0.0) -> None:
         super().__init__(key_window_s)
-        self.path, self.fresh = folder / NAME, folder / FRESH
-        self.limit = limit_bytes
-        self.fresh.unlink(missing_ok=True)
-        self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
-        self.size = self._restore()
-        self._set_scale()
+        self.path, self.new_path = folder / JOURNAL_FILE, folder / NEW_JOURNAL_FILE
+        self.limit_bytes = limit_bytes
+        self.new_path.unlink(missing_ok=True)
+        self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
+        self.size_bytes = self._restore()
+        self._set_time_scale()
 
     def _restore(self) -> int:
         data = self.path.read_bytes()
-        records, end = parse(data)
+        records, end = parse_records(data)
         if end < len(data):
             log.warning("journal.tail_cut", bytes=len(data) - end)
-            os.ftruncate(self.file, end)
+            os.ftruncate(self.fd, end)
         for record in records:
             try:
                 self.apply(record)
@@ -220,126 +265,150 @@
                 log.error("journal.unusable", error=error)
         return end
 
-    def _set_scale(self) -> None:
-        """That of this boot, where a process before this one wrote in it; else the wall clock's."""
-        if self.scale.holds():
+    def _set_time_scale(self) -> None:
+        """Keep the time scale if it was written in this boot, otherwise start one by the wall clock."""
+        if self.scale.is_of_this_boot():
             return
-        self.scale = by_the_wall(self.latest, boot_id())
+        self.scale = from_wall_clock(self.latest_at, boot_id())
         try:
-            if self.scale.now() <= self.latest + STEP_S:
-                self._forget_windows()
-                self.compact()  # with the scale in it, or the next start finds out anew
+            if self.scale.now() <= self.latest_at + SET_BACK_TOLERANCE_S:
+                self._expire_key_windows()
+                self.compact()  # writes the scale too, so that the next start does not repeat this
             else:
-                self._write(["clock", self.scale.boot, self.scale.ahead])
+                self._write(["clock", self.scale.boot_id, self.scale.offset_s])
         except OSError as error:
             log.error("journal.failed", error=error)
 
-    def _forget_windows(self) -> None:
-        """The wall clock went back between two boots: nobody knows how long the machine was down, so whatever
-        may have run is taken to be past its window."""
-        for m in self.held.values():
-            if m.may_have_run_at:
-                m.ran_zone, m.ran_at = m.may_have_run_zone, min(m.may_have_run_at, self.latest) - self.key_s
-        self.keys = {key: min(at, self.latest - self.key_window_s) for key, at in self.keys.items()}
+    def _expire_key_windows(self) -> None:
+        """Treat whatever may have run as past its idempotency window.
+
+        The wall clock went back between two boots, so it is not known how long the machine was down.
+        """
+        for message in self.messages.values():
+            if message.may_have_run_at:
+                message.earlier_run_zone, message.earlier_run_at = (
+                    message.may_have_run_zone,
+                    min(message.may_have_run_at, self.latest_at) - self.key_retention_s,
+                )
+        self.first_run_by_key = {
+            key: min(at, self.latest_at - self.key_window_s) for key, at in self.first_run_by_key.items()
+        }
 
     def close(self) -> None:
-        os.close(self.file)
+        """Close the file."""
+        os.close(self.fd)
 
-    # Records: written first, then applied; restoring applies the same ones.
+    # A record is written first and then applied; a restart applies the same records.
 
-    def take(self, m: Held) -> None:
-        """The message is taken on."""
-        if not self._room(m.bytes):
-            self.compact()  # it may be ids and keys that nobody needs any more
-            if not self._room(m.bytes):
-                raise JournalFull(f"no room for {m.bytes} bytes")
-        self._write(m.record())
+    def record_message(self, message: JournaledMessage) -> None:
+        """Record that the courier has accepted the message."""
+        if not self._has_room_for(message.size_bytes):
+            self.compact()  # drops ids and keys that have outlived their retention
+            if not self._has_room_for(message.size_bytes):
+                raise JournalFullError(f"no room in the journal for a message of {message.size_bytes} bytes")
+        self._write(message.to_record())
 
-    def attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
-        """An attempt of these is about to be written, to an endpoint in that zone."""
+    def record_attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
+        """Record that an attempt of these messages is about to be sent to an endpoint in that zone."""
         self._write(["try", numbers, at, zone])
 
-    def missed(self, number: int) -> None:
-        """The newest attempt has proved that it never ran."""
+    def record_not_run(self, number: int) -> None:
+        """Record that the newest attempt is known not to have run."""
         self._write(["miss", number])
 
-    def done(self, number: int) -> None:
-        """Delivered, withdrawn, or refused before it was taken on: nothing more is owed."""
+    def record_done(self, number: int) -> None:
+        """Record that nothing is owed: delivered, withdrawn, or refused before it was accepted."""
         self._write(["over", [number], self.scale.now()])
 
-    def final(self, number: int, status: str, again_ms: int) -> None:
-        """A notice is owed."""
-        self._write(["final", number, status, again_ms])
+    def record_end(self, number: int, status: str, retry_after_ms: int) -> None:
+        """Record the final status, of which a notice is owed."""
+        self._write(["final", number, status, retry_after_ms])
 
-    def told(self, numbers: list[int]) -> None:
-        """Notices were accepted."""
+    def record_notices_accepted(self, numbers: list[int]) -> None:
+        """Record that the notices of these messages were accepted; nothing more is owed."""
         self._write(["over", numbers, self.scale.now()])
 
-    def drain(self, on: bool) -> None:
-        """An operator sends the clients away, or calls them back."""
-        self._write(["drain", on])
+    def record_drained(self, drained: bool) -> None:
+        """Record that an operator drains the courier of clients, or lets clients return."""
+        self._write(["drain", drained])
 
-    def set_by_hand(self, uid: str, out: bool) -> None:
-        """An operator leaves an endpoint out, or lets it serve again."""
-        self._write(["hand", uid, out])
+    def record_endpoint_excluded(self, uid: str, excluded: bool) -> None:
+        """Record that an operator excludes an endpoint, or lets it serve again."""
+        self._write(["hand", uid, excluded])
 
-    def set_zone_by_hand(self, name: str, out: bool) -> None:
-        """An operator leaves a zone out, or lets it return."""
-        self._write(["zone", name, out])
+    def record_zone_excluded(self, name: str, excluded: bool) -> None:
+        """Record that an operator excludes a zone, or lets it serve again."""
+        self._write(["zone", name, excluded])
 
     def _write(self, record: list[Any]) -> None:
-        data = frame(record)
-        if self.size + len(data) > max(SMALL, 4 * self.live) or not self._fits(len(data)):
+        data = encode_record(record)
+        if self.size_bytes + len(data) > max(
+            MIN_COMPACTION_BYTES, 4 * self.live_bytes
+        ) or not self._can_compact_after(len(data)):
             self.compact()
-        if blocks(self.size + len(data)) > self.limit:
-            raise JournalFull("the disk limit is reached")
+        if round_up_to_blocks(self.size_bytes + len(data)) > self.limit_bytes:
+            raise JournalFullError(
+                f"a record of {len(data)} bytes exceeds the disk limit of {self.limit_bytes} bytes"
+            )
         try:
-            written = os.write(self.file, data)
+            written = os.write(self.fd, data)
         except OSError:
-            os.ftruncate(self.file, self.size)
+            os.ftruncate(self.fd, self.size_bytes)
             raise
-        if written != len(data):  # a part of a record would hide all that comes after it
-            os.ftruncate(self.file, self.size)
-            raise JournalFull("the disk is full")
-        self.size += written
+        if written != len(data):  # a partial record would make all later ones unreadable
+            os.ftruncate(self.fd, self.size_bytes)
+            raise JournalFullError(f"disk full: {written} of {len(data)} bytes written")
+        self.size_bytes += written
         self.apply(record)
 
-    def _room(self, more: int) -> bool:
-        """Whether two copies of all that is open, and of this, would stay under the limit."""
-        return blocks(2 * (self.live + more) + SPARE_BYTES) <= self.limit
+    def _has_room_for(self, extra_bytes: int) -> bool:
+        """Return whether two copies of all live entries with this one stay under the limit."""
+        return round_up_to_blocks(2 * (self.live_bytes + extra_bytes) + SPARE_BYTES) <= self.limit_bytes
 
-    def _fits(self, more: int) -> bool:
-        """Whether a compacted copy could still stand beside the file."""
-        return blocks(self.size + more) + blocks(self.live + SPARE_BYTES) <= self.limit
+    def _can_compact_after(self, extra_bytes: int) -> bool:
+        """Return whether a compacted copy still fits beside the file after a write of this size."""
+        return (
+            round_up_to_blocks(self.size_bytes + extra_bytes)
+            + round_up_to_blocks(self.live_bytes + SPARE_BYTES)
+            <= self.limit_bytes
+        )
 
     def compact(self) -> None:
-        """Write what is still needed into a new file and put it in the old one's place."""
+        """Write the live entries to a new file and replace the old one, if both fit under the limit."""
         now = self.scale.now()
-        self.over = {i: at for i, at in self.over.items() if now - at < OVER_S}
-        self.keys = {k: at for k, at in self.keys.items() if now - at < self.key_s}
-        self.live = sum(m.bytes for m in self.held.values()) + EACH * (len(self.over) + len(self.keys))
-        self.live += sum(len(name) + EACH for name in (*self.out_by_hand, *self.zones_out))
-        parts = [
-            frame(["clock", self.scale.boot, self.scale.ahead]),
-            frame(["known", self.last, self.over, self.keys]),
-            frame(["drain", self.drained]),
-            *(frame(["hand", uid, True]) for uid in self.out_by_hand),
-            *(frame(["zone", name, True]) for name in self.zones_out),
+        self.ended_ids = {
+            message_id: at for message_id, at in self.ended_ids.items() if now - at < ENDED_ID_RETENTION_S
+        }
+        self.first_run_by_key = {
+            key: at for key, at in self.first_run_by_key.items() if now - at < self.key_retention_s
+        }
+        self.live_bytes = sum(
+            message.size_bytes for message in self.messages.values()
+        ) + ENTRY_RESERVE_BYTES * (len(self.ended_ids) + len(self.first_run_by_key))
+        self.live_bytes += sum(
+            len(name) + ENTRY_RESERVE_BYTES for name in (*self.excluded_endpoints, *self.excluded_zones)
+        )
+        frames = [
+            encode_record(["clock", self.scale.boot_id, self.scale.offset_s]),
+            encode_record(["known", self.last_number, self.ended_ids, self.first_run_by_key]),
+            encode_record(["drain", self.drained]),
+            *(encode_record(["hand", uid, True]) for uid in self.excluded_endpoints),
+            *(encode_record(["zone", name, True]) for name in self.excluded_zones),
         ]
-        for m in self.held.values():
-            parts.append(frame(m.record()))
-        data = b"".join(parts)
-        if blocks(self.size) + blocks(len(data)) > self.limit:
+        for message in self.messages.values():
+            frames.append(encode_record(message.to_record()))
+        data = b"".join(frames)
+        if round_up_to_blocks(self.size_bytes) + round_up_to_blocks(len(data)) > self.limit_bytes:
             return
-        file = os.open(self.fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+        new_fd = os.open(self.new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
-            if os.write(file, data) != len(data):
-                raise JournalFull("the disk is full")
-            os.rename(self.fresh, self.path)
-        except OSError as error:  # the old file is whole: go on with it
+            if os.write(new_fd, data) != len(data):
+                raise JournalFullError(f"disk full: the compacted journal takes {len(data)} bytes")
+            os.rename(self.new_path, self.path)
+        except OSError as error:  # the old file is intact and stays in use
             log.error("journal.not_compacted", error=error)
-            os.close(file)
-            self.fresh.unlink(missing_ok=True)
+            os.close(new_fd)
+            self.new_path.unlink(missing_ok=True)
             return
-        os.close(self.file)
-        self.file, self.size = file, len(data)
+        os.close(self.fd)
+        self.fd, self.size_bytes = new_fd, len(data)
--- a/hopmill/net/timescale.py
+++ b/hopmill/net/timescale.py
@@ -1,7 +1,7 @@
-"""The time that the journal's records are kept on: seconds that no step of the wall clock moves.
+"""The time scale of the journal's records: seconds that steps of the wall clock do not affect.
 
-It goes on as the elapsed clock of this machine does (CLOCK_BOOTTIME, suspension included), and is set by the
-wall clock once in a boot, by whichever process is the first to write the journal in it.
+It advances with this machine's elapsed clock (CLOCK_BOOTTIME, which includes suspension). The first process
+that writes the journal after a boot sets it by the wall clock, once per boot.
 """
 
 from __future__ import annotations
@@ -10,36 +10,44 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
-def elapsed() -> float:
+def elapsed_s() -> float:
+    """Return seconds since boot, including suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def boot_id() -> str:
-    """Of this boot and no other; "" if it is not told, which is no boot's."""
+    """Return the id of this boot, or "" if the system does not provide it; "" matches no boot."""
     try:
-        return BOOT_ID.read_text().strip()
+        return BOOT_ID_FILE.read_text().strip()
     except OSError:
         return ""
 
 
 @dataclass(frozen=True)
 class TimeScale:
-    """ahead: of the elapsed clock of this boot."""
+    """A time scale that is valid during one boot.
 
-    boot: str
-    ahead: float
+    boot_id: the boot, "" if not known. offset_s: added to the elapsed clock of that boot.
+    """
+
+    boot_id: str
+    offset_s: float
 
     def now(self) -> float:
-        return elapsed() + self.ahead
+        """Return the current time on this scale, in seconds."""
+        return elapsed_s() + self.offset_s
+
+    def is_of_this_boot(self) -> bool:
+        """Return whether the scale belongs to this boot; if so, ages of its timestamps are exact."""
+        return bool(self.boot_id) and self.boot_id == boot_id()
 
-    def holds(self) -> bool:
-        """Whether it is of this boot: then all that was written on it is as old as it seems."""
-        return bool(self.boot) and self.boot == boot_id()
 
+def from_wall_clock(latest_at: float, boot: str) -> TimeScale:
+    """Return a new scale set by the wall clock.
 
-def by_the_wall(latest: float, boot: str) -> TimeScale:
-    """A new one; nothing that was written before it, at `latest` for one, lies ahead of it."""
-    return TimeScale(boot, max(time.time(), latest) - elapsed())
+    It starts no earlier than `latest_at`, so that no recorded time lies in its future.
+    """
+    return TimeScale(boot, max(time.time(), latest_at) - elapsed_s())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,7 @@
-"""Paths that end something, at the instant in which something is still owed. docs/endings.md has the table.
+"""Closes, resets, kills and time-outs at the moment in which something is still owed.
 
-The order is forced by bytes, ends and held-back turns; the few waits are for the courier's own times.
+docs/endings.md has the table. The order of events is forced by bytes, closes and held-back turns; the few
+waits are for the courier's own time-outs.
 """
 
 import asyncio
@@ -25,9 +26,16 @@
 from hopmill.net import calls as c
 from hopmill.net.accept import Acceptor, listening_socket
 from hopmill.net.discovery import Notices, Watch
-from hopmill.net.state import NAME, Held, Journal, JournalFull, frame, parse
+from hopmill.net.state import (
+    JOURNAL_FILE,
+    Journal,
+    JournaledMessage,
+    JournalFullError,
+    encode_record,
+    parse_records,
+)
 
-FLOOD = b"nonsense\r\n" * 100_000  # far more than the kernel holds of it
+FLOOD = b"nonsense\r\n" * 100_000  # far more than the kernel buffers
 
 
 # Clients
@@ -35,7 +43,7 @@
 
 @courier
 async def test_an_answer_is_never_held_back_by_the_system(fleet):
-    # A listening socket that was made without naming its protocol gave connections without TCP_NODELAY.
+    # A listening socket created without a protocol number gave connections without TCP_NODELAY.
     await fleet.inside()
     peer = Peer(fleet.port)
     sock = (await joined(fleet.host, peer)).transport.get_extra_info("socket")
@@ -52,8 +60,8 @@
         (PING + b"\x00" * 300_000, PONG + b"-ERR Protocol error: a line is too long\r\n"),
     ],
 )
-def test_an_error_line_is_not_lost_over_what_is_unread(tmp_path, sent, said):
-    # A close over unread bytes resets the connection, and the line may go with it.
+def test_an_error_line_is_not_lost_to_unread_data(tmp_path, sent, said):
+    # Closing with unread data resets the connection, and the error line may be lost.
     async def run():
         async with Fleet(tmp_path) as fleet:
             good = await fleet.inside()
@@ -64,26 +72,26 @@
             assert await good.send(PING) == "+PONG"
             await sending
             peer.close()
-            assert not fleet.host.journal.held
+            assert not fleet.host.journal.messages
 
     asyncio.run(run())
 
 
 @courier
-async def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_taken_on(fleet):
-    # It is handed in again on a new connection: taken on here too, its first life would count for nothing.
+async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_accepted(fleet):
+    # The client submits it again on a new connection, since it cannot learn that it was accepted here.
     await fleet.endpoint("a")
     await fleet.inside()
     peer = Peer(fleet.port)
     side = await joined(fleet.host, peer)
     await peer.send(PING)
     assert await peer.some() == PONG
-    side.finish()
-    assert await peer.some() == b""  # it has heard the end, and sends all the same
+    side.close_if_idle()
+    assert await peer.some() == b""  # it has seen EOF, and sends all the same
     await peer.send(put("late"))
     assert await peer.rest() == (b"", "end")
     await until(lambda: at(fleet.host, peer) is None)
-    assert not fleet.host.journal.held and fleet.endpoints["a"].calls.empty()
+    assert not fleet.host.journal.messages and fleet.endpoints["a"].calls.empty()
     peer.close()
 
 
@@ -92,12 +100,12 @@
     await fleet.inside()
     peer = Peer(fleet.port)
     side = await joined(fleet.host, peer)
-    side.transport.pause_reading()  # the loop has not come to it yet
+    side.transport.pause_reading()  # the event loop has not read the data yet
     await peer.send(PING)
     await until(lambda: any(fcntl.ioctl(side.fileno, termios.FIONREAD, bytes(4))))
-    side.proper_at -= 60
+    side.last_request_at -= 60
     side._stop_timer()
-    side._overdue()
+    side._on_timeout()
     side.transport.resume_reading()
     assert await peer.some() == PONG
     peer.close()
@@ -105,7 +113,7 @@
 
 @courier
 async def test_requests_that_come_at_once_are_all_answered_with_others_between(fleet):
-    # A quarter of a megabyte in one read took up to half a second of a whole core, and nobody else was heard.
+    # Handling a read of 256 KiB at once took up to half a second, during which no other client was served.
     await fleet.inside()
     many, one = Peer(fleet.port), Peer(fleet.port)
     side, beside = await joined(fleet.host, many), await joined(fleet.host, one)
@@ -115,8 +123,8 @@
         client._handle = lambda request, n=n, client=client: (order.append(n), handle(client, request))
     beside.transport.pause_reading()
     await one.send(PING)
-    await until(lambda: beside.unheard)
-    beside.transport.resume_reading()  # it is read in the next turn of the loop
+    await until(lambda: beside.has_unread_bytes)
+    beside.transport.resume_reading()  # it is read in the next iteration of the event loop
     side.data_received(PING * 1000)  # in one read
     many.half_close()
     assert await one.some() == PONG
@@ -139,8 +147,8 @@
 
 @pytest.mark.parametrize("end", ["half_close", "reset", "close"])
 @pytest.mark.parametrize("when", ["before", "after"])
-def test_a_client_that_ends_beside_its_answer(tmp_path, end, when):
-    """when: its end comes before the turn that answers, or after its answer was written."""
+def test_a_client_that_closes_as_it_is_answered(tmp_path, end, when):
+    """when: it closes before the turn that answers, or after the answer was written."""
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -148,24 +156,26 @@
             good = await fleet.inside()
             peer = Peer(fleet.port)
             side = await joined(fleet.host, peer)
-            turns, wake = [], fleet.host.wake
-            fleet.host.wake = lambda: turns.append(1)  # no turn until the test says so
+            turns, wake = [], fleet.host.schedule_turn
+            fleet.host.schedule_turn = lambda: turns.append(1)  # no turn until the test runs one
             await peer.send(put("m"))
             await until(lambda: fleet.host.intake.arrived)
             if when == "before":
                 getattr(peer, end)()
-                await until(lambda: side.gone if end == "reset" else side.ended)  # a close may be half a one
-            fleet.host.wake = wake
+                await until(
+                    lambda: side.is_lost if end == "reset" else side.peer_sent_eof
+                )  # a close may look like a half-close
+            fleet.host.schedule_turn = wake
             fleet.host.turn()
             taken = when == "after" or end != "reset"
-            assert [m.id for m in fleet.host.journal.held.values()] == ["m"] * taken
+            assert [m.id for m in fleet.host.journal.messages.values()] == ["m"] * taken
             if end == "half_close":
                 assert await (peer.rest() if when == "before" else peer.some()) == (
                     (OK, "end") if when == "before" else OK
                 )
             if when == "after":
                 getattr(peer, end)()
-                await until(lambda: side.gone)
+                await until(lambda: side.is_lost)
             if taken:
                 assert (await e.call())[1]["x-request-id"] == "m"
             assert await good.put("good") == "+OK"
@@ -189,8 +199,8 @@
 
 @pytest.mark.parametrize("bad", BAD)
 def test_a_bad_peer_costs_a_good_client_nothing_and_is_ended(tmp_path, monkeypatch, bad):
-    monkeypatch.setattr("hopmill.net.clients.REQUEST_S", 1.0)
-    monkeypatch.setattr("hopmill.net.clients.MOST_S", 1.2)
+    monkeypatch.setattr("hopmill.net.clients.REQUEST_TIMEOUT_S", 1.0)
+    monkeypatch.setattr("hopmill.net.clients.MAX_REQUEST_S", 1.2)
 
     async def run():
         async with Fleet(tmp_path) as fleet:
@@ -211,10 +221,10 @@
             for n in range(20):
                 assert await asyncio.wait_for(good.put(f"m{n}"), 0.4) == "+OK"
                 assert (await e.call())[1]["x-request-id"] == f"m{n}"
-            await until(lambda: side.gone)
+            await until(lambda: side.is_lost)
             acting.cancel()
             peer.close()
-            assert not {m.id for m in fleet.host.journal.held.values()} - {f"m{n}" for n in range(20)}
+            assert not {m.id for m in fleet.host.journal.messages.values()} - {f"m{n}" for n in range(20)}
 
     asyncio.run(run())
 
@@ -231,7 +241,7 @@
     for peer in peers:
         await peer.send(PING)
     fleet.host.clients.stop_listening()
-    assert not fleet.host.clients.empty
+    assert not fleet.host.clients.is_empty
     for peer in peers:
         assert await peer.some() == PONG
         peer.close()
@@ -242,7 +252,7 @@
     await fleet.inside()
     peer = Peer(fleet.port)
     await joined(fleet.host, peer)
-    fleet.host.clients.close_idle()  # its request is still on its way
+    fleet.host.clients.close_idle()  # its request is still in transit
     await peer.send(put("first", dest=99))
     assert await peer.some() == OK
     fleet.host.clients.close_idle()
@@ -251,21 +261,21 @@
 
 
 @courier
-async def test_what_has_come_in_is_answered_on_the_way_out_and_half_a_request_turned_away(fleet):
+async def test_requests_are_answered_at_the_exit_and_partial_ones_rejected(fleet):
     await fleet.inside()
     host = fleet.host
     whole, half = Peer(fleet.port), Peer(fleet.port)
     await joined(host, whole)
     side = await joined(host, half)
-    host.wake = lambda: None  # the turn that would answer does not come before the end
+    host.schedule_turn = lambda: None  # no turn answers before the exit
     await whole.send(put("whole", dest=99))
     await half.send(put("half", dest=99)[:50])
-    await until(lambda: host.intake.arrived and side.reader.unread)
+    await until(lambda: host.intake.arrived and side.reader.has_partial_request)
     host.restart.terminate()
-    host.restart._last_answers()
+    host.restart._answer_and_reject()
     assert await whole.rest() == (OK, "end")
     assert await half.rest() == (b"-ERR no whole request in time\r\n", "end")
-    assert [m.id for m in host.journal.held.values()] == ["whole"]
+    assert [m.id for m in host.journal.messages.values()] == ["whole"]
     whole.close()
     half.close()
 
@@ -279,14 +289,14 @@
     assert await peer.some() == PONG
     fleet.host.restart.terminate()
     fleet.host.clients.stop_listening()
-    for client in list(fleet.host.clients.clients):
-        client.finish()
-    assert side.leaving and not side.gone
+    for client in list(fleet.host.clients.connections):
+        client.close_if_idle()
+    assert side.is_lingering and not side.is_lost
     fleet.host.restart.maybe_exit()
     assert not fleet.host.restart.closed.done()
     assert await peer.some() == b""
     peer.close()
-    await until(lambda: fleet.host.clients.empty)
+    await until(lambda: fleet.host.clients.is_empty)
     fleet.host.restart.maybe_exit()
     assert fleet.host.restart.closed.done()
 
@@ -300,7 +310,7 @@
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize(("ids", "whole"), [("a", WHOLE), ("ab", answer(200, ROWS)), ("ab", CHUNKED)])
-def test_an_answer_cut_at_any_byte_tells_no_more_than_what_came(how, ids, whole):
+def test_a_response_cut_at_any_byte_reports_only_what_arrived(how, ids, whole):
     first_line = whole.index(b"\n") + 1
 
     async def run():
@@ -310,7 +320,7 @@
             ends = dict(await o.send(endpoint.port, *ids))
             told = cut >= (first_line if ids == "a" else len(whole))
             results = {end.result for end in ends.values()}
-            # A reset may come before what was sent is read: then it is lost, and may have run.
+            # A reset may arrive before the response is read: then that is lost, and the call may have run.
             allowed = (
                 [{Result.OK}]
                 if told and how == "end"
@@ -347,7 +357,7 @@
         await until(lambda: endpoint.open)
         loop = asyncio.get_running_loop()
         endpoint.open[0].setblocking(False)
-        assert await bounded(loop.sock_recv(endpoint.open[0], 1)) == b""  # the courier has ended it
+        assert await bounded(loop.sock_recv(endpoint.open[0], 1)) == b""  # the courier has closed it
         assert not o.calls.out and not o.pool.idle
         o.calls.close()
         endpoint.close()
@@ -377,7 +387,7 @@
             "a",
             {"cancelled": Result.MOOT, "timed out": Result.CONNECT_FAILED}[given_up],
         )
-        for link, args in held:  # now it is up
+        for link, args in held:  # now it is connected
             connected(link, *args)
         await asyncio.sleep(0)
         assert endpoint.calls.empty() and not o.begun and not o.calls.out
@@ -391,7 +401,7 @@
 
 
 class Lists:
-    """A stand-in of the watch that writes exactly what it is told to."""
+    """A stand-in for the watch that writes exactly what the test tells it to."""
 
     def __init__(self):
         self.asked, self.open = asyncio.Queue(), []
@@ -439,7 +449,7 @@
         if how == "move":
             watch.move(("127.0.0.1", port))
         lists.end(how)
-        # Two hundred couriers wait 5 to 20 s where discovery is busy; what it would tell counts in 0.5 s.
+        # Two hundred couriers wait 5 to 20 s for a busy discovery; its changes have to apply within 0.5 s.
         assert (await asyncio.wait_for(lists.asked.get(), 2.0)).endswith("from=4")
         lists.say(line(5))
         await until(lambda: len(told) == 2)
@@ -485,13 +495,13 @@
         acceptor.stop()
         acceptor.sock = Full()
         acceptor.close()
-        assert not acceptor.open and acceptor.pausing.cancelled()
+        assert not acceptor.is_open and acceptor.resume_timer.cancelled()
 
     asyncio.run(run())
 
 
-def test_a_notice_on_a_connection_that_fell_silent_is_told_in_time_on_another():
-    # Half a second after a message's time its notice is too late; it was sent again after a whole one.
+def test_a_notice_on_a_connection_that_stopped_answering_is_sent_in_time_on_another():
+    # A notice is too late half a second after the message's expiry; it was repeated only after a second.
     async def run():
         got = asyncio.Queue()
 
@@ -521,7 +531,7 @@
 
 @pytest.mark.parametrize("kind", ["safe", "keyed", "unsafe"])
 def test_a_process_that_was_killed_between_any_two_writes_owes_no_more_and_no_less(tmp_path, kind):
-    """The journal of one message is cut after each record, and inside each: that is what a kill leaves."""
+    """The journal of one message is cut after and inside each record, as a kill would leave it."""
 
     async def life(folder):
         async with Fleet(folder) as fleet:
@@ -530,16 +540,16 @@
             await client.put("m", kind=kind, key="k", life=60_000)
             await e.call()
             assert (await fleet.discovery.final())["id"] == "m"
-            await until(lambda: not fleet.host.journal.held)
-            return (folder / "state" / NAME).read_bytes()
+            await until(lambda: not fleet.host.journal.messages)
+            return (folder / "state" / JOURNAL_FILE).read_bytes()
 
     async def after(folder, journal, records):
         (folder / "state").mkdir(parents=True)
-        (folder / "state" / NAME).write_bytes(journal)
+        (folder / "state" / JOURNAL_FILE).write_bytes(journal)
         async with Fleet(folder) as fleet:
             e = await fleet.endpoint("a")
             await fleet.inside()
-            await until(lambda: not fleet.host.journal.held)
+            await until(lambda: not fleet.host.journal.messages)
             kinds = [record[0] for record in records]
             ended = "final" in kinds or "over" in kinds
             tried = kinds.count("try")
@@ -551,32 +561,34 @@
 
     async def run():
         whole = await life(tmp_path)
-        records, _ = parse(whole)
+        records, _ = parse_records(whole)
         kinds = [record[0] for record in records]
         assert kinds[:3] == ["clock", "take", "try"] and kinds[-1] == "over"
         ends = [0]
         for record in records:
-            ends.append(ends[-1] + len(frame(record)))
+            ends.append(ends[-1] + len(encode_record(record)))
         for n, end in enumerate(ends):
             await after(tmp_path / f"{n}", whole[:end], records[:n])
-            if n < len(records):  # the next one is torn
+            if n < len(records):  # the next record is torn
                 await after(tmp_path / f"{n}-torn", whole[: ends[n + 1] - 3], records[:n])
 
     asyncio.run(run())
 
 
 def test_a_journal_as_large_as_it_may_be_is_read_in_a_moment(tmp_path):
-    # Readiness is owed within 10 s of a part of a core.
+    # The courier must be ready within 10 s on a share of a core.
     journal = Journal(tmp_path, 3_000_000)
-    with contextlib.suppress(JournalFull):
+    with contextlib.suppress(JournalFullError):
         for n in range(100_000):
-            journal.take(Held(n, f"{n:016x}", 0, 0, 1, "", time.time() + 60, False, b"x" * 40))
-            journal.attempt([n], time.time(), "here")
+            journal.record_message(
+                JournaledMessage(n, f"{n:016x}", 0, 0, 1, "", time.time() + 60, False, b"x" * 40)
+            )
+            journal.record_attempt([n], time.time(), "here")
     journal.close()
-    assert os.path.getsize(tmp_path / NAME) > 500_000
+    assert os.path.getsize(tmp_path / JOURNAL_FILE) > 500_000
     began = time.process_time()
     again = Journal(tmp_path, 3_000_000)
-    assert time.process_time() - began < 1.5 and len(again.held) == len(journal.held) > 5000
+    assert time.process_time() - began < 1.5 and len(again.messages) == len(journal.messages) > 5000
     again.close()
 
 
@@ -603,20 +615,20 @@
     client = await fleet.inside()
     host, written = fleet.host, c.Link.written
     try:
-        c.Link.written = property(lambda link: False)  # its endpoint's window is full
+        c.Link.written = property(lambda link: False)  # the endpoint's TCP window is full
         await client.put("m", kind="unsafe")
-        await until(lambda: host.calls.out and host.journal.held[1].trying_at)
+        await until(lambda: host.calls.out and host.journal.messages[1].latest_attempt_at)
         assert host.calls.unwritten() == [1]
         host.restart._exit()
     finally:
         c.Link.written = written
-    assert host.journal.held[1].may_have_run_at == 0
+    assert host.journal.messages[1].may_have_run_at == 0
     listener.close()
 
 
 @courier
-async def test_a_crowd_one_byte_short_of_the_largest_requests_stays_within_the_memory(fleet):
-    # As many as the descriptors allow, far more than the memory does: those that stopped half way go first.
+async def test_many_requests_one_byte_short_of_complete_stay_within_the_memory(fleet):
+    # As many connections as descriptors allow, far more than memory does: stalled ones are closed first.
     await fleet.endpoint("a")
     fleet.limits |= {"memory_mb": 48, "sockets": 4000}
     (await fleet.outside()).close()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,18 +1,18 @@
-"""Requests in RESP2: whole ones, improper ones, and sizes that are announced but never come."""
+"""RESP2 requests: complete ones, malformed ones, and announced sizes that never arrive."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 from loopback import Client, courier
 
-from hopmill.net.resp import IMPROPER, MAX_ELEMENTS, MAX_REQUEST, ProtocolError, RequestReader
+from hopmill.net.resp import MALFORMED, MAX_ELEMENTS, MAX_REQUEST_BYTES, ProtocolError, RequestReader
 
 
 def read(*parts):
     reader, got = RequestReader(), []
     for part in parts:
         reader.feed(part)
-        while (request := reader.next()) is not None:
+        while (request := reader.next_request()) is not None:
             got.append(request)
     return got, reader
 
@@ -23,7 +23,7 @@
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
     ends = [0, *cuts, len(stream)]
     got, reader = read(*(stream[a:b] for a, b in zip(ends, ends[1:], strict=False)))
-    assert got == requests and not reader.unread
+    assert got == requests and not reader.has_partial_request
 
 
 @pytest.mark.parametrize(
@@ -39,8 +39,8 @@
         b"*2\r\n$-1\r\n$1\r\na\r\n",
     ],
 )
-def test_an_improper_value_is_read_whole(value):
-    assert read(value + Client.command(b"PING"))[0] == [IMPROPER, [b"PING"]]
+def test_a_malformed_value_is_read_completely(value):
+    assert read(value + Client.command(b"PING"))[0] == [MALFORMED, [b"PING"]]
 
 
 @pytest.mark.parametrize(
@@ -59,18 +59,18 @@
         b"GET / HTTP/1.1\r\n",
         b"\x00\x16\x03",
         b"+" + b"x" * 5000,
-        b"*2\r\n$%d\r\n" % (MAX_REQUEST + 1),
+        b"*2\r\n$%d\r\n" % (MAX_REQUEST_BYTES + 1),
         b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n",
     ],
 )
-def test_what_cannot_be_read_or_is_too_large_is_turned_down_at_its_announcement(bad):
+def test_an_invalid_or_too_large_size_is_rejected_when_announced(bad):
     with pytest.raises(ProtocolError):
         read(bad)
 
 
 @courier
 async def test_a_huge_array_is_an_error_line_and_stalls_nobody(fleet):
-    # One such line had made the old parser set aside a list of that length: a stall of seconds, or the end.
+    # A parser that trusts such a line allocates a list of that length and stalls, or runs out of memory.
     client = await fleet.inside()
     for announced in (b"*1000000000\r\n", b"*2\r\n$3\r\nabc\r\n*4294967295\r\n"):
         peer = await Client().open(fleet.port)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,13 +18,13 @@
 from hypothesis import strategies as st
 from loopback import ROOT, Client, Discovery, Fleet, answer, bounded, courier
 
-from hopmill.net.state import FRAME, Held, Journal, frame
+from hopmill.net.state import RECORD_HEADER, Journal, JournaledMessage, encode_record
 from hopmill.net.timescale import boot_id
 
 
 @courier
-async def test_what_was_taken_on_outlasts_sigkill(fleet):
-    # In flight when the process dies: each may have run, so only what may be repeated goes again.
+async def test_accepted_messages_survive_sigkill(fleet):
+    # Calls in flight when the process dies may have run, so only what may be repeated is sent again.
     e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
     f = await fleet.endpoint("b", "hang", dest=2)
     g = await fleet.endpoint("c", "hang", dest=3)
@@ -44,14 +44,14 @@
     assert (await g.call())[1]["idempotency-key"] == "k"
     assert (await h.call())[1]["x-request-id"] == "held"
     assert f.calls.empty()
-    assert await client.put("safe", dest=1) == "+OK"  # known: not run again
+    assert await client.put("safe", dest=1) == "+OK"  # its id is known, so it is not run again
     await client.put("next", dest=1)
     assert (await e.call())[1]["x-request-id"] == "next"
 
 
 @courier
 async def test_a_key_that_holds_in_one_zone_is_repeated_there_alone_after_sigkill(fleet):
-    # The zone of the first attempt was kept in the process only: the next one took any for it.
+    # The zone of the first attempt was kept only in memory, and the next process used any zone.
     fleet.raw["classes"][1] |= {"keyScope": "zone"}
     there = await fleet.endpoint("there", "hang", dest=3)
     fleet.discovery.target("there", there.port, 3, zone="there")
@@ -85,7 +85,7 @@
 
 
 @courier
-async def test_a_final_without_its_204_is_told_again(fleet):
+async def test_a_notice_without_its_204_is_sent_again(fleet):
     await fleet.endpoint("a", answer(500))
     fleet.discovery.notice_status = [500] * 1000
     client = await fleet.outside()
@@ -126,7 +126,7 @@
 
 @courier
 async def test_sigterm_under_traffic(fleet):
-    # New connections go on coming for a while, a call that is out is let finish, nothing answered is lost.
+    # New connections are accepted for a while, calls in flight may finish, accepted messages are not lost.
     e = await fleet.endpoint("a")
     client = await fleet.outside()
     start = time.monotonic()
@@ -164,35 +164,39 @@
 def test_compaction_keeps_what_is_open_and_stays_under_the_limit(tmp_path):
     limit = 60_000
     journal = Journal(tmp_path, limit)
-    keep = Held(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
-    journal.take(keep)
-    journal.attempt([1], 123.0)
+    keep = JournaledMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
+    journal.record_message(keep)
+    journal.record_attempt([1], 123.0)
     for n in range(2, 1500):
-        journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
-        journal.attempt([n], 1.0)
-        journal.missed(n)
-        journal.done(n)
-        journal.over.clear()
-        journal.live = sum(m.bytes for m in journal.held.values())
+        journal.record_message(JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
+        journal.record_attempt([n], 1.0)
+        journal.record_not_run(n)
+        journal.record_done(n)
+        journal.ended_ids.clear()
+        journal.live_bytes = sum(m.size_bytes for m in journal.messages.values())
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
     again = Journal(tmp_path, limit)
-    assert (again.held[1].id, again.held[1].tries, again.held[1].may_have_run_at) == ("keep", 1, 123.0)
-    assert list(again.held) == [1] and again.last == 1499
+    assert (again.messages[1].id, again.messages[1].attempts, again.messages[1].may_have_run_at) == (
+        "keep",
+        1,
+        123.0,
+    )
+    assert list(again.messages) == [1] and again.last_number == 1499
     again.close()
 
 
 def test_a_record_with_a_wrong_checksum_ends_the_journal(tmp_path):
-    known = frame(["known", 5, {}, {}])
-    good = frame(["clock", boot_id(), 0.0]) + known
+    known = encode_record(["known", 5, {}, {}])
+    good = encode_record(["clock", boot_id(), 0.0]) + known
     path = tmp_path / "messages.journal"
     path.write_bytes(good + known[:-1] + b"\xff" + good)
     journal = Journal(tmp_path, 100_000)
-    assert journal.last == 5 and path.stat().st_size == len(good)
+    assert journal.last_number == 5 and path.stat().st_size == len(good)
     journal.close()
 
 
-# The journal's time. A process that reads it finds a wall clock that was set meanwhile.
+# The journal's time scale: the wall clock was set between two processes.
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
@@ -226,35 +230,37 @@
     another_boot(monkeypatch, "one", 10_000.0)
     journal = Journal(tmp_path, 100_000, 8.0)
     for number, key in ((1, ""), (2, "k")):
-        journal.take(Held(number, f"m{number}", 0, 0, 7, key, 10_020.0, False, b"x"))
-    journal.attempt([2], journal.scale.now(), "here")
+        journal.record_message(JournaledMessage(number, f"m{number}", 0, 0, 7, key, 10_020.0, False, b"x"))
+    journal.record_attempt([2], journal.scale.now(), "here")
     journal.close()
     another_boot(monkeypatch, "two", wall)
     scales = set()
-    for _ in range(2):  # the second finds a journal of its own boot
+    for _ in range(2):  # the second process finds a journal of its own boot
         journal = Journal(tmp_path, 100_000, 8.0)
         scales.add(journal.scale)
         now, went_back = journal.scale.now(), wall < 10_000
-        assert journal.scale.boot == "two" and abs(now - (10_000 if went_back else wall)) < 5
-        assert journal.held[1].until > now if went_back else journal.held[1].until < now
-        # How long the machine was down is not known: nothing is sent again inside a window.
-        assert now - journal.held[2].may_have_run_at > 8 and now - journal.keys["k"] >= 8 - 1e-3
-        assert journal.held[2].may_have_run_at > 0 and journal.held[1].may_have_run_at == 0
+        assert journal.scale.boot_id == "two" and abs(now - (10_000 if went_back else wall)) < 5
+        assert journal.messages[1].expires_at > now if went_back else journal.messages[1].expires_at < now
+        # It is unknown how long the machine was down: nothing is sent again inside a window.
+        assert (
+            now - journal.messages[2].may_have_run_at > 8 and now - journal.first_run_by_key["k"] >= 8 - 1e-3
+        )
+        assert journal.messages[2].may_have_run_at > 0 and journal.messages[1].may_have_run_at == 0
         journal.close()
     assert len(scales) == 1
 
 
-def test_a_journal_of_the_format_before_takes_the_wall_clock_and_keeps_its_windows(tmp_path):
-    held = Held(1, "m1", 0, 0, 7, "k", time.time() + 20, False, b"x")
+def test_a_journal_of_an_earlier_format_takes_the_wall_clock_and_keeps_its_windows(tmp_path):
+    held = JournaledMessage(1, "m1", 0, 0, 7, "k", time.time() + 20, False, b"x")
     tried = ["try", [1], time.time() - 2, "z"]
-    (tmp_path / "messages.journal").write_bytes(frame(held.record()) + frame(tried))
+    (tmp_path / "messages.journal").write_bytes(encode_record(held.to_record()) + encode_record(tried))
     journal = Journal(tmp_path, 100_000, 8.0)
-    assert abs(journal.scale.now() - time.time()) < 1 and journal.scale.holds()
-    assert 1 < journal.scale.now() - journal.held[1].may_have_run_at < 4
+    assert abs(journal.scale.now() - time.time()) < 1 and journal.scale.is_of_this_boot()
+    assert 1 < journal.scale.now() - journal.messages[1].may_have_run_at < 4
     scale = journal.scale
-    for _ in range(3000):  # the record of it stays through a rewrite
-        journal.take(Held(2, "m2", 0, 0, 7, "", time.time() + 9, False, b"x"))
-        journal.done(2)
+    for _ in range(3000):  # compaction keeps the record of the scale
+        journal.record_message(JournaledMessage(2, "m2", 0, 0, 7, "", time.time() + 9, False, b"x"))
+        journal.record_done(2)
     journal.close()
     again = Journal(tmp_path, 100_000, 8.0)
     assert again.scale == scale
@@ -262,8 +268,8 @@
 
 
 @courier
-async def test_running_out_of_files_does_not_end_it(fleet):
-    # More clients than descriptors: the longest unused are closed, the process and its calls go on.
+async def test_running_out_of_files_does_not_end_the_process(fleet):
+    # More clients than descriptors: the least recently used are closed, the process and its calls go on.
     e = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
     await fleet.outside(files=40)
@@ -283,7 +289,7 @@
 async def test_a_burst_of_connections_leaves_descriptors_for_the_rest(fleet):
     fleet.limits["sockets"] = 120
     await fleet.outside(files=120)
-    fleet.process.send_signal(signal.SIGSTOP)  # so that all of them wait to be accepted at once
+    fleet.process.send_signal(signal.SIGSTOP)  # so that all connections wait to be accepted at once
     crowd = []
     for _ in range(300):
         crowd.append(socket.create_connection(("127.0.0.1", fleet.port)))
@@ -299,7 +305,7 @@
 
 @courier
 async def test_sighup_moves_discovery(fleet):
-    # The environment goes on naming the old place; the file names the new one.
+    # The environment still names the old address; the file names the new one.
     a = await fleet.endpoint("a", answer(500))
     client = await fleet.outside()
     await bounded(fleet.discovery.watches.get())
@@ -312,7 +318,7 @@
     path = fleet.folder / "config.json"
     config = json.loads(path.read_text())
     path.write_text("{")
-    fleet.process.send_signal(signal.SIGHUP)  # one that can't be read changes nothing
+    fleet.process.send_signal(signal.SIGHUP)  # an unreadable file changes nothing
     while "config.not_used" not in (line := (await bounded(fleet.process.stderr.readline())).decode()):
         assert line, "the courier ended"
     path.write_text(json.dumps({**config, "discovery": f"127.0.0.1:{fleet.discovery.port}"}))
@@ -337,49 +343,49 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        frame(["take", 1]),
-        frame(5),
-        frame([]),
-        frame({"a": 1}),
-        frame(["try", 7, 1.0]),
-        frame(["known", 1]),
-        frame(["known", "x", {}, {}]),
-        FRAME.pack(1, zlib.crc32(b"\xc1")) + b"\xc1",
+        encode_record(["take", 1]),
+        encode_record(5),
+        encode_record([]),
+        encode_record({"a": 1}),
+        encode_record(["try", 7, 1.0]),
+        encode_record(["known", 1]),
+        encode_record(["known", "x", {}, {}]),
+        RECORD_HEADER.pack(1, zlib.crc32(b"\xc1")) + b"\xc1",
         b"\0" * 4096,
         b"\xff" * 4096,
     ],
 )
 def test_a_bad_record_does_not_keep_the_courier_from_starting(tmp_path, bad):
-    good = Held(3, "m3", 0, 0, 7, "", time.time() + 9, False, b"x")
-    (tmp_path / "messages.journal").write_bytes(frame(good.record()) + bad)
+    good = JournaledMessage(3, "m3", 0, 0, 7, "", time.time() + 9, False, b"x")
+    (tmp_path / "messages.journal").write_bytes(encode_record(good.to_record()) + bad)
     journal = Journal(tmp_path, 100_000)
-    assert list(journal.held) == [3]
+    assert list(journal.messages) == [3]
     journal.close()
 
 
 def test_ids_are_forgotten_as_they_age_and_not_only_at_a_rewrite(tmp_path, monkeypatch):
     now = [1000.0]
-    monkeypatch.setattr("hopmill.net.timescale.elapsed", lambda: now[0])
+    monkeypatch.setattr("hopmill.net.timescale.elapsed_s", lambda: now[0])
     journal = Journal(tmp_path, 100_000_000)
     monkeypatch.setattr(journal, "compact", lambda: None)
     most = 0
     for number in range(1, 2000):
         now[0] += 0.1
-        journal.take(Held(number, f"m{number}", 0, 0, 7, "", now[0] + 6, False, b"x"))
-        journal.done(number)
-        most = max(most, len(journal.over))
-    assert most <= 30 / 0.1 + 1 and "m1999" in journal.over
-    assert journal.live == 160 * len(journal.over)
+        journal.record_message(JournaledMessage(number, f"m{number}", 0, 0, 7, "", now[0] + 6, False, b"x"))
+        journal.record_done(number)
+        most = max(most, len(journal.ended_ids))
+    assert most <= 30 / 0.1 + 1 and "m1999" in journal.ended_ids
+    assert journal.live_bytes == 160 * len(journal.ended_ids)
     journal.close()
 
 
-def test_ids_that_nobody_needs_any_more_do_not_keep_new_messages_out(tmp_path):
-    # They are forgotten only when the journal is compacted: a small limit filled up with them before.
+def test_expired_ids_do_not_keep_new_messages_out(tmp_path):
+    # Ids were dropped only when the journal was compacted, and filled a small limit before that.
     journal = Journal(tmp_path, 60_000)
     for n in range(2000):
-        journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
-        journal.done(n)
-        journal.over = {ident: 0.0 for ident in journal.over}  # long ago
+        journal.record_message(JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
+        journal.record_done(n)
+        journal.ended_ids = {ident: 0.0 for ident in journal.ended_ids}  # long ago
     journal.close()
 
 
@@ -392,22 +398,26 @@
         max_size=40,
     )
 )
-def test_open_messages_are_counted_as_they_are(steps):
+def test_open_count_matches_the_open_messages(steps):
     with tempfile.TemporaryDirectory() as folder:
         journal = Journal(Path(folder), 10**6)
         for what, n in steps:
-            m = journal.held.get(n)
+            m = journal.messages.get(n)
             if what in ("take", "again") and (m is None or what == "again"):
-                journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x"))
+                journal.record_message(
+                    JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x")
+                )
             elif what == "try":
-                journal.attempt([n], time.time())
+                journal.record_attempt([n], time.time())
             elif what == "final" and m and not m.status:
-                journal.final(n, "deferred", 5)
-            elif what == "failed final" and m and not m.status:  # the disk was full: it is owed all the same
-                journal.settle(m, "undeliverable", 0)
+                journal.record_end(n, "deferred", 5)
+            elif (
+                what == "failed final" and m and not m.status
+            ):  # the disk was full: the notice is owed all the same
+                journal.mark_ended(m, "undeliverable", 0)
             elif what == "told":
-                journal.told([n])
+                journal.record_notices_accepted([n])
             elif what == "done":
-                journal.done(n)
-            assert journal.open == sum(not m.status for m in journal.held.values())
+                journal.record_done(n)
+            assert journal.open_count == sum(not m.status for m in journal.messages.values())
         journal.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,15 @@
 from loopback import Client, answer, bounded, courier
 from test_operator import PING, call
 
-from hopmill.net.upgrade import Cargo, Link, NotHandedOver, become_owner, hand_over, take_over, try_lock
+from hopmill.net.upgrade import (
+    HandoverError,
+    HandoverPayload,
+    HandoverSocket,
+    acquire_ownership,
+    hand_over,
+    take_over,
+    try_lock,
+)
 
 
 def hold_socket(fleet):
@@ -53,18 +61,18 @@
     assert await bounded(fleet.former.wait()) == 0
     await healthy(fleet.door)
     assert (await call(fleet.former_door, "GET", "/healthcheck"))[0] == 200  # for a while
-    gate.set()  # the answers come on the connections that the calls went out on
+    gate.set()  # the responses arrive on the connections of the calls
     half.writer.write(message[50:])
-    assert await half.line() == "+OK"  # on the connection that it had
+    assert await half.line() == "+OK"  # on its old connection
     assert await fresh.put("after", dest=4) == "+OK" and await client.put("more", dest=1) == "+OK"
     assert await (await Client().open(fleet.port)).put("new", dest=1) == "+OK"
     assert {(await e.call())[1]["x-request-id"] for _ in range(3)} == {"half", "more", "new"}
-    assert (await told.call())[3] - told_at >= 1.2  # the told wait is kept
-    assert e.accepted == 1  # its idle connection is used on
+    assert (await told.call())[3] - told_at >= 1.2  # the retry-after is kept
+    assert e.accepted == 1  # its idle connection is used again
     fleet.discovery.target("n", e.port, 9)
     fleet.discovery.change("n")
     assert (await e.call())[1]["x-request-id"] == "nowhere"
-    # What was out has ended as delivered: a restart neither sends it again nor has a notice for it.
+    # Calls in flight have ended as delivered: a restart neither sends them again nor notifies.
     await fleet.kill()
     await fleet.outside()
     assert slow.calls.empty() and bundles.calls.empty() and fleet.discovery.finals.empty()
@@ -100,7 +108,7 @@
 
 
 async def died_having_read(size, path):
-    """A new process's side that ends so early; for a while after a failed try it is closed at once."""
+    """The side of a new process that ends early; right after a failed hand-over it is closed at once."""
     while True:
         with socket.socket(socket.AF_UNIX) as peer:
             peer.connect(str(path))
@@ -115,7 +123,7 @@
     e = await fleet.endpoint("a")
     client = await fleet.outside()
     assert await client.put("first") == "+OK"
-    for read in (0, 4, 64):  # at several steps
+    for read in (0, 4, 64):  # the new process dies at several steps
         await died_having_read(read, fleet.folder / "state" / "upgrade.sock")
         while b"upgrade.not_handed_over" not in await bounded(fleet.process.stderr.readline()):
             pass
@@ -129,8 +137,8 @@
 
 
 @courier
-async def test_killed_just_before_or_after_a_start_beside_it(fleet):
-    # The owner dies while the new process starts: that one starts as after SIGKILL.
+async def test_an_owner_killed_while_the_next_process_starts(fleet):
+    # The owner dies while the new process starts: that one starts as after a crash.
     hold_socket(fleet)
     client = await fleet.outside()
     assert await client.put("m", dest=5) == "+OK"
@@ -160,41 +168,41 @@
 
 
 @courier
-async def test_a_courier_whose_former_door_has_closed_hands_over_again(fleet):
+async def test_a_courier_whose_former_operator_api_has_closed_hands_over_again(fleet):
     await fleet.inside()
     former = socket.create_server(("127.0.0.1", 0))
     fleet.host.door.resume(former, [])
     fleet.host.door.former.close()
     left = asyncio.Event()
-    fleet.host.upgrade.leave = left.set
-    link = Link(fleet.folder / "state")
-    fleet.host.upgrade.link = link
-    fleet.host.loop.add_reader(link.sock, fleet.host.upgrade._asked_to_hand_over)
-    new, cargo = await bounded(asyncio.to_thread(take_over, fleet.folder / "state"))
+    fleet.host.handover.exit_process = left.set
+    link = HandoverSocket(fleet.folder / "state")
+    fleet.host.handover.listener = link
+    fleet.host.loop.add_reader(link.sock, fleet.host.handover._on_request)
+    new, payload = await bounded(asyncio.to_thread(take_over, fleet.folder / "state"))
     await bounded(left.wait())
-    assert cargo.values["door"]["listening"] is not None
+    assert payload.values["door"]["listening"] is not None
     new.close()
-    cargo.close()
+    payload.close()
 
 
 def test_one_owner_at_a_time(tmp_path):
     owner = try_lock(tmp_path)
     assert owner and try_lock(tmp_path) is None
     owner.close()
-    again, cargo = become_owner(tmp_path, takes_over=False)
-    assert cargo is None
+    again, payload = acquire_ownership(tmp_path, may_take_over=False)
+    assert payload is None
     again.close()
 
 
-def side(folder, owner, cargo, left):
-    """The owner's side in a thread."""
-    link = Link(folder)
+def side(folder, owner, payload, left):
+    """Run the side of the owner in a thread."""
+    link = HandoverSocket(folder)
     link.sock.setblocking(True)
 
     def run():
         try:
-            hand_over(link.sock.accept()[0], cargo, owner, lambda: left.append("left"))
-        except NotHandedOver:
+            hand_over(link.sock.accept()[0], payload, owner, lambda: left.append("left"))
+        except HandoverError:
             left.append("stayed")
         link.close()
 
@@ -203,30 +211,30 @@
     return thread
 
 
-def test_the_lock_passes_with_go_and_is_never_free(tmp_path):
+def test_the_lock_passes_to_the_new_process_and_is_never_free(tmp_path):
     owner, left = try_lock(tmp_path), []
     pipes = [os.pipe() for _ in range(150)]
-    cargo = Cargo({"format": 1, "x": [1, b"2"]}, [fd for pair in pipes for fd in pair])
-    thread = side(tmp_path, owner, cargo, left)
+    payload = HandoverPayload({"format": 1, "x": [1, b"2"]}, [fd for pair in pipes for fd in pair])
+    thread = side(tmp_path, owner, payload, left)
     new, got = take_over(tmp_path)
     thread.join()
-    assert left == ["left"] and got.values == cargo.values and len(got.fds) == 300
+    assert left == ["left"] and got.values == payload.values and len(got.fds) == 300
     os.write(got.fds[-1], b"x")
-    assert os.read(pipes[-1][0], 1) == b"x"  # in their places
+    assert os.read(pipes[-1][0], 1) == b"x"  # in the same order
     owner.close()
-    assert try_lock(tmp_path) is None  # the new one holds it
+    assert try_lock(tmp_path) is None  # the new process holds it
     new.close()
     got.close()
-    cargo.close()
+    payload.close()
     owner = try_lock(tmp_path)
     assert owner
     owner.close()
 
 
 @pytest.mark.parametrize("frame", [b"", b"\0\0\0\5", b"\0\0\0\1\0\0\0\0\xc1", b"\xff\xff\xff\xff\0\0\0\0"])
-def test_a_new_process_that_is_not_told_go_owns_nothing(tmp_path, frame):
+def test_a_new_process_without_the_lock_owns_nothing(tmp_path, frame):
     owner = try_lock(tmp_path)
-    link = Link(tmp_path)
+    link = HandoverSocket(tmp_path)
     link.sock.setblocking(True)
 
     def broken():
@@ -238,9 +246,9 @@
 
     thread = threading.Thread(target=broken)
     thread.start()
-    new, cargo = become_owner(tmp_path, takes_over=True)  # it starts by itself once the owner is gone
+    new, payload = acquire_ownership(tmp_path, may_take_over=True)  # it gets the lock once the owner is gone
     thread.join()
-    assert cargo is None
+    assert payload is None
     new.close()
 
 
@@ -248,7 +256,7 @@
     folder = tmp_path / ("x" * 60) / ("y" * 60)
     folder.mkdir(parents=True)
     owner, left = try_lock(folder), []
-    thread = side(folder, owner, Cargo({"format": 1}), left)
+    thread = side(folder, owner, HandoverPayload({"format": 1}), left)
     new, _ = take_over(folder)
     thread.join()
     assert left == ["left"]
