--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -51,7 +51,7 @@
             if close and other.ticket not in d.recent:
                 raise Violation(f"{other.ticket} was done and is gone in version {d.version}")
         if outcome.state == "done":
-            op.made = outcome.made
+            op.made = outcome.made_version
 
     def act(self, owner: str, fence: int) -> None:
         if fence < self.fence or fence == self.fence and owner != self.owner:
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -10,7 +10,7 @@
 
 from hopmill.explorer.world import DRIFT, LEASE, LEASE_US, Member, Violation, World
 from hopmill.fleet import document as doc
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.register import Register, replace_voter, say
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Accept, Chosen, Prepare, Promise
@@ -50,10 +50,14 @@
 def _holder(world: World) -> tuple[Member, Member, list[str]]:
     """(who holds the lease, who may take it later, all but the holder)."""
     for name in world.ids[1:]:
-        world.members[name].register.keepers[LEASE].wanted = False
+        world.members[name].register.lease_holders[LEASE].wanted = False
     for _ in range(20):
         world._calm()
-        held = [m for m in world.members.values() if m.register.keepers[LEASE].held(m.clock(world.now))]
+        held = [
+            m
+            for m in world.members.values()
+            if m.register.lease_holders[LEASE].fencing_token(m.clock(world.now))
+        ]
         if (
             held
             and held[0].id == world.ids[0]
@@ -65,12 +69,12 @@
     raise AssertionError("nobody takes the lease")
 
 
-def _tell(world: World, document: Document, names: list[str]) -> None:
+def _tell(world: World, document: RegisterDocument, names: list[str]) -> None:
     """These hear that it was chosen."""
     for name in names:
         m = world.members[name]
         m.register.receive(name, Chosen(doc.encode(document)), m.clock(world.now))
-        m.register.keepers[LEASE].look(m.clock(world.now), document)
+        m.register.lease_holders[LEASE].look(m.clock(world.now), document)
 
 
 def _rate(world: World, m: Member, rate: float) -> None:
@@ -87,7 +91,7 @@
     _only(world, (Accept,))
     late = [row for row in world.net if row[1] == holder.id]
     world.net.clear()
-    taker.register.keepers[LEASE].wanted = True
+    taker.register.lease_holders[LEASE].wanted = True
     _among(world, others, 12, LEASE_US // 2)  # it sees the renewal, waits, and takes it
     _act(world)
     world.net[:] = late
@@ -103,7 +107,7 @@
     world.now += LEASE_US // 2
     world._calm()  # a renewal
     _tell(world, holder.register.document, others)
-    taker.register.keepers[LEASE].wanted = True
+    taker.register.lease_holders[LEASE].wanted = True
     taker.register.proposer.round = 50  # its first ballot gets through
     world.now += int(0.9 * LEASE_US)
     _among(world, others)
--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document, Lease
-from hopmill.fleet.lease import Keeper
+from hopmill.fleet.document import RegisterDocument, Lease
+from hopmill.fleet.lease import LeaseHolder
 from hopmill.fleet.proposer import Proposer, Try
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Voter
@@ -53,7 +53,7 @@
 
 
 class AnyValueWillDo(Proposer):
-    def newest(self, at: Try) -> Document:
+    def newest(self, at: Try) -> RegisterDocument:
         return self._read(min(at.promises.values(), key=lambda p: p.accepted))
 
 
@@ -64,37 +64,37 @@
 
 
 class ForgetsItsTicket(Proposer):
-    def own(self, ticket: str, base: Document) -> bool:
+    def own(self, ticket: str, base: RegisterDocument) -> bool:
         return False
 
 
-class CountsFromTheAnswer(Keeper):
+class CountsFromTheAnswer(LeaseHolder):
     def counts_from(self, asked_at: int, now: int) -> int:
         return now
 
 
-class WaitsNoLonger(Keeper):
+class WaitsNoLonger(LeaseHolder):
     def waits_us(self) -> int:
         return int(self.seen.length_us * (1 - self.drift))
 
 
-class SameFence(Keeper):
+class SameFence(LeaseHolder):
     def next_fence(self, seen: Lease) -> int:
         return max(1, seen.fence)
 
 
-class TakesBlindly(Keeper):
+class TakesBlindly(LeaseHolder):
     def unchanged(self) -> bool:
         return False
 
 
-class ActsAfterGiving(Keeper):
+class ActsAfterGiving(LeaseHolder):
     def lets_go(self) -> None:
         pass
 
 
-class KeepsForEver(Keeper):
-    def held(self, now: int) -> int:
+class KeepsForEver(LeaseHolder):
+    def fencing_token(self, now: int) -> int:
         return self.fence
 
 
@@ -125,6 +125,7 @@
     kind = next(
         k
         for k in ("voter", "proposer", "keeper")
-        if issubclass(fault, {"voter": Voter, "proposer": Proposer, "keeper": Keeper}[k])
+        if issubclass(fault, {"voter": Voter, "proposer": Proposer, "keeper": LeaseHolder}[k])
     )
-    return type(fault.__name__, (Register,), {f"{kind}_type": fault})
+    attribute = "lease_holder_type" if kind == "keeper" else f"{kind}_type"
+    return type(fault.__name__, (Register,), {attribute: fault})
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -14,7 +14,7 @@
 
 from hopmill.explorer.checker import Checker, Violation
 from hopmill.explorer.world import DRIFT, LEASE_US, Found, Member, World
-from hopmill.fleet.govern import KINDS, Govern
+from hopmill.fleet.govern import KINDS, PolicyMember
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
@@ -59,7 +59,7 @@
 class Governed(Register):
     """A register that passes on what is the policy's; the world sets `govern`."""
 
-    govern: Govern | None = None
+    govern: PolicyMember | None = None
 
     def receive(self, sender: str, body: Body, now: int) -> None:
         if not isinstance(body, KINDS):
@@ -78,7 +78,7 @@
 class PolicyWorld(World):
     """`govern`: the part that is tried, perhaps with a fault planted."""
 
-    def __init__(self, members: int, seed: int, govern: type[Govern] = Govern) -> None:
+    def __init__(self, members: int, seed: int, govern: type[PolicyMember] = PolicyMember) -> None:
         self.kind, self.last = govern, seed % 4 == 3
         self.disks: dict[str, dict[bytes, bytes]] = {}  # texts
         self.names = [f"m{n}" for n in range(members)]
@@ -141,15 +141,15 @@
     def _strike(self, m: Member, arg: int) -> None:
         """Staff strike off one that is down; or let back one that was struck."""
         down = [x.id for x in self.members.values() if not x.up]
-        struck = m.register.document.policy.struck
+        struck = m.register.document.policy.cancelled_members
         if m.up and (struck if arg % 2 else down):
             name = (struck if arg % 2 else down)[0]
             if arg % 2 or not self.members[name].up:
-                self._govern(m).strike(name, arg % 2 == 0, m.clock(self.now), lambda outcome: None)
+                self._govern(m).cancel_member(name, arg % 2 == 0, m.clock(self.now), lambda outcome: None)
                 self._emit(m)
 
     @staticmethod
-    def _govern(m: Member) -> Govern:
+    def _govern(m: Member) -> PolicyMember:
         assert isinstance(m.register, Governed) and m.register.govern is not None
         return m.register.govern
 
@@ -165,16 +165,16 @@
         govern, p = self._govern(m), m.register.document.policy
         store = govern.texts
         digest, version = p.digest_for(m.id), p.version_for(m.id)
-        if version != govern.standing.version and (not digest or digest in store.held):
-            govern.standing.set_up_for(version)
+        if version != govern.lease.applied_version and (not digest or digest in store.by_digest):
+            govern.lease.set_applied_version(version)
         if (
             p.change
-            and p.change.id != govern.standing.ready
-            and (not p.change.digest or p.change.digest in store.held)
+            and p.change.id != govern.lease.ready_for
+            and (not p.change.digest or p.change.digest in store.by_digest)
         ):
-            text = store.held.get(p.change.digest, b"")
+            text = store.by_digest.get(p.change.digest, b"")
             refused = text.startswith(REFUSED) and m.id in text.decode().split()
-            govern.standing.judged(p.change.id, "no" if refused else "")
+            govern.lease.report_check(p.change.id, "no" if refused else "")
 
     def _written(self, m: Member, count: int) -> None:
         if m.id == self.stalled:
@@ -201,10 +201,10 @@
         folder is whole again once it has its texts, too."""
         every = list(self.members.values())
         there = set[str]().union(
-            *(x.register.document.everyone | self._govern(x).giver.voted().everyone for x in every)
+            *(x.register.document.all_voters | self._govern(x).grantor.voted().all_voters for x in every)
         )
         return super()._all_well(m) and all(
-            x.register.voter.voting and self._govern(x).giver.voted().policy.texts <= set(self.disks[x.id])
+            x.register.voter.voting and self._govern(x).grantor.voted().policy.texts <= set(self.disks[x.id])
             for x in every
             if x.id in there
         )
@@ -216,12 +216,12 @@
         p = m.register.document.policy
         for ended in p.ended:
             self.checker.became(ended.id, ended.version)
-        version = govern.standing.held(m.clock(self.now))
+        version = govern.lease.valid_version(m.clock(self.now))
         if version >= 0:
             self.acts += 1
             if p.stage:
-                self.checker.staged(p.stage.version, {n for n in self.names if p.stage.few.has(n)})
-            self.checker.acted(m.id, version, govern.texts.held.get(p.digest_for(m.id), b""))
+                self.checker.staged(p.stage.version, {n for n in self.names if p.stage.canary.includes(n)})
+            self.checker.acted(m.id, version, govern.texts.by_digest.get(p.digest_for(m.id), b""))
 
     # The end: all is well again, and every change has an end
 
@@ -241,9 +241,9 @@
             if all(d.policy == documents[0].policy for d in documents) and not (
                 documents[0].policy.change or documents[0].policy.stage
             ):
-                struck = documents[0].policy.struck
+                struck = documents[0].policy.cancelled_members
                 if all(
-                    self._govern(m).standing.held(m.clock(self.now)) >= 0
+                    self._govern(m).lease.valid_version(m.clock(self.now)) >= 0
                     for m in self.members.values()
                     if m.id not in struck
                 ):
@@ -254,7 +254,7 @@
         )
 
 
-def run(choices: list[int], members: int, seed: int, govern: type[Govern] = Govern) -> str:
+def run(choices: list[int], members: int, seed: int, govern: type[PolicyMember] = PolicyMember) -> str:
     """What was violated, "" if nothing."""
     world = PolicyWorld(members, seed, govern)
     try:
@@ -273,7 +273,7 @@
 
 
 def explore(
-    schedules: int, first: int, members: int, govern: type[Govern] = Govern
+    schedules: int, first: int, members: int, govern: type[PolicyMember] = PolicyMember
 ) -> tuple[int, list[Found]]:
     """(schedules run, the first that violates something)."""
     for count, seed in enumerate(range(first, first + schedules), 1):
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -10,7 +10,7 @@
 from hopmill.explorer.policy import PolicyWorld
 from hopmill.explorer.world import DRIFT, LEASE_US, Violation
 from hopmill.fleet import document as doc
-from hopmill.fleet.govern import Govern
+from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import close, reopen
 from hopmill.fleet.register import replace_voter, settle_voters
 from hopmill.fleet.voter import Memory
@@ -54,7 +54,7 @@
         _only(world, UNLED)
         world.now += 10_000
         if all(
-            m.register.document.policy.change and world._govern(m).standing.ready == "p1"
+            m.register.document.policy.change and world._govern(m).lease.ready_for == "p1"
             for m in world.members.values()
         ):
             break
@@ -66,7 +66,7 @@
 def _renew(world: PolicyWorld, names: list[str], givers: list[str] | None = None) -> None:
     """These ask for a lease anew, and get it from all or from some."""
     for name in names:
-        for asked in world._govern(world.members[name]).standing.asked.values():
+        for asked in world._govern(world.members[name]).lease.asked.values():
             asked.next_at = 0
         world._tick(world.members[name])
     there = world.ids if givers is None else givers
@@ -145,7 +145,7 @@
 def _commits(world: PolicyWorld) -> bool:
     """Whether whoever leads has begun to put the change in force."""
     return any(
-        world._govern(m).conductor.proposing
+        world._govern(m).coordinator.proposing
         and m.register.document.policy.change
         and m.register.document.policy.change.closing
         for m in world.members.values()
@@ -187,7 +187,7 @@
     _prepared(world)
     world.now += 5_000
     m2 = world.members["m2"]
-    for asked in world._govern(m2).standing.asked.values():
+    for asked in world._govern(m2).lease.asked.values():
         asked.next_at = 0
     world._tick(m2)
     _only(world, (Hold,))
@@ -311,7 +311,7 @@
 }
 
 
-def violated(name: str, govern: type[Govern] = Govern) -> str:
+def violated(name: str, govern: type[PolicyMember] = PolicyMember) -> str:
     """What the play of this name violated, "" if nothing."""
     play, members, seed = PLAYS[name]
     try:
--- a/hopmill/explorer/policy_mutants.py
+++ b/hopmill/explorer/policy_mutants.py
@@ -5,83 +5,83 @@
 from collections.abc import Iterable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.conductor import Conductor
-from hopmill.fleet.document import Document
-from hopmill.fleet.giver import Giver
-from hopmill.fleet.govern import Govern
+from hopmill.fleet.conductor import PolicyChangeCoordinator
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.giver import LeaseGrantor
+from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import Policy, Step, commit
-from hopmill.fleet.standing import FOREVER, Asked, Standing
+from hopmill.fleet.standing import FOREVER, Asked, PolicyLease
 from hopmill.fleet.wire import Clear, Given, Hold
 
 
-class GivesBeforeItIsChosen(Giver):
-    def chosen_alike(self, known: Document, voted: Document) -> bool:
+class GivesBeforeItIsChosen(LeaseGrantor):
+    def chosen_alike(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
         return True
 
 
-class GivesWhileClosing(Giver):
+class GivesWhileClosing(LeaseGrantor):
     def minds_closing(self) -> bool:
         return False
 
 
-class GivesToThoseNotReady(Giver):
+class GivesToThoseNotReady(LeaseGrantor):
     def may_be_given(self, p: Policy, hold: Hold) -> bool:
         return True
 
 
-class GivesAnyVersion(Giver):
+class GivesAnyVersion(LeaseGrantor):
     def in_force(self, p: Policy, sender: str, hold: Hold) -> bool:
         return True
 
 
-class WaitsNoLeaseOut(Giver):
+class WaitsNoLeaseOut(LeaseGrantor):
     def waits_one_out(self) -> bool:
         return False
 
 
-class WaitsTooShort(Giver):
+class WaitsTooShort(LeaseGrantor):
     def __init__(
         self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
     ) -> None:
         super().__init__(me, register, length_us, -drift, last, names)  # type: ignore[arg-type]
 
 
-class AnyStopCounts(Giver):
+class AnyStopCounts(LeaseGrantor):
     def has_stopped(self, name: str, p: Policy) -> bool:
         return name in self.stopped
 
 
-class ClearBeforeTheDisk(Giver):
+class ClearBeforeTheDisk(LeaseGrantor):
     def say_clear(self, sender: str, answer: Clear) -> None:
         self.out.append(Send(sender, answer))
 
 
-class ForgetsWhoIsAlone(Giver):
+class ForgetsWhoIsAlone(LeaseGrantor):
     def __init__(
         self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
     ) -> None:
         super().__init__(me, register, length_us, drift, last, ())  # type: ignore[arg-type]
 
 
-class KeepsForEver(Standing):
+class KeepsForEver(PolicyLease):
     def valid_until(self) -> int:
         return FOREVER if super().valid_until() else 0
 
 
-class GoesOnWhileClosing(Standing):
+class GoesOnWhileClosing(PolicyLease):
     """It says that it has stopped."""
 
     def valid_until(self) -> int:
         kept, self.quiet = getattr(self, "kept", 0), True
         self.kept = super().valid_until() or kept
-        return self.kept if self.version == self.policy.version_for(self.me) else 0
+        return self.kept if self.applied_version == self.policy.version_for(self.me) else 0
 
     def stops(self) -> bool:
         quiet, self.quiet = getattr(self, "quiet", False), False
         return super().stops() and not quiet
 
 
-class CountsFromTheAnswer(Standing):
+class CountsFromTheAnswer(PolicyLease):
     def given_by(self, sender: str, given: Given, now: int) -> None:
         before = self.given.get(sender)
         super().given_by(sender, given, now)
@@ -89,38 +89,38 @@
             self.given[sender] = now
 
 
-class AnyAnswerCounts(Standing):
+class AnyAnswerCounts(PolicyLease):
     def answers(self, given: Given, asked: Asked) -> bool:
         return True
 
 
-class AnswersToAFormerLife(Standing):
+class AnswersToAFormerLife(PolicyLease):
     def answers(self, given: Given, asked: Asked) -> bool:
         return given.seq == asked.seq
 
 
-class AddsUpTwoRosters(Standing):
+class AddsUpTwoRosters(PolicyLease):
     def same_voters(self, given: Given) -> bool:
         self.roster = self.register.document.roster
         return True
 
 
-class OneVoterIsClear(Conductor):
-    def all_clear(self, d: Document) -> bool:
+class OneVoterIsClear(PolicyChangeCoordinator):
+    def all_clear(self, d: RegisterDocument) -> bool:
         return any(a.clear for a in self.answers.values())
 
 
-class CommitsAtAnyEpoch(Conductor):
+class CommitsAtAnyEpoch(PolicyChangeCoordinator):
     @staticmethod
     def commit(epoch: int) -> Step:
-        def step(ticket: str, document: Document) -> Document | None:
+        def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
             return commit(document.policy.epoch)(ticket, document)
 
         return step
 
 
-class VotesWithoutTheText(Govern):
-    def _lacks(self, document: Document, sender: str) -> bool:
+class VotesWithoutTheText(PolicyMember):
+    def _lacks(self, document: RegisterDocument, sender: str) -> bool:
         return False
 
 
@@ -146,10 +146,14 @@
 }
 
 
-def planted(name: str) -> type[Govern]:
+def planted(name: str) -> type[PolicyMember]:
     """A member's part in the policy with the fault of this name. KeyError if there is none."""
     fault = PLANTED[name]
-    for kind, base in (("standing", Standing), ("giver", Giver), ("conductor", Conductor)):
+    for kind, base in (
+        ("lease", PolicyLease),
+        ("grantor", LeaseGrantor),
+        ("coordinator", PolicyChangeCoordinator),
+    ):
         if issubclass(fault, base):
-            return type(fault.__name__, (Govern,), {f"{kind}_type": fault})
+            return type(fault.__name__, (PolicyMember,), {f"{kind}_type": fault})
     return fault  # type: ignore[return-value]
--- a/hopmill/explorer/search.py
+++ b/hopmill/explorer/search.py
@@ -10,14 +10,14 @@
 from hopmill.explorer import known, policy, policy_known, policy_mutants
 from hopmill.explorer import world as explore
 from hopmill.explorer.mutants import planted
-from hopmill.fleet.govern import Govern
+from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.register import Register
 
 AT_ONCE = 2000  # schedules that a process runs before it reports
 
 
 def _run_policy(first: int, count: int, members: int, mutant: str) -> tuple[int, list[explore.Found]]:
-    return policy.explore(count, first, members, policy_mutants.planted(mutant) if mutant else Govern)
+    return policy.explore(count, first, members, policy_mutants.planted(mutant) if mutant else PolicyMember)
 
 
 def _run(first: int, count: int, members: int, mutant: str) -> tuple[int, list[explore.Found]]:
@@ -26,7 +26,7 @@
 
 def search_policy(schedules: int, seed: int, members: int, cores: int, mutant: str) -> dict[str, Any]:
     """The same for changes of policy; a schedule that fails is told by its seed."""
-    govern = policy_mutants.planted(mutant) if mutant else Govern
+    govern = policy_mutants.planted(mutant) if mutant else PolicyMember
     began, done, violations = time.monotonic(), 0, []
     for name in policy_known.PLAYS:
         done += 1
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -15,7 +15,7 @@
 
 from hopmill.fleet.actions import Persist, Send
 from hopmill.explorer.checker import Checker, Op, Violation
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.register import Register, replace_voter, say, settle_voters
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
@@ -54,7 +54,7 @@
         self.type, self.chance, self.leases = register, random.Random(seed), leases
         ids = [f"m{n}" for n in range(members)]
         voters = ids[:5] if members >= 5 and seed % 2 else ids[:3]
-        self.initial = Document(0, tuple(voters))
+        self.initial = RegisterDocument(0, tuple(voters))
         self.now = 0
         self.net: list[tuple[str, str, Body, int]] = []  # with the version that the sender knew
         self.checker = Checker()
@@ -223,9 +223,9 @@
     def _want(self, m: Member, arg: int) -> None:
         """Whether it tries to hold the lease: one that ends gives it up."""
         if self.leases:
-            m.register.keepers[LEASE].wanted = arg % 2 == 0
+            m.register.lease_holders[LEASE].wanted = arg % 2 == 0
 
-    def _change(self, m: Member, change: Callable[[str, Document], Document | None]) -> None:
+    def _change(self, m: Member, change: Callable[[str, RegisterDocument], RegisterDocument | None]) -> None:
         if not m.up:
             return
         op = Op("", self.now)
@@ -237,7 +237,11 @@
 
     def _act(self, m: Member) -> None:
         """The lease is checked in the turn that acts."""
-        if m.up and self.leases and (fence := m.register.keepers[LEASE].held(m.clock(self.now))):
+        if (
+            m.up
+            and self.leases
+            and (fence := m.register.lease_holders[LEASE].fencing_token(m.clock(self.now)))
+        ):
             self.acts += 1
             self.checker.act(m.register.name, fence)
 
@@ -276,7 +280,7 @@
         m.writes, m.disk = [], b""
 
     def _all_well(self, m: Member) -> bool:
-        voters = m.register.document.everyone | self.initial.everyone
+        voters = m.register.document.all_voters | self.initial.all_voters
         return all(self.members[v].register.voter.voting and self.members[v].disk for v in voters)
 
     def state(self) -> tuple[Any, ...]:
--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.policy import BACK, Change, Policy, close, commit, end, go_back, go_on, prepare, reopen
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
@@ -28,7 +28,7 @@
 Then = Callable[[Outcome], None]
 
 
-class Conductor:
+class PolicyChangeCoordinator:
     commit = staticmethod(commit)
 
     def __init__(
@@ -39,7 +39,7 @@
         self.epoch, self.since, self.leads_from, self.ask_at, self.asks = -1, 0, 0, 0, 0
         self.answers: dict[str, Clear] = {}
         self.proposing = False
-        self.counts: dict[str, Counted] = {}  # of a stage, by member
+        self.totals: dict[str, Counted] = {}  # of a stage, by member
         self.led = -1  # the epoch of the newest step taken here
         self.out: list[Send] = []
 
@@ -54,7 +54,7 @@
 
         return self.register.propose(prepare(change, base), now, ended)
 
-    def waits(self) -> dict[str, str]:
+    def waiting_for(self) -> dict[str, str]:
         """Whom the change waits for, by all voters that have answered."""
         return {name: why for answer in self.answers.values() for name, why in answer.waits}
 
@@ -77,7 +77,7 @@
         if now >= self.ask_at:
             self.ask_at = now + min(MOST_ASK_US, ASK_US << min(self.asks, 8))
             self.asks += 1
-            self.out += [Send(voter, IsClear(p.epoch)) for voter in sorted(d.everyone)]
+            self.out += [Send(voter, IsClear(p.epoch)) for voter in sorted(d.all_voters)]
             if self.asks % READ_EVERY == 0 and not self.register.proposer.jobs:
                 self.register.propose(lambda ticket, document: None, now)
         return min(self.ask_at, self.since + self._closing_us(p.change) if p.change.closing else self.ask_at)
@@ -95,7 +95,7 @@
         self.leads_from = now if leads else later
         self.answers = {}
         if p.stage is None or p.change:
-            self.counts = {}
+            self.totals = {}
 
     # A stage
 
@@ -105,18 +105,18 @@
         assert stage is not None
         if self.proposing:
             return now + ASK_US
-        looks = max(1, stage.few.watch_ms * 1000 // LOOK_US)
-        few = [(c.before, c.after) for name, c in self.counts.items() if stage.few.has(name)]
-        rest = [(c.before, c.after) for name, c in self.counts.items() if not stage.few.has(name)]
+        looks = max(1, stage.canary.watch_ms * 1000 // LOOK_US)
+        few = [(c.before, c.after) for name, c in self.totals.items() if stage.canary.includes(name)]
+        rest = [(c.before, c.after) for name, c in self.totals.items() if not stage.canary.includes(name)]
         if why := worse(few, rest, looks):
             self._take(go_back(p.epoch, why), now)
-        elif now - self.since >= stage.few.watch_ms * 1000:
+        elif now - self.since >= stage.canary.watch_ms * 1000:
             self._take(go_on(p.epoch), now)
         elif now >= self.ask_at:
             self.ask_at = now + LOOK_US
-            body = WantSums(stage.id, stage.few.watch_ms)
+            body = WantSums(stage.id, stage.canary.watch_ms)
             self.out += [Send(name, body) for name in (self.me, *self.others())]
-        return min(self.ask_at, self.since + stage.few.watch_ms * 1000)
+        return min(self.ask_at, self.since + stage.canary.watch_ms * 1000)
 
     def counted(self, sender: str, body: Counted) -> None:
         stage = self.policy.stage
@@ -124,11 +124,13 @@
             stage
             and body.stage == stage.id
             and body.version == self.policy.version_for(sender)
-            and (sender in self.counts or len(self.counts) < MOST_COUNTED)
+            and (sender in self.totals or len(self.totals) < MOST_COUNTED)
         ):
-            self.counts[sender] = body
+            self.totals[sender] = body
 
-    def _step(self, p: Policy, d: Document, now: int) -> Callable[[str, Document], Document | None] | None:
+    def _step(
+        self, p: Policy, d: RegisterDocument, now: int
+    ) -> Callable[[str, RegisterDocument], RegisterDocument | None] | None:
         assert p.change is not None
         refused = next((a.refused for a in self.answers.values() if a.refused), "")
         if refused and p.change.moves != BACK:
@@ -139,10 +141,10 @@
             return reopen(p.epoch)
         return None
 
-    def all_clear(self, d: Document) -> bool:
+    def all_clear(self, d: RegisterDocument) -> bool:
         return d.agrees({v for v, a in self.answers.items() if a.clear and a.roster == d.roster})
 
-    def _take(self, step: Callable[[str, Document], Document | None], now: int) -> None:
+    def _take(self, step: Callable[[str, RegisterDocument], RegisterDocument | None], now: int) -> None:
         self.proposing = True
 
         def ended(outcome: Outcome) -> None:
@@ -159,7 +161,7 @@
         if outcome.state == "done" and outcome.document is not None:
             self.tell(outcome.document)
 
-    def tell(self, document: Document) -> None:
+    def tell(self, document: RegisterDocument) -> None:
         """All that are there, at once: a step that is known late is a longer pause."""
         data = doc.encode(document)
         self.out += [Send(name, Chosen(data)) for name in self.others()]
@@ -167,7 +169,7 @@
     def clear(self, sender: str, answer: Clear, now: int) -> bool:
         """True if a step can be taken."""
         p, d = self.policy, self.register.document
-        if answer.epoch != p.epoch or sender not in d.everyone:
+        if answer.epoch != p.epoch or sender not in d.all_voters:
             return False
         self.answers[sender] = answer
         return p.change is not None and not self.proposing and self._step(p, d, now) is not None
--- a/hopmill/fleet/document.py
+++ b/hopmill/fleet/document.py
@@ -29,18 +29,18 @@
     length_us: int = 0
 
 
-class Document(msgspec.Struct, frozen=True, array_like=True):
+class RegisterDocument(msgspec.Struct, frozen=True, array_like=True):
     """version: of the last change. former: while voters change, the set before; both have to agree then."""
 
     version: int
     voters: tuple[str, ...]
     former: tuple[str, ...] = ()
-    words: dict[str, str] = {}  # told by staff
+    entries: dict[str, str] = {}  # told by staff
     leases: dict[str, Lease] = {}
     recent: tuple[str, ...] = ()  # tickets
     policy: Policy = Policy()
 
-    def next(self, ticket: str, **changes: object) -> Document:
+    def next(self, ticket: str, **changes: object) -> RegisterDocument:
         recent = (*self.recent, ticket)[-RECENT:]
         return msgspec.structs.replace(self, version=self.version + 1, recent=recent, **changes)
 
@@ -56,7 +56,7 @@
         return _roster(self.voters, self.former)
 
     @property
-    def everyone(self) -> set[str]:
+    def all_voters(self) -> set[str]:
         return {*self.voters, *self.former}
 
 
@@ -69,11 +69,11 @@
     """The changed document would not fit a datagram."""
 
 
-_decoder = msgspec.msgpack.Decoder(Document)
+_decoder = msgspec.msgpack.Decoder(RegisterDocument)
 decode = _decoder.decode
 
 
-def encode(document: Document) -> bytes:
+def encode(document: RegisterDocument) -> bytes:
     data = msgspec.msgpack.encode(document)
     if len(data) > MOST_BYTES:
         raise TooLarge(f"the document would take {len(data)} of {MOST_BYTES} bytes")
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -13,7 +13,7 @@
 
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.policy import Policy
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
@@ -33,7 +33,7 @@
     ready: str = ""
 
 
-class Giver:
+class LeaseGrantor:
     """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
 
     def __init__(
@@ -52,12 +52,12 @@
         self.last_waited = ""
         self.asked: dict[str, int] = {}  # who wants to know when it is clear, and at which epoch
         self.read_at, self.reads, self.reading = 0, 0, ""  # when, how often in a row, under which ticket
-        self.accepted: tuple[bytes, Document] = b"", register.document
+        self.accepted: tuple[bytes, RegisterDocument] = b"", register.document
         self.out: list[Send] = []
 
     # What it goes by
 
-    def voted(self) -> Document:
+    def voted(self) -> RegisterDocument:
         """What it has accepted last."""
         data = self.register.voter.memory.document
         if data != self.accepted[0]:
@@ -67,13 +67,13 @@
     def policy(self) -> Policy | None:
         """That it may give leases by; None while it can't tell."""
         known, voted = self.register.document, self.voted()
-        if not self.register.voter.voting or self.me not in known.everyone:
+        if not self.register.voter.voting or self.me not in known.all_voters:
             return None
         if voted.version > known.version and not self.chosen_alike(known, voted):
             return None
         return known.policy
 
-    def chosen_alike(self, known: Document, voted: Document) -> bool:
+    def chosen_alike(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
         """Every step of the policy raises its epoch: where it is the same, none lies between."""
         return voted.policy == known.policy and voted.roster == known.roster
 
@@ -108,7 +108,7 @@
             return "a vote is under way"
         if hold.last is not self.last:
             return "alone differs"
-        if sender in p.struck:
+        if sender in p.cancelled_members:
             return "struck off"
         if not self.in_force(p, sender, hold):
             return f"version {p.version_for(sender)} is in force"
@@ -200,7 +200,7 @@
         change, grant = p.change, self.grants.get(name)
         assert change is not None
         presumed = self.last and name not in self.heard and name in self.names
-        if not (presumed or grant and grant.until > now) or self.last and name in p.struck:
+        if not (presumed or grant and grant.until > now) or self.last and name in p.cancelled_members:
             return ""
         if change.closing:
             return "has not stopped" if change.concerns(name) and not self.has_stopped(name, p) else ""
@@ -245,4 +245,4 @@
         self.reading = ""
         if outcome.document is not None:
             body = Chosen(doc.encode(outcome.document))
-            self.out += [Send(v, body) for v in sorted(outcome.document.everyone - {self.me})]
+            self.out += [Send(v, body) for v in sorted(outcome.document.all_voters - {self.me})]
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from hopmill.fleet.document import Document, Lease, ticket_of
+from hopmill.fleet.document import RegisterDocument, Lease, ticket_of
 from hopmill.fleet.proposer import Change, Outcome
 
 RENEWALS = 3  # in the time of a lease
@@ -24,7 +24,7 @@
     fence: int
 
 
-class Keeper:
+class LeaseHolder:
     """One member's part in one lease."""
 
     def __init__(self, name: str, owner: str, length_us: int, drift: float, wanted: bool = True) -> None:
@@ -37,11 +37,11 @@
         self.asked: Asked | None = None
         self.count = 0
 
-    def held(self, now: int) -> int:
+    def fencing_token(self, now: int) -> int:
         """The fencing number to act under, 0 if it may not. To be asked in the turn that acts."""
         return self.fence if self.fence and now < self.valid_until else 0
 
-    def look(self, now: int, document: Document) -> None:
+    def look(self, now: int, document: RegisterDocument) -> None:
         """The document as known now."""
         lease = document.leases.get(self.name, Lease())
         if lease != self.seen:
@@ -49,7 +49,7 @@
         if lease.fence > self.fence:
             self.fence = self.valid_until = 0
 
-    def tick(self, now: int, document: Document) -> tuple[str, Change] | None:
+    def tick(self, now: int, document: RegisterDocument) -> tuple[str, Change] | None:
         """(ticket, change) to propose, if any."""
         self.look(now, document)
         if self.asked is not None:
@@ -80,7 +80,7 @@
 
     def next_us(self, now: int) -> int:
         """When to look again."""
-        if self.held(now):
+        if self.fencing_token(now):
             return max(now + 1000, self.valid_until - self.kept_us() * (RENEWALS - 1) // RENEWALS)
         return max(now + 1000, self.seen_at + self.waits_us()) if self.seen.owner else now + 100_000
 
@@ -101,7 +101,7 @@
             ),
         )
 
-        def change(document: Document) -> Document | None:
+        def change(document: RegisterDocument) -> RegisterDocument | None:
             if document.leases.get(self.name, Lease()) != seen and self.unchanged():
                 return None
             return document.next(ticket, leases={**document.leases, self.name: mine})
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -16,8 +16,8 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet import wire
 from hopmill.fleet.actions import Persist, Send
-from hopmill.fleet.document import Document
-from hopmill.fleet.govern import KINDS, Govern
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.govern import KINDS, PolicyMember
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.settings import Members
@@ -63,13 +63,13 @@
 
 
 @dataclass(frozen=True)
-class DropTexts:
+class DeleteTexts:
     """These may go from the disk."""
 
     digests: frozenset[bytes]
 
 
-Deed = Datagram | Write | WriteText | DropTexts
+Deed = Datagram | Write | WriteText | DeleteTexts
 
 
 @dataclass
@@ -96,7 +96,7 @@
     ) -> None:
         """same_folder: it is where it was stored, no copy. seed: another with each start, from the system's
         own chance. carried: by the process before, in an upgrade. texts: those on disk, by digest."""
-        self.s, self.chance = members, random.Random(seed)
+        self.settings, self.chance = members, random.Random(seed)
         self.ceiling = stored.ceiling
         life = carried["incarnation"] if carried else stored.ceiling + 1
         if not carried and not same_folder:
@@ -105,15 +105,15 @@
         self.wanted = max(life, self.ceiling if carried else 0)  # the ceiling asked for
         self.counts = Counts()
         self.swim = Swim(members, life, self.chance, self._next_incarnation)
-        initial = Document(0, members.voters)
+        initial = RegisterDocument(0, members.voters)
         born = carried["born"] if carried else life
         self.register = Register(members.id, born, initial, stored.memory, same_folder, self.chance)
         for name in members.leases:
             self.register.keep(name, int(members.lease_ms * 1e3), members.drift)
         self.born = born
-        self.govern: Govern | None = None
+        self.policy_member: PolicyMember | None = None
         if members.policy:
-            self.govern = Govern(
+            self.policy_member = PolicyMember(
                 members.id,
                 born,
                 self.register,
@@ -148,9 +148,9 @@
             "document": doc.encode(r.document),
             "state": self._state(self.ceiling),
             "voting": r.voter.voting,
-            "leases": {name: k.carry() for name, k in r.keepers.items()},
-            "policy": self.govern and self.govern.standing.carry(),
-            "texts": dict(self.govern.texts.held) if self.govern else {},
+            "leases": {name: k.carry() for name, k in r.lease_holders.items()},
+            "policy": self.policy_member and self.policy_member.lease.carry(),
+            "texts": dict(self.policy_member.texts.by_digest) if self.policy_member else {},
         }
 
     def _resume(self, carried: dict[str, Any]) -> None:
@@ -159,11 +159,11 @@
         r.proposer.learn(doc.decode(carried["document"]))
         r.voter.voting = carried["voting"]
         for name, values in carried["leases"].items():
-            if name in r.keepers:
-                r.keepers[name].resume(values)
-        if self.govern and carried.get("policy"):
-            self.govern.texts.held |= carried["texts"]
-            self.govern.standing.resume(carried["policy"])
+            if name in r.lease_holders:
+                r.lease_holders[name].resume(values)
+        if self.policy_member and carried.get("policy"):
+            self.policy_member.texts.by_digest |= carried["texts"]
+            self.policy_member.lease.resume(carried["policy"])
 
     # Incarnations
 
@@ -207,7 +207,7 @@
         """Whether `tick` has something to do at once; else it may wait for its time."""
         self.counts.received += 1
         try:
-            frame, body, news = wire.read(data, self.s.fleet)
+            frame, body, news = wire.read(data, self.settings.fleet)
             if frame.incarnation > LARGEST or any(n.incarnation > LARGEST for n in news):
                 raise wire.Unreadable("incarnation")
         except wire.Unreadable as error:
@@ -216,13 +216,15 @@
         if not self.started:
             return False
         self._catch_up(now)
-        if frame.sender != self.s.id and not self.swim.heard(frame.sender, frame.incarnation, news, now):
+        if frame.sender != self.settings.id and not self.swim.heard(
+            frame.sender, frame.incarnation, news, now
+        ):
             return False
         about_members, stirred = isinstance(body, (Ping, Ack, PingFor, Unheard)), False
         if about_members:
             self.swim.receive(frame.sender, body, now)
         elif isinstance(body, KINDS):
-            stirred = self.govern is not None and self.govern.receive(frame.sender, body, now)
+            stirred = self.policy_member is not None and self.policy_member.receive(frame.sender, body, now)
         else:
             stirred = True
             try:
@@ -249,8 +251,8 @@
             return now + AGAIN_US
         self._catch_up(now)
         self.due = min(self.swim.tick(now), self.register.tick(now))
-        if self.govern:
-            self.due = min(self.due, self.govern.tick(now))
+        if self.policy_member:
+            self.due = min(self.due, self.policy_member.tick(now))
         return self.due
 
     def take(self, now: int) -> list[Deed]:
@@ -261,7 +263,7 @@
             for action in actions:
                 if isinstance(action, Persist):
                     self.writes.append(Write(self._state(self.wanted), self.wanted, action.then))
-                elif action.to == self.s.id:  # what is meant for this member itself is heard at once
+                elif action.to == self.settings.id:  # what is meant for this member itself is heard at once
                     self._own(action.body, now)
                 else:
                     self._send(action)
@@ -269,29 +271,29 @@
         return out
 
     def _governed(self, texts: list[Deed]) -> list[Send]:
-        if self.govern is None:
+        if self.policy_member is None:
             return []
-        store = self.govern.texts
-        if self.govern.dropped:  # first: what is written now as well was wanted again after that
-            texts.append(DropTexts(frozenset(self.govern.dropped)))
-            self.govern.dropped = set()
+        store = self.policy_member.texts
+        if self.policy_member.dropped:  # first: what is written now as well was wanted again after that
+            texts.append(DeleteTexts(frozenset(self.policy_member.dropped)))
+            self.policy_member.dropped = set()
         texts += [WriteText(digest, text) for digest, text in store.writes]
         store.writes = []
-        return self.govern.take()
+        return self.policy_member.take()
 
     def _own(self, body: Any, now: int) -> None:
         if not isinstance(body, KINDS):
-            self.register.receive(self.s.id, body, now)
-        elif self.govern:
-            self.govern.receive(self.s.id, body, now)
+            self.register.receive(self.settings.id, body, now)
+        elif self.policy_member:
+            self.policy_member.receive(self.settings.id, body, now)
 
     def text_written(self, digest: bytes, ok: bool, now: int) -> None:
-        if self.govern:
-            self.govern.texts.written(digest, ok)
+        if self.policy_member:
+            self.policy_member.texts.written(digest, ok)
             self.register.texts_came(now)
 
     def _send(self, send: Send) -> None:
-        if send.to == self.s.id:
+        if send.to == self.settings.id:
             self.own.append(send)
             return
         address = self.swim.address(send.to)
@@ -300,8 +302,8 @@
             return
         try:
             data = wire.write(
-                self.s.fleet,
-                self.s.id,
+                self.settings.fleet,
+                self.settings.id,
                 self.swim.me.incarnation,
                 self.register.document.version,
                 send.body,
@@ -316,20 +318,23 @@
 
     # What staff and logs are told
 
-    def changed(self) -> list[Changed]:
+    def take_member_changes(self) -> list[Changed]:
         """Members whose state has changed since the last call."""
         changed, self.swim.changed = self.swim.changed, []
         return changed
 
     def propose(
-        self, change: Callable[[str, Document], Document | None], now: int, then: Callable[[Outcome], None]
+        self,
+        change: Callable[[str, RegisterDocument], RegisterDocument | None],
+        now: int,
+        then: Callable[[Outcome], None],
     ) -> str:
         return self.register.propose(change, now, then)
 
-    def held(self, lease: str, now: int) -> int:
+    def fencing_token(self, lease: str, now: int) -> int:
         """The fencing number to act under, 0 if it may not act. To be asked in the turn that acts."""
-        keeper = self.register.keepers.get(lease)
-        return keeper.held(now) if keeper else 0
+        keeper = self.register.lease_holders.get(lease)
+        return keeper.fencing_token(now) if keeper else 0
 
     def status(self, now: int) -> dict[str, Any]:
         """Ages are in ms."""
@@ -360,7 +365,7 @@
         ]
         d = r.document
         return {
-            "fleet": self.s.fleet,
+            "fleet": self.settings.fleet,
             "id": me.id,
             "life": self.born,
             "started": self.started,
@@ -370,12 +375,17 @@
             "voters": list(d.voters),
             "former": list(d.former),
             "votes": r.voter.voting,
-            "words": d.words,
+            "words": d.entries,
             "leases": [
-                {"name": name, "owner": lease.owner, "fence": lease.fence, "mine": bool(self.held(name, now))}
+                {
+                    "name": name,
+                    "owner": lease.owner,
+                    "fence": lease.fence,
+                    "mine": bool(self.fencing_token(name, now)),
+                }
                 for name, lease in sorted(d.leases.items())
             ],
-            "policy": self._policy_status(now) if self.govern else None,
+            "policy": self._policy_status(now) if self.policy_member else None,
             "datagrams": {
                 "sent": self.counts.sent,
                 "sent_bytes": self.counts.sent_bytes,
@@ -385,29 +395,29 @@
         }
 
     def _policy_status(self, now: int) -> dict[str, Any]:
-        assert self.govern is not None
-        p, standing = self.register.document.policy, self.govern.standing
+        assert self.policy_member is not None
+        p, standing = self.register.document.policy, self.policy_member.lease
         until = standing.valid_until()
         return {
             "version": p.version,
             "epoch": p.epoch,
-            "may_act": standing.held(now) >= 0,
-            "set_up_for": standing.version,
+            "may_act": standing.valid_version(now) >= 0,
+            "set_up_for": standing.applied_version,
             "alone": "last" if standing.last else "hold",
             "lease_ms": None if until - now > 1 << 60 else max(0, (until - now) // 1000),
             "not_given": standing.why,
-            "struck": list(p.struck),
-            "waits": self.govern.conductor.waits(),
+            "struck": list(p.cancelled_members),
+            "waits": self.policy_member.coordinator.waiting_for(),
             "change": p.change
             and {"id": p.change.id, "by": p.change.by, "closing": p.change.closing, "moves": p.change.moves},
             "stage": p.stage
             and {
                 "id": p.stage.id,
                 "version": p.stage.version,
-                "share": p.stage.few.share,
-                "members": [m for m in sorted((self.s.id, *self.swim.there())) if p.stage.few.has(m)][
-                    :MOST_NAMED
-                ],
+                "share": p.stage.canary.share,
+                "members": [
+                    m for m in sorted((self.settings.id, *self.swim.there())) if p.stage.canary.includes(m)
+                ][:MOST_NAMED],
             },
             "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in p.ended],
         }
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hopmill.fleet.document import Document
+    from hopmill.fleet.document import RegisterDocument
 
 ENDED = 3  # outcomes that the document keeps, so that one whose answer was lost is told
 MOST_WHY = 48  # characters of a reason
@@ -33,14 +33,14 @@
 ALL, STAGE, REST, BACK = "all", "stage", "rest", "back"
 
 
-class Few(msgspec.Struct, frozen=True, array_like=True):
+class CanaryGroup(msgspec.Struct, frozen=True, array_like=True):
     """Which members go first: about this share, by their names and a salt. They are watched for so long."""
 
     share: float
     salt: int
     watch_ms: int
 
-    def has(self, member: str) -> bool:
+    def includes(self, member: str) -> bool:
         return zlib.crc32(f"{self.salt} {member}".encode()) < self.share * (1 << 32)
 
 
@@ -53,14 +53,14 @@
     by: str  # the member that proposed it, and has the text
     closing: bool = False
     moves: str = ALL
-    few: Few | None = None
+    canary: CanaryGroup | None = None
     opened: int = 0  # times that it was closing and was opened again
 
     def concerns(self, member: str) -> bool:
         """Whether it would bring this member to another version."""
-        if self.few is None or self.moves in (ALL, BACK):
+        if self.canary is None or self.moves in (ALL, BACK):
             return True
-        return self.few.has(member) is (self.moves == STAGE)
+        return self.canary.includes(member) is (self.moves == STAGE)
 
 
 class Stage(msgspec.Struct, frozen=True, array_like=True):
@@ -69,7 +69,7 @@
     id: str
     digest: bytes
     version: int
-    few: Few
+    canary: CanaryGroup
     by: str
 
 
@@ -87,14 +87,14 @@
     digest: bytes = b""
     change: Change | None = None
     ended: tuple[Ended, ...] = ()
-    struck: tuple[str, ...] = ()
+    cancelled_members: tuple[str, ...] = ()
     stage: Stage | None = None
 
     def version_for(self, member: str) -> int:
-        return self.stage.version if self.stage and self.stage.few.has(member) else self.version
+        return self.stage.version if self.stage and self.stage.canary.includes(member) else self.version
 
     def digest_for(self, member: str) -> bytes:
-        return self.stage.digest if self.stage and self.stage.few.has(member) else self.digest
+        return self.stage.digest if self.stage and self.stage.canary.includes(member) else self.digest
 
     def closing_for(self, member: str) -> bool:
         """Whether it has to stop."""
@@ -117,7 +117,7 @@
 Step = "Callable[[str, Document], Document | None]"
 
 
-def _next(document: Document, ticket: str, **changes: object) -> Document:
+def _next(document: RegisterDocument, ticket: str, **changes: object) -> RegisterDocument:
     p = document.policy
     return document.next(ticket, policy=msgspec.structs.replace(p, epoch=p.epoch + 1, **changes))
 
@@ -125,7 +125,7 @@
 def prepare(change: Change, base: int) -> Step:
     """base: the version that its text was made from. Left as it is where it is under way or has ended."""
 
-    def step(ticket: str, document: Document) -> Document | None:
+    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
         p = document.policy
         if p.outcome(change.id) or p.change and p.change.id == change.id:
             return None
@@ -139,16 +139,16 @@
     return step
 
 
-def _at(epoch: int, then: Callable[[str, Document], Document | None]) -> Step:
+def _at(epoch: int, then: Callable[[str, RegisterDocument], RegisterDocument | None]) -> Step:
     """Only where nothing has happened to the policy since this epoch."""
 
-    def step(ticket: str, document: Document) -> Document | None:
+    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
         return then(ticket, document) if document.policy.epoch == epoch and document.policy.change else None
 
     return step
 
 
-def _closing(document: Document, ticket: str, closing: bool) -> Document:
+def _closing(document: RegisterDocument, ticket: str, closing: bool) -> RegisterDocument:
     change = document.policy.change
     assert change is not None
     opened = change.opened + (change.closing and not closing)
@@ -169,14 +169,14 @@
 def commit(epoch: int) -> Step:
     """It is in force: a majority of voters knows of nobody who works under the version before."""
 
-    def then(ticket: str, d: Document) -> Document | None:
+    def then(ticket: str, d: RegisterDocument) -> RegisterDocument | None:
         p, change, stage = d.policy, d.policy.change, d.policy.stage
         assert change is not None
         if not change.closing:
             return None
         if change.moves == STAGE:
-            assert change.few is not None
-            staged = Stage(change.id, change.digest, p.version + 1, change.few, change.by)
+            assert change.canary is not None
+            staged = Stage(change.id, change.digest, p.version + 1, change.canary, change.by)
             return _next(d, ticket, change=None, stage=staged)
         if change.moves == BACK:
             assert stage is not None
@@ -191,12 +191,12 @@
 def go_on(epoch: int) -> Step:
     """Those that are watched do well: the rest follows."""
 
-    def step(ticket: str, document: Document) -> Document | None:
+    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
         p = document.policy
         if p.epoch != epoch or p.stage is None or p.change:
             return None
         s = p.stage
-        return _next(document, ticket, change=Change(s.id, s.digest, s.by, False, REST, s.few))
+        return _next(document, ticket, change=Change(s.id, s.digest, s.by, False, REST, s.canary))
 
     return step
 
@@ -205,13 +205,13 @@
     """They do worse, or staff say so: all go to a version that is as the one before the stage. It can't be
     refused, for all went by it."""
 
-    def step(ticket: str, document: Document) -> Document | None:
+    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
         p = document.policy
         if p.epoch != epoch or p.stage is None or p.change and p.change.moves != REST:
             return None
         s = p.stage
         ended = (*p.ended, Ended(s.id, 0, why[:MOST_WHY]))[-ENDED:]
-        back = Change(s.id + "~", p.digest, s.by, False, BACK, s.few)
+        back = Change(s.id + "~", p.digest, s.by, False, BACK, s.canary)
         return _next(document, ticket, ended=ended, change=back)
 
     return step
@@ -220,7 +220,7 @@
 def end(epoch: int, why: str) -> Step:
     """It is in force nowhere. Where some go by it already, they go back."""
 
-    def then(ticket: str, d: Document) -> Document | None:
+    def then(ticket: str, d: RegisterDocument) -> RegisterDocument | None:
         change = d.policy.change
         assert change is not None
         if d.policy.stage:
@@ -232,15 +232,17 @@
     return _at(epoch, then)
 
 
-def strike(member: str, off: bool = True) -> Step:
+def cancel_member(member: str, off: bool = True) -> Step:
     """Staff's word that this member does not work any more: no change waits for it, and it gets no lease."""
 
-    def step(ticket: str, document: Document) -> Document | None:
-        struck = tuple(s for s in document.policy.struck if s != member) + ((member,) if off else ())
-        if set(struck) == set(document.policy.struck):
+    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
+        cancelled_members = tuple(s for s in document.policy.cancelled_members if s != member) + (
+            (member,) if off else ()
+        )
+        if set(cancelled_members) == set(document.policy.cancelled_members):
             return None
-        if len(struck) > MOST_STRUCK:
+        if len(cancelled_members) > MOST_STRUCK:
             raise Refused(f"at most {MOST_STRUCK} members are struck off at once")
-        return _next(document, ticket, struck=struck)
+        return _next(document, ticket, cancelled_members=cancelled_members)
 
     return step
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -14,7 +14,7 @@
 
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.wire import Accept, Accepted, Ballot, Prepare, Promise, Refused
 
 # Without a majority's answers the same is asked once more, after some times as long as ballots took lately.
@@ -24,7 +24,7 @@
 WEIGHT = 0.2  # of the newest ballot's time in their mean
 ROUNDS = 4  # times that one ballot is sent before another is tried
 MOST_WAITING = 64
-Change = Callable[[Document], Document | None]
+Change = Callable[[RegisterDocument], RegisterDocument | None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,11 +33,11 @@
 
     ticket: str
     state: str
-    document: Document | None = None
+    document: RegisterDocument | None = None
     why: str = ""
 
     @property
-    def made(self) -> int:
+    def made_version(self) -> int:
         """The version that the change made, 0 if none: the document may have changed since."""
         if self.state != "done" or self.document is None or self.ticket not in self.document.recent:
             return 0
@@ -63,8 +63,8 @@
     ballot: Ballot
     promises: dict[str, Promise] = field(default_factory=dict)
     accepted: set[str] = field(default_factory=set)
-    base: Document | None = None  # what the promises hold
-    next: Document | None = None  # what is to be accepted
+    base: RegisterDocument | None = None  # what the promises hold
+    next: RegisterDocument | None = None  # what is to be accepted
     payload: bytes = b""
     changed: bool = False
     refusal: str = ""  # why the change can't be made
@@ -75,7 +75,7 @@
 
 
 class Proposer:
-    def __init__(self, name: str, initial: Document, chance: random.Random) -> None:
+    def __init__(self, name: str, initial: RegisterDocument, chance: random.Random) -> None:
         """name: of this life of this member and no other, so that no ballot is used twice."""
         self.name, self.initial, self.chance, self.round = name, initial, chance, 0
         self.known = initial  # the newest document that is known to be chosen
@@ -130,9 +130,11 @@
 
     def believed(self, at: Try) -> set[str]:
         """Whom it has to ask: the voters known, those that answers have named, and those to come."""
-        return self.known.everyone.union(at.to_come, *(self._read(p).everyone for p in at.promises.values()))
+        return self.known.all_voters.union(
+            at.to_come, *(self._read(p).all_voters for p in at.promises.values())
+        )
 
-    def _read(self, promise: Promise) -> Document:
+    def _read(self, promise: Promise) -> RegisterDocument:
         return doc.decode(promise.document) if promise.document else self.initial
 
     def promise(self, sender: str, promise: Promise, now: int) -> None:
@@ -148,7 +150,7 @@
         if at is self.now_at and at.next is None:
             self.out += [Send(v, Prepare(at.ballot)) for v in sorted(self.believed(at) - asked)]
 
-    def newest(self, at: Try) -> Document:
+    def newest(self, at: Try) -> RegisterDocument:
         return self._read(max(at.promises.values(), key=lambda p: p.accepted))
 
     def _choose(self, at: Try, accepted: Ballot, now: int) -> None:
@@ -171,7 +173,7 @@
                 self._end("refused", now, why=at.refusal)
                 return
             if after is not None and not self.can_vote(after, at):
-                at.to_come = after.everyone
+                at.to_come = after.all_voters
                 return
             at.next, at.changed = after or base, after is not None
             # Where an earlier try may still be taken up by another, the same document is accepted once more
@@ -185,13 +187,13 @@
         self.wake_at = now + self._again_us()
         self._send_accepts(at)
 
-    def can_vote(self, after: Document, at: Try) -> bool:
+    def can_vote(self, after: RegisterDocument, at: Try) -> bool:
         """Whether all that it makes voters vote already, and a majority with them. Accepted anywhere before
         that, it names voters without whom neither they nor one that lost its folder could be let in."""
         assert at.base is not None
-        return after.everyone - at.base.everyone <= set(at.promises) and after.agrees(at.promises)
+        return after.all_voters - at.base.all_voters <= set(at.promises) and after.agrees(at.promises)
 
-    def own(self, ticket: str, base: Document) -> bool:
+    def own(self, ticket: str, base: RegisterDocument) -> bool:
         """Whether the change was done already."""
         return ticket in base.recent
 
@@ -201,7 +203,7 @@
         if at.changed and not job.maybe:
             job.maybe, job.version = True, at.next.version
         body = Accept(at.ballot, at.payload, tuple(sorted(at.lives.items())))
-        voters = at.next.everyone | at.base.everyone
+        voters = at.next.all_voters | at.base.all_voters
         self.out += [Send(v, body) for v in sorted(voters - at.accepted)]
 
     def accepted(self, sender: str, accepted: Accepted, now: int) -> None:
@@ -239,7 +241,7 @@
         self.takes_us += WEIGHT * (now - at.began - self.takes_us)
         self._end("done" if at.changed else "refused" if at.refusal else "left", now, at.next, at.refusal)
 
-    def _end(self, state: str, now: int, document: Document | None = None, why: str = "") -> None:
+    def _end(self, state: str, now: int, document: RegisterDocument | None = None, why: str = "") -> None:
         job = self.jobs.popleft()
         self.now_at = None
         self.ended.append(Outcome(job.ticket, state, document, why))
@@ -253,7 +255,7 @@
         else:
             self.jobs = deque(job for job in self.jobs if job.ticket != ticket)
 
-    def learn(self, document: Document) -> bool:
+    def learn(self, document: RegisterDocument) -> bool:
         """It is chosen. True if it is news."""
         if document.version <= self.known.version:
             return False
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -7,8 +7,8 @@
 
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Action, Send
-from hopmill.fleet.document import Document
-from hopmill.fleet.lease import Keeper
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.lease import LeaseHolder
 from hopmill.fleet.proposer import Change, Outcome, Proposer
 from hopmill.fleet.voter import Memory, Voter
 from hopmill.fleet.wire import Accept, Accepted, Ask, Body, Chosen, Fetch, Known, Prepare, Promise, Refused
@@ -22,36 +22,42 @@
 class Register:
     """Times are us of this member's elapsed clock. After each call, `take` gives what is to be done."""
 
-    voter_type, proposer_type, keeper_type = Voter, Proposer, Keeper
+    voter_type, proposer_type, lease_holder_type = Voter, Proposer, LeaseHolder
 
     def __init__(
-        self, me: str, life: int, initial: Document, memory: Memory, same_folder: bool, chance: random.Random
+        self,
+        me: str,
+        life: int,
+        initial: RegisterDocument,
+        memory: Memory,
+        same_folder: bool,
+        chance: random.Random,
     ) -> None:
         """life: of this member, never used before. memory, same_folder: what its voter finds on disk."""
         self.me, self.name = me, f"{me}#{life}"
         self.voter = self.voter_type(me, initial, memory, same_folder, chance)
         self.proposer = self.proposer_type(self.name, initial, chance)
-        self.keepers: dict[str, Keeper] = {}
+        self.lease_holders: dict[str, LeaseHolder] = {}
         self.heard: dict[str, int] = {}  # versions that others know, while they are newer
         self.fetched_at = -FETCH_US
         self.tickets: dict[str, Callable[[Outcome], None]] = {}
         self.counted = self.settle_at = 0
         # Whether this member lacks a text that the document names: then it does not vote for it yet.
-        self.lacks: Callable[[Document, str], bool] = lambda document, sender: False
+        self.lacks: Callable[[RegisterDocument, str], bool] = lambda document, sender: False
         self.late: tuple[str, Accept] | None = None
 
     @property
-    def document(self) -> Document:
+    def document(self) -> RegisterDocument:
         """The newest that is known to be chosen."""
         return self.proposer.known
 
-    def keep(self, name: str, length_us: int, drift: float) -> Keeper:
+    def keep(self, name: str, length_us: int, drift: float) -> LeaseHolder:
         """Try to hold a lease from now on."""
-        return self.keepers.setdefault(name, self.keeper_type(name, self.name, length_us, drift))
+        return self.lease_holders.setdefault(name, self.lease_holder_type(name, self.name, length_us, drift))
 
     def propose(
         self,
-        change: Callable[[str, Document], Document | None],
+        change: Callable[[str, RegisterDocument], RegisterDocument | None],
         now: int,
         then: Callable[[Outcome], None] = lambda outcome: None,
         within: int = DONE_WITHIN_US,
@@ -113,7 +119,7 @@
         if (at := self.proposer.tick(now)) is not None:
             due = min(due, at)
         change = self.document.policy.change
-        for keeper in self.keepers.values():
+        for keeper in self.lease_holders.values():
             if change and change.closing and keeper.can_wait(now):
                 due = min(due, now + CLOSING_US)  # work waits for the closing's end: nobody is in its way
                 continue
@@ -149,7 +155,7 @@
             for outcome in ended:
                 if then := self.tickets.pop(outcome.ticket, None):
                     then(outcome)
-                for keeper in self.keepers.values():
+                for keeper in self.lease_holders.values():
                     if keeper.ended(outcome, now):
                         break
         out = [*self.voter.out, *self.proposer.out]
@@ -160,22 +166,24 @@
 # Changes of the document
 
 
-def say(name: str, text: str, if_version: int | None = None) -> Callable[[str, Document], Document | None]:
+def say(
+    name: str, text: str, if_version: int | None = None
+) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
     """A word of the staff; an empty text takes it away. Left as it is where the version is another."""
 
-    def change(ticket: str, document: Document) -> Document | None:
+    def change(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
         if if_version is not None and document.version != if_version:
             return None
-        words = {k: v for k, v in document.words.items() if k != name} | ({name: text} if text else {})
-        return document.next(ticket, words=words)
+        entries = {k: v for k, v in document.entries.items() if k != name} | ({name: text} if text else {})
+        return document.next(ticket, entries=entries)
 
     return change
 
 
-def replace_voter(old: str, new: str) -> Callable[[str, Document], Document | None]:
+def replace_voter(old: str, new: str) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
     """First step: from here on a majority of both sets has to agree. One at a time."""
 
-    def change(ticket: str, document: Document) -> Document | None:
+    def change(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
         if document.former or old not in document.voters or new in document.voters:
             return None
         voters = tuple(new if v == old else v for v in document.voters)
@@ -184,6 +192,6 @@
     return change
 
 
-def settle_voters(ticket: str, document: Document) -> Document | None:
+def settle_voters(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
     """Second step: the set before has no say any more."""
     return document.next(ticket, former=()) if document.former else None
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.policy import MOST_WHY, Policy
 from hopmill.fleet.register import Register
 from hopmill.fleet.wire import Given, Hold, NotGiven, Stopped
@@ -31,7 +31,7 @@
     next_at: int = 0
 
 
-class Standing:
+class PolicyLease:
     """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
 
     def __init__(
@@ -40,8 +40,8 @@
         """last: alone, it goes on under the last version; else it holds."""
         self.me, self.life, self.register = me, life, register
         self.length_us, self.drift, self.last = length_us, drift, last
-        self.version = -1  # that this courier is set up for
-        self.ready, self.refuses = "", ""  # the change that it has checked, and what speaks against it
+        self.applied_version = -1  # that this courier is set up for
+        self.ready_for, self.refuses = "", ""  # the change that it has checked, and what speaks against it
         self.stopped = 0  # the epoch of the newest closing that it has stopped for
         self.seq = 0
         self.asked: dict[str, Asked] = {}
@@ -57,13 +57,17 @@
 
     # What the courier may do
 
-    def held(self, now: int) -> int:
+    def valid_version(self, now: int) -> int:
         """The version to act under, -1 if it may not act. To be asked in the turn that acts."""
-        return self.version if now < self.valid_until() else -1
+        return self.applied_version if now < self.valid_until() else -1
 
     def valid_until(self) -> int:
         d = self.register.document
-        if self.version != d.policy.version_for(self.me) or self.stops() or self.me in d.policy.struck:
+        if (
+            self.applied_version != d.policy.version_for(self.me)
+            or self.stops()
+            or self.me in d.policy.cancelled_members
+        ):
             return 0
         if self.roster != d.roster:
             return 0
@@ -84,15 +88,15 @@
 
     # What the courier says
 
-    def set_up_for(self, version: int) -> None:
+    def set_applied_version(self, version: int) -> None:
         """All of it is in place; what was given under another counts no more."""
-        if version != self.version:
-            self.version = version
+        if version != self.applied_version:
+            self.applied_version = version
             self._forget()
 
-    def judged(self, change: str, why: str = "") -> None:
+    def report_check(self, change: str, why: str = "") -> None:
         """It has checked this change against its own settings and machine. why: it can't take it."""
-        self.ready, self.refuses = change, why[:MOST_WHY]
+        self.ready_for, self.refuses = change, why[:MOST_WHY]
         for asked in self.asked.values():
             asked.next_at = 0
 
@@ -111,10 +115,10 @@
         if self.roster != d.roster:
             self.roster = d.roster
             self._forget()
-        if self.version != p.version_for(self.me) or self.me in p.struck:
+        if self.applied_version != p.version_for(self.me) or self.me in p.cancelled_members:
             return now + 1_000_000
         due = FOREVER
-        for voter in sorted(d.everyone):
+        for voter in sorted(d.all_voters):
             asked = self.asked.setdefault(voter, Asked())
             if now >= asked.next_at:
                 self._ask(voter, asked, p, now)
@@ -127,36 +131,36 @@
         asked.seq, asked.at = self.seq, now
         asked.next_at = now + min(MOST_AGAIN_US, AGAIN_US << min(asked.tries, 8))
         asked.tries += 1
-        mine = p.change is not None and p.change.id == self.ready
+        mine = p.change is not None and p.change.id == self.ready_for
         self.out.append(
             Send(
                 voter,
                 Hold(
                     self.life,
                     self.seq,
-                    self.version,
+                    self.applied_version,
                     self.last,
-                    self.ready if mine and not self.refuses else "",
-                    f"{self.ready} {self.refuses}" if mine and self.refuses else "",
+                    self.ready_for if mine and not self.refuses else "",
+                    f"{self.ready_for} {self.refuses}" if mine and self.refuses else "",
                 ),
             )
         )
 
-    def _stop(self, p: Policy, d: Document, now: int) -> int:
+    def _stop(self, p: Policy, d: RegisterDocument, now: int) -> int:
         """Every voter is told, again and again, until a later epoch is known."""
         if self.stopped < p.epoch:
             self.stopped, self.stopped_at = p.epoch, now - STOPPED_AGAIN_US
             self._forget()
         if now - self.stopped_at >= STOPPED_AGAIN_US:
             self.stopped_at = now
-            self.out += [Send(voter, Stopped(p.epoch)) for voter in sorted(d.everyone)]
+            self.out += [Send(voter, Stopped(p.epoch)) for voter in sorted(d.all_voters)]
         return self.stopped_at + STOPPED_AGAIN_US
 
     def given_by(self, sender: str, given: Given, now: int) -> None:
         asked = self.asked.get(sender)
         if asked is None or not self.answers(given, asked) or self.stops():
             return
-        if given.version != self.version or not self.same_voters(given):
+        if given.version != self.applied_version or not self.same_voters(given):
             return
         self.given[sender] = asked.at
         asked.tries = 0
@@ -179,7 +183,7 @@
 
     def carry(self) -> dict[str, object]:
         return {
-            "version": self.version,
+            "version": self.applied_version,
             "given": self.given,
             "roster": self.roster,
             "seq": self.seq,
@@ -188,6 +192,6 @@
 
     def resume(self, carried: dict[str, object]) -> None:
         """The lease moves along; what was asked and not answered does not."""
-        self.version, self.given = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
+        self.applied_version, self.given = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
         self.roster, self.stopped = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
         self.seq = int(carried["seq"]) + 1  # type: ignore[call-overload]
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -123,7 +123,7 @@
 
     # What is known
 
-    def alive(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         return name == self.me.id or (p := self.peers.get(name)) is not None and p.state in (ALIVE, SUSPECT)
 
     def address(self, name: str) -> str:
@@ -275,7 +275,7 @@
                         self._ping(self.chance.choice(list(self.peers)), now)
                     return
             target = self.round.pop()
-            if self.alive(target):
+            if self.is_alive(target):
                 break
         seq = self._ping(target, now)
         self.probes[seq] = Probe(target, now)
--- a/hopmill/fleet/texts.py
+++ b/hopmill/fleet/texts.py
@@ -34,8 +34,8 @@
 
     def __init__(self, on_disk: dict[bytes, bytes]) -> None:
         """on_disk: by digest, as they were found there; one that does not fit its digest is none."""
-        self.held = {d: t for d, t in on_disk.items() if digest_of(t) == d}
-        self.on_disk = set(self.held)
+        self.by_digest = {d: t for d, t in on_disk.items() if digest_of(t) == d}
+        self.on_disk = set(self.by_digest)
         self.fetched: dict[bytes, Fetch] = {}
         self.writing: set[bytes] = set()
         self.out: list[Send] = []
@@ -45,11 +45,11 @@
         """ValueError: it is too long."""
         if len(text) > MOST_BYTES:
             raise ValueError(f"the policy would take {len(text)} of {MOST_BYTES} bytes")
-        self.held[digest := digest_of(text)] = text
+        self.by_digest[digest := digest_of(text)] = text
         return digest
 
     def want(self, digest: bytes, asks: list[str]) -> None:
-        if digest in self.held or not asks:
+        if digest in self.by_digest or not asks:
             return
         fetch = self.fetched.get(digest)
         if fetch is None and len(self.fetched) < MOST_FETCHED:
@@ -59,9 +59,9 @@
 
     def write(self, digest: bytes) -> None:
         """On disk, if it is not there yet."""
-        if digest in self.held and digest not in self.on_disk | self.writing:
+        if digest in self.by_digest and digest not in self.on_disk | self.writing:
             self.writing.add(digest)
-            self.writes.append((digest, self.held[digest]))
+            self.writes.append((digest, self.by_digest[digest]))
 
     def written(self, digest: bytes, ok: bool) -> None:
         self.writing.discard(digest)
@@ -70,8 +70,8 @@
 
     def keep(self, digests: set[bytes]) -> set[bytes]:
         """Forget all others; returns those that may go from the disk."""
-        for digest in [d for d in self.held if d not in digests]:
-            del self.held[digest]
+        for digest in [d for d in self.by_digest if d not in digests]:
+            del self.by_digest[digest]
         for digest in [d for d in self.fetched if d not in digests]:
             del self.fetched[digest]
         gone = self.on_disk - digests - self.writing
@@ -79,7 +79,7 @@
         return gone
 
     def wanted(self, sender: str, want: WantText) -> None:
-        text = self.held.get(want.digest)
+        text = self.by_digest.get(want.digest)
         if text is None or not 0 <= want.at < max(1, len(text)):
             return
         for at in range(want.at, min(len(text), want.at + AT_ONCE * PIECE_BYTES) or 1, PIECE_BYTES):
@@ -97,7 +97,7 @@
             text = b"".join(data for _, data in sorted(fetch.pieces.items()))
             del self.fetched[piece.digest]
             if digest_of(text) == piece.digest:
-                self.held[piece.digest] = text
+                self.by_digest[piece.digest] = text
         elif have > piece.size:
             fetch.pieces.clear()  # of two different wholes: anew
         elif news and have == piece.at + len(piece.data) and have // PIECE_BYTES % AT_ONCE == 0:
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -14,7 +14,7 @@
 
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Action, Persist, Send
-from hopmill.fleet.document import Document
+from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.wire import Accept, Accepted, Ask, Ballot, Known, Prepare, Promise, Refused
 
 NONE: Ballot = (0, "")
@@ -40,12 +40,12 @@
     """`out` gathers its actions; whoever calls takes them."""
 
     def __init__(
-        self, me: str, initial: Document, memory: Memory, same_folder: bool, chance: random.Random
+        self, me: str, initial: RegisterDocument, memory: Memory, same_folder: bool, chance: random.Random
     ) -> None:
         """initial: the document of a fleet that has none yet. same_folder: no copy, and not emptied."""
         self.me, self.initial, self.memory, self.chance = me, initial, memory, chance
         self.voting = self.begins = False
-        self.others: set[str] = initial.everyone - {me}
+        self.others: set[str] = initial.all_voters - {me}
         self.answers: dict[str, Known] = {}
         self.claims = memory.life  # the life that it asks the others to note; 0: none yet
         self.same_folder = self.trusts(same_folder) and memory.life > 0
@@ -58,25 +58,25 @@
     def trusts(self, same_folder: bool) -> bool:
         return same_folder
 
-    def document(self) -> Document:
+    def document(self) -> RegisterDocument:
         return doc.decode(self.memory.document) if self.memory.document else self.initial
 
-    def named(self, known: Document) -> bool:
+    def named(self, known: RegisterDocument) -> bool:
         """Whether the fleet counts on this voter, by its own memory, by what is known to be chosen, or by
         having been asked: the change that makes it a voter may need its vote."""
         return self.called or self.me in self._there(known)
 
-    def _there(self, known: Document) -> set[str]:
+    def _there(self, known: RegisterDocument) -> set[str]:
         """Who votes, by what is known to be chosen and what was accepted here; else as a new fleet begins."""
-        there = known.everyone if known.version else set()
-        return there | (self.document().everyone if self.memory.document or not there else set())
+        there = known.all_voters if known.version else set()
+        return there | (self.document().all_voters if self.memory.document or not there else set())
 
     def persist(self, *then: Send) -> None:
         self.out.append(Persist(msgspec.msgpack.encode(self.memory), then))
 
     # To be let in
 
-    def tick(self, now: int, known: Document) -> int:
+    def tick(self, now: int, known: RegisterDocument) -> int:
         """Ask while it may not vote yet. Returns when to be called again, in us."""
         if self.voting or not self.named(known):
             return now + ASK_US
@@ -88,7 +88,7 @@
         return self.asked_at + ASK_US
 
     def _named_by_answers(self) -> list[set[str]]:
-        return [doc.decode(k.document).everyone for k in self.answers.values() if k.document]
+        return [doc.decode(k.document).all_voters for k in self.answers.values() if k.document]
 
     def ask(self, sender: str, ask: Ask) -> None:
         """Another voter starts: what is said of its life is on disk before it is answered."""
@@ -104,7 +104,7 @@
     def _prune(self) -> None:
         """Lives of the voters stay; of others the latest, for a datagram has to hold them. One that was a
         voter long ago may be forgotten: no majority has counted on it since."""
-        lives, there = self.memory.lives, self.document().everyone
+        lives, there = self.memory.lives, self.document().all_voters
         for name in [n for n in lives if n not in there][: max(0, len(lives) - MOST_LIVES)]:
             del lives[name]
 
@@ -146,7 +146,7 @@
         """Whether a majority votes and none of it knows this member as a voter, nor a life of it: whoever was
         let in without being one was noted by a majority before its first vote."""
         voting = {s: k for s, k in self.answers.items() if k.voting}
-        named = self.initial.everyone.union(*self._named_by_answers())
+        named = self.initial.all_voters.union(*self._named_by_answers())
         return self.me not in named and self.majority_of_others(voting)
 
     def let_in(self, answers: dict[str, Known]) -> bool:
@@ -169,7 +169,7 @@
     def majority_of_others(self, answers: dict[str, Known]) -> bool:
         newest = max(answers.values(), key=lambda k: k.accepted, default=None)
         document = doc.decode(newest.document) if newest and newest.document else self.initial
-        return document.agrees(set(answers) - {self.me}) if len(document.everyone) > 1 else False
+        return document.agrees(set(answers) - {self.me}) if len(document.all_voters) > 1 else False
 
     # To vote
 
--- a/hopmill/fleet/watch.py
+++ b/hopmill/fleet/watch.py
@@ -12,7 +12,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from hopmill.fleet.wire import Sums
+from hopmill.fleet.wire import OutcomeTotals
 
 EACH_US = 1_000_000  # between two counts that are kept
 MOST_KEPT = 300
@@ -26,10 +26,10 @@
     """One member's counts over time. Times are us of its elapsed clock."""
 
     def __init__(self) -> None:
-        self.counts: Callable[[], Sums] = Sums
-        self.kept: deque[tuple[int, Sums]] = deque(maxlen=MOST_KEPT)
+        self.counts: Callable[[], OutcomeTotals] = OutcomeTotals
+        self.kept: deque[tuple[int, OutcomeTotals]] = deque(maxlen=MOST_KEPT)
         self.stage = ""
-        self.began: tuple[int, Sums] = 0, Sums()
+        self.began: tuple[int, OutcomeTotals] = 0, OutcomeTotals()
 
     def tick(self, now: int) -> None:
         if not self.kept or now - self.kept[-1][0] >= EACH_US:
@@ -40,7 +40,7 @@
         if ident != self.stage:
             self.stage, self.began = ident, (now, self.counts())
 
-    def told(self, now: int, watch_us: int) -> tuple[Sums, Sums]:
+    def told(self, now: int, watch_us: int) -> tuple[OutcomeTotals, OutcomeTotals]:
         """(before, after): over as long before the stage as it lasts, and since."""
         at, sums = self.began
         since = max(watch_us, now - at)
@@ -48,15 +48,15 @@
         return less(sums, earlier), less(self.counts(), sums)
 
 
-def less(a: Sums, b: Sums) -> Sums:
-    return Sums(*(max(0, x - y) for x, y in zip(_row(a), _row(b), strict=True)))
+def less(a: OutcomeTotals, b: OutcomeTotals) -> OutcomeTotals:
+    return OutcomeTotals(*(max(0, x - y) for x, y in zip(_row(a), _row(b), strict=True)))
 
 
-def _row(s: Sums) -> tuple[float, ...]:
+def _row(s: OutcomeTotals) -> tuple[float, ...]:
     return s.worth, s.earned, s.calls, s.refused, s.failed
 
 
-def shares(s: Sums) -> dict[str, tuple[float, float]]:
+def shares(s: OutcomeTotals) -> dict[str, tuple[float, float]]:
     """(good share, of how many) by figure: all of them are better when larger."""
     calls = max(1e-9, s.calls)
     return {
@@ -66,7 +66,11 @@
     }
 
 
-def worse(few: Iterable[tuple[Sums, Sums]], rest: Iterable[tuple[Sums, Sums]], looks: int) -> str:
+def worse(
+    few: Iterable[tuple[OutcomeTotals, OutcomeTotals]],
+    rest: Iterable[tuple[OutcomeTotals, OutcomeTotals]],
+    looks: int,
+) -> str:
     """What the few do worse beyond chance, "" if nothing. looks: how often it is asked in all."""
     few, rest = list(few), list(rest)
     if not few or not rest:
@@ -82,14 +86,14 @@
     return ""
 
 
-def _moved(group: list[tuple[Sums, Sums]], figure: str) -> tuple[float, float, float]:
+def _moved(group: list[tuple[OutcomeTotals, OutcomeTotals]], figure: str) -> tuple[float, float, float]:
     """(how far the group's share moved, its variance by chance alone, the smaller of the two counts)."""
     before, after = (shares(total(rows))[figure] for rows in zip(*group, strict=True))
     return after[0] - before[0], sum(_variance(p, n) for p, n in (before, after)), min(before[1], after[1])
 
 
-def total(rows: Iterable[Sums]) -> Sums:
-    return Sums(*(sum(column) for column in zip(*map(_row, rows), strict=True)))
+def total(rows: Iterable[OutcomeTotals]) -> OutcomeTotals:
+    return OutcomeTotals(*(sum(column) for column in zip(*map(_row, rows), strict=True)))
 
 
 def _variance(p: float, n: float) -> float:
@@ -98,7 +102,7 @@
     return p * (1 - p) / max(n, 1e-9)
 
 
-def _spread(group: list[tuple[Sums, Sums]], figure: str) -> float:
+def _spread(group: list[tuple[OutcomeTotals, OutcomeTotals]], figure: str) -> float:
     """How much more couriers differ than chance would have them, at least 1."""
     mean = _moved(group, figure)[0]
     squares = [
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -5,7 +5,7 @@
 import msgspec
 
 FORMAT = 1
-MOST_BYTES = 1200
+MAX_DATAGRAM_BYTES = 1200
 Ballot = tuple[int, str]  # round, then who proposes: all are different
 
 
@@ -162,7 +162,7 @@
     refused: str = ""
 
 
-class Sums(Part):
+class OutcomeTotals(Part):
     """What a courier has counted: worth of the messages that ended, and earned by them; calls that ended,
     refused as full, and failed otherwise."""
 
@@ -183,8 +183,8 @@
 class Counted(Part, tag="T"):
     stage: str
     version: int  # that the sender works under
-    before: Sums
-    after: Sums
+    before: OutcomeTotals
+    after: OutcomeTotals
 
 
 class WantText(Part, tag="t"):
@@ -253,7 +253,7 @@
 
 def read(data: bytes, fleet: str) -> tuple[Frame, Body, list[News]]:
     """Unreadable: the reason in a word."""
-    if len(data) > MOST_BYTES:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise Unreadable("long")
     try:
         frame = _frame.decode(data)
@@ -269,7 +269,7 @@
 def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, news: list[bytes]) -> bytes:
     """As much of the news as fits, the first first. ValueError if the body alone does not."""
     head = Frame(FORMAT, fleet, sender, incarnation, version, msgspec.Raw(encode(body)))
-    room = MOST_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
+    room = MAX_DATAGRAM_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
     if room < 0:
         raise ValueError("the body does not fit a datagram")
     taken = []
--- a/hopmill/lab/members.py
+++ b/hopmill/lab/members.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from hopmill.fleet.node import DropTexts, Node, Stored, Write, WriteText
+from hopmill.fleet.node import DeleteTexts, Node, Stored, Write, WriteText
 from hopmill.fleet.settings import Members, Other
 from hopmill.fleet.swim import DEAD
 from hopmill.lab.clock import Clock
@@ -176,15 +176,15 @@
             if isinstance(action, WriteText):
                 self.after(DISK_US, self._text_written, n, node, action)
                 continue
-            if isinstance(action, DropTexts):
+            if isinstance(action, DeleteTexts):
                 continue  # the same text is put there again when it is needed
             self.datagrams += 1
             self.bytes += len(action.data)
             to = self.places[action.address]
             if self.chance.random() >= self.plan.loss and self.passes(n, to):
                 self.after(self.chance.randrange(*DELAY_US), self._deliver, to, action.data)
-        for change in node.changed():
-            self.heard.append((self.now, node.s.id, change.id, change.state))
+        for change in node.take_member_changes():
+            self.heard.append((self.now, node.settings.id, change.id, change.state))
         self.look(n)
         self.timers[n] += 1
         self.after(max(100, due - self.now), self._tick, n, self.timers[n])
--- a/hopmill/lab/policy.py
+++ b/hopmill/lab/policy.py
@@ -38,7 +38,7 @@
     def _govern(self, n: int) -> Any:
         assert self.fleet is not None
         node = self.fleet.nodes[n]
-        return node.govern if node else None
+        return node.policy_member if node else None
 
     def started(self, n: int) -> None:
         self.holding[n] = True
@@ -52,17 +52,17 @@
 
     def look(self, n: int) -> None:
         govern = self._govern(n)
-        p, held = govern.register.document.policy, govern.texts.held
+        p, held = govern.register.document.policy, govern.texts.by_digest
         version, digest = p.version_for(govern.me), p.digest_for(govern.me)
-        if version != govern.standing.version and (not digest or digest in held):
+        if version != govern.lease.applied_version and (not digest or digest in held):
             courier = self.world.couriers[n]
             courier.tell(self.world.dialect.make("PolicySet", settings=courier.settings))
-            govern.standing.set_up_for(version)
+            govern.lease.set_applied_version(version)
             self.fleet.again(n)  # type: ignore[union-attr]
-        if p.change and p.change.id != govern.standing.ready and p.change.digest in held:
-            govern.standing.judged(p.change.id)
+        if p.change and p.change.id != govern.lease.ready_for and p.change.digest in held:
+            govern.lease.report_check(p.change.id)
             self.fleet.again(n)  # type: ignore[union-attr]
-        holds = govern.standing.held(self.world.clock.now) < 0
+        holds = govern.lease.valid_version(self.world.clock.now) < 0
         if holds is not self.holding[n]:
             self._hold(n, holds)
 
@@ -112,7 +112,9 @@
 
     def figures(self) -> dict[str, Any]:
         """Times in ms; a pause is one courier's."""
-        versions = [govern.standing.version for n in range(len(self.holding)) if (govern := self._govern(n))]
+        versions = [
+            govern.lease.applied_version for n in range(len(self.holding)) if (govern := self._govern(n))
+        ]
         return {
             "proposed": self.proposed,
             "version": max(versions, default=0),
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -14,7 +14,7 @@
 from hopmill import logs, overlay
 from hopmill.document import Document
 from hopmill.fields import ConfigError
-from hopmill.fleet.wire import Sums
+from hopmill.fleet.wire import OutcomeTotals
 from hopmill.net.clients import Reply
 from hopmill.net.put import Put
 from hopmill.net.intake import refusal
@@ -52,11 +52,11 @@
         """To be asked as near to the act as can be."""
         if not self.governed:
             return True
-        govern = self.peers and self.peers.node.govern
+        govern = self.peers and self.peers.node.policy_member
         return (
             bool(govern)
-            and self.applied == govern.standing.version
-            and govern.standing.held(elapsed_us()) >= 0
+            and self.applied == govern.lease.applied_version
+            and govern.lease.valid_version(elapsed_us()) >= 0
         )
 
     def wait(self, put: Put, reply: Reply) -> None:
@@ -113,29 +113,29 @@
         self.peers = peers
         if self.governed:
             peers.look = self.look
-            govern = peers.node.govern
+            govern = peers.node.policy_member
             assert govern is not None
-            govern.watch.counts = lambda: Sums(*self.host.observer.sums)
+            govern.watch.counts = lambda: OutcomeTotals(*self.host.observer.sums)
             self.host.observer.counting = True
             self.look()
 
     def look(self) -> None:
         """Something may have changed: the version in force, a change to check, the lease."""
-        govern = self.peers and self.peers.node.govern
+        govern = self.peers and self.peers.node.policy_member
         if not govern:
             return
-        p, held, me = govern.register.document.policy, govern.texts.held, govern.me
+        p, held, me = govern.register.document.policy, govern.texts.by_digest, govern.me
         change, version, digest = p.change, p.version_for(me), p.digest_for(me)
         if version != self.applied and (not digest or digest in held):
             self._take(version, held.get(digest, NOTHING))
             if self.applied == version:
-                govern.standing.set_up_for(version)
+                govern.lease.set_applied_version(version)
                 self.peers._pump()
                 return
-        if change and change.id != govern.standing.ready and (not change.digest or change.digest in held):
+        if change and change.id != govern.lease.ready_for and (not change.digest or change.digest in held):
             why = self.against(held.get(change.digest, NOTHING))
             log.info("fleet.policy_checked", change=change.id, by=change.by, why=why or None)
-            govern.standing.judged(change.id, why)
+            govern.lease.report_check(change.id, why)
             self.peers._pump()
             return
         self._hold(not self.may_act())
--- a/hopmill/net/peers.py
+++ b/hopmill/net/peers.py
@@ -18,8 +18,8 @@
 
 from hopmill import logs
 from hopmill.fleet import wire
-from hopmill.fleet.document import Document
-from hopmill.fleet.node import DropTexts, Node, Stored, Write, WriteText
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.node import DeleteTexts, Node, Stored, Write, WriteText
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.settings import Members, warnings
 
@@ -219,7 +219,7 @@
         now, stirred = elapsed_us(), False
         for _ in range(AT_ONCE):
             try:
-                data = self.sock.recv(wire.MOST_BYTES + 1)
+                data = self.sock.recv(wire.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:  # an earlier datagram found nobody: that is what members find out by themselves
@@ -269,7 +269,7 @@
                         else None
                     )
                 )
-            elif isinstance(action, DropTexts):
+            elif isinstance(action, DeleteTexts):
                 self.writer.submit(self.storage.drop_texts, action.digests)
             else:
                 self._send(action.address, action.data)
@@ -316,7 +316,7 @@
     # Logs
 
     def _tell(self, now: int) -> None:
-        for c in self.node.changed():
+        for c in self.node.take_member_changes():
             log.info(
                 "fleet.changed", member=c.id, state=c.state, was=c.was, incarnation=c.incarnation, why=c.why
             )
@@ -325,7 +325,7 @@
             self.version = document.version
             log.info("fleet.document", version=document.version, voters=",".join(document.voters))
         for name in self.s.leases:
-            fence = self.node.held(name, now)
+            fence = self.node.fencing_token(name, now)
             if fence != self.leases.get(name, 0):
                 self.leases[name] = fence
                 log.info("fleet.lease", lease=name, held=bool(fence), fence=fence or None)
@@ -337,7 +337,9 @@
         return self.node.status(elapsed_us()) | {"disk": "failing" if self.failing else "well"}
 
     def propose(
-        self, change: Callable[[str, Document], Document | None], then: Callable[[Outcome], None]
+        self,
+        change: Callable[[str, RegisterDocument], RegisterDocument | None],
+        then: Callable[[Outcome], None],
     ) -> str:
         ticket = self.node.propose(change, elapsed_us(), then)
         self._pump()
@@ -345,20 +347,20 @@
 
     def govern(self, act: Callable[[Any, int], Any]) -> None:
         """Do this with the member's part in the fleet's policy, and carry out what comes of it."""
-        act(self.node.govern, elapsed_us())
+        act(self.node.policy_member, elapsed_us())
         self._pump()
 
     def held(self, lease: str) -> tuple[int, int]:
         """(the fencing number to act under, 0 if this courier may not act; when that was, in us elapsed)."""
         now = elapsed_us()
-        return self.node.held(lease, now), now
+        return self.node.fencing_token(lease, now), now
 
     # Ends
 
     def leave(self) -> None:
         """A planned restart: the others need not find out by themselves."""
         if self.open and self.node.started:
-            for keeper in self.node.register.keepers.values():
+            for keeper in self.node.register.lease_holders.values():
                 keeper.wanted = False  # handed on at once
             self.node.swim.leave()
             self._pump()
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/staff_fleet.py
@@ -35,8 +35,8 @@
             if outcome.document is not None:
                 told.update(
                     version=outcome.document.version,
-                    made=outcome.made,
-                    words=outcome.document.words,
+                    made=outcome.made_version,
+                    words=outcome.document.entries,
                     voters=list(outcome.document.voters),
                 )
 
@@ -71,7 +71,7 @@
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import replace_voter
 
-        if not peers.node.swim.alive(new):
+        if not peers.node.swim.is_alive(new):
             return 409, {"error": f"{new} is no member that is alive"}
         return self._begin(replace_voter(old, new))
 
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -40,7 +40,7 @@
 
     def _govern(self) -> Any:
         peers = self.peers()
-        return peers.node.govern if peers else None
+        return peers.node.policy_member if peers else None
 
     def status(self) -> Answer:
         if self._govern() is None:
@@ -136,13 +136,13 @@
             return 200, told | {
                 "state": "under way",
                 "step": "closing" if p.change.closing else "prepared",
-                "waits": govern.conductor.waits(),
+                "waits": govern.coordinator.waiting_for(),
             }
         if p.stage and p.stage.id == ident:
             return 200, told | {
                 "state": "under way",
                 "step": "staged",
-                "watched": sorted(govern.conductor.counts),
+                "watched": sorted(govern.coordinator.totals),
             }
         if self.begun.get(ident):
             return 200, told | {"state": "in force nowhere", "why": self.begun[ident]}
@@ -156,7 +156,7 @@
 
     def strike(self, member: str, off: bool = True) -> Answer:
         """Staff's word that this courier does not run."""
-        return self._step(lambda govern, now: govern.strike(member, off, now, lambda outcome: None))
+        return self._step(lambda govern, now: govern.cancel_member(member, off, now, lambda outcome: None))
 
     def withdraw(self, ident: str) -> Answer:
         return self._step(lambda govern, now: govern.withdraw(ident, now))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,8 +12,8 @@
 from hopmill.explorer import known
 from hopmill.explorer import world as explore
 from hopmill.fleet import wire
-from hopmill.fleet.document import Document, Lease
-from hopmill.fleet.lease import Keeper
+from hopmill.fleet.document import RegisterDocument, Lease
+from hopmill.fleet.lease import LeaseHolder
 from hopmill.explorer.mutants import PLANTED, planted
 from hopmill.fleet.node import Node, Stored, Write
 from hopmill.fleet.proposer import Outcome
@@ -140,14 +140,14 @@
     node = started()
     node.datagram(data, 10)
     node.tick(20)
-    assert all(len(a.data) <= wire.MOST_BYTES for a in node.take(20) if not isinstance(a, Write))
+    assert all(len(a.data) <= wire.MAX_DATAGRAM_BYTES for a in node.take(20) if not isinstance(a, Write))
 
 
 def test_the_largest_document_and_most_lives_fit_a_datagram():
     names = [f"{n}" * 20 for n in range(9)]
     text = "x" * 500
     while True:
-        document = Document(1 << 40, tuple(names[:5]), tuple(names[1:6]), {"w": text})
+        document = RegisterDocument(1 << 40, tuple(names[:5]), tuple(names[1:6]), {"w": text})
         try:
             data = doc.encode(document)
         except doc.TooLarge:
@@ -160,7 +160,10 @@
         wire.Known(1 << 40, True, 1 << 40, ballot, ballot, data, lives),
         wire.Accept(ballot, data, tuple((n, 1 << 40) for n in names[:6])),
     ):
-        assert len(wire.write("f" * 20, names[0], 1 << 47, 1 << 40, body, [b"x" * 300])) <= wire.MOST_BYTES
+        assert (
+            len(wire.write("f" * 20, names[0], 1 << 47, 1 << 40, body, [b"x" * 300]))
+            <= wire.MAX_DATAGRAM_BYTES
+        )
 
 
 # Who is there
@@ -269,7 +272,7 @@
         others = tuple(o for o in fleet.configs[n].others if o.id != new.id)
         fleet.configs[n] = msgspec.structs.replace(fleet.configs[n], others=others, voters=("c0",))
     fleet.run(4_000_000)
-    assert all(n.swim.alive("c4") for n in fleet.nodes) and all(
+    assert all(n.swim.is_alive("c4") for n in fleet.nodes) and all(
         p.state == ALIVE for p in fleet.nodes[4].swim.peers.values()
     )
     fleet.nodes[4].swim.leave()
@@ -329,7 +332,9 @@
         for n in range(5):
             outcomes(fleet, rows, n, say(f"w{n}", str(turn)))
     fleet.run(30_000_000)
-    assert [r.state for r in rows] == ["done"] * 100 and sorted(r.made for r in rows) == list(range(1, 101))
+    assert [r.state for r in rows] == ["done"] * 100 and sorted(r.made_version for r in rows) == list(
+        range(1, 101)
+    )
 
 
 @pytest.mark.parametrize("folders", ["kept", "one emptied"])
@@ -349,7 +354,7 @@
     # Two that remember are a majority; the third comes back by them alone, which takes both to vote.
     outcomes(fleet, rows, 2, lambda ticket, document: None)
     fleet.run(fleet.now + 5_000_000)
-    assert rows[1].document.words == {"w": "kept"}
+    assert rows[1].document.entries == {"w": "kept"}
     assert [n.register.voter.voting for n in fleet.nodes] == [True] * 3
 
 
@@ -420,23 +425,25 @@
     ("pause_us", "holds"), [(100_000, True), (980_000, True), (995_000, False), (9_000_000, False)]
 )
 def test_a_lease_is_checked_by_elapsed_time_where_it_is_used(pause_us, holds):
-    keeper = Keeper("duty", "a#1", 1_000_000, 0.01)
-    ticket, change = keeper.tick(0, Document(0, ("a",)))
-    taken = change(Document(0, ("a",)))
+    keeper = LeaseHolder("duty", "a#1", 1_000_000, 0.01)
+    ticket, change = keeper.tick(0, RegisterDocument(0, ("a",)))
+    taken = change(RegisterDocument(0, ("a",)))
     keeper.ended(Outcome(ticket, "done", taken), 50_000)
-    assert bool(keeper.held(pause_us)) is holds  # counted from before it asked, and short by the drift
+    assert (
+        bool(keeper.fencing_token(pause_us)) is holds
+    )  # counted from before it asked, and short by the drift
 
 
 @pytest.mark.parametrize(("waited_us", "takes"), [(990_000, False), (1_000_000, False), (1_010_002, True)])
 def test_a_lease_is_taken_over_only_after_its_whole_time_and_drift(waited_us, takes):
-    keeper = Keeper("duty", "b#1", 1_000_000, 0.01)
-    held = Document(3, ("a",), leases={"duty": Lease("a#1", 4, 2, 1_000_000)})
+    keeper = LeaseHolder("duty", "b#1", 1_000_000, 0.01)
+    held = RegisterDocument(3, ("a",), leases={"duty": Lease("a#1", 4, 2, 1_000_000)})
     assert keeper.tick(500, held) is None
     asked = keeper.tick(500 + waited_us, held)
     assert (asked is not None) is takes
     if asked:
         assert asked[1](held).leases["duty"] == Lease("b#1", 5, 0, 1_000_000)
-        renewed = Document(4, ("a",), leases={"duty": Lease("a#1", 4, 3, 1_000_000)})
+        renewed = RegisterDocument(4, ("a",), leases={"duty": Lease("a#1", 4, 3, 1_000_000)})
         assert asked[1](renewed) is None  # it waited for another renewal
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -30,12 +30,12 @@
 from hopmill.fleet import policy as steps
 from hopmill.fleet import texts, watch, wire
 from hopmill.fleet.actions import Send
-from hopmill.fleet.node import DropTexts, WriteText
-from hopmill.fleet.policy import BACK, STAGE, Change, Ended, Few, Policy, Stage
+from hopmill.fleet.node import DeleteTexts, WriteText
+from hopmill.fleet.policy import BACK, STAGE, Change, Ended, CanaryGroup, Policy, Stage
 from hopmill.fleet.proposer import Proposer
 from hopmill.fleet.register import replace_voter
 from hopmill.fleet.settings import PolicyRule
-from hopmill.fleet.wire import Piece, Sums, WantText
+from hopmill.fleet.wire import Piece, OutcomeTotals, WantText
 from hopmill.interface import Hold, MessageArrived, PolicySet, Refuse
 from hopmill.interface import Send as SendMessage
 from hopmill.lab.members import Fleet, Plan
@@ -112,12 +112,12 @@
     fleet = Fleet(Plan(3, settings={"policy": PolicyRule(alone="hold")}))
     fleet.run(1_000_000)
     node = fleet.nodes[0]
-    govern = node.govern
+    govern = node.policy_member
     digest = govern.texts.add(b"again")
     govern.dropped.add(digest)
     govern.texts.write(digest)
-    deeds = [a for a in node.take(fleet.now) if isinstance(a, (DropTexts, WriteText))]
-    assert [type(a) for a in deeds] == [DropTexts, WriteText]
+    deeds = [a for a in node.take(fleet.now) if isinstance(a, (DeleteTexts, WriteText))]
+    assert [type(a) for a in deeds] == [DeleteTexts, WriteText]
 
 
 # The steps
@@ -127,16 +127,16 @@
 
 @given(st.lists(st.tuples(KINDS, st.integers(0, 3), st.integers(0, 4)), max_size=40))
 def test_no_step_is_taken_on_an_older_epoch_and_versions_never_go_back(rows):
-    d, seen = doc.Document(0, ("a", "b", "c")), {}
+    d, seen = doc.RegisterDocument(0, ("a", "b", "c")), {}
     for n, (kind, ident, ago) in enumerate(rows):
         p = d.policy
         epoch = p.epoch - ago
-        few = Few(0.5, 1, 10)
+        few = CanaryGroup(0.5, 1, 10)
         change = Change(f"x{ident}", b"d%d" % ident, "a", False, *((STAGE, few) if kind == "few" else ()))
         if kind in ("prepare", "few"):
             step = steps.prepare(change, p.version)
         elif kind == "strike":
-            step = steps.strike(f"m{ident}", ident % 2 == 0)
+            step = steps.cancel_member(f"m{ident}", ident % 2 == 0)
         else:
             step = getattr(steps, kind)(epoch, *(["why"] if kind in ("end", "go_back") else []))
         try:
@@ -158,7 +158,7 @@
 
 def test_the_largest_document_and_what_goes_with_it_fit_a_datagram():
     voters = tuple(f"{n}" + "v" * 19 for n in range(5))
-    few, d16 = Few(0.3333333, 255, 86_400_000), b"\xff" * 16
+    few, d16 = CanaryGroup(0.3333333, 255, 86_400_000), b"\xff" * 16
     policy = Policy(
         1 << 40,
         1 << 40,
@@ -168,7 +168,7 @@
         (),
         Stage("i" * 16, d16, 1 << 40, few, "b" * 20),
     )
-    document = doc.Document(1 << 40, voters, (), {}, {}, (doc.ticket_of("t"),) * doc.RECENT, policy)
+    document = doc.RegisterDocument(1 << 40, voters, (), {}, {}, (doc.ticket_of("t"),) * doc.RECENT, policy)
     data = doc.encode(document)
     basis = tuple((v, 1 << 41) for v in voters)
     assert len(data) <= doc.MOST_BYTES
@@ -190,7 +190,7 @@
     digest = giver.add(text)
     taker.want(digest, ["giver"])
     for round_ in range(2000):
-        if digest in taker.held:
+        if digest in taker.by_digest:
             break
         taker.tick(round_ * texts.AGAIN_US)
         asked, taker.out = taker.out, []
@@ -201,16 +201,16 @@
         for send in given_ + chance.sample(given_, len(given_) // 3):
             if chance.random() >= loss:
                 taker.piece("giver", send.body, round_ * texts.AGAIN_US)
-    assert taker.held == {digest: text} and not taker.fetched
+    assert taker.by_digest == {digest: text} and not taker.fetched
 
 
 def test_what_does_not_fit_its_digest_is_not_taken_and_too_long_is_refused():
     store = texts.Texts({b"x" * 16: b"another text"})
-    assert not store.held and not store.on_disk
+    assert not store.by_digest and not store.on_disk
     store.want(b"y" * 16, ["a"])
     store.piece("a", Piece(b"y" * 16, 0, 3, b"abc"), 0)
     store.piece("a", Piece(b"z" * 16, 0, 3, b"abc"), 0)  # not asked for
-    assert not store.held
+    assert not store.by_digest
     with pytest.raises(ValueError, match="would take"):
         store.add(b"x" * (texts.MOST_BYTES + 1))
     store.wanted("a", WantText(b"y" * 16, 1 << 60))
@@ -310,25 +310,25 @@
         self.fleet.after(10_000, self.poll)
 
     def act(self, n):
-        govern = self.fleet.nodes[n].govern
-        p, version = govern.register.document.policy, govern.standing.held(self.fleet.now)
+        govern = self.fleet.nodes[n].policy_member
+        p, version = govern.register.document.policy, govern.lease.valid_version(self.fleet.now)
         if version >= 0:
-            self.judge.acted(govern.me, version, govern.texts.held.get(p.digest_for(govern.me), b""))
+            self.judge.acted(govern.me, version, govern.texts.by_digest.get(p.digest_for(govern.me), b""))
 
     def look(self, n):
-        govern = self.fleet.nodes[n].govern
-        p, held = govern.register.document.policy, govern.texts.held
-        if p.version != govern.standing.version and (not p.digest or p.digest in held):
-            govern.standing.set_up_for(p.version)
+        govern = self.fleet.nodes[n].policy_member
+        p, held = govern.register.document.policy, govern.texts.by_digest
+        if p.version != govern.lease.applied_version and (not p.digest or p.digest in held):
+            govern.lease.set_applied_version(p.version)
             self.fleet.again(n)
-        if p.change and p.change.id != govern.standing.ready and p.change.digest in held:
-            govern.standing.judged(p.change.id, "no room" if n in self.unfit else "")
+        if p.change and p.change.id != govern.lease.ready_for and p.change.digest in held:
+            govern.lease.report_check(p.change.id, "no room" if n in self.unfit else "")
             self.fleet.again(n)
         self.act(n)
 
     def propose(self, n, ident=""):
         self.count += 1
-        govern = self.fleet.nodes[n].govern
+        govern = self.fleet.nodes[n].policy_member
         govern.propose(
             ident or f"x{self.count}",
             b"text %d" % self.count,
@@ -350,7 +350,7 @@
                 self.fleet.start(n)
         self.run(10.0)
         nodes = self.fleet.nodes
-        assert all(node.govern.standing.held(self.fleet.now) >= 0 for node in nodes)
+        assert all(node.policy_member.lease.valid_version(self.fleet.now) >= 0 for node in nodes)
         assert len({node.register.document.policy for node in nodes}) == 1
         assert nodes[0].register.document.policy.change is None
         return nodes[0].register.document.policy.version
@@ -444,12 +444,14 @@
     f.fleet.kill(4)
     f.propose(0)
     f.run(9.0)
-    assert f.judge.version == 0 and f.fleet.nodes[0].govern.standing.held(f.fleet.now) == 0  # work goes on
-    f.fleet.nodes[0].govern.strike("c4", True, f.fleet.now, lambda outcome: None)
+    assert (
+        f.judge.version == 0 and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
+    )  # work goes on
+    f.fleet.nodes[0].policy_member.cancel_member("c4", True, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     f.run(4.0)
     assert f.judge.version == 1
-    f.fleet.nodes[0].govern.strike("c4", False, f.fleet.now, lambda outcome: None)
+    f.fleet.nodes[0].policy_member.cancel_member("c4", False, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     return 1
 
@@ -483,7 +485,7 @@
 
 
 def sums(worth, earned, calls=0.0, refused=0.0, failed=0.0):
-    return Sums(worth, earned, calls, refused, failed)
+    return OutcomeTotals(worth, earned, calls, refused, failed)
 
 
 GOOD, WORSE = (sums(1000, 980), sums(1000, 975)), (sums(1000, 980), sums(1000, 800))
