--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -42,13 +42,13 @@
         if self.contents.setdefault(d.version, content) != content:
             raise Violation(f"version {d.version} is two documents")
         op.ended, op.version = now, d.version
-        if outcome.state == "done" and d.recent.count(op.ticket) != 1:
-            raise Violation(f"{op.ticket} was done {d.recent.count(op.ticket)} times")
+        if outcome.state == "done" and d.recent_proposals.count(op.ticket) != 1:
+            raise Violation(f"{op.ticket} was done {d.recent_proposals.count(op.ticket)} times")
         for other in self.ops.values():
             if other.ended >= 0 and other.ended < op.began and other.version > d.version:
                 raise Violation(f"{op.ticket} saw version {d.version}, after {other.version} was told")
-            close = other.made and 0 <= d.version - other.made < doc.RECENT
-            if close and other.ticket not in d.recent:
+            close = other.made and 0 <= d.version - other.made < doc.MAX_RECENT_PROPOSALS
+            if close and other.ticket not in d.recent_proposals:
                 raise Violation(f"{other.ticket} was done and is gone in version {d.version}")
         if outcome.state == "done":
             op.made = outcome.made_version
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -13,7 +13,7 @@
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.register import Register, replace_voter, say
 from hopmill.fleet.voter import Memory
-from hopmill.fleet.wire import Accept, Chosen, Prepare, Promise
+from hopmill.fleet.wire import Accept, ChosenDocument, Prepare, Promise
 
 MOST = 200  # things that a part of a play may take
 
@@ -37,7 +37,9 @@
         for name in names:
             world._tick(world.members[name])
             for other in names:
-                world.members[other].register.newer(name, world.members[name].register.document.version)
+                world.members[other].register.note_version(
+                    name, world.members[name].register.document.version
+                )
         _only(world, (object,), lambda a, b: a in names and b in names)
         world.now += wait_us
 
@@ -61,7 +63,7 @@
         if (
             held
             and held[0].id == world.ids[0]
-            and not any(m.register.proposer.jobs for m in world.members.values())
+            and not any(m.register.proposer.pending for m in world.members.values())
         ):
             world.net.clear()
             return held[0], world.members[world.ids[1]], world.ids[1:]
@@ -73,8 +75,8 @@
     """These hear that it was chosen."""
     for name in names:
         m = world.members[name]
-        m.register.receive(name, Chosen(doc.encode(document)), m.clock(world.now))
-        m.register.lease_holders[LEASE].look(m.clock(world.now), document)
+        m.register.receive(name, ChosenDocument(doc.encode(document)), m.clock(world.now))
+        m.register.lease_holders[LEASE].observe(m.clock(world.now), document)
 
 
 def _rate(world: World, m: Member, rate: float) -> None:
--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -5,10 +5,10 @@
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import RegisterDocument, Lease
 from hopmill.fleet.lease import LeaseHolder
-from hopmill.fleet.proposer import Proposer, Try
+from hopmill.fleet.proposer import Proposer, BallotAttempt
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Voter
-from hopmill.fleet.wire import Ballot, Known
+from hopmill.fleet.wire import Ballot, RecoveryReply
 
 
 class PromisesAnything(Voter):
@@ -23,48 +23,48 @@
 
 class AnswersBeforeTheDisk(Voter):
     def persist(self, *then: Send) -> None:
-        self.out += then
+        self.outbox += then
         super().persist()
 
 
 class TrustsACopy(Voter):
-    def trusts(self, same_folder: bool) -> bool:
+    def trusts_folder(self, same_folder: bool) -> bool:
         return True
 
 
 class LetInByAnyone(Voter):
-    def majority_of_others(self, answers: dict[str, Known]) -> bool:
+    def majority_of_others(self, answers: dict[str, RecoveryReply]) -> bool:
         return bool(answers)
 
 
 class VotesAtOnce(Voter):
-    def let_in(self, answers: dict[str, Known]) -> bool:
+    def is_readmitted(self, answers: dict[str, RecoveryReply]) -> bool:
         return True
 
 
 class OldPromisesStand(Voter):
-    def stands(self, basis: tuple[tuple[str, int], ...]) -> bool:
+    def is_basis_valid(self, basis: tuple[tuple[str, int], ...]) -> bool:
         return True
 
 
 class OneVoteIsEnough(Proposer):
-    def enough(self, at: Try) -> bool:
-        return bool(at.accepted)
+    def is_accepted(self, attempt: BallotAttempt) -> bool:
+        return bool(attempt.accepted_by)
 
 
 class AnyValueWillDo(Proposer):
-    def newest(self, at: Try) -> RegisterDocument:
-        return self._read(min(at.promises.values(), key=lambda p: p.accepted))
+    def newest_document(self, attempt: BallotAttempt) -> RegisterDocument:
+        return self._document_of(min(attempt.promises.values(), key=lambda p: p.accepted))
 
 
 class OnlyTheNewVoters(Proposer):
-    def enough(self, at: Try) -> bool:
-        assert at.next is not None
-        return 2 * len(at.accepted & set(at.next.voters)) > len(at.next.voters)
+    def is_accepted(self, attempt: BallotAttempt) -> bool:
+        assert attempt.next is not None
+        return 2 * len(attempt.accepted_by & set(attempt.next.voters)) > len(attempt.next.voters)
 
 
 class ForgetsItsTicket(Proposer):
-    def own(self, ticket: str, base: RegisterDocument) -> bool:
+    def is_already_done(self, ticket: str, base: RegisterDocument) -> bool:
         return False
 
 
@@ -74,28 +74,28 @@
 
 
 class WaitsNoLonger(LeaseHolder):
-    def waits_us(self) -> int:
-        return int(self.seen.length_us * (1 - self.drift))
+    def takeover_wait_us(self) -> int:
+        return int(self.last_seen.length_us * (1 - self.drift))
 
 
 class SameFence(LeaseHolder):
-    def next_fence(self, seen: Lease) -> int:
-        return max(1, seen.fence)
+    def next_fencing_token(self, seen: Lease) -> int:
+        return max(1, seen.fencing_token)
 
 
 class TakesBlindly(LeaseHolder):
-    def unchanged(self) -> bool:
+    def requires_unchanged(self) -> bool:
         return False
 
 
 class ActsAfterGiving(LeaseHolder):
-    def lets_go(self) -> None:
+    def release(self) -> None:
         pass
 
 
 class KeepsForEver(LeaseHolder):
     def fencing_token(self, now: int) -> int:
-        return self.fence
+        return self.token
 
 
 PLANTED = {
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -14,7 +14,7 @@
 
 from hopmill.explorer.checker import Checker, Violation
 from hopmill.explorer.world import DRIFT, LEASE_US, Found, Member, World
-from hopmill.fleet.govern import KINDS, PolicyMember
+from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
@@ -62,7 +62,7 @@
     govern: PolicyMember | None = None
 
     def receive(self, sender: str, body: Body, now: int) -> None:
-        if not isinstance(body, KINDS):
+        if not isinstance(body, POLICY_BODIES):
             super().receive(sender, body, now)
         elif self.govern:
             self.govern.receive(sender, body, now)
@@ -179,17 +179,17 @@
     def _written(self, m: Member, count: int) -> None:
         if m.id == self.stalled:
             return
-        if self.founded and (self._govern(m).texts.writes or self._govern(m).dropped):
+        if self.founded and (self._govern(m).texts.writes or self._govern(m).deletable_texts):
             store = self._govern(m).texts
-            for digest in self._govern(m).dropped:  # in the order in which a node has them done
+            for digest in self._govern(m).deletable_texts:  # in the order in which a node has them done
                 self.disks[m.id].pop(digest, None)
-            self._govern(m).dropped = set()
+            self._govern(m).deletable_texts = set()
             for digest, text in store.writes:
                 self.disks[m.id][digest] = text
                 store.written(digest, True)
             if store.writes:
                 store.writes = []
-                m.register.texts_came(m.clock(self.now))
+                m.register.on_texts_stored(m.clock(self.now))
         super()._written(m, count)
 
     def _lose_folder(self, m: Member) -> None:
@@ -201,10 +201,14 @@
         folder is whole again once it has its texts, too."""
         every = list(self.members.values())
         there = set[str]().union(
-            *(x.register.document.all_voters | self._govern(x).grantor.voted().all_voters for x in every)
+            *(
+                x.register.document.all_voters | self._govern(x).grantor.accepted_document().all_voters
+                for x in every
+            )
         )
         return super()._all_well(m) and all(
-            x.register.voter.voting and self._govern(x).grantor.voted().policy.texts <= set(self.disks[x.id])
+            x.register.voter.is_voting
+            and self._govern(x).grantor.accepted_document().policy.texts <= set(self.disks[x.id])
             for x in every
             if x.id in there
         )
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -12,26 +12,28 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import close, reopen
-from hopmill.fleet.register import replace_voter, settle_voters
+from hopmill.fleet.register import replace_voter, finish_voter_change
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import (
     Accept,
     Accepted,
-    Ask,
+    RecoveryRequest,
     Body,
-    Chosen,
-    Clear,
-    Given,
-    Hold,
-    IsClear,
-    Known,
+    ChosenDocument,
+    DrainReply,
+    LeaseGrant,
+    LeaseRequest,
+    DrainQuery,
+    RecoveryReply,
     Prepare,
     Promise,
-    Stopped,
+    WorkStopped,
 )
 
 STEPS: tuple[type, ...] = (Body,) if isinstance(Body, type) else tuple(Body.__args__)
-UNLED = tuple(kind for kind in STEPS if kind not in (IsClear, Clear))  # no change goes beyond prepared
+UNLED = tuple(
+    kind for kind in STEPS if kind not in (DrainQuery, DrainReply)
+)  # no change goes beyond prepared
 
 
 def _all(world: PolicyWorld, rounds: int = 6) -> None:
@@ -50,7 +52,7 @@
         for m in world.members.values():
             world._tick(m)
             for other in world.members.values():
-                other.register.newer(m.id, m.register.document.version)
+                other.register.note_version(m.id, m.register.document.version)
         _only(world, UNLED)
         world.now += 10_000
         if all(
@@ -66,11 +68,13 @@
 def _renew(world: PolicyWorld, names: list[str], givers: list[str] | None = None) -> None:
     """These ask for a lease anew, and get it from all or from some."""
     for name in names:
-        for asked in world._govern(world.members[name]).lease.asked.values():
-            asked.next_at = 0
+        for asked in world._govern(world.members[name]).lease.requests.values():
+            asked.next_send_at = 0
         world._tick(world.members[name])
     there = world.ids if givers is None else givers
-    _only(world, (Hold, Given), lambda a, b: a in names and b in there or a in there and b in names)
+    _only(
+        world, (LeaseRequest, LeaseGrant), lambda a, b: a in names and b in there or a in there and b in names
+    )
 
 
 def _restart(world: PolicyWorld, names: list[str]) -> None:
@@ -79,7 +83,7 @@
         m = world.members[name]
         m.writes.clear()
         world._again(m, msgspec.msgpack.decode(m.disk, type=Memory), True)
-    _only(world, (Ask, Known))
+    _only(world, (RecoveryRequest, RecoveryReply))
     first = world.members[names[0]]
     first.register.proposer.round = 50
     first.register.propose(lambda ticket, document: None, first.clock(world.now))
@@ -121,7 +125,7 @@
     m1.writes.clear()
     world.stalled = ""
     _restart(world, ["m1"])
-    m1.register.receive("m3", Chosen(doc.encode(m3.register.document)), m1.clock(world.now))
+    m1.register.receive("m3", ChosenDocument(doc.encode(m3.register.document)), m1.clock(world.now))
     _renew(world, ["m3"], ["m1"])
     _among(world, ["m0", "m2"], 8, 500)
     _act(world)
@@ -145,7 +149,7 @@
 def _commits(world: PolicyWorld) -> bool:
     """Whether whoever leads has begun to put the change in force."""
     return any(
-        world._govern(m).coordinator.proposing
+        world._govern(m).coordinator.is_proposing
         and m.register.document.policy.change
         and m.register.document.policy.change.closing
         for m in world.members.values()
@@ -187,17 +191,17 @@
     _prepared(world)
     world.now += 5_000
     m2 = world.members["m2"]
-    for asked in world._govern(m2).lease.asked.values():
-        asked.next_at = 0
+    for asked in world._govern(m2).lease.requests.values():
+        asked.next_send_at = 0
     world._tick(m2)
-    _only(world, (Hold,))
-    late = [row for row in world.net if isinstance(row[2], Given)]
+    _only(world, (LeaseRequest,))
+    late = [row for row in world.net if isinstance(row[2], LeaseGrant)]
     world.net.clear()
     world.now += int(0.86 * LEASE_US)
     if again:
         world._tick(m2)  # nobody hears it
     world.net[:] = late
-    _only(world, (Given,), lambda a, b: b == "m2")
+    _only(world, (LeaseGrant,), lambda a, b: b == "m2")
     world.net.clear()
     world.now += int(0.3 * LEASE_US)
     _among(world, ["m0", "m1"], 12, 3_000)
@@ -211,7 +215,7 @@
     there = ["m0", "m2", "m3"]
     _among(world, there, 20, 40_000)
     for _ in range(6):
-        world._change(world.members["m0"], settle_voters)
+        world._change(world.members["m0"], finish_voter_change)
         _among(world, there, 4, 40_000)
     world.now += 3 * LEASE_US
     _renew(world, ["m1"], ["m0", "m1"])
@@ -268,10 +272,16 @@
         m0.register.proposer.round = 60
         m0.register.propose(reopen(m0.register.document.policy.epoch), m0.clock(world.now))
         world._emit(m0)
-        _only(world, (Prepare, Promise, Accept, Accepted, Chosen, Stopped), lambda a, b: "m2" not in (a, b))
+        _only(
+            world,
+            (Prepare, Promise, Accept, Accepted, ChosenDocument, WorkStopped),
+            lambda a, b: "m2" not in (a, b),
+        )
         for name in ("m1", "m3"):
             other = world.members[name]
-            other.register.receive("m0", Chosen(doc.encode(m0.register.document)), other.clock(world.now))
+            other.register.receive(
+                "m0", ChosenDocument(doc.encode(m0.register.document)), other.clock(world.now)
+            )
         world.net[:] = late
 
 
@@ -284,9 +294,9 @@
         world._emit(m0)
         _only(world, (Prepare, Promise, Accept, Accepted))
         for m in world.members.values():
-            m.register.receive("m0", Chosen(doc.encode(m0.register.document)), m.clock(world.now))
+            m.register.receive("m0", ChosenDocument(doc.encode(m0.register.document)), m.clock(world.now))
             world._tick(m)
-        _only(world, (Stopped,))
+        _only(world, (WorkStopped,))
         world.net.clear()
     _renew(world, world.ids)
     world.net.clear()
--- a/hopmill/explorer/policy_mutants.py
+++ b/hopmill/explorer/policy_mutants.py
@@ -10,32 +10,32 @@
 from hopmill.fleet.giver import LeaseGrantor
 from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import Policy, Step, commit
-from hopmill.fleet.standing import FOREVER, Asked, PolicyLease
-from hopmill.fleet.wire import Clear, Given, Hold
+from hopmill.fleet.standing import NO_EXPIRY_US, GrantRequest, PolicyLease
+from hopmill.fleet.wire import DrainReply, LeaseGrant, LeaseRequest
 
 
 class GivesBeforeItIsChosen(LeaseGrantor):
-    def chosen_alike(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
+    def is_policy_chosen(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
         return True
 
 
 class GivesWhileClosing(LeaseGrantor):
-    def minds_closing(self) -> bool:
+    def refuses_while_closing(self) -> bool:
         return False
 
 
 class GivesToThoseNotReady(LeaseGrantor):
-    def may_be_given(self, p: Policy, hold: Hold) -> bool:
+    def is_ready_for_change(self, p: Policy, request: LeaseRequest) -> bool:
         return True
 
 
 class GivesAnyVersion(LeaseGrantor):
-    def in_force(self, p: Policy, sender: str, hold: Hold) -> bool:
+    def is_version_in_force(self, p: Policy, sender: str, request: LeaseRequest) -> bool:
         return True
 
 
 class WaitsNoLeaseOut(LeaseGrantor):
-    def waits_one_out(self) -> bool:
+    def waits_full_lease(self) -> bool:
         return False
 
 
@@ -48,12 +48,12 @@
 
 class AnyStopCounts(LeaseGrantor):
     def has_stopped(self, name: str, p: Policy) -> bool:
-        return name in self.stopped
+        return name in self.stopped_epochs
 
 
 class ClearBeforeTheDisk(LeaseGrantor):
-    def say_clear(self, sender: str, answer: Clear) -> None:
-        self.out.append(Send(sender, answer))
+    def send_drained(self, sender: str, answer: DrainReply) -> None:
+        self.outbox.append(Send(sender, answer))
 
 
 class ForgetsWhoIsAlone(LeaseGrantor):
@@ -65,7 +65,7 @@
 
 class KeepsForEver(PolicyLease):
     def valid_until(self) -> int:
-        return FOREVER if super().valid_until() else 0
+        return NO_EXPIRY_US if super().valid_until() else 0
 
 
 class GoesOnWhileClosing(PolicyLease):
@@ -76,38 +76,38 @@
         self.kept = super().valid_until() or kept
         return self.kept if self.applied_version == self.policy.version_for(self.me) else 0
 
-    def stops(self) -> bool:
+    def must_stop(self) -> bool:
         quiet, self.quiet = getattr(self, "quiet", False), False
-        return super().stops() and not quiet
+        return super().must_stop() and not quiet
 
 
 class CountsFromTheAnswer(PolicyLease):
-    def given_by(self, sender: str, given: Given, now: int) -> None:
-        before = self.given.get(sender)
-        super().given_by(sender, given, now)
-        if self.given.get(sender) != before:
-            self.given[sender] = now
+    def on_grant(self, sender: str, grant: LeaseGrant, now: int) -> None:
+        before = self.granted_at.get(sender)
+        super().on_grant(sender, grant, now)
+        if self.granted_at.get(sender) != before:
+            self.granted_at[sender] = now
 
 
 class AnyAnswerCounts(PolicyLease):
-    def answers(self, given: Given, asked: Asked) -> bool:
+    def matches_request(self, grant: LeaseGrant, asked: GrantRequest) -> bool:
         return True
 
 
 class AnswersToAFormerLife(PolicyLease):
-    def answers(self, given: Given, asked: Asked) -> bool:
-        return given.seq == asked.seq
+    def matches_request(self, grant: LeaseGrant, asked: GrantRequest) -> bool:
+        return grant.seq == asked.seq
 
 
 class AddsUpTwoRosters(PolicyLease):
-    def same_voters(self, given: Given) -> bool:
-        self.roster = self.register.document.roster
+    def has_same_voters(self, grant: LeaseGrant) -> bool:
+        self.voter_set_version = self.register.document.voter_set_version
         return True
 
 
 class OneVoterIsClear(PolicyChangeCoordinator):
-    def all_clear(self, d: RegisterDocument) -> bool:
-        return any(a.clear for a in self.answers.values())
+    def all_leases_ended(self, d: RegisterDocument) -> bool:
+        return any(a.is_drained for a in self.replies.values())
 
 
 class CommitsAtAnyEpoch(PolicyChangeCoordinator):
@@ -120,7 +120,7 @@
 
 
 class VotesWithoutTheText(PolicyMember):
-    def _lacks(self, document: RegisterDocument, sender: str) -> bool:
+    def _lacks_texts(self, document: RegisterDocument, sender: str) -> bool:
         return False
 
 
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -16,7 +16,7 @@
 from hopmill.fleet.actions import Persist, Send
 from hopmill.explorer.checker import Checker, Op, Violation
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.register import Register, replace_voter, say, settle_voters
+from hopmill.fleet.register import Register, replace_voter, say, finish_voter_change
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
 
@@ -68,9 +68,9 @@
             self.members[name] = member
         self.ids, self.proposed, self.acts = ids, 0, 0
         self._found()
-        assert all(self.members[v].register.voter.voting for v in voters)
+        assert all(self.members[v].register.voter.is_voting for v in voters)
         if members == 4 and seed % 2:  # one that was a voter is still there, with its votes
-            for change in (replace_voter("m2", "m3"), settle_voters):
+            for change in (replace_voter("m2", "m3"), finish_voter_change):
                 self._change(self.members["m0"], change)
                 for _ in range(4):
                     self._calm()
@@ -86,12 +86,12 @@
         for m in self.members.values():
             for other in self.members.values():
                 if m.up and other.up and not self.closed(m.id, other.id):
-                    other.register.newer(m.id, m.register.document.version)
+                    other.register.note_version(m.id, m.register.document.version)
 
     def _register(self, m: Member, memory: Memory, same: bool) -> Register:
         register = self.type(m.id, m.life, self.initial, memory, same, random.Random(self.chance.random()))
         if self.leases:
-            register.keep(LEASE, LEASE_US, DRIFT)
+            register.hold_lease(LEASE, LEASE_US, DRIFT)
         return register
 
     def _found(self) -> None:
@@ -189,7 +189,7 @@
             return False
         del self.net[(at + n) % len(self.net)]
         if (m := self.members.get(to)) and m.up:
-            m.register.newer(sender, version)
+            m.register.note_version(sender, version)
             m.register.receive(sender, body, m.clock(self.now))
             self._emit(m)
         return True
@@ -215,8 +215,8 @@
     def _replace(self, m: Member, arg: int) -> None:
         voters = m.register.document.voters
         others = [name for name in self.ids if name not in voters]
-        if m.register.document.former:
-            self._change(m, settle_voters)
+        if m.register.document.previous_voters:
+            self._change(m, finish_voter_change)
         elif others:
             self._change(m, replace_voter(voters[arg % len(voters)], others[arg // 5 % len(others)]))
 
@@ -281,25 +281,25 @@
 
     def _all_well(self, m: Member) -> bool:
         voters = m.register.document.all_voters | self.initial.all_voters
-        return all(self.members[v].register.voter.voting and self.members[v].disk for v in voters)
+        return all(self.members[v].register.voter.is_voting and self.members[v].disk for v in voters)
 
     def state(self) -> tuple[Any, ...]:
         """All that the future depends on, for telling schedules that come to the same."""
         rows = []
         for m in self.members.values():
             v, p = m.register.voter, m.register.proposer
-            at = p.now_at
-            ballot = at and (at.ballot, tuple(sorted(at.promises)), tuple(sorted(at.accepted)), at.payload)
+            at = p.attempt
+            ballot = at and (at.ballot, tuple(sorted(at.promises)), tuple(sorted(at.accepted_by)), at.payload)
             rows.append(
                 (
                     m.up,
-                    v.voting,
+                    v.is_voting,
                     msgspec.msgpack.encode(v.memory),
                     m.disk,
                     len(m.writes),
                     p.round,
-                    p.known.version,
-                    tuple(j.ticket for j in p.jobs),
+                    p.known_document.version,
+                    tuple(j.proposal_id for j in p.pending),
                     ballot,
                 )
             )
@@ -389,7 +389,7 @@
         for name, m in world.members.items():
             if m.writes:
                 yield lambda w, name=name: w._written(w.members[name], 1)
-            if m.up and m.register.proposer.jobs:
+            if m.up and m.register.proposer.pending:
                 yield lambda w, name=name: _wake(w, name)
             yield lambda w, name=name: _crash_or_start(w, name)
 
--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -10,166 +10,202 @@
 
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.policy import BACK, Change, Policy, close, commit, end, go_back, go_on, prepare, reopen
+from hopmill.fleet.policy import (
+    BACK,
+    PolicyChange,
+    Policy,
+    close,
+    commit,
+    end_change,
+    roll_back,
+    extend_to_rest,
+    prepare,
+    reopen,
+)
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
-from hopmill.fleet.watch import worse
-from hopmill.fleet.wire import Chosen, Clear, Counted, IsClear, WantSums
+from hopmill.fleet.watch import regression
+from hopmill.fleet.wire import ChosenDocument, DrainReply, TotalsReply, DrainQuery, TotalsRequest
 from hopmill.fleet import document as doc
 
-ASK_US, MOST_ASK_US = 40_000, 320_000  # the voters, doubled each time
-TAKE_OVER_US = (800_000, 2_400_000)  # after the newest step, a voter that did not propose it
+QUERY_US, MAX_QUERY_US = 40_000, 320_000  # the voters, doubled each time
+TAKEOVER_US = (800_000, 2_400_000)  # after the newest step, a voter that did not propose it
 # A closing lasts no longer, so that work does not wait for one that fails meanwhile; each one that was opened
 # again is followed by one that may last twice as long, or a slow network would never see the end of it.
-REOPEN_US, MOST_REOPEN_US = 400_000, 6_400_000
-LOOK_US = 1_000_000  # at those that go first, once in so long
-MOST_COUNTED = 2000
-READ_EVERY = 4  # askings without progress, then the document is read anew: that mends a vote that was lost
-Then = Callable[[Outcome], None]
+CLOSING_TIMEOUT_US, MAX_CLOSING_TIMEOUT_US = 400_000, 6_400_000
+TOTALS_INTERVAL_US = 1_000_000  # at those that go first, once in so long
+MAX_TOTALS = 2000
+QUERIES_PER_READ = (
+    4  # askings without progress, then the document is read anew: that mends a vote that was lost
+)
+OutcomeCallback = Callable[[Outcome], None]
 
 
 class PolicyChangeCoordinator:
     commit = staticmethod(commit)
 
     def __init__(
-        self, me: str, register: Register, chance: random.Random, others: Callable[[], list[str]]
+        self, me: str, register: Register, rng: random.Random, other_members: Callable[[], list[str]]
     ) -> None:
         """others: who is told of a step at once; those that miss it hear of it by and by."""
-        self.me, self.register, self.chance, self.others = me, register, chance, others
-        self.epoch, self.since, self.leads_from, self.ask_at, self.asks = -1, 0, 0, 0, 0
-        self.answers: dict[str, Clear] = {}
-        self.proposing = False
-        self.totals: dict[str, Counted] = {}  # of a stage, by member
-        self.led = -1  # the epoch of the newest step taken here
-        self.out: list[Send] = []
+        self.me, self.register, self.rng, self.other_members = me, register, rng, other_members
+        self.epoch, self.epoch_began_at, self.leads_from, self.next_query_at, self.query_count = (
+            -1,
+            0,
+            0,
+            0,
+            0,
+        )
+        self.replies: dict[str, DrainReply] = {}
+        self.is_proposing = False
+        self.totals: dict[str, TotalsReply] = {}  # of a stage, by member
+        self.led_epoch = -1  # the epoch of the newest step taken here
+        self.outbox: list[Send] = []
 
     @property
     def policy(self) -> Policy:
         return self.register.document.policy
 
-    def propose(self, change: Change, base: int, now: int, then: Then) -> str:
+    def propose(self, change: PolicyChange, base: int, now: int, callback: OutcomeCallback) -> str:
         def ended(outcome: Outcome) -> None:
-            self.tell_if(outcome)
-            then(outcome)
+            self.announce_if_done(outcome)
+            callback(outcome)
 
         return self.register.propose(prepare(change, base), now, ended)
 
     def waiting_for(self) -> dict[str, str]:
         """Whom the change waits for, by all voters that have answered."""
-        return {name: why for answer in self.answers.values() for name, why in answer.waits}
+        return {name: why for reply in self.replies.values() for name, why in reply.pending}
 
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
-        p, d = self.policy, self.register.document
-        if p.epoch != self.epoch:
-            self._began(p, now)
-        if not (p.change or p.stage):
+        policy, document = self.policy, self.register.document
+        if policy.epoch != self.epoch:
+            self._on_new_epoch(policy, now)
+        if not (policy.change or policy.stage):
             return now + 1_000_000
         if now < self.leads_from:
             return max(now + 1000, self.leads_from)
-        if p.change is None:
-            return self._watch(p, now)
-        if self.proposing:
-            return now + ASK_US
-        if step := self._step(p, d, now):
-            self._take(step, now)
-            return now + ASK_US
-        if now >= self.ask_at:
-            self.ask_at = now + min(MOST_ASK_US, ASK_US << min(self.asks, 8))
-            self.asks += 1
-            self.out += [Send(voter, IsClear(p.epoch)) for voter in sorted(d.all_voters)]
-            if self.asks % READ_EVERY == 0 and not self.register.proposer.jobs:
-                self.register.propose(lambda ticket, document: None, now)
-        return min(self.ask_at, self.since + self._closing_us(p.change) if p.change.closing else self.ask_at)
+        if policy.change is None:
+            return self._watch_canary(policy, now)
+        if self.is_proposing:
+            return now + QUERY_US
+        if step := self._step(policy, document, now):
+            self._propose_step(step, now)
+            return now + QUERY_US
+        if now >= self.next_query_at:
+            self.next_query_at = now + min(MAX_QUERY_US, QUERY_US << min(self.query_count, 8))
+            self.query_count += 1
+            self.outbox += [Send(voter, DrainQuery(policy.epoch)) for voter in sorted(document.all_voters)]
+            if self.query_count % QUERIES_PER_READ == 0 and not self.register.proposer.pending:
+                self.register.propose(lambda proposal_id, document: None, now)
+        return min(
+            self.next_query_at,
+            self.epoch_began_at + self._closing_timeout_us(policy.change)
+            if policy.change.closing
+            else self.next_query_at,
+        )
 
     @staticmethod
-    def _closing_us(change: Change) -> int:
-        return min(MOST_REOPEN_US, REOPEN_US << min(change.opened, 8))
+    def _closing_timeout_us(change: PolicyChange) -> int:
+        return min(MAX_CLOSING_TIMEOUT_US, CLOSING_TIMEOUT_US << min(change.reopen_count, 8))
 
-    def _began(self, p: Policy, now: int) -> None:
-        there = p.change or p.stage
-        leads = there is not None and (there.by == self.me or p.epoch == self.led)
+    def _on_new_epoch(self, policy: Policy, now: int) -> None:
+        under_way = policy.change or policy.stage
+        leads = under_way is not None and (under_way.by == self.me or policy.epoch == self.led_epoch)
         voter = self.me in self.register.document.voters
-        later = now + self.chance.randrange(*TAKE_OVER_US) if voter else 1 << 62
-        self.epoch, self.since, self.ask_at, self.asks = p.epoch, now, now, 0
+        later = now + self.rng.randrange(*TAKEOVER_US) if voter else 1 << 62
+        self.epoch, self.epoch_began_at, self.next_query_at, self.query_count = policy.epoch, now, now, 0
         self.leads_from = now if leads else later
-        self.answers = {}
-        if p.stage is None or p.change:
+        self.replies = {}
+        if policy.stage is None or policy.change:
             self.totals = {}
 
     # A stage
 
-    def _watch(self, p: Policy, now: int) -> int:
+    def _watch_canary(self, policy: Policy, now: int) -> int:
         """Those that go first are watched, and the rest follows or they go back."""
-        stage = p.stage
+        stage = policy.stage
         assert stage is not None
-        if self.proposing:
-            return now + ASK_US
-        looks = max(1, stage.canary.watch_ms * 1000 // LOOK_US)
-        few = [(c.before, c.after) for name, c in self.totals.items() if stage.canary.includes(name)]
+        if self.is_proposing:
+            return now + QUERY_US
+        looks = max(1, stage.canary.watch_ms * 1000 // TOTALS_INTERVAL_US)
+        canary = [(c.before, c.after) for name, c in self.totals.items() if stage.canary.includes(name)]
         rest = [(c.before, c.after) for name, c in self.totals.items() if not stage.canary.includes(name)]
-        if why := worse(few, rest, looks):
-            self._take(go_back(p.epoch, why), now)
-        elif now - self.since >= stage.canary.watch_ms * 1000:
-            self._take(go_on(p.epoch), now)
-        elif now >= self.ask_at:
-            self.ask_at = now + LOOK_US
-            body = WantSums(stage.id, stage.canary.watch_ms)
-            self.out += [Send(name, body) for name in (self.me, *self.others())]
-        return min(self.ask_at, self.since + stage.canary.watch_ms * 1000)
-
-    def counted(self, sender: str, body: Counted) -> None:
+        if why := regression(canary, rest, looks):
+            self._propose_step(roll_back(policy.epoch, why), now)
+        elif now - self.epoch_began_at >= stage.canary.watch_ms * 1000:
+            self._propose_step(extend_to_rest(policy.epoch), now)
+        elif now >= self.next_query_at:
+            self.next_query_at = now + TOTALS_INTERVAL_US
+            body = TotalsRequest(stage.id, stage.canary.watch_ms)
+            self.outbox += [Send(name, body) for name in (self.me, *self.other_members())]
+        return min(self.next_query_at, self.epoch_began_at + stage.canary.watch_ms * 1000)
+
+    def on_totals(self, sender: str, body: TotalsReply) -> None:
         stage = self.policy.stage
         if (
             stage
-            and body.stage == stage.id
+            and body.stage_id == stage.id
             and body.version == self.policy.version_for(sender)
-            and (sender in self.totals or len(self.totals) < MOST_COUNTED)
+            and (sender in self.totals or len(self.totals) < MAX_TOTALS)
         ):
             self.totals[sender] = body
 
     def _step(
-        self, p: Policy, d: RegisterDocument, now: int
+        self, policy: Policy, document: RegisterDocument, now: int
     ) -> Callable[[str, RegisterDocument], RegisterDocument | None] | None:
-        assert p.change is not None
-        refused = next((a.refused for a in self.answers.values() if a.refused), "")
-        if refused and p.change.moves != BACK:
-            return end(p.epoch, refused)
-        if self.all_clear(d):
-            return self.commit(p.epoch) if p.change.closing else close(p.epoch)
-        if p.change.closing and now - self.since >= self._closing_us(p.change):
-            return reopen(p.epoch)
+        assert policy.change is not None
+        refused = next((a.refused for a in self.replies.values() if a.refused), "")
+        if refused and policy.change.scope != BACK:
+            return end_change(policy.epoch, refused)
+        if self.all_leases_ended(document):
+            return self.commit(policy.epoch) if policy.change.closing else close(policy.epoch)
+        if policy.change.closing and now - self.epoch_began_at >= self._closing_timeout_us(policy.change):
+            return reopen(policy.epoch)
         return None
 
-    def all_clear(self, d: RegisterDocument) -> bool:
-        return d.agrees({v for v, a in self.answers.items() if a.clear and a.roster == d.roster})
-
-    def _take(self, step: Callable[[str, RegisterDocument], RegisterDocument | None], now: int) -> None:
-        self.proposing = True
+    def all_leases_ended(self, document: RegisterDocument) -> bool:
+        return document.has_majority(
+            {
+                v
+                for v, a in self.replies.items()
+                if a.is_drained and a.voter_set_version == document.voter_set_version
+            }
+        )
+
+    def _propose_step(
+        self, step: Callable[[str, RegisterDocument], RegisterDocument | None], now: int
+    ) -> None:
+        self.is_proposing = True
 
         def ended(outcome: Outcome) -> None:
-            self.proposing = False
+            self.is_proposing = False
             if outcome.state == "done" and outcome.document is not None:
-                self.led = outcome.document.policy.epoch
-                self.tell(outcome.document)
+                self.led_epoch = outcome.document.policy.epoch
+                self.announce(outcome.document)
             else:
-                self.answers = {}
+                self.replies = {}
 
         self.register.propose(step, now, ended, urgent=True)
 
-    def tell_if(self, outcome: Outcome) -> None:
+    def announce_if_done(self, outcome: Outcome) -> None:
         if outcome.state == "done" and outcome.document is not None:
-            self.tell(outcome.document)
+            self.announce(outcome.document)
 
-    def tell(self, document: RegisterDocument) -> None:
+    def announce(self, document: RegisterDocument) -> None:
         """All that are there, at once: a step that is known late is a longer pause."""
         data = doc.encode(document)
-        self.out += [Send(name, Chosen(data)) for name in self.others()]
+        self.outbox += [Send(name, ChosenDocument(data)) for name in self.other_members()]
 
-    def clear(self, sender: str, answer: Clear, now: int) -> bool:
+    def on_drain_reply(self, sender: str, reply: DrainReply, now: int) -> bool:
         """True if a step can be taken."""
-        p, d = self.policy, self.register.document
-        if answer.epoch != p.epoch or sender not in d.all_voters:
+        policy, document = self.policy, self.register.document
+        if reply.epoch != policy.epoch or sender not in document.all_voters:
             return False
-        self.answers[sender] = answer
-        return p.change is not None and not self.proposing and self._step(p, d, now) is not None
+        self.replies[sender] = reply
+        return (
+            policy.change is not None
+            and not self.is_proposing
+            and self._step(policy, document, now) is not None
+        )
--- a/hopmill/fleet/document.py
+++ b/hopmill/fleet/document.py
@@ -11,11 +11,11 @@
 
 from hopmill.fleet.policy import Policy
 
-MOST_BYTES = 750  # of it, encoded: with whatever goes along it has to fit a datagram
-RECENT = 8  # tickets of the last changes, so that one whose answer was lost is not done twice
+MAX_DOCUMENT_BYTES = 750  # of it, encoded: with whatever goes along it has to fit a datagram
+MAX_RECENT_PROPOSALS = 8  # tickets of the last changes, so that one whose answer was lost is not done twice
 
 
-def ticket_of(name: str) -> str:
+def proposal_id_of(name: str) -> str:
     """Short, for eight of them are in each document; of one name and no other."""
     return hashlib.blake2b(name.encode(), digest_size=8).hexdigest()
 
@@ -24,7 +24,7 @@
     """Who may act under this name. `fence` only grows; `renewal` counts what the owner has asked since."""
 
     owner: str = ""
-    fence: int = 0
+    fencing_token: int = 0
     renewal: int = 0
     length_us: int = 0
 
@@ -34,38 +34,40 @@
 
     version: int
     voters: tuple[str, ...]
-    former: tuple[str, ...] = ()
+    previous_voters: tuple[str, ...] = ()
     entries: dict[str, str] = {}  # told by staff
     leases: dict[str, Lease] = {}
-    recent: tuple[str, ...] = ()  # tickets
+    recent_proposals: tuple[str, ...] = ()  # tickets
     policy: Policy = Policy()
 
-    def next(self, ticket: str, **changes: object) -> RegisterDocument:
-        recent = (*self.recent, ticket)[-RECENT:]
-        return msgspec.structs.replace(self, version=self.version + 1, recent=recent, **changes)
+    def next(self, proposal_id: str, **changes: object) -> RegisterDocument:
+        recent_proposals = (*self.recent_proposals, proposal_id)[-MAX_RECENT_PROPOSALS:]
+        return msgspec.structs.replace(
+            self, version=self.version + 1, recent_proposals=recent_proposals, **changes
+        )
 
-    def agrees(self, voters: Iterable[str]) -> bool:
+    def has_majority(self, voters: Iterable[str]) -> bool:
         """Whether these are a majority of its voters, and of those before while they change."""
-        there = set(voters)
-        sets = [self.voters, self.former] if self.former else [self.voters]
-        return all(2 * len(there.intersection(each)) > len(each) for each in sets)
+        agreeing = set(voters)
+        sets = [self.voters, self.previous_voters] if self.previous_voters else [self.voters]
+        return all(2 * len(agreeing.intersection(each)) > len(each) for each in sets)
 
     @property
-    def roster(self) -> int:
+    def voter_set_version(self) -> int:
         """A number for who votes: leases that were given by two different sets of voters don't add up."""
-        return _roster(self.voters, self.former)
+        return _voter_set_version(self.voters, self.previous_voters)
 
     @property
     def all_voters(self) -> set[str]:
-        return {*self.voters, *self.former}
+        return {*self.voters, *self.previous_voters}
 
 
 @functools.lru_cache(64)
-def _roster(voters: tuple[str, ...], former: tuple[str, ...]) -> int:
-    return zlib.crc32(repr((sorted(voters), sorted(former))).encode())
+def _voter_set_version(voters: tuple[str, ...], previous_voters: tuple[str, ...]) -> int:
+    return zlib.crc32(repr((sorted(voters), sorted(previous_voters))).encode())
 
 
-class TooLarge(ValueError):
+class DocumentTooLargeError(ValueError):
     """The changed document would not fit a datagram."""
 
 
@@ -75,6 +77,6 @@
 
 def encode(document: RegisterDocument) -> bytes:
     data = msgspec.msgpack.encode(document)
-    if len(data) > MOST_BYTES:
-        raise TooLarge(f"the document would take {len(data)} of {MOST_BYTES} bytes")
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise DocumentTooLargeError(f"the document would take {len(data)} of {MAX_DOCUMENT_BYTES} bytes")
     return data
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -17,232 +17,284 @@
 from hopmill.fleet.policy import Policy
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
-from hopmill.fleet.standing import FOREVER
-from hopmill.fleet.wire import Chosen, Clear, Given, Hold, IsClear, NotGiven, Stopped
-
-MOST_GRANTS = 4000
-MOST_WAITS = 12  # members that one answer names
-READ_US, MOST_DOUBLED = (60_000, 300_000), 4  # that it does not know what is chosen, before it reads
+from hopmill.fleet.standing import NO_EXPIRY_US
+from hopmill.fleet.wire import (
+    ChosenDocument,
+    DrainReply,
+    LeaseGrant,
+    LeaseRequest,
+    DrainQuery,
+    LeaseDenial,
+    WorkStopped,
+)
+
+MAX_GRANTS = 4000
+MAX_NAMED_MEMBERS = 12  # members that one answer names
+READ_DELAY_US, MAX_READ_DOUBLINGS = (
+    (60_000, 300_000),
+    4,
+)  # that it does not know what is chosen, before it reads
 
 
 @dataclass
 class Grant:
-    life: int
+    generation: int
     seq: int
-    until: int
-    ready: str = ""
+    expires_at: int
+    ready_for: str = ""
 
 
 class LeaseGrantor:
     """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
 
     def __init__(
-        self, me: str, register: Register, length_us: int, drift: float, last: bool, names: Iterable[str]
+        self,
+        me: str,
+        register: Register,
+        length_us: int,
+        drift: float,
+        continues_alone: bool,
+        names: Iterable[str],
     ) -> None:
         """names: all members of the configuration, this one included."""
-        self.me, self.register, self.last = me, register, last
-        self.waits_us = int(length_us * (1 + drift)) + 1
-        self.names = frozenset(names)
+        self.me, self.register, self.continues_alone = me, register, continues_alone
+        self.lease_end_wait_us = int(length_us * (1 + drift)) + 1
+        self.configured_members = frozenset(names)
         self.grants: dict[str, Grant] = {}
-        self.stopped: dict[str, int] = {}  # by member: the epoch that it said it has stopped for
-        self.heard: set[str] = set()  # since the last time that it was not sure
-        self.sure_at = -1  # from when on it knows of all that it gave; -1: not begun to wait
-        self.roster = 0
+        self.stopped_epochs: dict[str, int] = {}  # by member: the epoch that it said it has stopped for
+        self.heard_members: set[str] = set()  # since the last time that it was not sure
+        self.grants_complete_at = -1  # from when on it knows of all that it gave; -1: not begun to wait
+        self.voter_set_version = 0
         self.refusals: dict[str, str] = {}  # by change: who refuses, and why
-        self.last_waited = ""
-        self.asked: dict[str, int] = {}  # who wants to know when it is clear, and at which epoch
-        self.read_at, self.reads, self.reading = 0, 0, ""  # when, how often in a row, under which ticket
-        self.accepted: tuple[bytes, RegisterDocument] = b"", register.document
-        self.out: list[Send] = []
+        self.last_waited_for = ""
+        self.drain_queries: dict[str, int] = {}  # who wants to know when it is clear, and at which epoch
+        self.next_read_at, self.read_count, self.read_proposal_id = (
+            0,
+            0,
+            "",
+        )  # when, how often in a row, under which ticket
+        self.accepted_cache: tuple[bytes, RegisterDocument] = b"", register.document
+        self.outbox: list[Send] = []
 
     # What it goes by
 
-    def voted(self) -> RegisterDocument:
+    def accepted_document(self) -> RegisterDocument:
         """What it has accepted last."""
         data = self.register.voter.memory.document
-        if data != self.accepted[0]:
-            self.accepted = data, self.register.voter.document()
-        return self.accepted[1] if data else self.register.voter.initial
+        if data != self.accepted_cache[0]:
+            self.accepted_cache = data, self.register.voter.document()
+        return self.accepted_cache[1] if data else self.register.voter.initial
 
-    def policy(self) -> Policy | None:
+    def policy_for_grants(self) -> Policy | None:
         """That it may give leases by; None while it can't tell."""
-        known, voted = self.register.document, self.voted()
-        if not self.register.voter.voting or self.me not in known.all_voters:
+        known, accepted = self.register.document, self.accepted_document()
+        if not self.register.voter.is_voting or self.me not in known.all_voters:
             return None
-        if voted.version > known.version and not self.chosen_alike(known, voted):
+        if accepted.version > known.version and not self.is_policy_chosen(known, accepted):
             return None
         return known.policy
 
-    def chosen_alike(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
+    def is_policy_chosen(self, known: RegisterDocument, accepted: RegisterDocument) -> bool:
         """Every step of the policy raises its epoch: where it is the same, none lies between."""
-        return voted.policy == known.policy and voted.roster == known.roster
+        return accepted.policy == known.policy and accepted.voter_set_version == known.voter_set_version
 
-    def _sure(self, now: int) -> bool:
+    def _knows_all_grants(self, now: int) -> bool:
         known = self.register.document
-        if self.sure_at < 0 or self.roster != known.roster:
-            self.roster, self.sure_at = known.roster, now + self.waits_us
-            self.heard.clear()
-        return now >= self.sure_at
+        if self.grants_complete_at < 0 or self.voter_set_version != known.voter_set_version:
+            self.voter_set_version, self.grants_complete_at = (
+                known.voter_set_version,
+                now + self.lease_end_wait_us,
+            )
+            self.heard_members.clear()
+        return now >= self.grants_complete_at
 
     # Leases
 
-    def hold(self, sender: str, hold: Hold, now: int) -> None:
+    def on_lease_request(self, sender: str, request: LeaseRequest, now: int) -> None:
         grant = self.grants.get(sender)
-        if grant and hold.life == grant.life and hold.seq <= grant.seq:
+        if grant and request.generation == grant.generation and request.seq <= grant.seq:
             return  # twice, or overtaken
-        why = self._against(sender, hold, now)
+        why = self._denial_reason(sender, request, now)
         if why:
-            self.out.append(Send(sender, NotGiven(hold.seq, why)))
+            self.outbox.append(Send(sender, LeaseDenial(request.seq, why)))
             return
-        until = FOREVER if self.last else now + self.waits_us
-        self.grants[sender] = Grant(hold.life, hold.seq, max(until, grant.until if grant else 0), hold.ready)
-        self.heard.add(sender)
-        roster = self.register.document.roster
-        self.out.append(Send(sender, Given(hold.seq, hold.version, roster, hold.life)))
-        self._tell(now)
-
-    def _against(self, sender: str, hold: Hold, now: int) -> str:
-        p = self.policy()
-        self._sure(now)
-        if p is None:
+        expires_at = NO_EXPIRY_US if self.continues_alone else now + self.lease_end_wait_us
+        self.grants[sender] = Grant(
+            request.generation,
+            request.seq,
+            max(expires_at, grant.expires_at if grant else 0),
+            request.ready_for,
+        )
+        self.heard_members.add(sender)
+        voter_set_version = self.register.document.voter_set_version
+        self.outbox.append(
+            Send(
+                sender,
+                LeaseGrant(request.seq, request.version, voter_set_version, request.generation),
+            )
+        )
+        self._notify_waiting(now)
+
+    def _denial_reason(self, sender: str, request: LeaseRequest, now: int) -> str:
+        policy = self.policy_for_grants()
+        self._knows_all_grants(now)
+        if policy is None:
             return "a vote is under way"
-        if hold.last is not self.last:
+        if request.continues_alone is not self.continues_alone:
             return "alone differs"
-        if sender in p.cancelled_members:
+        if sender in policy.cancelled_members:
             return "struck off"
-        if not self.in_force(p, sender, hold):
-            return f"version {p.version_for(sender)} is in force"
-        if p.closing_for(sender) and self.minds_closing():
+        if not self.is_version_in_force(policy, sender, request):
+            return f"version {policy.version_for(sender)} is in force"
+        if policy.closing_for(sender) and self.refuses_while_closing():
             return "a change is closing"
-        if p.change and not self.may_be_given(p, hold):
-            if hold.refuses.startswith(p.change.id + " "):
-                self.refusals = {p.change.id: f"{sender}: {hold.refuses[len(p.change.id) + 1 :]}"}
-                self._tell(now)
+        if policy.change and not self.is_ready_for_change(policy, request):
+            if request.refusal.startswith(policy.change.id + " "):
+                self.refusals = {
+                    policy.change.id: f"{sender}: {request.refusal[len(policy.change.id) + 1 :]}"
+                }
+                self._notify_waiting(now)
             return "not ready for the change"
-        if sender not in self.grants and len(self.grants) >= MOST_GRANTS:
-            self.grants = {n: g for n, g in self.grants.items() if g.until > now}
-            if len(self.grants) >= MOST_GRANTS:
+        if sender not in self.grants and len(self.grants) >= MAX_GRANTS:
+            self.grants = {n: g for n, g in self.grants.items() if g.expires_at > now}
+            if len(self.grants) >= MAX_GRANTS:
                 return "too many members"
         return ""
 
-    def in_force(self, p: Policy, sender: str, hold: Hold) -> bool:
-        return hold.version == p.version_for(sender)
+    def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
+        return request.version == policy.version_for(sender)
 
-    def minds_closing(self) -> bool:
+    def refuses_while_closing(self) -> bool:
         return True
 
-    def may_be_given(self, p: Policy, hold: Hold) -> bool:
+    def is_ready_for_change(self, policy: Policy, request: LeaseRequest) -> bool:
         """While a change is prepared, only those that are ready go on."""
-        return p.change is None or hold.ready == p.change.id
+        return policy.change is None or request.ready_for == policy.change.id
 
-    def stops(self, sender: str, stopped: Stopped, now: int) -> None:
-        if len(self.stopped) < MOST_GRANTS or sender in self.stopped:
-            self.stopped[sender] = max(stopped.epoch, self.stopped.get(sender, 0))
-            self._tell(now)
+    def on_stopped(self, sender: str, stopped: WorkStopped, now: int) -> None:
+        if len(self.stopped_epochs) < MAX_GRANTS or sender in self.stopped_epochs:
+            self.stopped_epochs[sender] = max(stopped.epoch, self.stopped_epochs.get(sender, 0))
+            self._notify_waiting(now)
 
     # Whom a change waits for
 
-    def is_clear(self, sender: str, asked: IsClear, now: int) -> None:
-        if len(self.asked) < MOST_GRANTS:
-            self.asked[sender] = asked.epoch
-        self._answer(sender, asked.epoch, now, True)
+    def on_drain_query(self, sender: str, query: DrainQuery, now: int) -> None:
+        if len(self.drain_queries) < MAX_GRANTS:
+            self.drain_queries[sender] = query.epoch
+        self._answer(sender, query.epoch, now, True)
 
-    def _tell(self, now: int) -> None:
+    def _notify_waiting(self, now: int) -> None:
         """Those that have asked need not ask again to hear that it has come true."""
-        for sender, epoch in list(self.asked.items()):
+        for sender, epoch in list(self.drain_queries.items()):
             self._answer(sender, epoch, now, False)
 
-    def _waits_at_all(self, p: Policy, now: int) -> bool:
+    def _has_pending_members(self, policy: Policy, now: int) -> bool:
         """Whether `waits` would name anybody. Asked with each datagram of each member: it looks first at the
         one that was waited for last."""
-        if self.last_waited and self._waits_for(self.last_waited, p, now):
+        if self.last_waited_for and self._pending_reason(self.last_waited_for, policy, now):
             return True
-        self.last_waited = next((name for name, _ in self.waits(p, now)), "")
-        return bool(self.last_waited)
+        self.last_waited_for = next((name for name, _ in self.pending_members(policy, now)), "")
+        return bool(self.last_waited_for)
 
     def _answer(self, sender: str, epoch: int, now: int, always: bool) -> None:
-        p = self.voted().policy
-        if p.epoch != epoch or p.change is None or not self.register.voter.voting:
-            if p.epoch > epoch:
-                self.asked.pop(sender, None)
+        policy = self.accepted_document().policy
+        if policy.epoch != epoch or policy.change is None or not self.register.voter.is_voting:
+            if policy.epoch > epoch:
+                self.drain_queries.pop(sender, None)
             return
-        refused = self.refusals.get(p.change.id, "")
-        if not (always or refused) and self._waits_at_all(p, now):
+        refused = self.refusals.get(policy.change.id, "")
+        if not (always or refused) and self._has_pending_members(policy, now):
             return
-        waits = sorted(self.waits(p, now))
-        answer = Clear(epoch, self.voted().roster, not waits, tuple(waits[:MOST_WAITS]), refused)
-        if answer.clear or refused:
-            self.asked.pop(sender, None)  # said once: each tick would say it again, and each answer is a tick
-        if answer.clear and p.change.closing:
-            self.say_clear(sender, answer)
+        pending = sorted(self.pending_members(policy, now))
+        answer = DrainReply(
+            epoch,
+            self.accepted_document().voter_set_version,
+            not pending,
+            tuple(pending[:MAX_NAMED_MEMBERS]),
+            refused,
+        )
+        if answer.is_drained or refused:
+            self.drain_queries.pop(
+                sender, None
+            )  # said once: each tick would say it again, and each answer is a tick
+        if answer.is_drained and policy.change.closing:
+            self.send_drained(sender, answer)
         else:
-            self.out.append(Send(sender, answer))
+            self.outbox.append(Send(sender, answer))
 
-    def say_clear(self, sender: str, answer: Clear) -> None:
+    def send_drained(self, sender: str, answer: DrainReply) -> None:
         """Only once its vote for the closing is on disk, by which it gives no more."""
         self.register.voter.persist(Send(sender, answer))
 
-    def waits(self, p: Policy, now: int) -> Iterable[tuple[str, str]]:
+    def pending_members(self, policy: Policy, now: int) -> Iterable[tuple[str, str]]:
         """(member, why) of all that may still work under the version in force without being ready, or, once
         the change is closing, at all."""
-        assert p.change is not None
-        if not self._sure(now) and self.waits_one_out():
-            yield self.me, f"waits {(self.sure_at - now) // 1000} ms"
-        for name in self.names - self.heard if self.last else ():
-            if why := self._waits_for(name, p, now):
+        assert policy.change is not None
+        if not self._knows_all_grants(now) and self.waits_full_lease():
+            yield self.me, f"waits {(self.grants_complete_at - now) // 1000} ms"
+        for name in self.configured_members - self.heard_members if self.continues_alone else ():
+            if why := self._pending_reason(name, policy, now):
                 yield name, why
         for name in self.grants:
-            if why := self._waits_for(name, p, now):
+            if why := self._pending_reason(name, policy, now):
                 yield name, why
 
-    def _waits_for(self, name: str, p: Policy, now: int) -> str:
+    def _pending_reason(self, name: str, policy: Policy, now: int) -> str:
         """What this member has yet to do, "" if nothing."""
-        change, grant = p.change, self.grants.get(name)
+        change, grant = policy.change, self.grants.get(name)
         assert change is not None
-        presumed = self.last and name not in self.heard and name in self.names
-        if not (presumed or grant and grant.until > now) or self.last and name in p.cancelled_members:
+        presumed = self.continues_alone and name not in self.heard_members and name in self.configured_members
+        if (
+            not (presumed or grant and grant.expires_at > now)
+            or self.continues_alone
+            and name in policy.cancelled_members
+        ):
             return ""
         if change.closing:
-            return "has not stopped" if change.concerns(name) and not self.has_stopped(name, p) else ""
+            return "has not stopped" if change.affects(name) and not self.has_stopped(name, policy) else ""
         if grant is None or presumed:
             return "not heard"
-        return "" if grant.ready == change.id else "is not ready"
+        return "" if grant.ready_for == change.id else "is not ready"
 
-    def has_stopped(self, name: str, p: Policy) -> bool:
+    def has_stopped(self, name: str, policy: Policy) -> bool:
         """For this closing: it may have gone on after an earlier one."""
-        return self.stopped.get(name) == p.epoch
+        return self.stopped_epochs.get(name) == policy.epoch
 
-    def waits_one_out(self) -> bool:
+    def waits_full_lease(self) -> bool:
         return True
 
-    def next_us(self, now: int) -> int:
+    def next_wake_at(self, now: int) -> int:
         """When a lease that something waits for runs out."""
-        if not self.asked:
-            return FOREVER
-        ends = [g.until for g in self.grants.values() if g.until > now] + [self.sure_at]
-        return min((at for at in ends if at > now), default=FOREVER)
+        if not self.drain_queries:
+            return NO_EXPIRY_US
+        ends = [g.expires_at for g in self.grants.values() if g.expires_at > now] + [self.grants_complete_at]
+        return min((at for at in ends if at > now), default=NO_EXPIRY_US)
 
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
-        self._sure(now)
-        self._tell(now)
-        known, voted = self.register.document, self.voted()
-        if known.version >= voted.version or self.chosen_alike(known, voted):
-            self.read_at = self.reads = 0
-            if self.reading:
-                self.register.proposer.drop(self.reading, now)
-                self.reading = ""
-            return self.next_us(now)
-        if self.read_at and now >= self.read_at and not self.register.proposer.jobs:
-            self.reading = self.register.propose(lambda ticket, document: None, now, self._read)
-        if now >= self.read_at:  # not all at once, or they are in one another's way
-            chance, self.reads = self.register.proposer.chance, self.reads + 1
-            self.read_at = now + (chance.randrange(*READ_US) << min(self.reads - 1, MOST_DOUBLED))
-        return min(self.read_at, self.next_us(now))
-
-    def _read(self, outcome: Outcome) -> None:
+        self._knows_all_grants(now)
+        self._notify_waiting(now)
+        known, accepted = self.register.document, self.accepted_document()
+        if known.version >= accepted.version or self.is_policy_chosen(known, accepted):
+            self.next_read_at = self.read_count = 0
+            if self.read_proposal_id:
+                self.register.proposer.cancel(self.read_proposal_id, now)
+                self.read_proposal_id = ""
+            return self.next_wake_at(now)
+        if self.next_read_at and now >= self.next_read_at and not self.register.proposer.pending:
+            self.read_proposal_id = self.register.propose(
+                lambda proposal_id, document: None, now, self._on_read
+            )
+        if now >= self.next_read_at:  # not all at once, or they are in one another's way
+            rng, self.read_count = self.register.proposer.rng, self.read_count + 1
+            self.next_read_at = now + (
+                rng.randrange(*READ_DELAY_US) << min(self.read_count - 1, MAX_READ_DOUBLINGS)
+            )
+        return min(self.next_read_at, self.next_wake_at(now))
+
+    def _on_read(self, outcome: Outcome) -> None:
         """The other voters need not find out by themselves."""
-        self.reading = ""
+        self.read_proposal_id = ""
         if outcome.document is not None:
-            body = Chosen(doc.encode(outcome.document))
-            self.out += [Send(v, body) for v in sorted(outcome.document.all_voters - {self.me})]
+            body = ChosenDocument(doc.encode(outcome.document))
+            self.outbox += [Send(v, body) for v in sorted(outcome.document.all_voters - {self.me})]
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -6,31 +6,42 @@
 from collections.abc import Callable, Iterable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.conductor import PolicyChangeCoordinator, Then
+from hopmill.fleet.conductor import PolicyChangeCoordinator, OutcomeCallback
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.giver import LeaseGrantor
-from hopmill.fleet.policy import STAGE, Change, CanaryGroup, end, go_back, cancel_member
+from hopmill.fleet.policy import STAGE, PolicyChange, CanaryGroup, end_change, roll_back, cancel_member
 from hopmill.fleet.register import Register
 from hopmill.fleet.standing import PolicyLease
-from hopmill.fleet.texts import Texts
-from hopmill.fleet.watch import Watch
+from hopmill.fleet.texts import TextStore
+from hopmill.fleet.watch import CanaryWatch
 from hopmill.fleet.wire import (
     Body,
-    Clear,
-    Counted,
-    Given,
-    Hold,
-    IsClear,
-    NotGiven,
-    Piece,
-    Stopped,
-    WantSums,
-    WantText,
+    DrainReply,
+    TotalsReply,
+    LeaseGrant,
+    LeaseRequest,
+    DrainQuery,
+    LeaseDenial,
+    TextPiece,
+    WorkStopped,
+    TotalsRequest,
+    TextRequest,
 )
 
-MOST_LACKED = 4
-SALTS = 256  # that are tried, for a share of few members to be met
-KINDS = (Hold, Given, NotGiven, Stopped, IsClear, Clear, WantSums, Counted, WantText, Piece)
+MAX_MISSING_TEXTS = 4
+SALT_CANDIDATES = 256  # that are tried, for a share of few members to be met
+POLICY_BODIES = (
+    LeaseRequest,
+    LeaseGrant,
+    LeaseDenial,
+    WorkStopped,
+    DrainQuery,
+    DrainReply,
+    TotalsRequest,
+    TotalsReply,
+    TextRequest,
+    TextPiece,
+)
 
 
 class PolicyMember:
@@ -41,12 +52,12 @@
     def __init__(
         self,
         me: str,
-        life: int,
+        generation: int,
         register: Register,
-        chance: random.Random,
+        rng: random.Random,
         length_us: int,
         drift: float,
-        last: bool,
+        continues_alone: bool,
         names: Iterable[str],
         others: Callable[[], list[str]],
         on_disk: dict[bytes, bytes],
@@ -54,139 +65,150 @@
         """life: of this process, never used before. names: all members configured; others: those that are
         there now. on_disk: texts."""
         self.me, self.register = me, register
-        self.texts = Texts(on_disk)
-        self.lease = self.lease_type(me, life, register, length_us, drift, last)
-        self.grantor = self.grantor_type(me, register, length_us, drift, last, names)
-        self.coordinator = self.coordinator_type(me, register, chance, others)
-        self.watch = Watch()
-        self.proposed: set[bytes] = set()  # texts that may come into the document yet
-        self.lacked: dict[bytes, None] = {}  # texts of documents that it was to vote for, the newest last
-        self.kept: set[bytes] = set()
-        self.dropped: set[bytes] = set()  # that may go from the disk
-        register.lacks = self._lacks
+        self.texts = TextStore(on_disk)
+        self.lease = self.lease_type(me, generation, register, length_us, drift, continues_alone)
+        self.grantor = self.grantor_type(me, register, length_us, drift, continues_alone, names)
+        self.coordinator = self.coordinator_type(me, register, rng, others)
+        self.watch = CanaryWatch()
+        self.proposed_texts: set[bytes] = set()  # texts that may come into the document yet
+        self.missing_texts: dict[
+            bytes, None
+        ] = {}  # texts of documents that it was to vote for, the newest last
+        self.kept_texts: set[bytes] = set()
+        self.deletable_texts: set[bytes] = set()  # that may go from the disk
+        register.lacks_texts = self._lacks_texts
 
     # Texts
 
-    def _lacks(self, document: RegisterDocument, sender: str) -> bool:
-        lacking = document.policy.texts - self.texts.on_disk
-        for digest in lacking:
-            self.lacked.pop(digest, None)
-            self.lacked[digest] = None
-            while len(self.lacked) > MOST_LACKED:
-                del self.lacked[next(iter(self.lacked))]
-            self.texts.want(digest, self._asks(sender))
-            self.texts.write(digest)
-        return bool(lacking)
-
-    def _asks(self, first: str) -> list[str]:
+    def _lacks_texts(self, document: RegisterDocument, sender: str) -> bool:
+        missing = document.policy.texts - self.texts.on_disk
+        for digest in missing:
+            self.missing_texts.pop(digest, None)
+            self.missing_texts[digest] = None
+            while len(self.missing_texts) > MAX_MISSING_TEXTS:
+                del self.missing_texts[next(iter(self.missing_texts))]
+            self.texts.fetch(digest, self._text_sources(sender))
+            self.texts.store(digest)
+        return bool(missing)
+
+    def _text_sources(self, first: str) -> list[str]:
         return [name for name in (first, *sorted(self.register.document.all_voters)) if name != self.me]
 
-    def _keep_texts(self) -> None:
+    def _update_texts(self) -> None:
         """Those that are in force, or may be, by all that this member knows; a voter has them on disk."""
-        p, d = self.register.document.policy, self.register.document
-        voted = self.grantor.voted().policy.texts
-        for digest in p.texts | voted:
-            self.texts.want(digest, self._asks(p.change.by if p.change else self.me))
-            if self.me in d.all_voters:
-                self.texts.write(digest)
-        kept = p.texts | voted | self.proposed | set(self.lacked)
-        if kept != self.kept:
-            self.kept = kept
-            self.dropped |= self.texts.keep(kept)
+        policy, document = self.register.document.policy, self.register.document
+        voted = self.grantor.accepted_document().policy.texts
+        for digest in policy.texts | voted:
+            self.texts.fetch(digest, self._text_sources(policy.change.by if policy.change else self.me))
+            if self.me in document.all_voters:
+                self.texts.store(digest)
+        kept = policy.texts | voted | self.proposed_texts | set(self.missing_texts)
+        if kept != self.kept_texts:
+            self.kept_texts = kept
+            self.deletable_texts |= self.texts.retain(kept)
 
     # In and out
 
     def receive(self, sender: str, body: Body, now: int) -> bool:
         """Whether there is something to do at once."""
-        if isinstance(body, Hold):
-            self.grantor.hold(sender, body, now)
+        if isinstance(body, LeaseRequest):
+            self.grantor.on_lease_request(sender, body, now)
             return False
-        if isinstance(body, Given):
+        if isinstance(body, LeaseGrant):
             before = self.lease.valid_version(now)
-            self.lease.given_by(sender, body, now)
+            self.lease.on_grant(sender, body, now)
             return self.lease.valid_version(now) != before
-        if isinstance(body, NotGiven):
-            self.lease.not_given_by(sender, body)
-        elif isinstance(body, Stopped):
-            self.grantor.stops(sender, body, now)
-        elif isinstance(body, IsClear):
-            self.grantor.is_clear(sender, body, now)
-        elif isinstance(body, Clear):
-            return self.coordinator.clear(sender, body, now)
-        elif isinstance(body, WantSums):
-            if self.watch.stage == body.stage:
-                before, after = self.watch.told(now, body.watch_ms * 1000)
+        if isinstance(body, LeaseDenial):
+            self.lease.on_denial(sender, body)
+        elif isinstance(body, WorkStopped):
+            self.grantor.on_stopped(sender, body, now)
+        elif isinstance(body, DrainQuery):
+            self.grantor.on_drain_query(sender, body, now)
+        elif isinstance(body, DrainReply):
+            return self.coordinator.on_drain_reply(sender, body, now)
+        elif isinstance(body, TotalsRequest):
+            if self.watch.stage_id == body.stage_id:
+                before, after = self.watch.totals_around(now, body.watch_ms * 1000)
                 version = self.lease.applied_version
-                self.texts.out.append(Send(sender, Counted(body.stage, version, before, after)))
-        elif isinstance(body, Counted):
-            self.coordinator.counted(sender, body)
-        elif isinstance(body, WantText):
-            self.texts.wanted(sender, body)
-        elif isinstance(body, Piece):
-            self.texts.piece(sender, body, now)
-            if body.digest in self.texts.by_digest and body.digest in self.lacked:
-                self.texts.write(body.digest)
+                self.texts.outbox.append(Send(sender, TotalsReply(body.stage_id, version, before, after)))
+        elif isinstance(body, TotalsReply):
+            self.coordinator.on_totals(sender, body)
+        elif isinstance(body, TextRequest):
+            self.texts.on_text_request(sender, body)
+        elif isinstance(body, TextPiece):
+            self.texts.on_piece(sender, body, now)
+            if body.digest in self.texts.by_digest and body.digest in self.missing_texts:
+                self.texts.store(body.digest)
             return body.digest in self.texts.by_digest
         return False
 
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
-        self._keep_texts()
+        self._update_texts()
         self.watch.tick(now)
         if (stage := self.register.document.policy.stage) and self.lease.valid_version(now) >= 0:
-            self.watch.staged(stage.id, now)
+            self.watch.on_stage(stage.id, now)
         due = min(self.lease.tick(now), self.texts.tick(now), self.coordinator.tick(now))
-        return min(due, self.grantor.tick(now) if self.register.voter.voting else due)
+        return min(due, self.grantor.tick(now) if self.register.voter.is_voting else due)
 
     def take(self) -> list[Send]:
         parts = (self.lease, self.grantor, self.texts, self.coordinator)
-        out = [send for part in parts for send in part.out]
+        out = [send for part in parts for send in part.outbox]
         for part in parts:
-            part.out = []
+            part.outbox = []
         return out
 
     # Words of the staff
 
     def propose(
-        self, ident: str, text: bytes, base: int, now: int, then: Then, share: float = 1.0, watch_ms: int = 0
+        self,
+        change_id: str,
+        text: bytes,
+        base: int,
+        now: int,
+        callback: OutcomeCallback,
+        share: float = 1.0,
+        watch_ms: int = 0,
     ) -> str:
         """ident: of this proposal and no other, however often it is told. share: under 1, so many go first
         and are watched. ValueError: too long."""
         digest = self.texts.add(text)
-        self.proposed.add(digest)
+        self.proposed_texts.add(digest)
 
         def ended(outcome: object) -> None:
-            self.proposed.discard(digest)
-            then(outcome)  # type: ignore[arg-type]
+            self.proposed_texts.discard(digest)
+            callback(outcome)  # type: ignore[arg-type]
 
-        change = Change(ident, digest, self.me)
+        change = PolicyChange(change_id, digest, self.me)
         if share < 1:
-            change = Change(ident, digest, self.me, False, STAGE, self._few(share, watch_ms))
+            change = PolicyChange(
+                change_id, digest, self.me, False, STAGE, self._canary_group(share, watch_ms)
+            )
         return self.coordinator.propose(change, base, now, ended)
 
-    def _few(self, share: float, watch_ms: int) -> CanaryGroup:
+    def _canary_group(self, share: float, watch_ms: int) -> CanaryGroup:
         """By the salt that comes nearest to the share of those that are there: one at least, and not all."""
-        names = [self.me, *self.coordinator.others()]
+        names = [self.me, *self.coordinator.other_members()]
         wanted = min(max(1, round(share * len(names))), max(1, len(names) - 1))
         return min(
-            (CanaryGroup(share, salt, watch_ms) for salt in range(SALTS)),
-            key=lambda few: abs(sum(map(few.includes, names)) - wanted),
+            (CanaryGroup(share, salt, watch_ms) for salt in range(SALT_CANDIDATES)),
+            key=lambda canary: abs(sum(map(canary.includes, names)) - wanted),
         )
 
-    def withdraw(self, ident: str, now: int) -> str:
+    def withdraw(self, change_id: str, now: int) -> str:
         """End the change that is under way, if it is this one."""
 
-        def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-            p = document.policy
-            if p.stage and p.stage.id == ident:
-                return go_back(p.epoch, "withdrawn by staff")(ticket, document)
+        def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+            policy = document.policy
+            if policy.stage and policy.stage.id == change_id:
+                return roll_back(policy.epoch, "withdrawn by staff")(proposal_id, document)
             return (
-                end(p.epoch, "withdrawn by staff")(ticket, document)
-                if (p.change and p.change.id == ident)
+                end_change(policy.epoch, "withdrawn by staff")(proposal_id, document)
+                if (policy.change and policy.change.id == change_id)
                 else None
             )
 
-        return self.register.propose(step, now, lambda outcome: self.coordinator.tell_if(outcome))
+        return self.register.propose(step, now, lambda outcome: self.coordinator.announce_if_done(outcome))
 
-    def cancel_member(self, member: str, off: bool, now: int, then: Then) -> str:
-        return self.register.propose(cancel_member(member, off), now, then)
+    def cancel_member(self, member: str, is_cancelled: bool, now: int, callback: OutcomeCallback) -> str:
+        return self.register.propose(cancel_member(member, is_cancelled), now, callback)
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -17,19 +17,19 @@
 from hopmill.fleet import wire
 from hopmill.fleet.actions import Persist, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.govern import KINDS, PolicyMember
+from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.settings import Members
-from hopmill.fleet.swim import STATES, Changed, Swim
+from hopmill.fleet.swim import STATES, MemberChange, Swim
 from hopmill.fleet.voter import Memory
-from hopmill.fleet.wire import Ack, Ping, PingFor, Unheard
+from hopmill.fleet.wire import Ack, Ping, IndirectPing, ProbeFailed
 
-BLOCK = 1000  # incarnations that are put on disk at a time, before the first of them is used
-FRESH = 1 << 32  # a member without a past begins above it
-AGAIN_US = 1_000_000  # after a disk that said no
-MOST_NAMED = 60  # members, in a row for staff
-LARGEST = 1 << 48  # an incarnation past it is nobody's
+INCARNATION_BLOCK = 1000  # incarnations that are put on disk at a time, before the first of them is used
+MIN_FRESH_INCARNATION = 1 << 32  # a member without a past begins above it
+DISK_RETRY_US = 1_000_000  # after a disk that said no
+MAX_STATUS_MEMBERS = 60  # members, in a row for staff
+MAX_INCARNATION = 1 << 48  # an incarnation past it is nobody's
 
 
 class Stored(msgspec.Struct):
@@ -69,11 +69,11 @@
     digests: frozenset[bytes]
 
 
-Deed = Datagram | Write | WriteText | DeleteTexts
+NodeAction = Datagram | Write | WriteText | DeleteTexts
 
 
 @dataclass
-class Counts:
+class DatagramCounts:
     """Since the start."""
 
     sent: int = 0
@@ -96,71 +96,71 @@
     ) -> None:
         """same_folder: it is where it was stored, no copy. seed: another with each start, from the system's
         own chance. carried: by the process before, in an upgrade. texts: those on disk, by digest."""
-        self.settings, self.chance = members, random.Random(seed)
+        self.settings, self.rng = members, random.Random(seed)
         self.ceiling = stored.ceiling
-        life = carried["incarnation"] if carried else stored.ceiling + 1
+        incarnation = carried["incarnation"] if carried else stored.ceiling + 1
         if not carried and not same_folder:
             # What it used since is not in this folder, nor in a copy: from a place where it has never been.
-            life = self.chance.randrange(FRESH, LARGEST >> 1)
-        self.wanted = max(life, self.ceiling if carried else 0)  # the ceiling asked for
-        self.counts = Counts()
-        self.swim = Swim(members, life, self.chance, self._next_incarnation)
+            incarnation = self.rng.randrange(MIN_FRESH_INCARNATION, MAX_INCARNATION >> 1)
+        self.requested_ceiling = max(incarnation, self.ceiling if carried else 0)  # the ceiling asked for
+        self.counts = DatagramCounts()
+        self.swim = Swim(members, incarnation, self.rng, self._next_incarnation)
         initial = RegisterDocument(0, members.voters)
-        born = carried["born"] if carried else life
-        self.register = Register(members.id, born, initial, stored.memory, same_folder, self.chance)
+        generation = carried["born"] if carried else incarnation
+        self.register = Register(members.id, generation, initial, stored.memory, same_folder, self.rng)
         for name in members.leases:
-            self.register.keep(name, int(members.lease_ms * 1e3), members.drift)
-        self.born = born
+            self.register.hold_lease(name, int(members.lease_ms * 1e3), members.drift)
+        self.generation = generation
         self.policy_member: PolicyMember | None = None
         if members.policy:
             self.policy_member = PolicyMember(
                 members.id,
-                born,
+                generation,
                 self.register,
-                self.chance,
+                self.rng,
                 int(members.lease_ms * 1e3),
                 members.drift,
                 members.policy.alone == "last",
                 [members.id, *(o.id for o in members.others)],
-                self.swim.there,
+                self.swim.live_members,
                 texts or {},
             )
-        self.started, self.due = False, 0
+        self.started, self.due_at = False, 0
         self.writes: list[Write] = []
-        self.ready: list[Datagram] = []
-        self.own: list[Send] = []
+        self.ready_datagrams: list[Datagram] = []
+        self.own_messages: list[Send] = []
         if carried:
             self._resume(carried)
         else:
-            self._reserve(life)
+            self._reserve(incarnation)
 
     # Upgrades
 
     def carry(self) -> dict[str, Any]:
         """For the next process on this machine; this one must not speak any more."""
-        r = self.register
+        register = self.register
         return {
-            "born": self.born,
+            "born": self.generation,
             "incarnation": self.swim.me.incarnation,
             "ceiling": self.ceiling,
-            "round": r.proposer.round,
-            "counted": r.counted,
-            "document": doc.encode(r.document),
+            "round": register.proposer.round,
+            "counted": register.proposal_count,
+            "document": doc.encode(register.document),
             "state": self._state(self.ceiling),
-            "voting": r.voter.voting,
-            "leases": {name: k.carry() for name, k in r.lease_holders.items()},
+            "voting": register.voter.is_voting,
+            "leases": {name: k.carry() for name, k in register.lease_holders.items()},
             "policy": self.policy_member and self.policy_member.lease.carry(),
             "texts": dict(self.policy_member.texts.by_digest) if self.policy_member else {},
         }
 
     def _resume(self, carried: dict[str, Any]) -> None:
-        r = self.register
-        r.proposer.round, r.counted = carried["round"], carried["counted"] + 1
-        r.proposer.learn(doc.decode(carried["document"]))
-        r.voter.voting = carried["voting"]
+        register = self.register
+        register.proposer.round, register.proposal_count = carried["round"], carried["counted"] + 1
+        register.proposer.learn(doc.decode(carried["document"]))
+        register.voter.is_voting = carried["voting"]
         for name, values in carried["leases"].items():
-            if name in r.lease_holders:
-                r.lease_holders[name].resume(values)
+            if name in register.lease_holders:
+                register.lease_holders[name].resume(values)
         if self.policy_member and carried.get("policy"):
             self.policy_member.texts.by_digest |= carried["texts"]
             self.policy_member.lease.resume(carried["policy"])
@@ -169,16 +169,16 @@
 
     def _reserve(self, incarnation: int) -> None:
         """On disk before the first of them is used."""
-        self.wanted = incarnation + BLOCK
-        self.writes.append(Write(self._state(self.wanted), self.wanted))
+        self.requested_ceiling = incarnation + INCARNATION_BLOCK
+        self.writes.append(Write(self._state(self.requested_ceiling), self.requested_ceiling))
 
     def _next_incarnation(self, after: int) -> int:
         following = max(self.swim.me.incarnation, after) + 1
-        if following > LARGEST:
+        if following > MAX_INCARNATION:
             return 0
         if following <= self.ceiling:
             return following
-        if following > self.wanted:
+        if following > self.requested_ceiling:
             self._reserve(following)
         return 0
 
@@ -188,7 +188,7 @@
     def written(self, write: Write, ok: bool, now: int) -> None:
         """The disk has done it, or said no: then what waits for it is not sent, as if it had been lost."""
         if not ok:
-            self.wanted = self.ceiling
+            self.requested_ceiling = self.ceiling
             return
         self.ceiling = max(self.ceiling, write.ceiling)
         for send in write.then:
@@ -207,23 +207,23 @@
         """Whether `tick` has something to do at once; else it may wait for its time."""
         self.counts.received += 1
         try:
-            frame, body, news = wire.read(data, self.settings.fleet)
-            if frame.incarnation > LARGEST or any(n.incarnation > LARGEST for n in news):
-                raise wire.Unreadable("incarnation")
-        except wire.Unreadable as error:
+            frame, body, updates = wire.read(data, self.settings.fleet)
+            if frame.incarnation > MAX_INCARNATION or any(n.incarnation > MAX_INCARNATION for n in updates):
+                raise wire.UnreadableDatagramError("incarnation")
+        except wire.UnreadableDatagramError as error:
             self.counts.dropped[str(error)] += 1
             return False
         if not self.started:
             return False
-        self._catch_up(now)
-        if frame.sender != self.settings.id and not self.swim.heard(
-            frame.sender, frame.incarnation, news, now
+        self._compensate_stall(now)
+        if frame.sender != self.settings.id and not self.swim.on_datagram(
+            frame.sender, frame.incarnation, updates, now
         ):
             return False
-        about_members, stirred = isinstance(body, (Ping, Ack, PingFor, Unheard)), False
+        about_members, stirred = isinstance(body, (Ping, Ack, IndirectPing, ProbeFailed)), False
         if about_members:
             self.swim.receive(frame.sender, body, now)
-        elif isinstance(body, KINDS):
+        elif isinstance(body, POLICY_BODIES):
             stirred = self.policy_member is not None and self.policy_member.receive(frame.sender, body, now)
         else:
             stirred = True
@@ -232,57 +232,66 @@
             except msgspec.DecodeError:  # the document in it
                 self.counts.dropped["unreadable"] += 1
                 return False
-        return self.register.newer(frame.sender, frame.version) or stirred
+        return self.register.note_version(frame.sender, frame.version) or stirred
 
-    def _catch_up(self, now: int) -> None:
+    def _compensate_stall(self, now: int) -> None:
         """This process stood still: what was silent meanwhile was not heard, so nobody is blamed for it."""
-        late = now - self.due
-        if self.due and late > self.swim.period:
-            self.swim.stood_still(late)
-            self.due = now
+        late = now - self.due_at
+        if self.due_at and late > self.swim.period_us:
+            self.swim.on_stall(late)
+            self.due_at = now
 
     def tick(self, now: int) -> int:
         """Everything that time brings. Returns when to be called again."""
         if not self.started:
             self._start(now)
         if not self.started:
-            if not self.writes and self.wanted <= self.ceiling:
+            if not self.writes and self.requested_ceiling <= self.ceiling:
                 self._reserve(self.swim.me.incarnation)  # the disk said no: once more
-            return now + AGAIN_US
-        self._catch_up(now)
-        self.due = min(self.swim.tick(now), self.register.tick(now))
+            return now + DISK_RETRY_US
+        self._compensate_stall(now)
+        self.due_at = min(self.swim.tick(now), self.register.tick(now))
         if self.policy_member:
-            self.due = min(self.due, self.policy_member.tick(now))
-        return self.due
+            self.due_at = min(self.due_at, self.policy_member.tick(now))
+        return self.due_at
 
-    def take(self, now: int) -> list[Deed]:
+    def take(self, now: int) -> list[NodeAction]:
         """What is to be done, in order."""
-        texts: list[Deed] = []
-        while actions := [*self.own, *self.register.take(now), *self.swim.out, *self._governed(texts)]:
-            self.own, self.swim.out = [], []
+        texts: list[NodeAction] = []
+        while actions := [
+            *self.own_messages,
+            *self.register.take(now),
+            *self.swim.outbox,
+            *self._take_policy_actions(texts),
+        ]:
+            self.own_messages, self.swim.outbox = [], []
             for action in actions:
                 if isinstance(action, Persist):
-                    self.writes.append(Write(self._state(self.wanted), self.wanted, action.then))
+                    self.writes.append(
+                        Write(self._state(self.requested_ceiling), self.requested_ceiling, action.then)
+                    )
                 elif action.to == self.settings.id:  # what is meant for this member itself is heard at once
-                    self._own(action.body, now)
+                    self._deliver_to_self(action.body, now)
                 else:
                     self._send(action)
-        out, self.ready, self.writes = [*texts, *self.writes, *self.ready], [], []
+        out, self.ready_datagrams, self.writes = [*texts, *self.writes, *self.ready_datagrams], [], []
         return out
 
-    def _governed(self, texts: list[Deed]) -> list[Send]:
+    def _take_policy_actions(self, texts: list[NodeAction]) -> list[Send]:
         if self.policy_member is None:
             return []
         store = self.policy_member.texts
-        if self.policy_member.dropped:  # first: what is written now as well was wanted again after that
-            texts.append(DeleteTexts(frozenset(self.policy_member.dropped)))
-            self.policy_member.dropped = set()
+        if (
+            self.policy_member.deletable_texts
+        ):  # first: what is written now as well was wanted again after that
+            texts.append(DeleteTexts(frozenset(self.policy_member.deletable_texts)))
+            self.policy_member.deletable_texts = set()
         texts += [WriteText(digest, text) for digest, text in store.writes]
         store.writes = []
         return self.policy_member.take()
 
-    def _own(self, body: Any, now: int) -> None:
-        if not isinstance(body, KINDS):
+    def _deliver_to_self(self, body: Any, now: int) -> None:
+        if not isinstance(body, POLICY_BODIES):
             self.register.receive(self.settings.id, body, now)
         elif self.policy_member:
             self.policy_member.receive(self.settings.id, body, now)
@@ -290,11 +299,11 @@
     def text_written(self, digest: bytes, ok: bool, now: int) -> None:
         if self.policy_member:
             self.policy_member.texts.written(digest, ok)
-            self.register.texts_came(now)
+            self.register.on_texts_stored(now)
 
     def _send(self, send: Send) -> None:
         if send.to == self.settings.id:
-            self.own.append(send)
+            self.own_messages.append(send)
             return
         address = self.swim.address(send.to)
         if not address:
@@ -307,39 +316,39 @@
                 self.swim.me.incarnation,
                 self.register.document.version,
                 send.body,
-                self.swim.news_for(send.to),
+                self.swim.updates_for(send.to),
             )
         except ValueError:
             self.counts.dropped["too large"] += 1
             return
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
-        self.ready.append(Datagram(address, data))
+        self.ready_datagrams.append(Datagram(address, data))
 
     # What staff and logs are told
 
-    def take_member_changes(self) -> list[Changed]:
+    def take_member_changes(self) -> list[MemberChange]:
         """Members whose state has changed since the last call."""
-        changed, self.swim.changed = self.swim.changed, []
+        changed, self.swim.changes = self.swim.changes, []
         return changed
 
     def propose(
         self,
         change: Callable[[str, RegisterDocument], RegisterDocument | None],
         now: int,
-        then: Callable[[Outcome], None],
+        callback: Callable[[Outcome], None],
     ) -> str:
-        return self.register.propose(change, now, then)
+        return self.register.propose(change, now, callback)
 
     def fencing_token(self, lease: str, now: int) -> int:
         """The fencing number to act under, 0 if it may not act. To be asked in the turn that acts."""
-        keeper = self.register.lease_holders.get(lease)
-        return keeper.fencing_token(now) if keeper else 0
+        holder = self.register.lease_holders.get(lease)
+        return holder.fencing_token(now) if holder else 0
 
     def status(self, now: int) -> dict[str, Any]:
         """Ages are in ms."""
-        me, r = self.swim.me, self.register
-        peers = sorted(self.swim.peers.values(), key=lambda p: p.id)
+        me, register = self.swim.me, self.register
+        peers = sorted(self.swim.peers.values(), key=lambda peer: peer.id)
         rows = [
             {
                 "id": me.id,
@@ -353,37 +362,37 @@
         ]
         rows += [
             {
-                "id": p.id,
-                "state": STATES[p.state] if p.incarnation > 0 else "unheard",
-                "zone": p.zone,
-                "region": p.region,
-                "incarnation": p.incarnation,
-                "age_ms": (now - p.heard_at) // 1000 if p.heard_at else None,
+                "id": peer.id,
+                "state": STATES[peer.state] if peer.incarnation > 0 else "unheard",
+                "zone": peer.zone,
+                "region": peer.region,
+                "incarnation": peer.incarnation,
+                "age_ms": (now - peer.heard_at) // 1000 if peer.heard_at else None,
                 "self": False,
             }
-            for p in peers
+            for peer in peers
         ]
-        d = r.document
+        document = register.document
         return {
             "fleet": self.settings.fleet,
             "id": me.id,
-            "life": self.born,
+            "life": self.generation,
             "started": self.started,
             "members": rows,
-            "health": self.swim.health,
-            "version": d.version,
-            "voters": list(d.voters),
-            "former": list(d.former),
-            "votes": r.voter.voting,
-            "words": d.entries,
+            "health": self.swim.health_score,
+            "version": document.version,
+            "voters": list(document.voters),
+            "former": list(document.previous_voters),
+            "votes": register.voter.is_voting,
+            "words": document.entries,
             "leases": [
                 {
                     "name": name,
                     "owner": lease.owner,
-                    "fence": lease.fence,
+                    "fence": lease.fencing_token,
                     "mine": bool(self.fencing_token(name, now)),
                 }
-                for name, lease in sorted(d.leases.items())
+                for name, lease in sorted(document.leases.items())
             ],
             "policy": self._policy_status(now) if self.policy_member else None,
             "datagrams": {
@@ -396,28 +405,35 @@
 
     def _policy_status(self, now: int) -> dict[str, Any]:
         assert self.policy_member is not None
-        p, standing = self.register.document.policy, self.policy_member.lease
-        until = standing.valid_until()
+        policy, policy_lease = self.register.document.policy, self.policy_member.lease
+        until = policy_lease.valid_until()
         return {
-            "version": p.version,
-            "epoch": p.epoch,
-            "may_act": standing.valid_version(now) >= 0,
-            "set_up_for": standing.applied_version,
-            "alone": "last" if standing.last else "hold",
+            "version": policy.version,
+            "epoch": policy.epoch,
+            "may_act": policy_lease.valid_version(now) >= 0,
+            "set_up_for": policy_lease.applied_version,
+            "alone": "last" if policy_lease.continues_alone else "hold",
             "lease_ms": None if until - now > 1 << 60 else max(0, (until - now) // 1000),
-            "not_given": standing.why,
-            "struck": list(p.cancelled_members),
+            "not_given": policy_lease.denial_reasons,
+            "struck": list(policy.cancelled_members),
             "waits": self.policy_member.coordinator.waiting_for(),
-            "change": p.change
-            and {"id": p.change.id, "by": p.change.by, "closing": p.change.closing, "moves": p.change.moves},
-            "stage": p.stage
+            "change": policy.change
             and {
-                "id": p.stage.id,
-                "version": p.stage.version,
-                "share": p.stage.canary.share,
+                "id": policy.change.id,
+                "by": policy.change.by,
+                "closing": policy.change.closing,
+                "moves": policy.change.scope,
+            },
+            "stage": policy.stage
+            and {
+                "id": policy.stage.id,
+                "version": policy.stage.version,
+                "share": policy.stage.canary.share,
                 "members": [
-                    m for m in sorted((self.settings.id, *self.swim.there())) if p.stage.canary.includes(m)
-                ][:MOST_NAMED],
+                    m
+                    for m in sorted((self.settings.id, *self.swim.live_members()))
+                    if policy.stage.canary.includes(m)
+                ][:MAX_STATUS_MEMBERS],
             },
-            "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in p.ended],
+            "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in policy.ended],
         }
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -20,13 +20,13 @@
 
     from hopmill.fleet.document import RegisterDocument
 
-ENDED = 3  # outcomes that the document keeps, so that one whose answer was lost is told
-MOST_WHY = 48  # characters of a reason
-MOST_STRUCK = 6  # members that are struck off at once
+MAX_ENDED = 3  # outcomes that the document keeps, so that one whose answer was lost is told
+MAX_REASON_CHARS = 48  # characters of a reason
+MAX_CANCELLED = 6  # members that are struck off at once
 IN_FORCE, ENDED_NOWHERE = "in force", "in force nowhere"
 
 
-class Refused(ValueError):
+class ChangeRefusedError(ValueError):
     """The change can't be made; the text says why."""
 
 
@@ -44,7 +44,7 @@
         return zlib.crc32(f"{self.salt} {member}".encode()) < self.share * (1 << 32)
 
 
-class Change(msgspec.Struct, frozen=True, array_like=True):
+class PolicyChange(msgspec.Struct, frozen=True, array_like=True):
     """One under way. id: of this proposal and no other; digest: of the text that it would put in force.
     moves: whom it concerns: all, a few first, the rest after them, or all back to what was."""
 
@@ -52,18 +52,18 @@
     digest: bytes
     by: str  # the member that proposed it, and has the text
     closing: bool = False
-    moves: str = ALL
+    scope: str = ALL
     canary: CanaryGroup | None = None
-    opened: int = 0  # times that it was closing and was opened again
+    reopen_count: int = 0  # times that it was closing and was opened again
 
-    def concerns(self, member: str) -> bool:
+    def affects(self, member: str) -> bool:
         """Whether it would bring this member to another version."""
-        if self.canary is None or self.moves in (ALL, BACK):
+        if self.canary is None or self.scope in (ALL, BACK):
             return True
-        return self.canary.includes(member) is (self.moves == STAGE)
+        return self.canary.includes(member) is (self.scope == STAGE)
 
 
-class Stage(msgspec.Struct, frozen=True, array_like=True):
+class CanaryStage(msgspec.Struct, frozen=True, array_like=True):
     """A version that is in force for a few. id: of its proposal."""
 
     id: str
@@ -73,7 +73,7 @@
     by: str
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
+class EndedChange(msgspec.Struct, frozen=True, array_like=True):
     id: str
     version: int  # that it put in force, 0: none
     why: str = ""
@@ -85,10 +85,10 @@
     epoch: int = 0
     version: int = 0
     digest: bytes = b""
-    change: Change | None = None
-    ended: tuple[Ended, ...] = ()
+    change: PolicyChange | None = None
+    ended: tuple[EndedChange, ...] = ()
     cancelled_members: tuple[str, ...] = ()
-    stage: Stage | None = None
+    stage: CanaryStage | None = None
 
     def version_for(self, member: str) -> int:
         return self.stage.version if self.stage and self.stage.canary.includes(member) else self.version
@@ -98,151 +98,172 @@
 
     def closing_for(self, member: str) -> bool:
         """Whether it has to stop."""
-        return self.change is not None and self.change.closing and self.change.concerns(member)
+        return self.change is not None and self.change.closing and self.change.affects(member)
 
-    def outcome(self, ident: str) -> Ended | None:
-        return next((e for e in self.ended if e.id == ident), None)
+    def outcome(self, change_id: str) -> EndedChange | None:
+        return next((e for e in self.ended if e.id == change_id), None)
 
     @property
     def texts(self) -> set[bytes]:
         """Digests of all that is in force or may be."""
-        there = (
+        digests = (
             self.digest,
             self.change.digest if self.change else b"",
             self.stage.digest if self.stage else b"",
         )
-        return {d for d in there if d}
+        return {digest for digest in digests if digest}
 
 
 Step = "Callable[[str, Document], Document | None]"
 
 
-def _next(document: RegisterDocument, ticket: str, **changes: object) -> RegisterDocument:
-    p = document.policy
-    return document.next(ticket, policy=msgspec.structs.replace(p, epoch=p.epoch + 1, **changes))
+def _next(document: RegisterDocument, proposal_id: str, **changes: object) -> RegisterDocument:
+    policy = document.policy
+    return document.next(
+        proposal_id, policy=msgspec.structs.replace(policy, epoch=policy.epoch + 1, **changes)
+    )
 
 
-def prepare(change: Change, base: int) -> Step:
+def prepare(change: PolicyChange, base: int) -> Step:
     """base: the version that its text was made from. Left as it is where it is under way or has ended."""
 
-    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-        p = document.policy
-        if p.outcome(change.id) or p.change and p.change.id == change.id:
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy = document.policy
+        if policy.outcome(change.id) or policy.change and policy.change.id == change.id:
             return None
-        if p.change or p.stage:
-            there = p.change or p.stage
-            raise Refused(f"change {there.id} of {there.by} is " + ("under way" if p.change else "staged"))
-        if p.version != base:
-            raise Refused(f"version {p.version} is in force, not {base}")
-        return _next(document, ticket, change=change)
+        if policy.change or policy.stage:
+            under_way = policy.change or policy.stage
+            raise ChangeRefusedError(
+                f"change {under_way.id} of {under_way.by} is " + ("under way" if policy.change else "staged")
+            )
+        if policy.version != base:
+            raise ChangeRefusedError(f"version {policy.version} is in force, not {base}")
+        return _next(document, proposal_id, change=change)
 
     return step
 
 
-def _at(epoch: int, then: Callable[[str, RegisterDocument], RegisterDocument | None]) -> Step:
+def _at_epoch(epoch: int, apply: Callable[[str, RegisterDocument], RegisterDocument | None]) -> Step:
     """Only where nothing has happened to the policy since this epoch."""
 
-    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-        return then(ticket, document) if document.policy.epoch == epoch and document.policy.change else None
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        return (
+            apply(proposal_id, document)
+            if document.policy.epoch == epoch and document.policy.change
+            else None
+        )
 
     return step
 
 
-def _closing(document: RegisterDocument, ticket: str, closing: bool) -> RegisterDocument:
+def _with_closing(document: RegisterDocument, proposal_id: str, closing: bool) -> RegisterDocument:
     change = document.policy.change
     assert change is not None
-    opened = change.opened + (change.closing and not closing)
-    return _next(document, ticket, change=msgspec.structs.replace(change, closing=closing, opened=opened))
+    reopen_count = change.reopen_count + (change.closing and not closing)
+    return _next(
+        document,
+        proposal_id,
+        change=msgspec.structs.replace(change, closing=closing, reopen_count=reopen_count),
+    )
 
 
 def close(epoch: int) -> Step:
     """From here on nobody gets a lease on the version in force."""
-    return _at(epoch, lambda t, d: _closing(d, t, True))
+    return _at_epoch(epoch, lambda proposal_id, document: _with_closing(document, proposal_id, True))
 
 
 def reopen(epoch: int) -> Step:
     """Somebody who was ready does not stop: all go on under the version in force, until that one's lease
     has run out."""
-    return _at(epoch, lambda t, d: _closing(d, t, False))
+    return _at_epoch(epoch, lambda proposal_id, document: _with_closing(document, proposal_id, False))
 
 
 def commit(epoch: int) -> Step:
     """It is in force: a majority of voters knows of nobody who works under the version before."""
 
-    def then(ticket: str, d: RegisterDocument) -> RegisterDocument | None:
-        p, change, stage = d.policy, d.policy.change, d.policy.stage
+    def apply(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy, change, stage = document.policy, document.policy.change, document.policy.stage
         assert change is not None
         if not change.closing:
             return None
-        if change.moves == STAGE:
+        if change.scope == STAGE:
             assert change.canary is not None
-            staged = Stage(change.id, change.digest, p.version + 1, change.canary, change.by)
-            return _next(d, ticket, change=None, stage=staged)
-        if change.moves == BACK:
+            staged = CanaryStage(change.id, change.digest, policy.version + 1, change.canary, change.by)
+            return _next(document, proposal_id, change=None, stage=staged)
+        if change.scope == BACK:
             assert stage is not None
-            return _next(d, ticket, version=stage.version + 1, change=None, stage=None)
-        version = stage.version if stage else p.version + 1
-        ended = (*p.ended, Ended(change.id, version))[-ENDED:]
-        return _next(d, ticket, version=version, digest=change.digest, change=None, stage=None, ended=ended)
+            return _next(document, proposal_id, version=stage.version + 1, change=None, stage=None)
+        version = stage.version if stage else policy.version + 1
+        ended = (*policy.ended, EndedChange(change.id, version))[-MAX_ENDED:]
+        return _next(
+            document, proposal_id, version=version, digest=change.digest, change=None, stage=None, ended=ended
+        )
 
-    return _at(epoch, then)
+    return _at_epoch(epoch, apply)
 
 
-def go_on(epoch: int) -> Step:
+def extend_to_rest(epoch: int) -> Step:
     """Those that are watched do well: the rest follows."""
 
-    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-        p = document.policy
-        if p.epoch != epoch or p.stage is None or p.change:
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy = document.policy
+        if policy.epoch != epoch or policy.stage is None or policy.change:
             return None
-        s = p.stage
-        return _next(document, ticket, change=Change(s.id, s.digest, s.by, False, REST, s.canary))
+        stage = policy.stage
+        return _next(
+            document,
+            proposal_id,
+            change=PolicyChange(stage.id, stage.digest, stage.by, False, REST, stage.canary),
+        )
 
     return step
 
 
-def go_back(epoch: int, why: str) -> Step:
+def roll_back(epoch: int, why: str) -> Step:
     """They do worse, or staff say so: all go to a version that is as the one before the stage. It can't be
     refused, for all went by it."""
 
-    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-        p = document.policy
-        if p.epoch != epoch or p.stage is None or p.change and p.change.moves != REST:
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy = document.policy
+        if policy.epoch != epoch or policy.stage is None or policy.change and policy.change.scope != REST:
             return None
-        s = p.stage
-        ended = (*p.ended, Ended(s.id, 0, why[:MOST_WHY]))[-ENDED:]
-        back = Change(s.id + "~", p.digest, s.by, False, BACK, s.canary)
-        return _next(document, ticket, ended=ended, change=back)
+        stage = policy.stage
+        ended = (*policy.ended, EndedChange(stage.id, 0, why[:MAX_REASON_CHARS]))[-MAX_ENDED:]
+        roll_back_change = PolicyChange(stage.id + "~", policy.digest, stage.by, False, BACK, stage.canary)
+        return _next(document, proposal_id, ended=ended, change=roll_back_change)
 
     return step
 
 
-def end(epoch: int, why: str) -> Step:
+def end_change(epoch: int, why: str) -> Step:
     """It is in force nowhere. Where some go by it already, they go back."""
 
-    def then(ticket: str, d: RegisterDocument) -> RegisterDocument | None:
-        change = d.policy.change
+    def apply(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        change = document.policy.change
         assert change is not None
-        if d.policy.stage:
-            return go_back(epoch, why)(ticket, d)
+        if document.policy.stage:
+            return roll_back(epoch, why)(proposal_id, document)
         return _next(
-            d, ticket, change=None, ended=(*d.policy.ended, Ended(change.id, 0, why[:MOST_WHY]))[-ENDED:]
+            document,
+            proposal_id,
+            change=None,
+            ended=(*document.policy.ended, EndedChange(change.id, 0, why[:MAX_REASON_CHARS]))[-MAX_ENDED:],
         )
 
-    return _at(epoch, then)
+    return _at_epoch(epoch, apply)
 
 
-def cancel_member(member: str, off: bool = True) -> Step:
+def cancel_member(member: str, is_cancelled: bool = True) -> Step:
     """Staff's word that this member does not work any more: no change waits for it, and it gets no lease."""
 
-    def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         cancelled_members = tuple(s for s in document.policy.cancelled_members if s != member) + (
-            (member,) if off else ()
+            (member,) if is_cancelled else ()
         )
         if set(cancelled_members) == set(document.policy.cancelled_members):
             return None
-        if len(cancelled_members) > MOST_STRUCK:
-            raise Refused(f"at most {MOST_STRUCK} members are struck off at once")
-        return _next(document, ticket, cancelled_members=cancelled_members)
+        if len(cancelled_members) > MAX_CANCELLED:
+            raise ChangeRefusedError(f"at most {MAX_CANCELLED} members are struck off at once")
+        return _next(document, proposal_id, cancelled_members=cancelled_members)
 
     return step
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -9,14 +9,25 @@
 from hopmill.fleet.actions import Action, Send
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.lease import LeaseHolder
-from hopmill.fleet.proposer import Change, Outcome, Proposer
+from hopmill.fleet.proposer import DocumentUpdate, Outcome, Proposer
 from hopmill.fleet.voter import Memory, Voter
-from hopmill.fleet.wire import Accept, Accepted, Ask, Body, Chosen, Fetch, Known, Prepare, Promise, Refused
-
-SETTLE_US = (500_000, 2_000_000)  # after the first step of replacing a voter
-CLOSING_US = 50_000  # that a lease's renewal waits at a time while a change of policy is closing
-FETCH_US = 100_000  # between two askings for a newer document
-DONE_WITHIN_US = 10_000_000
+from hopmill.fleet.wire import (
+    Accept,
+    Accepted,
+    RecoveryRequest,
+    Body,
+    ChosenDocument,
+    DocumentRequest,
+    RecoveryReply,
+    Prepare,
+    Promise,
+    BallotRejected,
+)
+
+VOTER_CHANGE_TAKEOVER_US = (500_000, 2_000_000)  # after the first step of replacing a voter
+CLOSING_DELAY_US = 50_000  # that a lease's renewal waits at a time while a change of policy is closing
+DOCUMENT_REQUEST_US = 100_000  # between two askings for a newer document
+PROPOSAL_TIMEOUT_US = 10_000_000
 
 
 class Register:
@@ -27,31 +38,31 @@
     def __init__(
         self,
         me: str,
-        life: int,
+        generation: int,
         initial: RegisterDocument,
         memory: Memory,
         same_folder: bool,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """life: of this member, never used before. memory, same_folder: what its voter finds on disk."""
-        self.me, self.name = me, f"{me}#{life}"
-        self.voter = self.voter_type(me, initial, memory, same_folder, chance)
-        self.proposer = self.proposer_type(self.name, initial, chance)
+        self.me, self.name = me, f"{me}#{generation}"
+        self.voter = self.voter_type(me, initial, memory, same_folder, rng)
+        self.proposer = self.proposer_type(self.name, initial, rng)
         self.lease_holders: dict[str, LeaseHolder] = {}
-        self.heard: dict[str, int] = {}  # versions that others know, while they are newer
-        self.fetched_at = -FETCH_US
-        self.tickets: dict[str, Callable[[Outcome], None]] = {}
-        self.counted = self.settle_at = 0
+        self.newer_versions: dict[str, int] = {}  # versions that others know, while they are newer
+        self.requested_at = -DOCUMENT_REQUEST_US
+        self.callbacks: dict[str, Callable[[Outcome], None]] = {}
+        self.proposal_count = self.finish_voters_at = 0
         # Whether this member lacks a text that the document names: then it does not vote for it yet.
-        self.lacks: Callable[[RegisterDocument, str], bool] = lambda document, sender: False
-        self.late: tuple[str, Accept] | None = None
+        self.lacks_texts: Callable[[RegisterDocument, str], bool] = lambda document, sender: False
+        self.deferred_accept: tuple[str, Accept] | None = None
 
     @property
     def document(self) -> RegisterDocument:
         """The newest that is known to be chosen."""
-        return self.proposer.known
+        return self.proposer.known_document
 
-    def keep(self, name: str, length_us: int, drift: float) -> LeaseHolder:
+    def hold_lease(self, name: str, length_us: int, drift: float) -> LeaseHolder:
         """Try to hold a lease from now on."""
         return self.lease_holders.setdefault(name, self.lease_holder_type(name, self.name, length_us, drift))
 
@@ -59,58 +70,60 @@
         self,
         change: Callable[[str, RegisterDocument], RegisterDocument | None],
         now: int,
-        then: Callable[[Outcome], None] = lambda outcome: None,
-        within: int = DONE_WITHIN_US,
+        callback: Callable[[Outcome], None] = lambda outcome: None,
+        within: int = PROPOSAL_TIMEOUT_US,
         urgent: bool = False,
     ) -> str:
         """change: given its ticket and the document, the next one or None. Returns the ticket."""
-        self.counted += 1
-        ticket = doc.ticket_of(f"{self.name}/{self.counted}")
-        self.tickets[ticket] = then
-        self._propose(ticket, lambda document: change(ticket, document), now, within, urgent)
-        return ticket
-
-    def _propose(self, ticket: str, change: Change, now: int, within: int, urgent: bool = False) -> None:
-        self.proposer.propose(ticket, change, now, now + within, urgent)
+        self.proposal_count += 1
+        proposal_id = doc.proposal_id_of(f"{self.name}/{self.proposal_count}")
+        self.callbacks[proposal_id] = callback
+        self._propose(proposal_id, lambda document: change(proposal_id, document), now, within, urgent)
+        return proposal_id
+
+    def _propose(
+        self, proposal_id: str, change: DocumentUpdate, now: int, within: int, urgent: bool = False
+    ) -> None:
+        self.proposer.propose(proposal_id, change, now, now + within, urgent)
 
     def receive(self, sender: str, body: Body, now: int) -> None:
         """msgspec.DecodeError: the document in it is none; nothing of it is kept."""
         document = None
-        if isinstance(body, (Accept, Promise, Known, Chosen)) and body.document:
+        if isinstance(body, (Accept, Promise, RecoveryReply, ChosenDocument)) and body.document:
             document = doc.decode(body.document)
         voter, proposer = self.voter, self.proposer
         if isinstance(body, Prepare):
-            voter.prepare(sender, body)
+            voter.on_prepare(sender, body)
         elif isinstance(body, Accept):
-            if document is None or not self.lacks(document, sender):
-                voter.accept(sender, body)
+            if document is None or not self.lacks_texts(document, sender):
+                voter.on_accept(sender, body)
             else:
-                self.late = sender, body  # voted for once the text is there, as if it came late
+                self.deferred_accept = sender, body  # voted for once the text is there, as if it came late
         elif isinstance(body, Promise):
-            proposer.promise(sender, body, now)
+            proposer.on_promise(sender, body, now)
         elif isinstance(body, Accepted):
-            proposer.accepted(sender, body, now)
-        elif isinstance(body, Refused):
-            proposer.refused(body, now)
-        elif isinstance(body, Ask):
-            voter.ask(sender, body)
-        elif isinstance(body, Known):
-            voter.known(sender, body)
-        elif isinstance(body, Fetch) and self.document.version > body.version:
-            voter.out.append(Send(sender, Chosen(doc.encode(self.document))))
-        elif isinstance(body, Chosen):
+            proposer.on_accepted(sender, body, now)
+        elif isinstance(body, BallotRejected):
+            proposer.on_rejected(body, now)
+        elif isinstance(body, RecoveryRequest):
+            voter.on_recovery_request(sender, body)
+        elif isinstance(body, RecoveryReply):
+            voter.on_recovery_reply(sender, body)
+        elif isinstance(body, DocumentRequest) and self.document.version > body.version:
+            voter.outbox.append(Send(sender, ChosenDocument(doc.encode(self.document))))
+        elif isinstance(body, ChosenDocument):
             proposer.learn(doc.decode(body.document))
 
-    def texts_came(self, now: int) -> None:
-        if self.late:
-            (sender, body), self.late = self.late, None
+    def on_texts_stored(self, now: int) -> None:
+        if self.deferred_accept:
+            (sender, body), self.deferred_accept = self.deferred_accept, None
             self.receive(sender, body, now)
 
-    def newer(self, sender: str, version: int) -> bool:
+    def note_version(self, sender: str, version: int) -> bool:
         """Another member says that it knows this version. True if it is news."""
         if version <= self.document.version:
             return False
-        self.heard[sender] = version
+        self.newer_versions[sender] = version
         return True
 
     def tick(self, now: int) -> int:
@@ -119,47 +132,49 @@
         if (at := self.proposer.tick(now)) is not None:
             due = min(due, at)
         change = self.document.policy.change
-        for keeper in self.lease_holders.values():
-            if change and change.closing and keeper.can_wait(now):
-                due = min(due, now + CLOSING_US)  # work waits for the closing's end: nobody is in its way
+        for holder in self.lease_holders.values():
+            if change and change.closing and holder.can_wait(now):
+                due = min(
+                    due, now + CLOSING_DELAY_US
+                )  # work waits for the closing's end: nobody is in its way
                 continue
-            if asked := keeper.tick(now, self.document):
-                self._propose(*asked, now, keeper.kept_us())
-            due = min(due, keeper.next_us(now))
-        due = min(due, self.voter.tick(now, self.document), self._settle(now))
-        self.heard = {s: v for s, v in self.heard.items() if v > self.document.version}
-        if self.heard:
-            if now - self.fetched_at >= FETCH_US:
-                self.fetched_at = now
-                best = max(self.heard, key=lambda s: (self.heard[s], s))
-                self.voter.out.append(Send(best, Fetch(self.document.version)))
-                del self.heard[best]
-            due = min(due, self.fetched_at + FETCH_US)
+            if proposal := holder.tick(now, self.document):
+                self._propose(*proposal, now, holder.usable_us())
+            due = min(due, holder.next_wake_at(now))
+        due = min(due, self.voter.tick(now, self.document), self._finish_voter_change(now))
+        self.newer_versions = {s: v for s, v in self.newer_versions.items() if v > self.document.version}
+        if self.newer_versions:
+            if now - self.requested_at >= DOCUMENT_REQUEST_US:
+                self.requested_at = now
+                best = max(self.newer_versions, key=lambda s: (self.newer_versions[s], s))
+                self.voter.outbox.append(Send(best, DocumentRequest(self.document.version)))
+                del self.newer_versions[best]
+            due = min(due, self.requested_at + DOCUMENT_REQUEST_US)
         return due
 
-    def _settle(self, now: int) -> int:
+    def _finish_voter_change(self, now: int) -> int:
         """Whoever began to replace a voter may be gone: any voter ends it, one of them most often first."""
-        if not self.document.former or not self.voter.voting:
-            self.settle_at = 0
-        elif not self.settle_at:
-            self.settle_at = now + self.proposer.chance.randrange(*SETTLE_US)
-        elif now >= self.settle_at:
-            self.settle_at = 0
-            self.propose(settle_voters, now)
-        return self.settle_at or now + SETTLE_US[1]
+        if not self.document.previous_voters or not self.voter.is_voting:
+            self.finish_voters_at = 0
+        elif not self.finish_voters_at:
+            self.finish_voters_at = now + self.proposer.rng.randrange(*VOTER_CHANGE_TAKEOVER_US)
+        elif now >= self.finish_voters_at:
+            self.finish_voters_at = 0
+            self.propose(finish_voter_change, now)
+        return self.finish_voters_at or now + VOTER_CHANGE_TAKEOVER_US[1]
 
     def take(self, now: int) -> list[Action]:
         """What is to be done, in order; outcomes are told to those who asked."""
-        while self.proposer.ended:
-            ended, self.proposer.ended = self.proposer.ended, []
+        while self.proposer.outcomes:
+            ended, self.proposer.outcomes = self.proposer.outcomes, []
             for outcome in ended:
-                if then := self.tickets.pop(outcome.ticket, None):
-                    then(outcome)
-                for keeper in self.lease_holders.values():
-                    if keeper.ended(outcome, now):
+                if callback := self.callbacks.pop(outcome.proposal_id, None):
+                    callback(outcome)
+                for holder in self.lease_holders.values():
+                    if holder.on_outcome(outcome, now):
                         break
-        out = [*self.voter.out, *self.proposer.out]
-        self.voter.out, self.proposer.out = [], []
+        out = [*self.voter.outbox, *self.proposer.outbox]
+        self.voter.outbox, self.proposer.outbox = [], []
         return out
 
 
@@ -171,11 +186,11 @@
 ) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
     """A word of the staff; an empty text takes it away. Left as it is where the version is another."""
 
-    def change(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
+    def change(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         if if_version is not None and document.version != if_version:
             return None
         entries = {k: v for k, v in document.entries.items() if k != name} | ({name: text} if text else {})
-        return document.next(ticket, entries=entries)
+        return document.next(proposal_id, entries=entries)
 
     return change
 
@@ -183,15 +198,15 @@
 def replace_voter(old: str, new: str) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
     """First step: from here on a majority of both sets has to agree. One at a time."""
 
-    def change(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-        if document.former or old not in document.voters or new in document.voters:
+    def change(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        if document.previous_voters or old not in document.voters or new in document.voters:
             return None
         voters = tuple(new if v == old else v for v in document.voters)
-        return document.next(ticket, voters=voters, former=document.voters)
+        return document.next(proposal_id, voters=voters, previous_voters=document.voters)
 
     return change
 
 
-def settle_voters(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
+def finish_voter_change(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
     """Second step: the set before has no say any more."""
-    return document.next(ticket, former=()) if document.former else None
+    return document.next(proposal_id, previous_voters=()) if document.previous_voters else None
--- a/hopmill/fleet/settings.py
+++ b/hopmill/fleet/settings.py
@@ -15,7 +15,7 @@
 Place = Annotated[str, msgspec.Meta(max_length=32)]
 Drift = Annotated[float, msgspec.Meta(ge=0, le=0.1)]
 VOTERS = (1, 3, 5)
-MOST_MEMBERS = 2000  # that a member keeps in mind; names past it are counted and dropped
+MAX_MEMBERS = 2000  # that a member keeps in mind; names past it are counted and dropped
 ADDRESS = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 
 
@@ -57,18 +57,18 @@
 def problems(members: Members) -> Iterator[str]:
     """What is wrong in the relation of fields, one line each."""
     ids = [members.id, *(o.id for o in members.others)]
-    for at, other in enumerate(members.others):
-        if other.id in ids[: at + 1]:
-            yield f"members.others[{at}].id: {other.id!r} is there twice"
+    for index, other in enumerate(members.others):
+        if other.id in ids[: index + 1]:
+            yield f"members.others[{index}].id: {other.id!r} is there twice"
         if not ADDRESS.match(other.address):
-            yield f"members.others[{at}].address: must be an IPv4 HOST:PORT, not {other.address!r}"
+            yield f"members.others[{index}].address: must be an IPv4 HOST:PORT, not {other.address!r}"
     if not ADDRESS.match(members.address):
         yield f"members.address: must be an IPv4 HOST:PORT, not {members.address!r}"
     if len(set(members.voters)) not in VOTERS or len(set(members.voters)) != len(members.voters):
         yield "members.voters: must be one, three or five different members"
-    for at, voter in enumerate(members.voters):
+    for index, voter in enumerate(members.voters):
         if voter not in ids:
-            yield f"members.voters[{at}]: no such member: {voter!r}"
+            yield f"members.voters[{index}]: no such member: {voter!r}"
     if members.probe_ms <= members.period_ms:
         yield "members.probe_ms: must be over period_ms"
 
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -11,45 +11,51 @@
 
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.policy import MOST_WHY, Policy
+from hopmill.fleet.policy import MAX_REASON_CHARS, Policy
 from hopmill.fleet.register import Register
-from hopmill.fleet.wire import Given, Hold, NotGiven, Stopped
+from hopmill.fleet.wire import LeaseGrant, LeaseRequest, LeaseDenial, WorkStopped
 
-RENEWALS = 3  # in the time of a lease
-AGAIN_US, MOST_AGAIN_US = 40_000, 640_000  # to a voter that does not answer, doubled each time
-STOPPED_AGAIN_US = 60_000
-FOREVER = 1 << 62
+RENEWALS_PER_LEASE = 3  # in the time of a lease
+RETRY_US, MAX_RETRY_US = 40_000, 640_000  # to a voter that does not answer, doubled each time
+STOPPED_REPEAT_US = 60_000
+NO_EXPIRY_US = 1 << 62
 
 
 @dataclass
-class Asked:
+class GrantRequest:
     """What one voter was asked last."""
 
     seq: int = 0
-    at: int = 0
+    sent_at: int = 0
     tries: int = 0
-    next_at: int = 0
+    next_send_at: int = 0
 
 
 class PolicyLease:
     """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
 
     def __init__(
-        self, me: str, life: int, register: Register, length_us: int, drift: float, last: bool
+        self,
+        me: str,
+        generation: int,
+        register: Register,
+        length_us: int,
+        drift: float,
+        continues_alone: bool,
     ) -> None:
         """last: alone, it goes on under the last version; else it holds."""
-        self.me, self.life, self.register = me, life, register
-        self.length_us, self.drift, self.last = length_us, drift, last
+        self.me, self.generation, self.register = me, generation, register
+        self.length_us, self.drift, self.continues_alone = length_us, drift, continues_alone
         self.applied_version = -1  # that this courier is set up for
-        self.ready_for, self.refuses = "", ""  # the change that it has checked, and what speaks against it
-        self.stopped = 0  # the epoch of the newest closing that it has stopped for
+        self.ready_for, self.refusal = "", ""  # the change that it has checked, and what speaks against it
+        self.stopped_epoch = 0  # the epoch of the newest closing that it has stopped for
         self.seq = 0
-        self.asked: dict[str, Asked] = {}
-        self.given: dict[str, int] = {}  # by voter: when it was asked for what it gave
-        self.roster = 0  # that the given are of
-        self.stopped_at = -STOPPED_AGAIN_US
-        self.why: dict[str, str] = {}  # by voter: why it gave none
-        self.out: list[Send] = []
+        self.requests: dict[str, GrantRequest] = {}
+        self.granted_at: dict[str, int] = {}  # by voter: when it was asked for what it gave
+        self.voter_set_version = 0  # that the given are of
+        self.stopped_sent_at = -STOPPED_REPEAT_US
+        self.denial_reasons: dict[str, str] = {}  # by voter: why it gave none
+        self.outbox: list[Send] = []
 
     @property
     def policy(self) -> Policy:
@@ -62,28 +68,28 @@
         return self.applied_version if now < self.valid_until() else -1
 
     def valid_until(self) -> int:
-        d = self.register.document
+        document = self.register.document
         if (
-            self.applied_version != d.policy.version_for(self.me)
-            or self.stops()
-            or self.me in d.policy.cancelled_members
+            self.applied_version != document.policy.version_for(self.me)
+            or self.must_stop()
+            or self.me in document.policy.cancelled_members
         ):
             return 0
-        if self.roster != d.roster:
+        if self.voter_set_version != document.voter_set_version:
             return 0
-        if self.last:
-            return FOREVER if d.agrees(self.given) else 0
-        there: set[str] = set()
-        for voter in sorted(self.given, key=self.given.__getitem__, reverse=True):
-            there.add(voter)
-            if d.agrees(there):
+        if self.continues_alone:
+            return NO_EXPIRY_US if document.has_majority(self.granted_at) else 0
+        granting_voters: set[str] = set()
+        for voter in sorted(self.granted_at, key=self.granted_at.__getitem__, reverse=True):
+            granting_voters.add(voter)
+            if document.has_majority(granting_voters):
                 return self.counts_from(voter) + int(self.length_us * (1 - self.drift))
         return 0
 
     def counts_from(self, voter: str) -> int:
-        return self.given[voter]
+        return self.granted_at[voter]
 
-    def stops(self) -> bool:
+    def must_stop(self) -> bool:
         return self.policy.closing_for(self.me)
 
     # What the courier says
@@ -92,106 +98,106 @@
         """All of it is in place; what was given under another counts no more."""
         if version != self.applied_version:
             self.applied_version = version
-            self._forget()
+            self._discard_grants()
 
     def report_check(self, change: str, why: str = "") -> None:
         """It has checked this change against its own settings and machine. why: it can't take it."""
-        self.ready_for, self.refuses = change, why[:MOST_WHY]
-        for asked in self.asked.values():
-            asked.next_at = 0
+        self.ready_for, self.refusal = change, why[:MAX_REASON_CHARS]
+        for request in self.requests.values():
+            request.next_send_at = 0
 
-    def _forget(self) -> None:
-        self.given.clear()
-        self.asked.clear()
-        self.why.clear()
+    def _discard_grants(self) -> None:
+        self.granted_at.clear()
+        self.requests.clear()
+        self.denial_reasons.clear()
 
     # Time and answers
 
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
-        p, d = self.policy, self.register.document
-        if self.stops():
-            return self._stop(p, d, now)
-        if self.roster != d.roster:
-            self.roster = d.roster
-            self._forget()
-        if self.applied_version != p.version_for(self.me) or self.me in p.cancelled_members:
+        policy, document = self.policy, self.register.document
+        if self.must_stop():
+            return self._announce_stop(policy, document, now)
+        if self.voter_set_version != document.voter_set_version:
+            self.voter_set_version = document.voter_set_version
+            self._discard_grants()
+        if self.applied_version != policy.version_for(self.me) or self.me in policy.cancelled_members:
             return now + 1_000_000
-        due = FOREVER
-        for voter in sorted(d.all_voters):
-            asked = self.asked.setdefault(voter, Asked())
-            if now >= asked.next_at:
-                self._ask(voter, asked, p, now)
-            due = min(due, asked.next_at)
+        due = NO_EXPIRY_US
+        for voter in sorted(document.all_voters):
+            request = self.requests.setdefault(voter, GrantRequest())
+            if now >= request.next_send_at:
+                self._send_request(voter, request, policy, now)
+            due = min(due, request.next_send_at)
         until = self.valid_until()
         return min(due, until) if until > now else due
 
-    def _ask(self, voter: str, asked: Asked, p: Policy, now: int) -> None:
+    def _send_request(self, voter: str, request: GrantRequest, policy: Policy, now: int) -> None:
         self.seq += 1
-        asked.seq, asked.at = self.seq, now
-        asked.next_at = now + min(MOST_AGAIN_US, AGAIN_US << min(asked.tries, 8))
-        asked.tries += 1
-        mine = p.change is not None and p.change.id == self.ready_for
-        self.out.append(
+        request.seq, request.sent_at = self.seq, now
+        request.next_send_at = now + min(MAX_RETRY_US, RETRY_US << min(request.tries, 8))
+        request.tries += 1
+        mine = policy.change is not None and policy.change.id == self.ready_for
+        self.outbox.append(
             Send(
                 voter,
-                Hold(
-                    self.life,
+                LeaseRequest(
+                    self.generation,
                     self.seq,
                     self.applied_version,
-                    self.last,
-                    self.ready_for if mine and not self.refuses else "",
-                    f"{self.ready_for} {self.refuses}" if mine and self.refuses else "",
+                    self.continues_alone,
+                    self.ready_for if mine and not self.refusal else "",
+                    f"{self.ready_for} {self.refusal}" if mine and self.refusal else "",
                 ),
             )
         )
 
-    def _stop(self, p: Policy, d: RegisterDocument, now: int) -> int:
+    def _announce_stop(self, policy: Policy, document: RegisterDocument, now: int) -> int:
         """Every voter is told, again and again, until a later epoch is known."""
-        if self.stopped < p.epoch:
-            self.stopped, self.stopped_at = p.epoch, now - STOPPED_AGAIN_US
-            self._forget()
-        if now - self.stopped_at >= STOPPED_AGAIN_US:
-            self.stopped_at = now
-            self.out += [Send(voter, Stopped(p.epoch)) for voter in sorted(d.all_voters)]
-        return self.stopped_at + STOPPED_AGAIN_US
-
-    def given_by(self, sender: str, given: Given, now: int) -> None:
-        asked = self.asked.get(sender)
-        if asked is None or not self.answers(given, asked) or self.stops():
+        if self.stopped_epoch < policy.epoch:
+            self.stopped_epoch, self.stopped_sent_at = policy.epoch, now - STOPPED_REPEAT_US
+            self._discard_grants()
+        if now - self.stopped_sent_at >= STOPPED_REPEAT_US:
+            self.stopped_sent_at = now
+            self.outbox += [Send(voter, WorkStopped(policy.epoch)) for voter in sorted(document.all_voters)]
+        return self.stopped_sent_at + STOPPED_REPEAT_US
+
+    def on_grant(self, sender: str, grant: LeaseGrant, now: int) -> None:
+        request = self.requests.get(sender)
+        if request is None or not self.matches_request(grant, request) or self.must_stop():
             return
-        if given.version != self.applied_version or not self.same_voters(given):
+        if grant.version != self.applied_version or not self.has_same_voters(grant):
             return
-        self.given[sender] = asked.at
-        asked.tries = 0
-        asked.next_at = asked.at + int(self.length_us * (1 - self.drift)) // RENEWALS
-        self.why.pop(sender, None)
+        self.granted_at[sender] = request.sent_at
+        request.tries = 0
+        request.next_send_at = request.sent_at + int(self.length_us * (1 - self.drift)) // RENEWALS_PER_LEASE
+        self.denial_reasons.pop(sender, None)
 
-    def answers(self, given: Given, asked: Asked) -> bool:
+    def matches_request(self, grant: LeaseGrant, request: GrantRequest) -> bool:
         """The newest asking of this life, from which it counts: each life counts from one."""
-        return given.life == self.life and given.seq == asked.seq
+        return grant.generation == self.generation and grant.seq == request.seq
 
-    def same_voters(self, given: Given) -> bool:
-        return given.roster == self.register.document.roster == self.roster
+    def has_same_voters(self, grant: LeaseGrant) -> bool:
+        return grant.voter_set_version == self.register.document.voter_set_version == self.voter_set_version
 
-    def not_given_by(self, sender: str, refused: NotGiven) -> None:
-        asked = self.asked.get(sender)
-        if asked is not None and refused.seq == asked.seq:
-            self.why[sender] = refused.why
+    def on_denial(self, sender: str, denial: LeaseDenial) -> None:
+        request = self.requests.get(sender)
+        if request is not None and denial.seq == request.seq:
+            self.denial_reasons[sender] = denial.why
 
     # Upgrades, on the same machine, whose elapsed clock goes on
 
     def carry(self) -> dict[str, object]:
         return {
             "version": self.applied_version,
-            "given": self.given,
-            "roster": self.roster,
+            "given": self.granted_at,
+            "roster": self.voter_set_version,
             "seq": self.seq,
-            "stopped": self.stopped,
+            "stopped": self.stopped_epoch,
         }
 
     def resume(self, carried: dict[str, object]) -> None:
         """The lease moves along; what was asked and not answered does not."""
-        self.applied_version, self.given = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
-        self.roster, self.stopped = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
+        self.applied_version, self.granted_at = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
+        self.voter_set_version, self.stopped_epoch = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
         self.seq = int(carried["seq"]) + 1  # type: ignore[call-overload]
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -19,20 +19,20 @@
 import msgspec
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.settings import MOST_MEMBERS, Members
-from hopmill.fleet.wire import Ack, News, Ping, PingFor, Unheard, encode
+from hopmill.fleet.settings import MAX_MEMBERS, Members
+from hopmill.fleet.wire import Ack, MemberUpdate, Ping, IndirectPing, ProbeFailed, encode
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
-HELPERS = 3  # asked to ping a silent member
-CONFIRMING = 3  # members that share a suspicion, from which on it is at its shortest
-LONGEST = 2.0  # a suspicion that nobody shares lasts so many times as long
-WORST = 8  # of a member's own health
-TOLD = 3  # times the logarithm of the fleet that a piece of news is told
-RANDOM_NEWS = 2  # rows of the table that ride along where there is room, so that a split mends
-TRY_DEAD = 8  # one probe in so many goes to a member that is taken for dead
-FORGET_US = 60_000_000  # one that is dead and in no configuration is kept in mind so long
-MOST_RELAYS = 256
+INDIRECT_PROBES = 3  # asked to ping a silent member
+MAX_CONFIRMATIONS = 3  # members that share a suspicion, from which on it is at its shortest
+UNCONFIRMED_FACTOR = 2.0  # a suspicion that nobody shares lasts so many times as long
+MAX_HEALTH_SCORE = 8  # of a member's own health
+GOSSIP_FACTOR = 3  # times the logarithm of the fleet that a piece of news is told
+RANDOM_UPDATES = 2  # rows of the table that ride along where there is room, so that a split mends
+DEAD_PROBE_EVERY = 8  # one probe in so many goes to a member that is taken for dead
+FORGET_DEAD_US = 60_000_000  # one that is dead and in no configuration is kept in mind so long
+MAX_RELAYS = 256
 
 
 @dataclass
@@ -48,17 +48,17 @@
     incarnation: int = 0
     since: int = 0  # of this state
     heard_at: int = 0  # its last datagram here
-    by: set[str] = field(default_factory=set)  # who suspects it
+    suspected_by: set[str] = field(default_factory=set)  # who suspects it
 
-    def news(self) -> News:
-        return News(
+    def to_update(self) -> MemberUpdate:
+        return MemberUpdate(
             self.id,
             self.state,
             self.incarnation,
             self.address,
             self.zone,
             self.region,
-            min(self.by, default=""),
+            min(self.suspected_by, default=""),
         )
 
 
@@ -66,13 +66,13 @@
 class Probe:
     target: str
     sent_at: int
-    helped: bool = False
-    unheard: int = 0
-    helpers: int = 0
+    is_indirect: bool = False
+    failed_helpers: int = 0
+    helper_count: int = 0
 
 
 @dataclass(frozen=True)
-class Changed:
+class MemberChange:
     """A member's state is another now; why says on whose word."""
 
     id: str
@@ -89,36 +89,38 @@
         self,
         members: Members,
         incarnation: int,
-        chance: random.Random,
+        rng: random.Random,
         next_incarnation: Callable[[int], int],
     ) -> None:
         """next_incarnation: one above the given, never used before; 0 while it can't be had."""
-        self.s, self.chance, self.next_incarnation = members, chance, next_incarnation
+        self.settings, self.rng, self.next_incarnation = members, rng, next_incarnation
         self.me = Peer(members.id, members.address, members.zone, members.region, True, ALIVE, incarnation)
         self.peers = {o.id: Peer(o.id, o.address, o.zone, o.region, True) for o in members.others}
-        self.period, self.probe_us = int(members.period_ms * 1e3), int(members.probe_ms * 1e3)
-        self.patience = int(members.patience_ms * 1e3)
-        self.health = 0  # of this member's own hearing: 0 is well
+        self.period_us, self.probe_timeout_us = int(members.period_ms * 1e3), int(members.probe_ms * 1e3)
+        self.suspicion_us = int(members.patience_ms * 1e3)
+        self.health_score = 0  # of this member's own hearing: 0 is well
         self.seq = 0
         self.probes: dict[int, Probe] = {}
         self.relays: dict[int, tuple[str, int, int]] = {}  # own seq: who asked, its seq, when
-        self.round: list[str] = []
-        self.turns = 0
-        self.next_probe = 0
-        self.told: dict[str, int] = {}  # of each piece of news, how often it was
-        self.packed: dict[str, bytes] = {}
+        self.probe_order: list[str] = []
+        self.probe_count = 0
+        self.next_probe_at = 0
+        self.gossip_counts: dict[str, int] = {}  # of each piece of news, how often it was
+        self.encoded_updates: dict[str, bytes] = {}
         self.suspects: set[str] = set()
-        self.outrun: set[str] = set()  # members that spoke with an earlier incarnation than is known
-        self.out: list[Send] = []
-        self.changed: list[Changed] = []
+        self.outdated_senders: set[str] = (
+            set()
+        )  # members that spoke with an earlier incarnation than is known
+        self.outbox: list[Send] = []
+        self.changes: list[MemberChange] = []
         self.dropped: Counter[str] = Counter()
-        self.leaving = False
-        self.size = 1  # members that are alive or suspected, this one included
+        self.is_leaving = False
+        self.live_count = 1  # members that are alive or suspected, this one included
 
     def start(self, now: int) -> None:
-        self.next_probe = now + self.chance.randrange(self.period)
-        self._tell(self.me)
-        for peer in self._some(list(self.peers), HELPERS):
+        self.next_probe_at = now + self.rng.randrange(self.period_us)
+        self._enqueue_update(self.me)
+        for peer in self._sample(list(self.peers), INDIRECT_PROBES):
             self._ping(peer, now)
 
     # What is known
@@ -130,75 +132,81 @@
         """Where it hears, "" if it is not known."""
         return p.address if (p := self.peers.get(name)) else ""
 
-    def heard(self, sender: str, incarnation: int, news: list[News], now: int) -> bool:
+    def on_datagram(self, sender: str, incarnation: int, updates: list[MemberUpdate], now: int) -> bool:
         """A datagram came. False if it is to be dropped: of an earlier incarnation, or from nobody known."""
-        for each in news:
-            self._news(each, now, sender)
+        for update in updates:
+            self._on_update(update, now, sender)
         peer = self.peers.get(sender)
         if peer is None or sender == self.me.id:
             self.dropped["unknown" if peer is None else "own name"] += 1
             return False
         if incarnation < peer.incarnation:
             self.dropped["old incarnation"] += 1
-            if sender not in self.outrun:  # perhaps its folder is new: it has to hear of what it once was
-                self.outrun.add(sender)
+            if (
+                sender not in self.outdated_senders
+            ):  # perhaps its folder is new: it has to hear of what it once was
+                self.outdated_senders.add(sender)
                 self._ping(sender, now)
             return False
-        self.outrun.discard(sender)
+        self.outdated_senders.discard(sender)
         if incarnation > peer.incarnation:
-            self._becomes(peer, ALIVE, incarnation, "its own word", now)
+            self._set_state(peer, ALIVE, incarnation, "its own word", now)
         peer.heard_at = now
         return True
 
-    def _news(self, n: News, now: int, sender: str) -> None:
-        if n.id == self.me.id:
+    def _on_update(self, update: MemberUpdate, now: int, sender: str) -> None:
+        if update.id == self.me.id:
             mine = self.me.incarnation
-            if not self.leaving and (n.incarnation > mine or n.state != ALIVE and n.incarnation == mine):
-                self._refute(n.incarnation)
+            if not self.is_leaving and (
+                update.incarnation > mine or update.state != ALIVE and update.incarnation == mine
+            ):
+                self._refute(update.incarnation)
             return
-        peer = self.peers.get(n.id)
+        peer = self.peers.get(update.id)
         if peer is None:
-            if len(self.peers) >= MOST_MEMBERS or n.state in (DEAD, LEFT):
-                self.dropped["full" if n.state in (ALIVE, SUSPECT) else "of the gone"] += 1
+            if len(self.peers) >= MAX_MEMBERS or update.state in (DEAD, LEFT):
+                self.dropped["full" if update.state in (ALIVE, SUSPECT) else "of the gone"] += 1
                 return
-            peer = self.peers[n.id] = Peer(n.id, n.address, n.zone, n.region, False, incarnation=-1)
-        if n.incarnation > peer.incarnation and not peer.configured:  # the name may have moved
-            peer.address, peer.zone, peer.region = n.address, n.zone, n.region
-        if (n.incarnation, n.state) > (peer.incarnation, peer.state):
-            self._becomes(peer, n.state, n.incarnation, n.by or sender, now)
-        elif (n.incarnation, n.state) == (peer.incarnation, SUSPECT):
-            self._confirm(peer, n.by)
+            peer = self.peers[update.id] = Peer(
+                update.id, update.address, update.zone, update.region, False, incarnation=-1
+            )
+        if update.incarnation > peer.incarnation and not peer.configured:  # the name may have moved
+            peer.address, peer.zone, peer.region = update.address, update.zone, update.region
+        if (update.incarnation, update.state) > (peer.incarnation, peer.state):
+            self._set_state(peer, update.state, update.incarnation, update.suspected_by or sender, now)
+        elif (update.incarnation, update.state) == (peer.incarnation, SUSPECT):
+            self._confirm(peer, update.suspected_by)
 
     def _confirm(self, peer: Peer, by: str) -> None:
         """One more suspects it; only so many count, and so many are told."""
-        if by and by not in peer.by and len(peer.by) <= CONFIRMING:
-            peer.by.add(by)
-            self._tell(peer, by)
+        if by and by not in peer.suspected_by and len(peer.suspected_by) <= MAX_CONFIRMATIONS:
+            peer.suspected_by.add(by)
+            self._enqueue_update(peer, by)
 
-    def _becomes(self, peer: Peer, state: int, incarnation: int, why: str, now: int) -> None:
+    def _set_state(self, peer: Peer, state: int, incarnation: int, why: str, now: int) -> None:
         was, peer.state, peer.incarnation = peer.state, state, incarnation
-        self.size += (state <= SUSPECT) - (was <= SUSPECT)
-        peer.by = {why} if state in (SUSPECT, DEAD) else set()
+        self.live_count += (state <= SUSPECT) - (was <= SUSPECT)
+        peer.suspected_by = {why} if state in (SUSPECT, DEAD) else set()
         self.suspects.discard(peer.id)
         if state == SUSPECT:
             self.suspects.add(peer.id)
         if was != state:
             peer.since = now
-            self.changed.append(Changed(peer.id, STATES[state], STATES[was], incarnation, why))
+            self.changes.append(MemberChange(peer.id, STATES[state], STATES[was], incarnation, why))
         elif state == SUSPECT:
             peer.since = now
-        self._tell(peer)
+        self._enqueue_update(peer)
 
     def _refute(self, incarnation: int) -> None:
         following = self.next_incarnation(incarnation)
         if following:
             self.me.incarnation = following
-            self.health = min(WORST, self.health + 1)
-            self._tell(self.me)
-            there = [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
-            for name in self._some(there, HELPERS):
+            self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
+            self._enqueue_update(self.me)
+            live_members = [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
+            for name in self._sample(live_members, INDIRECT_PROBES):
                 self.seq += 1
-                self.out.append(Send(name, Ping(self.seq, name)))
+                self.outbox.append(Send(name, Ping(self.seq, name)))
 
     # Time
 
@@ -206,165 +214,177 @@
         """Returns when to be called again."""
         for seq, probe in list(self.probes.items()):
             waited = now - probe.sent_at
-            if waited >= self.probe_us * (1 + self.health):
+            if waited >= self.probe_timeout_us * (1 + self.health_score):
                 del self.probes[seq]
-                self._failed(probe, now)
-            elif waited >= self._first_wait() and not probe.helped:
-                self._help(seq, probe)
-        for seq, (asker, theirs, at) in list(self.relays.items()):
-            if now - at >= self._first_wait():
+                self._on_probe_failed(probe, now)
+            elif waited >= self._ack_timeout_us() and not probe.is_indirect:
+                self._probe_indirectly(seq, probe)
+        for seq, (asker, asker_seq, at) in list(self.relays.items()):
+            if now - at >= self._ack_timeout_us():
                 del self.relays[seq]
-                self.out.append(Send(asker, Unheard(theirs)))
+                self.outbox.append(Send(asker, ProbeFailed(asker_seq)))
         for name in list(self.suspects):
             peer = self.peers[name]
-            if now - peer.since >= self._patience(peer):
-                who = ",".join(sorted(peer.by))
-                self._becomes(peer, DEAD, peer.incarnation, f"silent; suspected by {who}", now)
-                peer.by = {self.me.id}
-        if now >= self.next_probe:
-            self.next_probe = max(now, self.next_probe + self.period * (1 + self.health))
+            if now - peer.since >= self._suspicion_timeout_us(peer):
+                who = ",".join(sorted(peer.suspected_by))
+                self._set_state(peer, DEAD, peer.incarnation, f"silent; suspected by {who}", now)
+                peer.suspected_by = {self.me.id}
+        if now >= self.next_probe_at:
+            self.next_probe_at = max(now, self.next_probe_at + self.period_us * (1 + self.health_score))
             self._probe(now)
         return min(
             [
-                self.next_probe,
+                self.next_probe_at,
                 *(
-                    p.sent_at + (self._first_wait() if not p.helped else self.probe_us * (1 + self.health))
+                    p.sent_at
+                    + (
+                        self._ack_timeout_us()
+                        if not p.is_indirect
+                        else self.probe_timeout_us * (1 + self.health_score)
+                    )
                     for p in self.probes.values()
                 ),
-                *(self.peers[n].since + self._patience(self.peers[n]) for n in self.suspects),
+                *(
+                    self.peers[name].since + self._suspicion_timeout_us(self.peers[name])
+                    for name in self.suspects
+                ),
             ]
         )
 
-    def stood_still(self, late: int) -> None:
+    def on_stall(self, late_us: int) -> None:
         """This process was, for so long: its open probes say nothing, and suspicions wait on."""
         self.probes.clear()
         self.relays.clear()
         for name in self.suspects:
-            self.peers[name].since += late
-        self.next_probe += late
+            self.peers[name].since += late_us
+        self.next_probe_at += late_us
 
-    def _first_wait(self) -> int:
-        return self.period * (1 + self.health)
+    def _ack_timeout_us(self) -> int:
+        return self.period_us * (1 + self.health_score)
 
-    def _patience(self, peer: Peer) -> int:
+    def _suspicion_timeout_us(self, peer: Peer) -> int:
         """Shorter the more members share the suspicion, as Lifeguard's."""
-        most = min(CONFIRMING, self.size - 3)
-        if most <= 0:
-            return self.patience
-        share = math.log(min(most, len(peer.by) - 1) + 1) / math.log(most + 1)
-        return int(self.patience * (LONGEST - (LONGEST - 1) * share))
+        limit = min(MAX_CONFIRMATIONS, self.live_count - 3)
+        if limit <= 0:
+            return self.suspicion_us
+        share = math.log(min(limit, len(peer.suspected_by) - 1) + 1) / math.log(limit + 1)
+        return int(self.suspicion_us * (UNCONFIRMED_FACTOR - (UNCONFIRMED_FACTOR - 1) * share))
 
     def _probe(self, now: int) -> None:
-        self.turns += 1
-        if self.turns % TRY_DEAD == 0:
-            gone = [p for p in self.peers.values() if p.state == DEAD]
-            for peer in gone:
-                if not peer.configured and now - peer.since > FORGET_US:
+        self.probe_count += 1
+        if self.probe_count % DEAD_PROBE_EVERY == 0:
+            dead_peers = [p for p in self.peers.values() if p.state == DEAD]
+            for peer in dead_peers:
+                if not peer.configured and now - peer.since > FORGET_DEAD_US:
+                    self._forget(peer.id)
+            if dead_peers:
+                self._ping(self.rng.choice(dead_peers).id, now)
+            for peer in [p for p in self.peers.values() if p.state == LEFT and not p.configured]:
+                if now - peer.since > FORGET_DEAD_US:
                     self._forget(peer.id)
-            if gone:
-                self._ping(self.chance.choice(gone).id, now)
-            for p in [p for p in self.peers.values() if p.state == LEFT and not p.configured]:
-                if now - p.since > FORGET_US:
-                    self._forget(p.id)
         while True:
-            if not self.round:
-                self.round = [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
-                self.chance.shuffle(self.round)
-                if not self.round:
+            if not self.probe_order:
+                self.probe_order = [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
+                self.rng.shuffle(self.probe_order)
+                if not self.probe_order:
                     if self.peers:  # alone: those of the configuration may be there
-                        self._ping(self.chance.choice(list(self.peers)), now)
+                        self._ping(self.rng.choice(list(self.peers)), now)
                     return
-            target = self.round.pop()
+            target = self.probe_order.pop()
             if self.is_alive(target):
                 break
         seq = self._ping(target, now)
         self.probes[seq] = Probe(target, now)
 
     def _forget(self, name: str) -> None:
-        self.size -= self.peers[name].state <= SUSPECT
-        for kept in (self.peers, self.told, self.packed):
+        self.live_count -= self.peers[name].state <= SUSPECT
+        for kept in (self.peers, self.gossip_counts, self.encoded_updates):
             kept.pop(name, None)
         self.suspects.discard(name)
-        self.outrun.discard(name)
+        self.outdated_senders.discard(name)
 
     def _ping(self, target: str, now: int) -> int:
         self.seq += 1
-        self.out.append(Send(target, Ping(self.seq, target)))
+        self.outbox.append(Send(target, Ping(self.seq, target)))
         return self.seq
 
-    def _help(self, seq: int, probe: Probe) -> None:
+    def _probe_indirectly(self, seq: int, probe: Probe) -> None:
         """Once more, and through others: it may be the way here that is lost."""
-        probe.helped = True
-        self.out.append(Send(probe.target, Ping(seq, probe.target)))
-        well = [p.id for p in self.peers.values() if p.state == ALIVE and p.id != probe.target]
-        for helper in self._some(well, HELPERS):
-            probe.helpers += 1
-            self.out.append(Send(helper, PingFor(seq, probe.target)))
-
-    def _failed(self, probe: Probe, now: int) -> None:
-        if probe.unheard < probe.helpers or not probe.helpers:
-            self.health = min(WORST, self.health + 1)  # helpers that are silent too speak against this member
+        probe.is_indirect = True
+        self.outbox.append(Send(probe.target, Ping(seq, probe.target)))
+        alive = [p.id for p in self.peers.values() if p.state == ALIVE and p.id != probe.target]
+        for helper in self._sample(alive, INDIRECT_PROBES):
+            probe.helper_count += 1
+            self.outbox.append(Send(helper, IndirectPing(seq, probe.target)))
+
+    def _on_probe_failed(self, probe: Probe, now: int) -> None:
+        if probe.failed_helpers < probe.helper_count or not probe.helper_count:
+            self.health_score = min(
+                MAX_HEALTH_SCORE, self.health_score + 1
+            )  # helpers that are silent too speak against this member
         peer = self.peers.get(probe.target)
         if peer and peer.state == ALIVE and peer.heard_at <= probe.sent_at:
-            self._becomes(peer, SUSPECT, peer.incarnation, self.me.id, now)
+            self._set_state(peer, SUSPECT, peer.incarnation, self.me.id, now)
         elif peer and peer.state == SUSPECT:
             self._confirm(peer, self.me.id)
 
     # Datagrams
 
-    def receive(self, sender: str, body: Ping | Ack | PingFor | Unheard, now: int) -> None:
+    def receive(self, sender: str, body: Ping | Ack | IndirectPing | ProbeFailed, now: int) -> None:
         if isinstance(body, Ping):
             if body.target == self.me.id:
-                self.out.append(Send(sender, Ack(body.seq)))
-        elif isinstance(body, PingFor):
-            if len(self.relays) < MOST_RELAYS and body.target in self.peers:
+                self.outbox.append(Send(sender, Ack(body.seq)))
+        elif isinstance(body, IndirectPing):
+            if len(self.relays) < MAX_RELAYS and body.target in self.peers:
                 seq = self._ping(body.target, now)
                 self.relays[seq] = sender, body.seq, now
         elif isinstance(body, Ack):
-            if asked := self.relays.pop(body.seq, None):
-                self.out.append(Send(asked[0], Ack(asked[1])))
+            if relay := self.relays.pop(body.seq, None):
+                self.outbox.append(Send(relay[0], Ack(relay[1])))
             elif self.probes.pop(body.seq, None):
-                self.health = max(0, self.health - 1)
+                self.health_score = max(0, self.health_score - 1)
         elif body.seq in self.probes:
-            self.probes[body.seq].unheard += 1
+            self.probes[body.seq].failed_helpers += 1
 
-    def there(self) -> list[str]:
+    def live_members(self) -> list[str]:
         """All others that are not known to be dead or gone."""
         return [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT) and p.incarnation > 0]
 
     def leave(self) -> None:
         """A planned end: some are told, and pass it on."""
-        self.leaving, self.me.state = True, LEFT
-        self._tell(self.me)
-        for name in self._some([p.id for p in self.peers.values() if p.state == ALIVE], 2 * HELPERS):
+        self.is_leaving, self.me.state = True, LEFT
+        self._enqueue_update(self.me)
+        for name in self._sample(
+            [p.id for p in self.peers.values() if p.state == ALIVE], 2 * INDIRECT_PROBES
+        ):
             self.seq += 1
-            self.out.append(Send(name, Ping(self.seq, name)))
+            self.outbox.append(Send(name, Ping(self.seq, name)))
 
-    def _some(self, names: list[str], most: int) -> list[str]:
-        return self.chance.sample(names, min(most, len(names)))
+    def _sample(self, names: list[str], limit: int) -> list[str]:
+        return self.rng.sample(names, min(limit, len(names)))
 
     # News
 
-    def _tell(self, peer: Peer, by: str = "") -> None:
-        news = peer.news()
+    def _enqueue_update(self, peer: Peer, by: str = "") -> None:
+        update = peer.to_update()
         if by:
-            news = msgspec.structs.replace(news, by=by)
-        self.told[peer.id], self.packed[peer.id] = 0, encode(news)
+            update = msgspec.structs.replace(update, suspected_by=by)
+        self.gossip_counts[peer.id], self.encoded_updates[peer.id] = 0, encode(update)
 
-    def news_for(self, to: str) -> list[bytes]:
+    def updates_for(self, to: str) -> list[bytes]:
         """What to say with a datagram: first what is thought of its receiver, if that is not alive."""
         rows = []
         peer = self.peers.get(to)
-        if peer and (peer.state in (SUSPECT, DEAD) or to in self.outrun) and peer.incarnation:
-            rows.append(encode(peer.news()))
-        most = TOLD * math.ceil(math.log2(self.size + 2))
-        for name in heapq.nsmallest(12, self.told, key=self.told.__getitem__):
-            rows.append(self.packed[name])
-            self.told[name] += 1
-            if self.told[name] >= most:
-                del self.told[name]
+        if peer and (peer.state in (SUSPECT, DEAD) or to in self.outdated_senders) and peer.incarnation:
+            rows.append(encode(peer.to_update()))
+        limit = GOSSIP_FACTOR * math.ceil(math.log2(self.live_count + 2))
+        for name in heapq.nsmallest(12, self.gossip_counts, key=self.gossip_counts.__getitem__):
+            rows.append(self.encoded_updates[name])
+            self.gossip_counts[name] += 1
+            if self.gossip_counts[name] >= limit:
+                del self.gossip_counts[name]
         if len(rows) < 8 and self.peers:
-            names = self._some(list(self.peers), RANDOM_NEWS)
-            rows += [encode(p.news()) for p in map(self.peers.__getitem__, names) if p.incarnation > 0]
-            rows.append(encode(self.me.news()))
+            names = self._sample(list(self.peers), RANDOM_UPDATES)
+            rows += [encode(p.to_update()) for p in map(self.peers.__getitem__, names) if p.incarnation > 0]
+            rows.append(encode(self.me.to_update()))
         return rows
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -15,20 +15,29 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Action, Persist, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.wire import Accept, Accepted, Ask, Ballot, Known, Prepare, Promise, Refused
-
-NONE: Ballot = (0, "")
-MOST_LIVES = 8
-LIFE_BITS = 40
-ASK_US = 300_000  # between two rounds of asking to be let in
+from hopmill.fleet.wire import (
+    Accept,
+    Accepted,
+    RecoveryRequest,
+    Ballot,
+    RecoveryReply,
+    Prepare,
+    Promise,
+    BallotRejected,
+)
+
+NO_BALLOT: Ballot = (0, "")
+MAX_OTHER_GENERATIONS = 8
+GENERATION_BITS = 40
+RECOVERY_RETRY_US = 300_000  # between two rounds of asking to be let in
 
 
 class Memory(msgspec.Struct):
     """What is on disk."""
 
     life: int = 0  # 0: has never voted
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     document: bytes = b""
     lives: dict[str, int] = {}  # of the other voters
 
@@ -40,171 +49,190 @@
     """`out` gathers its actions; whoever calls takes them."""
 
     def __init__(
-        self, me: str, initial: RegisterDocument, memory: Memory, same_folder: bool, chance: random.Random
+        self, me: str, initial: RegisterDocument, memory: Memory, same_folder: bool, rng: random.Random
     ) -> None:
         """initial: the document of a fleet that has none yet. same_folder: no copy, and not emptied."""
-        self.me, self.initial, self.memory, self.chance = me, initial, memory, chance
-        self.voting = self.begins = False
-        self.others: set[str] = initial.all_voters - {me}
-        self.answers: dict[str, Known] = {}
-        self.claims = memory.life  # the life that it asks the others to note; 0: none yet
-        self.same_folder = self.trusts(same_folder) and memory.life > 0
-        if not self.same_folder:
-            self._forget()
-        self.asked_at = -ASK_US
-        self.called = False  # somebody took this member for a voter
-        self.out: list[Action] = []
-
-    def trusts(self, same_folder: bool) -> bool:
+        self.me, self.initial, self.memory, self.rng = me, initial, memory, rng
+        self.is_voting = self.is_new = False
+        self.other_voters: set[str] = initial.all_voters - {me}
+        self.replies: dict[str, RecoveryReply] = {}
+        self.claimed_generation = memory.life  # the life that it asks the others to note; 0: none yet
+        self.has_trusted_memory = self.trusts_folder(same_folder) and memory.life > 0
+        if not self.has_trusted_memory:
+            self._discard_memory()
+        self.last_request_at = -RECOVERY_RETRY_US
+        self.was_asked_to_vote = False  # somebody took this member for a voter
+        self.outbox: list[Action] = []
+
+    def trusts_folder(self, same_folder: bool) -> bool:
         return same_folder
 
     def document(self) -> RegisterDocument:
         return doc.decode(self.memory.document) if self.memory.document else self.initial
 
-    def named(self, known: RegisterDocument) -> bool:
+    def is_expected_to_vote(self, known: RegisterDocument) -> bool:
         """Whether the fleet counts on this voter, by its own memory, by what is known to be chosen, or by
         having been asked: the change that makes it a voter may need its vote."""
-        return self.called or self.me in self._there(known)
+        return self.was_asked_to_vote or self.me in self._known_voters(known)
 
-    def _there(self, known: RegisterDocument) -> set[str]:
+    def _known_voters(self, known: RegisterDocument) -> set[str]:
         """Who votes, by what is known to be chosen and what was accepted here; else as a new fleet begins."""
-        there = known.all_voters if known.version else set()
-        return there | (self.document().all_voters if self.memory.document or not there else set())
+        known_voters = known.all_voters if known.version else set()
+        return known_voters | (
+            self.document().all_voters if self.memory.document or not known_voters else set()
+        )
 
     def persist(self, *then: Send) -> None:
-        self.out.append(Persist(msgspec.msgpack.encode(self.memory), then))
+        self.outbox.append(Persist(msgspec.msgpack.encode(self.memory), then))
 
     # To be let in
 
     def tick(self, now: int, known: RegisterDocument) -> int:
         """Ask while it may not vote yet. Returns when to be called again, in us."""
-        if self.voting or not self.named(known):
-            return now + ASK_US
-        if now - self.asked_at >= ASK_US:
-            self.asked_at = now
-            self.others = self._there(known).union(*self._named_by_answers()) - {self.me}
-            self.out += [Send(other, Ask(self.claims)) for other in sorted(self.others)]
-            self._judge()
-        return self.asked_at + ASK_US
-
-    def _named_by_answers(self) -> list[set[str]]:
-        return [doc.decode(k.document).all_voters for k in self.answers.values() if k.document]
-
-    def ask(self, sender: str, ask: Ask) -> None:
+        if self.is_voting or not self.is_expected_to_vote(known):
+            return now + RECOVERY_RETRY_US
+        if now - self.last_request_at >= RECOVERY_RETRY_US:
+            self.last_request_at = now
+            self.other_voters = self._known_voters(known).union(*self._voters_named_by_replies()) - {self.me}
+            self.outbox += [
+                Send(other, RecoveryRequest(self.claimed_generation)) for other in sorted(self.other_voters)
+            ]
+            self._evaluate_replies()
+        return self.last_request_at + RECOVERY_RETRY_US
+
+    def _voters_named_by_replies(self) -> list[set[str]]:
+        return [doc.decode(k.document).all_voters for k in self.replies.values() if k.document]
+
+    def on_recovery_request(self, sender: str, request: RecoveryRequest) -> None:
         """Another voter starts: what is said of its life is on disk before it is answered."""
-        m = self.memory
-        before = max(ask.life, m.lives.get(sender, 0))
-        if before:
-            m.lives.pop(sender, None)
-            m.lives[sender] = before  # the latest noted stands last
+        memory = self.memory
+        known_generation = max(request.generation, memory.lives.get(sender, 0))
+        if known_generation:
+            memory.lives.pop(sender, None)
+            memory.lives[sender] = known_generation  # the latest noted stands last
             self._prune()
-        known = Known(before, self.voting, ask.life, m.promised, m.accepted, m.document, dict(m.lives))
-        self.persist(Send(sender, known))
+        reply = RecoveryReply(
+            known_generation,
+            self.is_voting,
+            request.generation,
+            memory.promised,
+            memory.accepted,
+            memory.document,
+            dict(memory.lives),
+        )
+        self.persist(Send(sender, reply))
 
     def _prune(self) -> None:
         """Lives of the voters stay; of others the latest, for a datagram has to hold them. One that was a
         voter long ago may be forgotten: no majority has counted on it since."""
-        lives, there = self.memory.lives, self.document().all_voters
-        for name in [n for n in lives if n not in there][: max(0, len(lives) - MOST_LIVES)]:
-            del lives[name]
-
-    def known(self, sender: str, known: Known) -> None:
-        if self.voting or known.told != self.claims:
+        generations, voters = self.memory.lives, self.document().all_voters
+        for name in [n for n in generations if n not in voters][
+            : max(0, len(generations) - MAX_OTHER_GENERATIONS)
+        ]:
+            del generations[name]
+
+    def on_recovery_reply(self, sender: str, reply: RecoveryReply) -> None:
+        if self.is_voting or reply.claimed_generation != self.claimed_generation:
             return
-        self.answers[sender] = known
-        self.others = self.others.union(*self._named_by_answers()) - {self.me}
-        self._judge()
+        self.replies[sender] = reply
+        self.other_voters = self.other_voters.union(*self._voters_named_by_replies()) - {self.me}
+        self._evaluate_replies()
 
-    def _forget(self) -> None:
+    def _discard_memory(self) -> None:
         """Nothing that the folder says of its own votes counts: half of them may be missing."""
-        self.same_folder, self.claims, self.answers, self.begins = False, 0, {}, False
+        self.has_trusted_memory, self.claimed_generation, self.replies, self.is_new = False, 0, {}, False
         self.memory = Memory(lives=self.memory.lives)
 
-    def _judge(self) -> None:
-        answers, m = self.answers, self.memory
-        heard = max((k.life for k in answers.values()), default=0)
-        if self.same_folder and heard > m.life:
-            self._forget()  # a copy from before it was let in anew
-        elif self.same_folder:
-            self.voting = self.document().agrees({*answers, self.me})
-        elif not self.claims:
-            self._claim(heard)
-        elif self.let_in(answers):
-            self._rejoin(answers)
-
-    def _claim(self, heard: int) -> None:
+    def _evaluate_replies(self) -> None:
+        replies, memory = self.replies, self.memory
+        highest_known = max((k.generation for k in replies.values()), default=0)
+        if self.has_trusted_memory and highest_known > memory.life:
+            self._discard_memory()  # a copy from before it was let in anew
+        elif self.has_trusted_memory:
+            self.is_voting = self.document().has_majority({*replies, self.me})
+        elif not self.claimed_generation:
+            self._claim_generation(highest_known)
+        elif self.is_readmitted(replies):
+            self._rejoin(replies)
+
+    def _claim_generation(self, highest_known: int) -> None:
         """A new life. Every life is noted by all others before its first vote, so one that nobody knows of
         has never voted, and may begin; else it comes back after the latest that is known."""
-        if not heard and self.others <= set(self.answers):
-            self.claims, self.begins = 1 + self.chance.getrandbits(LIFE_BITS), True  # never one of before
-        elif self.majority_of_others(self.answers) and (heard or self._is_to_come()):
-            self.claims = 1 + (heard or self.chance.getrandbits(LIFE_BITS))
-        if self.claims:
-            self.answers, self.asked_at = {}, -ASK_US
-
-    def _is_to_come(self) -> bool:
+        if not highest_known and self.other_voters <= set(self.replies):
+            self.claimed_generation, self.is_new = (
+                1 + self.rng.getrandbits(GENERATION_BITS),
+                True,
+            )  # never one of before
+        elif self.majority_of_others(self.replies) and (highest_known or self._is_future_voter()):
+            self.claimed_generation = 1 + (highest_known or self.rng.getrandbits(GENERATION_BITS))
+        if self.claimed_generation:
+            self.replies, self.last_request_at = {}, -RECOVERY_RETRY_US
+
+    def _is_future_voter(self) -> bool:
         """Whether a majority votes and none of it knows this member as a voter, nor a life of it: whoever was
         let in without being one was noted by a majority before its first vote."""
-        voting = {s: k for s, k in self.answers.items() if k.voting}
-        named = self.initial.all_voters.union(*self._named_by_answers())
+        voting = {s: k for s, k in self.replies.items() if k.is_voting}
+        named = self.initial.all_voters.union(*self._voters_named_by_replies())
         return self.me not in named and self.majority_of_others(voting)
 
-    def let_in(self, answers: dict[str, Known]) -> bool:
+    def is_readmitted(self, replies: dict[str, RecoveryReply]) -> bool:
         """One that begins is noted by all others; one that comes back, by a majority that votes."""
-        if self.begins:
-            return self.others <= set(answers)
-        return self.majority_of_others({s: k for s, k in answers.items() if k.voting})
-
-    def _rejoin(self, answers: dict[str, Known]) -> None:
-        m = self.memory
-        m.life = self.claims
-        for known in answers.values():
-            m.lives |= {v: max(n, m.lives.get(v, 0)) for v, n in known.lives.items() if v != self.me}
-            m.promised = max(m.promised, known.promised)
-            if known.accepted > m.accepted:
-                m.accepted, m.document = known.accepted, known.document
-        self.voting = True
+        if self.is_new:
+            return self.other_voters <= set(replies)
+        return self.majority_of_others({s: k for s, k in replies.items() if k.is_voting})
+
+    def _rejoin(self, replies: dict[str, RecoveryReply]) -> None:
+        memory = self.memory
+        memory.life = self.claimed_generation
+        for reply in replies.values():
+            memory.lives |= {
+                v: max(n, memory.lives.get(v, 0)) for v, n in reply.generations.items() if v != self.me
+            }
+            memory.promised = max(memory.promised, reply.promised)
+            if reply.accepted > memory.accepted:
+                memory.accepted, memory.document = reply.accepted, reply.document
+        self.is_voting = True
         self.persist()
 
-    def majority_of_others(self, answers: dict[str, Known]) -> bool:
-        newest = max(answers.values(), key=lambda k: k.accepted, default=None)
+    def majority_of_others(self, replies: dict[str, RecoveryReply]) -> bool:
+        newest = max(replies.values(), key=lambda k: k.accepted, default=None)
         document = doc.decode(newest.document) if newest and newest.document else self.initial
-        return document.agrees(set(answers) - {self.me}) if len(document.all_voters) > 1 else False
+        return document.has_majority(set(replies) - {self.me}) if len(document.all_voters) > 1 else False
 
     # To vote
 
-    def prepare(self, sender: str, prepare: Prepare) -> None:
-        m = self.memory
-        if not self.voting:
-            self.called = True
+    def on_prepare(self, sender: str, prepare: Prepare) -> None:
+        memory = self.memory
+        if not self.is_voting:
+            self.was_asked_to_vote = True
             return
         if not self.may_promise(prepare.ballot):
-            self.out.append(Send(sender, Refused(prepare.ballot, m.promised)))
+            self.outbox.append(Send(sender, BallotRejected(prepare.ballot, memory.promised)))
             return
-        m.promised = prepare.ballot
-        self.persist(Send(sender, Promise(prepare.ballot, m.life, m.accepted, m.document)))
+        memory.promised = prepare.ballot
+        self.persist(Send(sender, Promise(prepare.ballot, memory.life, memory.accepted, memory.document)))
 
     def may_promise(self, ballot: Ballot) -> bool:
         return ballot >= self.memory.promised  # the same one may be asked for twice
 
-    def accept(self, sender: str, accept: Accept) -> None:
-        m = self.memory
-        if not self.voting:
+    def on_accept(self, sender: str, accept: Accept) -> None:
+        memory = self.memory
+        if not self.is_voting:
             return
-        if not self.may_accept(accept.ballot) or not self.stands(accept.basis):
-            self.out.append(Send(sender, Refused(accept.ballot, m.promised)))
+        if not self.may_accept(accept.ballot) or not self.is_basis_valid(accept.basis):
+            self.outbox.append(Send(sender, BallotRejected(accept.ballot, memory.promised)))
             return
-        m.promised = m.accepted = accept.ballot
-        m.document = accept.document
-        self.persist(Send(sender, Accepted(accept.ballot, m.life)))
+        memory.promised = memory.accepted = accept.ballot
+        memory.document = accept.document
+        self.persist(Send(sender, Accepted(accept.ballot, memory.life)))
 
     def may_accept(self, ballot: Ballot) -> bool:
         return ballot >= self.memory.promised
 
-    def stands(self, basis: tuple[tuple[str, int], ...]) -> bool:
+    def is_basis_valid(self, basis: tuple[tuple[str, int], ...]) -> bool:
         """No promise under it was given in a life that has ended since."""
-        lives = self.memory.lives
+        generations = self.memory.lives
         return all(
-            life == self.memory.life if voter == self.me else life >= lives.get(voter, 0)
-            for voter, life in basis
+            generation == self.memory.life if voter == self.me else generation >= generations.get(voter, 0)
+            for voter, generation in basis
         )
--- a/hopmill/fleet/watch.py
+++ b/hopmill/fleet/watch.py
@@ -14,101 +14,110 @@
 
 from hopmill.fleet.wire import OutcomeTotals
 
-EACH_US = 1_000_000  # between two counts that are kept
-MOST_KEPT = 300
-LEAST = 20  # messages of a group, before and after, below which nothing is said of it
+SAMPLE_INTERVAL_US = 1_000_000  # between two counts that are kept
+MAX_SAMPLES = 300
+MIN_COUNT = 20  # messages of a group, before and after, below which nothing is said of it
 # Of a stage that changes nothing, about one in a thousand is ended for it: over all looks and all figures.
 ALPHA = 1e-3
 FIGURES = ("worth", "refusals", "errors")
 
 
-class Watch:
+class CanaryWatch:
     """One member's counts over time. Times are us of its elapsed clock."""
 
     def __init__(self) -> None:
         self.counts: Callable[[], OutcomeTotals] = OutcomeTotals
-        self.kept: deque[tuple[int, OutcomeTotals]] = deque(maxlen=MOST_KEPT)
-        self.stage = ""
-        self.began: tuple[int, OutcomeTotals] = 0, OutcomeTotals()
+        self.samples: deque[tuple[int, OutcomeTotals]] = deque(maxlen=MAX_SAMPLES)
+        self.stage_id = ""
+        self.stage_start: tuple[int, OutcomeTotals] = 0, OutcomeTotals()
 
     def tick(self, now: int) -> None:
-        if not self.kept or now - self.kept[-1][0] >= EACH_US:
-            self.kept.append((now, self.counts()))
+        if not self.samples or now - self.samples[-1][0] >= SAMPLE_INTERVAL_US:
+            self.samples.append((now, self.counts()))
 
-    def staged(self, ident: str, now: int) -> None:
+    def on_stage(self, stage_id: str, now: int) -> None:
         """The first that is known of this stage here."""
-        if ident != self.stage:
-            self.stage, self.began = ident, (now, self.counts())
+        if stage_id != self.stage_id:
+            self.stage_id, self.stage_start = stage_id, (now, self.counts())
 
-    def told(self, now: int, watch_us: int) -> tuple[OutcomeTotals, OutcomeTotals]:
+    def totals_around(self, now: int, watch_us: int) -> tuple[OutcomeTotals, OutcomeTotals]:
         """(before, after): over as long before the stage as it lasts, and since."""
-        at, sums = self.began
+        at, start_totals = self.stage_start
         since = max(watch_us, now - at)
-        earlier = next((s for t, s in self.kept if t >= at - since), sums)
-        return less(sums, earlier), less(self.counts(), sums)
+        earlier = next((totals for at_us, totals in self.samples if at_us >= at - since), start_totals)
+        return difference(start_totals, earlier), difference(self.counts(), start_totals)
 
 
-def less(a: OutcomeTotals, b: OutcomeTotals) -> OutcomeTotals:
-    return OutcomeTotals(*(max(0, x - y) for x, y in zip(_row(a), _row(b), strict=True)))
+def difference(later: OutcomeTotals, earlier: OutcomeTotals) -> OutcomeTotals:
+    return OutcomeTotals(*(max(0, x - y) for x, y in zip(_as_tuple(later), _as_tuple(earlier), strict=True)))
 
 
-def _row(s: OutcomeTotals) -> tuple[float, ...]:
-    return s.worth, s.earned, s.calls, s.refused, s.failed
+def _as_tuple(totals: OutcomeTotals) -> tuple[float, ...]:
+    return totals.worth, totals.earned, totals.calls, totals.refused, totals.failed
 
 
-def shares(s: OutcomeTotals) -> dict[str, tuple[float, float]]:
+def shares(totals: OutcomeTotals) -> dict[str, tuple[float, float]]:
     """(good share, of how many) by figure: all of them are better when larger."""
-    calls = max(1e-9, s.calls)
+    calls = max(1e-9, totals.calls)
     return {
-        "worth": (s.earned / max(1e-9, s.worth), s.worth),
-        "refusals": (1 - s.refused / calls, s.calls),
-        "errors": (1 - s.failed / calls, s.calls),
+        "worth": (totals.earned / max(1e-9, totals.worth), totals.worth),
+        "refusals": (1 - totals.refused / calls, totals.calls),
+        "errors": (1 - totals.failed / calls, totals.calls),
     }
 
 
-def worse(
-    few: Iterable[tuple[OutcomeTotals, OutcomeTotals]],
+def regression(
+    canary: Iterable[tuple[OutcomeTotals, OutcomeTotals]],
     rest: Iterable[tuple[OutcomeTotals, OutcomeTotals]],
     looks: int,
 ) -> str:
     """What the few do worse beyond chance, "" if nothing. looks: how often it is asked in all."""
-    few, rest = list(few), list(rest)
-    if not few or not rest:
+    canary, rest = list(canary), list(rest)
+    if not canary or not rest:
         return ""
-    least = _quantile(ALPHA / len(FIGURES) / max(1, looks))
+    threshold = _quantile(ALPHA / len(FIGURES) / max(1, looks))
     for figure in FIGURES:
-        (a, a_var, a_n), (b, b_var, b_n) = _moved(few, figure), _moved(rest, figure)
-        if min(a_n, b_n) < LEAST:
+        (canary_shift, canary_variance, canary_count), (rest_shift, rest_variance, rest_count) = (
+            _shift(canary, figure),
+            _shift(rest, figure),
+        )
+        if min(canary_count, rest_count) < MIN_COUNT:
             continue
-        z = (a - b) / math.sqrt(max(1e-12, (a_var + b_var) * _spread(rest, figure)))
-        if z < -least:
-            return f"{figure}: {a:+.3f} against {b:+.3f} of the others"
+        z_score = (canary_shift - rest_shift) / math.sqrt(
+            max(1e-12, (canary_variance + rest_variance) * _spread(rest, figure))
+        )
+        if z_score < -threshold:
+            return f"{figure}: {canary_shift:+.3f} against {rest_shift:+.3f} of the others"
     return ""
 
 
-def _moved(group: list[tuple[OutcomeTotals, OutcomeTotals]], figure: str) -> tuple[float, float, float]:
+def _shift(group: list[tuple[OutcomeTotals, OutcomeTotals]], figure: str) -> tuple[float, float, float]:
     """(how far the group's share moved, its variance by chance alone, the smaller of the two counts)."""
     before, after = (shares(total(rows))[figure] for rows in zip(*group, strict=True))
-    return after[0] - before[0], sum(_variance(p, n) for p, n in (before, after)), min(before[1], after[1])
+    return (
+        after[0] - before[0],
+        sum(_variance(share, count) for share, count in (before, after)),
+        min(before[1], after[1]),
+    )
 
 
 def total(rows: Iterable[OutcomeTotals]) -> OutcomeTotals:
-    return OutcomeTotals(*(sum(column) for column in zip(*map(_row, rows), strict=True)))
+    return OutcomeTotals(*(sum(column) for column in zip(*map(_as_tuple, rows), strict=True)))
 
 
-def _variance(p: float, n: float) -> float:
+def _variance(share: float, count: float) -> float:
     """Of a share, and never none: one of so many may be otherwise."""
-    p = min(max(p, 1 / (n + 2)), 1 - 1 / (n + 2))
-    return p * (1 - p) / max(n, 1e-9)
+    share = min(max(share, 1 / (count + 2)), 1 - 1 / (count + 2))
+    return share * (1 - share) / max(count, 1e-9)
 
 
 def _spread(group: list[tuple[OutcomeTotals, OutcomeTotals]], figure: str) -> float:
     """How much more couriers differ than chance would have them, at least 1."""
-    mean = _moved(group, figure)[0]
+    mean = _shift(group, figure)[0]
     squares = [
-        (_moved([row], figure)[0] - mean) ** 2 / max(1e-12, _moved([row], figure)[1])
+        (_shift([row], figure)[0] - mean) ** 2 / max(1e-12, _shift([row], figure)[1])
         for row in group
-        if _moved([row], figure)[2] >= 1
+        if _shift([row], figure)[2] >= 1
     ]
     return max(1.0, sum(squares) / (len(squares) - 1)) if len(squares) > 1 else 1.0
 
