--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -9,11 +9,11 @@
 Ballot = tuple[int, str]  # round, then who proposes: all are different
 
 
-class Part(msgspec.Struct, array_like=True, frozen=True):
+class ArrayStruct(msgspec.Struct, array_like=True, frozen=True):
     """Of a datagram: an array, its kind first where there are several."""
 
 
-class News(Part):
+class MemberUpdate(ArrayStruct):
     """What is said of a member. Of two, the later incarnation prevails, then the later state."""
 
     id: str
@@ -22,29 +22,29 @@
     address: str
     zone: str
     region: str
-    by: str = ""  # who suspects it, or took it for dead
+    suspected_by: str = ""  # who suspects it, or took it for dead
 
 
 # Membership
 
 
-class Ping(Part, tag="p"):
+class Ping(ArrayStruct, tag="p"):
     seq: int
     target: str  # whom it is meant for: an address may have changed hands
 
 
-class Ack(Part, tag="a"):
+class Ack(ArrayStruct, tag="a"):
     seq: int
 
 
-class PingFor(Part, tag="q"):
+class IndirectPing(ArrayStruct, tag="q"):
     """Ping the target and pass its answer on."""
 
     seq: int
     target: str
 
 
-class Unheard(Part, tag="n"):
+class ProbeFailed(ArrayStruct, tag="n"):
     """The one asked for is silent here too; the asker's own hearing is well."""
 
     seq: int
@@ -53,36 +53,36 @@
 # The register: voters and proposers
 
 
-class Ask(Part, tag="k"):
+class RecoveryRequest(ArrayStruct, tag="k"):
     """A voter that has just started: what do you know of me? Remember that this is my life now."""
 
-    life: int
+    generation: int
 
 
-class Known(Part, tag="w"):
+class RecoveryReply(ArrayStruct, tag="w"):
     """life: the highest known of the asker, its own told one included."""
 
-    life: int
-    voting: bool
-    told: int  # the life in the Ask that this answers
+    generation: int
+    is_voting: bool
+    claimed_generation: int  # the life in the Ask that this answers
     promised: Ballot
     accepted: Ballot
     document: bytes
-    lives: dict[str, int] = {}  # of the other voters, as known here
+    generations: dict[str, int] = {}  # of the other voters, as known here
 
 
-class Prepare(Part, tag="1"):
+class Prepare(ArrayStruct, tag="1"):
     ballot: Ballot
 
 
-class Promise(Part, tag="2"):
+class Promise(ArrayStruct, tag="2"):
     ballot: Ballot
-    life: int
+    generation: int
     accepted: Ballot
     document: bytes
 
 
-class Accept(Part, tag="3"):
+class Accept(ArrayStruct, tag="3"):
     """basis: the voters, with their lives, whose promises this stands on."""
 
     ballot: Ballot
@@ -90,79 +90,79 @@
     basis: tuple[tuple[str, int], ...]
 
 
-class Accepted(Part, tag="4"):
+class Accepted(ArrayStruct, tag="4"):
     ballot: Ballot
-    life: int
+    generation: int
 
 
-class Refused(Part, tag="5"):
+class BallotRejected(ArrayStruct, tag="5"):
     """Not this ballot: a later one is promised, or its basis no longer stands."""
 
     ballot: Ballot
     promised: Ballot
 
 
-class Fetch(Part, tag="f"):
+class DocumentRequest(ArrayStruct, tag="f"):
     """I have an older version of the document than you say there is."""
 
     version: int
 
 
-class Chosen(Part, tag="c"):
+class ChosenDocument(ArrayStruct, tag="c"):
     document: bytes
 
 
 # The policy in force: who may act under it, and its texts
 
 
-class Hold(Part, tag="h"):
+class LeaseRequest(ArrayStruct, tag="h"):
     """I work under this version, or will: a lease on it. ready: for this change; refuses: it, and why."""
 
-    life: int
+    generation: int
     seq: int
     version: int
-    last: bool  # alone, it goes on under the last version
-    ready: str = ""
-    refuses: str = ""
+    continues_alone: bool  # alone, it goes on under the last version
+    ready_for: str = ""
+    refusal: str = ""
 
 
-class Given(Part, tag="g"):
+class LeaseGrant(ArrayStruct, tag="g"):
     """roster: who votes, as the voter knows it. life, seq: of the Hold that it answers."""
 
     seq: int
     version: int
-    roster: int
-    life: int = 0
+    voter_set_version: int
+    generation: int = 0
 
 
-class NotGiven(Part, tag="x"):
+class LeaseDenial(ArrayStruct, tag="x"):
     seq: int
     why: str
 
 
-class Stopped(Part, tag="r"):
+class WorkStopped(ArrayStruct, tag="r"):
     """I have stopped for the closing at this epoch, and begin nothing before I know a later one."""
 
     epoch: int
 
 
-class IsClear(Part, tag="C"):
+class DrainQuery(ArrayStruct, tag="C"):
     """At this epoch: whom does the change wait for?"""
 
     epoch: int
 
 
-class Clear(Part, tag="d"):
+class DrainReply(ArrayStruct, tag="d"):
     """clear: for nobody that this voter has given a lease. waits: some of them, and why."""
 
     epoch: int
-    roster: int
-    clear: bool
-    waits: tuple[tuple[str, str], ...] = ()
+    voter_set_version: int
+    is_drained: bool
+    pending: tuple[tuple[str, str], ...] = ()
     refused: str = ""
 
 
-class OutcomeTotals(Part):
+class OutcomeTotals(ArrayStruct):
     """What a courier has counted: worth of the messages that ended, and earned by them; calls that ended,
     refused as full, and failed otherwise."""
 
@@ -173,28 +173,28 @@
     failed: float = 0.0
 
 
-class WantSums(Part, tag="S"):
+class TotalsRequest(ArrayStruct, tag="S"):
     """Of this stage, which is watched for so long."""
 
-    stage: str
+    stage_id: str
     watch_ms: int
 
 
-class Counted(Part, tag="T"):
-    stage: str
+class TotalsReply(ArrayStruct, tag="T"):
+    stage_id: str
     version: int  # that the sender works under
     before: OutcomeTotals
     after: OutcomeTotals
 
 
-class WantText(Part, tag="t"):
+class TextRequest(ArrayStruct, tag="t"):
     """So many pieces of it, from this byte on."""
 
     digest: bytes
     at: int
 
 
-class Piece(Part, tag="u"):
+class TextPiece(ArrayStruct, tag="u"):
     digest: bytes
     at: int
     size: int  # of the whole
@@ -204,31 +204,31 @@
 Body = (
     Ping
     | Ack
-    | PingFor
-    | Unheard
-    | Ask
-    | Known
+    | IndirectPing
+    | ProbeFailed
+    | RecoveryRequest
+    | RecoveryReply
     | Prepare
     | Promise
     | Accept
     | Accepted
-    | Refused
-    | Fetch
-    | Chosen
-    | Hold
-    | Given
-    | NotGiven
-    | Stopped
-    | IsClear
-    | Clear
-    | WantSums
-    | Counted
-    | WantText
-    | Piece
+    | BallotRejected
+    | DocumentRequest
+    | ChosenDocument
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseDenial
+    | WorkStopped
+    | DrainQuery
+    | DrainReply
+    | TotalsRequest
+    | TotalsReply
+    | TextRequest
+    | TextPiece
 )
 
 
-class Frame(Part):
+class Frame(ArrayStruct):
     """A datagram. What a later format adds goes behind."""
 
     format: int
@@ -237,45 +237,45 @@
     incarnation: int
     version: int  # of the newest document that the sender knows to be chosen
     body: msgspec.Raw
-    news: tuple[msgspec.Raw, ...] = ()
+    updates: tuple[msgspec.Raw, ...] = ()
 
 
-class Unreadable(ValueError):
+class UnreadableDatagramError(ValueError):
     """A datagram that is dropped; the text is the reason that it is counted under."""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_frame = msgspec.msgpack.Decoder(Frame)
-_body = msgspec.msgpack.Decoder(Body)
-_news = msgspec.msgpack.Decoder(News)
+_frame_decoder = msgspec.msgpack.Decoder(Frame)
+_body_decoder = msgspec.msgpack.Decoder(Body)
+_update_decoder = msgspec.msgpack.Decoder(MemberUpdate)
 encode = _encoder.encode
 
 
-def read(data: bytes, fleet: str) -> tuple[Frame, Body, list[News]]:
+def read(data: bytes, fleet: str) -> tuple[Frame, Body, list[MemberUpdate]]:
     """Unreadable: the reason in a word."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise Unreadable("long")
+        raise UnreadableDatagramError("long")
     try:
-        frame = _frame.decode(data)
+        frame = _frame_decoder.decode(data)
         if frame.format != FORMAT:
-            raise Unreadable("format")
+            raise UnreadableDatagramError("format")
         if frame.fleet != fleet:
-            raise Unreadable("fleet")
-        return frame, _body.decode(frame.body), [_news.decode(n) for n in frame.news]
+            raise UnreadableDatagramError("fleet")
+        return frame, _body_decoder.decode(frame.body), [_update_decoder.decode(n) for n in frame.updates]
     except (msgspec.DecodeError, RecursionError):
-        raise Unreadable("unreadable") from None
+        raise UnreadableDatagramError("unreadable") from None
 
 
-def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, news: list[bytes]) -> bytes:
+def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, updates: list[bytes]) -> bytes:
     """As much of the news as fits, the first first. ValueError if the body alone does not."""
     head = Frame(FORMAT, fleet, sender, incarnation, version, msgspec.Raw(encode(body)))
     room = MAX_DATAGRAM_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
     if room < 0:
         raise ValueError("the body does not fit a datagram")
     taken = []
-    for each in news:
+    for each in updates:
         room -= len(each)
         if room < 0:
             break
         taken.append(msgspec.Raw(each))
-    return encode(msgspec.structs.replace(head, news=tuple(taken)))
+    return encode(msgspec.structs.replace(head, updates=tuple(taken)))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,8 +19,8 @@
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import replace_voter, say
 from hopmill.fleet.settings import Members, Other, problems, warnings
-from hopmill.fleet.swim import ALIVE, DEAD, LEFT, MOST_RELAYS
-from hopmill.fleet.voter import MOST_LIVES
+from hopmill.fleet.swim import ALIVE, DEAD, LEFT, MAX_RELAYS
+from hopmill.fleet.voter import MAX_OTHER_GENERATIONS
 from hopmill.lab.members import Fleet, Plan, calm, detection
 
 MEMBERS = dict(
@@ -100,7 +100,7 @@
     return [(a.address, wire.read(a.data, "f")[1]) for a in node.take(now) if not isinstance(a, Write)]
 
 
-BEYOND = wire.Known(1, True, 0, (1, "b"), (1, "b"), b"\xc1 no document")
+BEYOND = wire.RecoveryReply(1, True, 0, (1, "b"), (1, "b"), b"\xc1 no document")
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
         (frame(fleet="g"), "fleet"),
         (frame(incarnation=1 << 49), "incarnation"),
         (frame(sender="nobody"), "unknown"),
-        (frame(body=wire.Chosen(b"\xc1")), "unreadable"),
+        (frame(body=wire.ChosenDocument(b"\xc1")), "unreadable"),
         (frame(body=wire.Promise((1, "b"), 1, (1, "b"), b"\xc1")), "unreadable"),
     ],
 )
@@ -130,7 +130,12 @@
     | st.builds(
         lambda body, cut: frame(body=body)[:cut],
         st.sampled_from(
-            [BEYOND, wire.Accept((1, "b"), b"x", (("b", 1),)), wire.PingFor(1, "c"), wire.Fetch(0)]
+            [
+                BEYOND,
+                wire.Accept((1, "b"), b"x", (("b", 1),)),
+                wire.IndirectPing(1, "c"),
+                wire.DocumentRequest(0),
+            ]
         ),
         st.integers(0, 300),
     )
@@ -150,14 +155,14 @@
         document = RegisterDocument(1 << 40, tuple(names[:5]), tuple(names[1:6]), {"w": text})
         try:
             data = doc.encode(document)
-        except doc.TooLarge:
+        except doc.DocumentTooLargeError:
             break
         text += "x"
-    data = data if len(data) <= doc.MOST_BYTES else data[: doc.MOST_BYTES]
+    data = data if len(data) <= doc.MAX_DOCUMENT_BYTES else data[: doc.MAX_DOCUMENT_BYTES]
     ballot = (1 << 40, names[0] + "#" + "9" * 15)
-    lives = {name: 1 << 40 for name in names[:MOST_LIVES]}
+    lives = {name: 1 << 40 for name in names[:MAX_OTHER_GENERATIONS]}
     for body in (
-        wire.Known(1 << 40, True, 1 << 40, ballot, ballot, data, lives),
+        wire.RecoveryReply(1 << 40, True, 1 << 40, ballot, ballot, data, lives),
         wire.Accept(ballot, data, tuple((n, 1 << 40) for n in names[:6])),
     ):
         assert (
@@ -186,7 +191,7 @@
 )
 def test_of_two_incarnations_the_later_prevails(incarnation, state, known):
     node = started()
-    gone = wire.News("b", DEAD, 7, "127.0.0.1:7002", "z", "", "c")
+    gone = wire.MemberUpdate("b", DEAD, 7, "127.0.0.1:7002", "z", "", "c")
     node.datagram(frame(sender="c", news=[gone]), 10)
     node.datagram(frame(sender="b", incarnation=incarnation), 20)
     peer = node.swim.peers["b"]
@@ -207,18 +212,22 @@
     for order in (rows, chance.sample(rows + rows, 2 * len(rows))):
         node = started()
         for name in ("b", "c", "new"):
-            node.datagram(frame(sender="c", news=[wire.News(name, ALIVE, 1, "127.0.0.1:9", "", "")]), 1)
+            node.datagram(
+                frame(sender="c", news=[wire.MemberUpdate(name, ALIVE, 1, "127.0.0.1:9", "", "")]), 1
+            )
         for name, incarnation, state in order:
-            node.swim._news(wire.News(name, state, incarnation, "127.0.0.1:9", "", "", "c"), 10, "c")
+            node.swim._on_update(
+                wire.MemberUpdate(name, state, incarnation, "127.0.0.1:9", "", "", "c"), 10, "c"
+            )
         seen.append({p.id: (p.incarnation, p.state) for p in node.swim.peers.values()})
-        assert node.swim.size == 1 + sum(state <= 1 for _, state in seen[-1].values())
+        assert node.swim.live_count == 1 + sum(state <= 1 for _, state in seen[-1].values())
     assert seen[0] == seen[1]
 
 
 def test_a_name_may_come_back_at_another_address_but_not_a_configured_one():
     node = started()
     for incarnation, address in ((3, "127.0.0.1:8001"), (4, "127.0.0.1:8002"), (2, "127.0.0.1:8003")):
-        news = [wire.News(name, ALIVE, incarnation, address, "z", "") for name in ("new", "b")]
+        news = [wire.MemberUpdate(name, ALIVE, incarnation, address, "z", "") for name in ("new", "b")]
         node.datagram(frame(sender="c", news=news), 10)
     assert node.swim.address("new") == "127.0.0.1:8002" and node.swim.address("b") == "127.0.0.1:7002"
 
@@ -228,7 +237,9 @@
     for n in range(1000):
         now = n * 1_000_000
         for state in (ALIVE, DEAD):
-            node.datagram(frame(sender="c", news=[wire.News(f"x{n}", state, 1, "127.0.0.1:9", "", "")]), now)
+            node.datagram(
+                frame(sender="c", news=[wire.MemberUpdate(f"x{n}", state, 1, "127.0.0.1:9", "", "")]), now
+            )
         for at in range(now, now + 1_000_000, 80_000):
             node.tick(at)
             node.take(at)
@@ -238,20 +249,20 @@
                     len,
                     (
                         node.swim.peers,
-                        node.swim.told,
-                        node.swim.packed,
+                        node.swim.gossip_counts,
+                        node.swim.encoded_updates,
                         node.swim.relays,
                         node.swim.probes,
                         node.swim.suspects,
-                        node.register.heard,
+                        node.register.newer_versions,
                     ),
                 )
             )
         )
     assert max(sizes[500:]) <= max(sizes[200:400]) + 5 and max(sizes) < 400
-    for n in range(2 * MOST_RELAYS):
-        node.datagram(frame(sender="c", body=wire.PingFor(n, "b")), now)
-    assert len(node.swim.relays) <= MOST_RELAYS
+    for n in range(2 * MAX_RELAYS):
+        node.datagram(frame(sender="c", body=wire.IndirectPing(n, "b")), now)
+    assert len(node.swim.relays) <= MAX_RELAYS
 
 
 def test_one_that_hears_but_is_not_heard_is_dead_to_the_others_and_back_when_it_is_heard():
@@ -355,7 +366,7 @@
     outcomes(fleet, rows, 2, lambda ticket, document: None)
     fleet.run(fleet.now + 5_000_000)
     assert rows[1].document.entries == {"w": "kept"}
-    assert [n.register.voter.voting for n in fleet.nodes] == [True] * 3
+    assert [n.register.voter.is_voting for n in fleet.nodes] == [True] * 3
 
 
 def test_a_split_without_a_majority_changes_nothing_and_heals():
@@ -384,20 +395,20 @@
     assert [(r.state, r.why) for r in rows] == [("refused", "no vote from c9")]
     outcomes(fleet, rows, 0, say("x", "on it goes"))
     fleet.run(14_000_000)
-    assert rows[-1].state == "done" and fleet.nodes[0].register.document.former == ()
+    assert rows[-1].state == "done" and fleet.nodes[0].register.document.previous_voters == ()
 
 
 def test_a_voter_is_replaced_while_the_fleet_works():
     fleet, rows = Fleet(Plan(4, 0.0, 7)), []
     fleet.run(2_000_000)
-    assert [n.register.voter.voting for n in fleet.nodes] == [True, True, True, False]
+    assert [n.register.voter.is_voting for n in fleet.nodes] == [True, True, True, False]
     fleet.kill(1)
     outcomes(fleet, rows, 0, replace_voter("c1", "c3"))
     outcomes(fleet, rows, 0, say("w", "meanwhile"))
     fleet.run(8_000_000)
     document = fleet.nodes[0].register.document
-    assert [r.state for r in rows] == ["done", "done"] and document.former == ()
-    assert set(document.voters) == {"c0", "c2", "c3"} and fleet.nodes[3].register.voter.voting
+    assert [r.state for r in rows] == ["done", "done"] and document.previous_voters == ()
+    assert set(document.voters) == {"c0", "c2", "c3"} and fleet.nodes[3].register.voter.is_voting
     fleet.kill(2)  # the two others carry it
     outcomes(fleet, rows, 0, say("w", "after"))
     fleet.run(12_000_000)
@@ -428,7 +439,7 @@
     keeper = LeaseHolder("duty", "a#1", 1_000_000, 0.01)
     ticket, change = keeper.tick(0, RegisterDocument(0, ("a",)))
     taken = change(RegisterDocument(0, ("a",)))
-    keeper.ended(Outcome(ticket, "done", taken), 50_000)
+    keeper.on_outcome(Outcome(ticket, "done", taken), 50_000)
     assert (
         bool(keeper.fencing_token(pause_us)) is holds
     )  # counted from before it asked, and short by the drift
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -31,11 +31,11 @@
 from hopmill.fleet import texts, watch, wire
 from hopmill.fleet.actions import Send
 from hopmill.fleet.node import DeleteTexts, WriteText
-from hopmill.fleet.policy import BACK, STAGE, Change, Ended, CanaryGroup, Policy, Stage
+from hopmill.fleet.policy import BACK, STAGE, PolicyChange, EndedChange, CanaryGroup, Policy, CanaryStage
 from hopmill.fleet.proposer import Proposer
 from hopmill.fleet.register import replace_voter
 from hopmill.fleet.settings import PolicyRule
-from hopmill.fleet.wire import Piece, OutcomeTotals, WantText
+from hopmill.fleet.wire import TextPiece, OutcomeTotals, TextRequest
 from hopmill.interface import Hold, MessageArrived, PolicySet, Refuse
 from hopmill.interface import Send as SendMessage
 from hopmill.lab.members import Fleet, Plan
@@ -93,7 +93,7 @@
 
 
 def test_nobody_is_made_a_voter_who_could_not_be_let_in(monkeypatch):
-    monkeypatch.setattr(Proposer, "can_vote", lambda self, after, at: True)
+    monkeypatch.setattr(Proposer, "can_switch_voters", lambda self, after, at: True)
     assert "somebody may not act" in explore.run(explore.schedule(134_568), 4, 134_568)
 
 
@@ -105,7 +105,7 @@
     assert world.disks["m0"] and m.disk and not m.writes
     life = m.life
     world._put_back(m, 0)
-    assert not world.disks["m0"] and m.life == life + 1 and not m.register.voter.voting
+    assert not world.disks["m0"] and m.life == life + 1 and not m.register.voter.is_voting
 
 
 def test_a_text_that_is_wanted_again_outlasts_its_drop():
@@ -114,15 +114,17 @@
     node = fleet.nodes[0]
     govern = node.policy_member
     digest = govern.texts.add(b"again")
-    govern.dropped.add(digest)
-    govern.texts.write(digest)
+    govern.deletable_texts.add(digest)
+    govern.texts.store(digest)
     deeds = [a for a in node.take(fleet.now) if isinstance(a, (DeleteTexts, WriteText))]
     assert [type(a) for a in deeds] == [DeleteTexts, WriteText]
 
 
 # The steps
 
-KINDS = st.sampled_from(["prepare", "few", "close", "reopen", "commit", "end", "go_on", "go_back", "strike"])
+KINDS = st.sampled_from(
+    ["prepare", "few", "close", "reopen", "commit", "end_change", "extend_to_rest", "roll_back", "strike"]
+)
 
 
 @given(st.lists(st.tuples(KINDS, st.integers(0, 3), st.integers(0, 4)), max_size=40))
@@ -132,16 +134,18 @@
         p = d.policy
         epoch = p.epoch - ago
         few = CanaryGroup(0.5, 1, 10)
-        change = Change(f"x{ident}", b"d%d" % ident, "a", False, *((STAGE, few) if kind == "few" else ()))
+        change = PolicyChange(
+            f"x{ident}", b"d%d" % ident, "a", False, *((STAGE, few) if kind == "few" else ())
+        )
         if kind in ("prepare", "few"):
             step = steps.prepare(change, p.version)
         elif kind == "strike":
             step = steps.cancel_member(f"m{ident}", ident % 2 == 0)
         else:
-            step = getattr(steps, kind)(epoch, *(["why"] if kind in ("end", "go_back") else []))
+            step = getattr(steps, kind)(epoch, *(["why"] if kind in ("end_change", "roll_back") else []))
         try:
             after = step(f"t{n}", d)
-        except steps.Refused:
+        except steps.ChangeRefusedError:
             continue
         if after is None:
             continue
@@ -163,19 +167,21 @@
         1 << 40,
         1 << 40,
         d16,
-        Change("i" * 16, d16, "b" * 20, True, BACK, few, 99),
-        (Ended("i" * 16, 1 << 40, "w" * steps.MOST_WHY),) * steps.ENDED,
+        PolicyChange("i" * 16, d16, "b" * 20, True, BACK, few, 99),
+        (EndedChange("i" * 16, 1 << 40, "w" * steps.MAX_REASON_CHARS),) * steps.MAX_ENDED,
         (),
-        Stage("i" * 16, d16, 1 << 40, few, "b" * 20),
+        CanaryStage("i" * 16, d16, 1 << 40, few, "b" * 20),
+    )
+    document = doc.RegisterDocument(
+        1 << 40, voters, (), {}, {}, (doc.proposal_id_of("t"),) * doc.MAX_RECENT_PROPOSALS, policy
     )
-    document = doc.RegisterDocument(1 << 40, voters, (), {}, {}, (doc.ticket_of("t"),) * doc.RECENT, policy)
     data = doc.encode(document)
     basis = tuple((v, 1 << 41) for v in voters)
-    assert len(data) <= doc.MOST_BYTES
+    assert len(data) <= doc.MAX_DOCUMENT_BYTES
     for body in (
-        wire.Accept((1 << 40, "x" * 30), b"x" * doc.MOST_BYTES, basis),
-        Piece(d16, 1 << 16, 1 << 16, b"x" * texts.PIECE_BYTES),
-        wire.Clear(1 << 40, 1 << 32, False, (("m" * 20, "has not stopped"),) * 12, "r" * 90),
+        wire.Accept((1 << 40, "x" * 30), b"x" * doc.MAX_DOCUMENT_BYTES, basis),
+        TextPiece(d16, 1 << 16, 1 << 16, b"x" * texts.PIECE_BYTES),
+        wire.DrainReply(1 << 40, 1 << 32, False, (("m" * 20, "has not stopped"),) * 12, "r" * 90),
     ):
         wire.write("f" * 20, "s" * 20, 1 << 47, 1 << 40, body, [])
 
@@ -183,38 +189,38 @@
 # Texts
 
 
-@given(st.binary(max_size=texts.MOST_BYTES), st.integers(0, 2**32), st.floats(0, 0.4))
+@given(st.binary(max_size=texts.MAX_TEXT_BYTES), st.integers(0, 2**32), st.floats(0, 0.4))
 @settings(max_examples=25, deadline=None)
 def test_a_text_comes_whole_whatever_is_lost_doubled_or_overtaken(text, seed, loss):
-    chance, giver, taker = random.Random(seed), texts.Texts({}), texts.Texts({})
+    chance, giver, taker = random.Random(seed), texts.TextStore({}), texts.TextStore({})
     digest = giver.add(text)
-    taker.want(digest, ["giver"])
+    taker.fetch(digest, ["giver"])
     for round_ in range(2000):
         if digest in taker.by_digest:
             break
-        taker.tick(round_ * texts.AGAIN_US)
-        asked, taker.out = taker.out, []
+        taker.tick(round_ * texts.RETRY_US)
+        asked, taker.outbox = taker.outbox, []
         for send in asked:
-            giver.wanted("taker", send.body)
-        given_, giver.out = giver.out, []
+            giver.on_text_request("taker", send.body)
+        given_, giver.outbox = giver.outbox, []
         chance.shuffle(given_)
         for send in given_ + chance.sample(given_, len(given_) // 3):
             if chance.random() >= loss:
-                taker.piece("giver", send.body, round_ * texts.AGAIN_US)
-    assert taker.by_digest == {digest: text} and not taker.fetched
+                taker.on_piece("giver", send.body, round_ * texts.RETRY_US)
+    assert taker.by_digest == {digest: text} and not taker.fetches
 
 
 def test_what_does_not_fit_its_digest_is_not_taken_and_too_long_is_refused():
-    store = texts.Texts({b"x" * 16: b"another text"})
+    store = texts.TextStore({b"x" * 16: b"another text"})
     assert not store.by_digest and not store.on_disk
-    store.want(b"y" * 16, ["a"])
-    store.piece("a", Piece(b"y" * 16, 0, 3, b"abc"), 0)
-    store.piece("a", Piece(b"z" * 16, 0, 3, b"abc"), 0)  # not asked for
+    store.fetch(b"y" * 16, ["a"])
+    store.on_piece("a", TextPiece(b"y" * 16, 0, 3, b"abc"), 0)
+    store.on_piece("a", TextPiece(b"z" * 16, 0, 3, b"abc"), 0)  # not asked for
     assert not store.by_digest
     with pytest.raises(ValueError, match="would take"):
-        store.add(b"x" * (texts.MOST_BYTES + 1))
-    store.wanted("a", WantText(b"y" * 16, 1 << 60))
-    assert not [s for s in store.out if isinstance(s, Send) and isinstance(s.body, Piece)]
+        store.add(b"x" * (texts.MAX_TEXT_BYTES + 1))
+    store.on_text_request("a", TextRequest(b"y" * 16, 1 << 60))
+    assert not [s for s in store.outbox if isinstance(s, Send) and isinstance(s.body, TextPiece)]
 
 
 # What a policy is
@@ -507,7 +513,7 @@
     ],
 )
 def test_those_that_go_first_are_held_back_only_if_they_do_worse_beyond_chance(few, rest, said):
-    found = watch.worse(few, rest, 60)
+    found = watch.regression(few, rest, 60)
     assert found.startswith(said) and bool(found) is bool(said)
 
 
@@ -518,7 +524,7 @@
         def pair():
             return tuple(sums(200, sum(chance.random() < 0.9 for _ in range(200))) for _ in range(2))
 
-        ended += any(watch.worse([pair()], [pair() for _ in range(4)], 5) for _ in range(5))
+        ended += any(watch.regression([pair()], [pair() for _ in range(4)], 5) for _ in range(5))
     assert ended <= 3
 
 
