--- a/hopmill/fleet/document.py
+++ b/hopmill/fleet/document.py
@@ -11,8 +11,8 @@
 
 from hopmill.fleet.policy import Policy
 
-MAX_DOCUMENT_BYTES = 750  # of it, encoded: with whatever goes along it has to fit a datagram
-MAX_RECENT_PROPOSALS = 8  # tickets of the last changes, so that one whose answer was lost is not done twice
+MAX_DOCUMENT_BYTES = 750  # encoded: together with the rest of a message it has to fit a datagram
+MAX_RECENT_PROPOSALS = 8  # so that a change whose answer was lost is not made twice
 
 
 def proposal_id_of(name: str) -> str:
@@ -23,21 +23,21 @@
 class Lease(msgspec.Struct, frozen=True, array_like=True):
     """Who may act under this name. `fence` only grows; `renewal` counts what the owner has asked since."""
 
-    owner: str = ""
-    fencing_token: int = 0
-    renewal: int = 0
+    owner: str = ""  # a generation of a member; empty: free
+    fencing_token: int = 0  # only grows
+    renewal: int = 0  # renewals since it was taken
     length_us: int = 0
 
 
 class RegisterDocument(msgspec.Struct, frozen=True, array_like=True):
     """version: of the last change. former: while voters change, the set before; both have to agree then."""
 
-    version: int
+    version: int  # of the last change
     voters: tuple[str, ...]
-    previous_voters: tuple[str, ...] = ()
-    entries: dict[str, str] = {}  # told by staff
+    previous_voters: tuple[str, ...] = ()  # while voters change; a majority of both sets has to agree
+    entries: dict[str, str] = {}  # short texts stored by operators
     leases: dict[str, Lease] = {}
-    recent_proposals: tuple[str, ...] = ()  # tickets
+    recent_proposals: tuple[str, ...] = ()  # ids of the last changes, oldest first
     policy: Policy = Policy()
 
     def next(self, proposal_id: str, **changes: object) -> RegisterDocument:
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -28,20 +28,18 @@
     WorkStopped,
 )
 
-MAX_GRANTS = 4000
-MAX_NAMED_MEMBERS = 12  # members that one answer names
-READ_DELAY_US, MAX_READ_DOUBLINGS = (
-    (60_000, 300_000),
-    4,
-)  # that it does not know what is chosen, before it reads
+MAX_GRANTS = 4000  # members with a grant
+MAX_NAMED_MEMBERS = 12  # pending members in one reply
+# Random delay before it reads the register to learn what is chosen, doubled a few times.
+READ_DELAY_US, MAX_READ_DOUBLINGS = (60_000, 300_000), 4
 
 
 @dataclass
 class Grant:
     generation: int
     seq: int
-    expires_at: int
-    ready_for: str = ""
+    expires_at: int  # us
+    ready_for: str = ""  # the change that the member is ready for
 
 
 class LeaseGrantor:
@@ -61,22 +59,18 @@
         self.lease_end_wait_us = int(length_us * (1 + drift)) + 1
         self.configured_members = frozenset(names)
         self.grants: dict[str, Grant] = {}
-        self.stopped_epochs: dict[str, int] = {}  # by member: the epoch that it said it has stopped for
-        self.heard_members: set[str] = set()  # since the last time that it was not sure
-        self.grants_complete_at = -1  # from when on it knows of all that it gave; -1: not begun to wait
-        self.voter_set_version = 0
-        self.refusals: dict[str, str] = {}  # by change: who refuses, and why
-        self.last_waited_for = ""
-        self.drain_queries: dict[str, int] = {}  # who wants to know when it is clear, and at which epoch
-        self.next_read_at, self.read_count, self.read_proposal_id = (
-            0,
-            0,
-            "",
-        )  # when, how often in a row, under which ticket
-        self.accepted_cache: tuple[bytes, RegisterDocument] = b"", register.document
+        self.stopped_epochs: dict[str, int] = {}  # by member: the epoch that it has stopped for
+        self.heard_members: set[str] = set()  # since the wait for unknown grants began
+        self.grants_complete_at = -1  # when all unknown grants have expired; -1: the wait has not begun
+        self.voter_set_version = 0  # that `grants_complete_at` is for
+        self.refusals: dict[str, str] = {}  # by change: a member and its reason to refuse
+        self.last_waited_for = ""  # the pending member found last
+        self.drain_queries: dict[str, int] = {}  # by member: the epoch of its unanswered query
+        self.next_read_at, self.read_count, self.read_proposal_id = 0, 0, ""
+        self.accepted_cache: tuple[bytes, RegisterDocument] = b"", register.document  # (encoded, decoded)
         self.outbox: list[Send] = []
 
-    # What it goes by
+    # The policy that grants are given by
 
     def accepted_document(self) -> RegisterDocument:
         """What it has accepted last."""
@@ -113,7 +107,7 @@
     def on_lease_request(self, sender: str, request: LeaseRequest, now: int) -> None:
         grant = self.grants.get(sender)
         if grant and request.generation == grant.generation and request.seq <= grant.seq:
-            return  # twice, or overtaken
+            return  # a duplicate, or older than the last one
         why = self._denial_reason(sender, request, now)
         if why:
             self.outbox.append(Send(sender, LeaseDenial(request.seq, why)))
@@ -139,11 +133,11 @@
         policy = self.policy_for_grants()
         self._knows_all_grants(now)
         if policy is None:
-            return "a vote is under way"
+            return "a vote on the policy may be in progress"
         if request.continues_alone is not self.continues_alone:
-            return "alone differs"
+            return "members.policy.alone differs"
         if sender in policy.cancelled_members:
-            return "struck off"
+            return "struck off by an operator"
         if not self.is_version_in_force(policy, sender, request):
             return f"version {policy.version_for(sender)} is in force"
         if policy.closing_for(sender) and self.refuses_while_closing():
@@ -154,11 +148,11 @@
                     policy.change.id: f"{sender}: {request.refusal[len(policy.change.id) + 1 :]}"
                 }
                 self._notify_waiting(now)
-            return "not ready for the change"
+            return "not ready for the pending change"
         if sender not in self.grants and len(self.grants) >= MAX_GRANTS:
             self.grants = {n: g for n, g in self.grants.items() if g.expires_at > now}
             if len(self.grants) >= MAX_GRANTS:
-                return "too many members"
+                return f"{MAX_GRANTS} members hold a lease"
         return ""
 
     def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
@@ -176,7 +170,7 @@
             self.stopped_epochs[sender] = max(stopped.epoch, self.stopped_epochs.get(sender, 0))
             self._notify_waiting(now)
 
-    # Whom a change waits for
+    # Members that a change waits for
 
     def on_drain_query(self, sender: str, query: DrainQuery, now: int) -> None:
         if len(self.drain_queries) < MAX_GRANTS:
@@ -214,9 +208,8 @@
             refused,
         )
         if answer.is_drained or refused:
-            self.drain_queries.pop(
-                sender, None
-            )  # said once: each tick would say it again, and each answer is a tick
+            # Reported once: each tick would repeat it, and each reply causes a tick.
+            self.drain_queries.pop(sender, None)
         if answer.is_drained and policy.change.closing:
             self.send_drained(sender, answer)
         else:
@@ -285,7 +278,7 @@
             self.read_proposal_id = self.register.propose(
                 lambda proposal_id, document: None, now, self._on_read
             )
-        if now >= self.next_read_at:  # not all at once, or they are in one another's way
+        if now >= self.next_read_at:  # random: voters that read at once would preempt each other
             rng, self.read_count = self.register.proposer.rng, self.read_count + 1
             self.next_read_at = now + (
                 rng.randrange(*READ_DELAY_US) << min(self.read_count - 1, MAX_READ_DOUBLINGS)
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -13,13 +13,13 @@
 from hopmill.fleet.document import RegisterDocument, Lease, proposal_id_of
 from hopmill.fleet.proposer import DocumentUpdate, Outcome
 
-RENEWALS = 3  # in the time of a lease
+RENEWALS = 3  # per lease length
 
 
 @dataclass
 class LeaseProposal:
     proposal_id: str
-    asked_at: int
+    asked_at: int  # us
     action: str  # 'take', 'renew', 'give'
     fencing_token: int
 
@@ -31,8 +31,8 @@
         """owner: this life of this member, for a restarted one does not hold what it held before."""
         self.name, self.owner, self.length_us, self.drift = name, owner, length_us, drift
         self.wanted = wanted
-        self.token = 0  # that it acts under, valid until
-        self.valid_until = 0
+        self.token = 0  # the fencing token in use, 0: none
+        self.valid_until = 0  # us
         self.last_seen, self.last_seen_at = Lease(), 0
         self.pending: LeaseProposal | None = None
         self.proposal_count = 0
@@ -151,4 +151,4 @@
 
     def resume(self, carried: dict[str, int]) -> None:
         self.token, self.valid_until = carried["fence"], carried["valid_until"]
-        self.proposal_count = carried["count"] + 1  # a ticket is never used twice
+        self.proposal_count = carried["count"] + 1  # no proposal id is used twice
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -17,13 +17,13 @@
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.wire import Accept, Accepted, Ballot, Prepare, Promise, BallotRejected
 
-# Without a majority's answers the same is asked once more, after some times as long as ballots took lately.
+# Without answers of a majority the requests are sent again, after a multiple of the recent ballot time.
 RETRY_US, MAX_RETRY_US, RETRY_FACTOR = 100_000, 1_000_000, 3
-# Two in each other's way step back for a random time, at most so long, or so many times what ballots take.
+# Random back-off of proposers that preempt each other: at most the maximum or a multiple of a ballot time.
 BACKOFF_US, MAX_BACKOFF_US, MAX_BACKOFF_FACTOR = 20_000, 1_000_000, 8
-DURATION_WEIGHT = 0.2  # of the newest ballot's time in their mean
-MAX_SENDS_PER_BALLOT = 4  # times that one ballot is sent before another is tried
-MAX_PENDING = 64
+DURATION_WEIGHT = 0.2  # of the newest ballot in the mean ballot time
+MAX_SENDS_PER_BALLOT = 4  # then another ballot is started
+MAX_PENDING = 64  # changes in the queue
 DocumentUpdate = Callable[[RegisterDocument], RegisterDocument | None]
 
 
@@ -55,11 +55,11 @@
 class PendingChange:
     proposal_id: str
     change: DocumentUpdate
-    deadline: int
-    may_have_happened: bool = False  # an Accept went out: it may have happened
-    first_version: int = 0  # that it was to become then, the first time
-    ballots: int = 0
-    is_urgent: bool = False  # work waits for it: it steps back for a quarter of the time
+    deadline: int  # us
+    may_have_happened: bool = False  # an Accept was sent: the change may have been made
+    first_version: int = 0  # the version that it was to make when it was first sent
+    ballots: int = 0  # started for it
+    is_urgent: bool = False  # work waits for it: it backs off for a quarter of the time
 
 
 @dataclass
@@ -69,26 +69,26 @@
     ballot: Ballot
     promises: dict[str, Promise] = field(default_factory=dict)
     accepted_by: set[str] = field(default_factory=set)
-    base: RegisterDocument | None = None  # what the promises hold
-    next: RegisterDocument | None = None  # what is to be accepted
-    payload: bytes = b""
-    has_change: bool = False
+    base: RegisterDocument | None = None  # the newest document among the promises
+    next: RegisterDocument | None = None  # the document to be accepted
+    payload: bytes = b""  # `next`, encoded
+    has_change: bool = False  # `next` contains the pending change
     refusal: str = ""  # why the change can't be made
-    sends: int = 0
-    began_at: int = 0
-    joining_voters: set[str] = field(default_factory=set)  # that the next document makes voters
-    generations: dict[str, int] = field(default_factory=dict)
+    sends: int = 0  # times that its current requests were sent
+    began_at: int = 0  # us
+    joining_voters: set[str] = field(default_factory=set)  # whom the next document adds
+    generations: dict[str, int] = field(default_factory=dict)  # of the voters that promised
 
 
 class Proposer:
     def __init__(self, name: str, initial: RegisterDocument, rng: random.Random) -> None:
         """name: of this life of this member and no other, so that no ballot is used twice."""
         self.name, self.initial, self.rng, self.round = name, initial, rng, 0
-        self.known_document = initial  # the newest document that is known to be chosen
+        self.known_document = initial  # the newest that is known to be chosen
         self.pending: deque[PendingChange] = deque()
         self.attempt: BallotAttempt | None = None
         self.next_wake_at = 0
-        self.mean_ballot_us = 0.0  # from a ballot's begin to its end, the mean of late
+        self.mean_ballot_us = 0.0  # moving mean, from start to end of a ballot
         self.outbox: list[Send] = []
         self.outcomes: list[Outcome] = []
 
@@ -97,7 +97,7 @@
     ) -> None:
         """ticket: of this change and no other. It ends by `until` at the latest, then perhaps as unknown."""
         if len(self.pending) >= MAX_PENDING:
-            self.outcomes.append(Outcome(proposal_id, "refused", why="too many changes wait"))
+            self.outcomes.append(Outcome(proposal_id, "refused", why=f"{MAX_PENDING} changes are pending"))
             return
         self.pending.append(PendingChange(proposal_id, change, deadline, is_urgent=urgent))
         if len(self.pending) == 1:
@@ -112,7 +112,7 @@
             why = (
                 f"no vote from {', '.join(sorted(missing_voters))}"
                 if missing_voters
-                else "no majority answers"
+                else "no answer from a majority of the voters"
             )
             self._end("unknown" if self.pending[0].may_have_happened else "refused", now, why=why)
         if self.pending and now >= self.next_wake_at:
@@ -121,7 +121,7 @@
             ) if self.attempt and self.attempt.sends < MAX_SENDS_PER_BALLOT else self._start_ballot(now)
         return min(self.next_wake_at, self.pending[0].deadline) if self.pending else None
 
-    # A ballot
+    # Ballots
 
     def _retry_us(self) -> int:
         return int(min(MAX_RETRY_US, max(RETRY_US, RETRY_FACTOR * self.mean_ballot_us)))
@@ -175,14 +175,14 @@
         change_in_progress, base = self.pending[0], attempt.base
         assert base is not None
         if self.is_already_done(change_in_progress.proposal_id, base):
-            attempt.next = base  # from a try whose answers were lost: make sure that it stays
+            attempt.next = base  # from an attempt whose answers were lost: accept it again
             attempt.has_change = True
         else:
             if (
                 change_in_progress.may_have_happened
                 and base.version - change_in_progress.first_version >= doc.MAX_RECENT_PROPOSALS
             ):
-                self._end("unknown", now, why="too much has changed since it was tried")
+                self._end("unknown", now, why="too many later changes to tell whether it was made")
                 return
             after = None
             try:
@@ -197,14 +197,14 @@
                 attempt.joining_voters = after.all_voters
                 return
             attempt.next, attempt.has_change = after or base, after is not None
-            # Where an earlier try may still be taken up by another, the same document is accepted once more
-            # under this ballot: from then on that try is no majority's any more.
+            # If another proposer may still complete an earlier attempt, the same document is accepted once
+            # more under this ballot: no majority can then choose the earlier attempt.
             if (
                 after is None
                 and not change_in_progress.may_have_happened
                 and all(p.accepted == accepted for p in attempt.promises.values())
             ):
-                self._done(now)  # a majority holds it: it is chosen already
+                self._done(now)  # a majority has accepted it: it is chosen already
                 return
         attempt.payload = doc.encode(attempt.next)
         attempt.generations = {v: p.generation for v, p in attempt.promises.items()}
@@ -255,7 +255,7 @@
         self.round = max(self.round, rejected.promised[0])
         if attempt is None or rejected.ballot != attempt.ballot:
             return
-        self.attempt = None  # the next tick tries another, after a random while
+        self.attempt = None  # a later tick starts another ballot, after a random delay
         min_backoff_us = max(BACKOFF_US, self.mean_ballot_us)
         max_backoff_us = max(MAX_BACKOFF_US, int(MAX_BACKOFF_FACTOR * self.mean_ballot_us))
         limit_us = min(max_backoff_us, int(min_backoff_us) << min(self.pending[0].ballots, 10))
@@ -264,7 +264,7 @@
     def backoff_us(self, limit_us: int) -> int:
         return self.rng.randrange(limit_us // 4, limit_us)
 
-    # Ends
+    # Results
 
     def _done(self, now: int) -> None:
         attempt = self.attempt
@@ -288,7 +288,7 @@
     def cancel(self, proposal_id: str, now: int) -> None:
         """A reading that is not needed any more; where something of it is under way, that does no harm."""
         if self.pending and self.pending[0].proposal_id == proposal_id:
-            self._end("refused", now, why="not needed")
+            self._end("refused", now, why="no longer needed")
         else:
             self.pending = deque(pending for pending in self.pending if pending.proposal_id != proposal_id)
 
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -24,9 +24,9 @@
     BallotRejected,
 )
 
-VOTER_CHANGE_TAKEOVER_US = (500_000, 2_000_000)  # after the first step of replacing a voter
-CLOSING_DELAY_US = 50_000  # that a lease's renewal waits at a time while a change of policy is closing
-DOCUMENT_REQUEST_US = 100_000  # between two askings for a newer document
+VOTER_CHANGE_TAKEOVER_US = (500_000, 2_000_000)  # random delay, from the first step of replacing a voter
+CLOSING_DELAY_US = 50_000  # of a lease renewal, repeated while a policy change is closing
+DOCUMENT_REQUEST_US = 100_000  # between two requests for a newer document
 PROPOSAL_TIMEOUT_US = 10_000_000
 
 
@@ -49,11 +49,11 @@
         self.voter = self.voter_type(me, initial, memory, same_folder, rng)
         self.proposer = self.proposer_type(self.name, initial, rng)
         self.lease_holders: dict[str, LeaseHolder] = {}
-        self.newer_versions: dict[str, int] = {}  # versions that others know, while they are newer
+        self.newer_versions: dict[str, int] = {}  # by member: the version it knows, while newer than here
         self.requested_at = -DOCUMENT_REQUEST_US
         self.callbacks: dict[str, Callable[[Outcome], None]] = {}
         self.proposal_count = self.finish_voters_at = 0
-        # Whether this member lacks a text that the document names: then it does not vote for it yet.
+        # Whether this member lacks a text that the document names: it does not vote for the document yet.
         self.lacks_texts: Callable[[RegisterDocument, str], bool] = lambda document, sender: False
         self.deferred_accept: tuple[str, Accept] | None = None
 
@@ -98,7 +98,7 @@
             if document is None or not self.lacks_texts(document, sender):
                 voter.on_accept(sender, body)
             else:
-                self.deferred_accept = sender, body  # voted for once the text is there, as if it came late
+                self.deferred_accept = sender, body  # handled once the text is stored
         elif isinstance(body, Promise):
             proposer.on_promise(sender, body, now)
         elif isinstance(body, Accepted):
@@ -134,9 +134,8 @@
         change = self.document.policy.change
         for holder in self.lease_holders.values():
             if change and change.closing and holder.can_wait(now):
-                due = min(
-                    due, now + CLOSING_DELAY_US
-                )  # work waits for the closing's end: nobody is in its way
+                # Work waits for the end of the closing: a renewal must not compete with it.
+                due = min(due, now + CLOSING_DELAY_US)
                 continue
             if proposal := holder.tick(now, self.document):
                 self._propose(*proposal, now, holder.usable_us())
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -15,10 +15,10 @@
 from hopmill.fleet.register import Register
 from hopmill.fleet.wire import LeaseGrant, LeaseRequest, LeaseDenial, WorkStopped
 
-RENEWALS_PER_LEASE = 3  # in the time of a lease
+RENEWALS_PER_LEASE = 3
 RETRY_US, MAX_RETRY_US = 40_000, 640_000  # to a voter that does not answer, doubled each time
-STOPPED_REPEAT_US = 60_000
-NO_EXPIRY_US = 1 << 62
+STOPPED_REPEAT_US = 60_000  # between two announcements that it has stopped
+NO_EXPIRY_US = 1 << 62  # later than any time
 
 
 @dataclass
@@ -26,9 +26,9 @@
     """What one voter was asked last."""
 
     seq: int = 0
-    sent_at: int = 0
-    tries: int = 0
-    next_send_at: int = 0
+    sent_at: int = 0  # us
+    tries: int = 0  # without a grant
+    next_send_at: int = 0  # us
 
 
 class PolicyLease:
@@ -46,22 +46,22 @@
         """last: alone, it goes on under the last version; else it holds."""
         self.me, self.generation, self.register = me, generation, register
         self.length_us, self.drift, self.continues_alone = length_us, drift, continues_alone
-        self.applied_version = -1  # that this courier is set up for
-        self.ready_for, self.refusal = "", ""  # the change that it has checked, and what speaks against it
+        self.applied_version = -1  # that this courier has applied; -1: none
+        self.ready_for, self.refusal = "", ""  # the change that it has checked, and why it refuses
         self.stopped_epoch = 0  # the epoch of the newest closing that it has stopped for
         self.seq = 0
         self.requests: dict[str, GrantRequest] = {}
-        self.granted_at: dict[str, int] = {}  # by voter: when it was asked for what it gave
-        self.voter_set_version = 0  # that the given are of
+        self.granted_at: dict[str, int] = {}  # by voter: when the granted lease was requested
+        self.voter_set_version = 0  # that the grants belong to
         self.stopped_sent_at = -STOPPED_REPEAT_US
-        self.denial_reasons: dict[str, str] = {}  # by voter: why it gave none
+        self.denial_reasons: dict[str, str] = {}  # by voter: why it denied a lease
         self.outbox: list[Send] = []
 
     @property
     def policy(self) -> Policy:
         return self.register.document.policy
 
-    # What the courier may do
+    # Permission to act
 
     def valid_version(self, now: int) -> int:
         """The version to act under, -1 if it may not act. To be asked in the turn that acts."""
@@ -92,7 +92,7 @@
     def must_stop(self) -> bool:
         return self.policy.closing_for(self.me)
 
-    # What the courier says
+    # Reports of the courier
 
     def set_applied_version(self, version: int) -> None:
         """All of it is in place; what was given under another counts no more."""
@@ -111,7 +111,7 @@
         self.requests.clear()
         self.denial_reasons.clear()
 
-    # Time and answers
+    # Timer and replies
 
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
@@ -185,7 +185,7 @@
         if request is not None and denial.seq == request.seq:
             self.denial_reasons[sender] = denial.why
 
-    # Upgrades, on the same machine, whose elapsed clock goes on
+    # Upgrades, on the same machine, whose elapsed clock continues
 
     def carry(self) -> dict[str, object]:
         return {
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -27,19 +27,19 @@
 )
 
 NO_BALLOT: Ballot = (0, "")
-MAX_OTHER_GENERATIONS = 8
-GENERATION_BITS = 40
-RECOVERY_RETRY_US = 300_000  # between two rounds of asking to be let in
+MAX_OTHER_GENERATIONS = 8  # that are recorded, voters included: a datagram has to hold them
+GENERATION_BITS = 40  # of the random number that a first generation starts from
+RECOVERY_RETRY_US = 300_000  # between two rounds of recovery requests
 
 
 class Memory(msgspec.Struct):
     """What is on disk."""
 
-    life: int = 0  # 0: has never voted
+    life: int = 0  # the generation; 0: has never voted
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
     document: bytes = b""
-    lives: dict[str, int] = {}  # of the other voters
+    lives: dict[str, int] = {}  # highest known generation of each other voter
 
     def copy(self) -> Memory:
         return msgspec.structs.replace(self, lives=dict(self.lives))
@@ -56,12 +56,12 @@
         self.is_voting = self.is_new = False
         self.other_voters: set[str] = initial.all_voters - {me}
         self.replies: dict[str, RecoveryReply] = {}
-        self.claimed_generation = memory.life  # the life that it asks the others to note; 0: none yet
+        self.claimed_generation = memory.life  # the one the others are asked to record; 0: none yet
         self.has_trusted_memory = self.trusts_folder(same_folder) and memory.life > 0
         if not self.has_trusted_memory:
             self._discard_memory()
         self.last_request_at = -RECOVERY_RETRY_US
-        self.was_asked_to_vote = False  # somebody took this member for a voter
+        self.was_asked_to_vote = False  # a proposer took this member for a voter
         self.outbox: list[Action] = []
 
     def trusts_folder(self, same_folder: bool) -> bool:
@@ -85,7 +85,7 @@
     def persist(self, *then: Send) -> None:
         self.outbox.append(Persist(msgspec.msgpack.encode(self.memory), then))
 
-    # To be let in
+    # Recovery: a voter that starts without trusted memory is readmitted by the others
 
     def tick(self, now: int, known: RegisterDocument) -> int:
         """Ask while it may not vote yet. Returns when to be called again, in us."""
@@ -109,7 +109,7 @@
         known_generation = max(request.generation, memory.lives.get(sender, 0))
         if known_generation:
             memory.lives.pop(sender, None)
-            memory.lives[sender] = known_generation  # the latest noted stands last
+            memory.lives[sender] = known_generation  # moved to the end: the order is that of recording
             self._prune()
         reply = RecoveryReply(
             known_generation,
@@ -147,7 +147,7 @@
         replies, memory = self.replies, self.memory
         highest_known = max((k.generation for k in replies.values()), default=0)
         if self.has_trusted_memory and highest_known > memory.life:
-            self._discard_memory()  # a copy from before it was let in anew
+            self._discard_memory()  # the folder is a copy from before a later readmission
         elif self.has_trusted_memory:
             self.is_voting = self.document().has_majority({*replies, self.me})
         elif not self.claimed_generation:
@@ -159,10 +159,8 @@
         """A new life. Every life is noted by all others before its first vote, so one that nobody knows of
         has never voted, and may begin; else it comes back after the latest that is known."""
         if not highest_known and self.other_voters <= set(self.replies):
-            self.claimed_generation, self.is_new = (
-                1 + self.rng.getrandbits(GENERATION_BITS),
-                True,
-            )  # never one of before
+            # Random, so that it never equals an earlier generation.
+            self.claimed_generation, self.is_new = 1 + self.rng.getrandbits(GENERATION_BITS), True
         elif self.majority_of_others(self.replies) and (highest_known or self._is_future_voter()):
             self.claimed_generation = 1 + (highest_known or self.rng.getrandbits(GENERATION_BITS))
         if self.claimed_generation:
@@ -199,7 +197,7 @@
         document = doc.decode(newest.document) if newest and newest.document else self.initial
         return document.has_majority(set(replies) - {self.me}) if len(document.all_voters) > 1 else False
 
-    # To vote
+    # Voting
 
     def on_prepare(self, sender: str, prepare: Prepare) -> None:
         memory = self.memory
@@ -213,7 +211,7 @@
         self.persist(Send(sender, Promise(prepare.ballot, memory.life, memory.accepted, memory.document)))
 
     def may_promise(self, ballot: Ballot) -> bool:
-        return ballot >= self.memory.promised  # the same one may be asked for twice
+        return ballot >= self.memory.promised  # the same ballot may be prepared twice
 
     def on_accept(self, sender: str, accept: Accept) -> None:
         memory = self.memory
