--- a/hopmill/fleet/document.py
+++ b/hopmill/fleet/document.py
@@ -16,12 +16,12 @@
 
 
 def proposal_id_of(name: str) -> str:
-    """Short, for eight of them are in each document; of one name and no other."""
+    """A short hash of a unique name: eight of them are in each document."""
     return hashlib.blake2b(name.encode(), digest_size=8).hexdigest()
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True):
-    """Who may act under this name. `fence` only grows; `renewal` counts what the owner has asked since."""
+    """Who may act under a name."""
 
     owner: str = ""  # a generation of a member; empty: free
     fencing_token: int = 0  # only grows
@@ -30,7 +30,7 @@
 
 
 class RegisterDocument(msgspec.Struct, frozen=True, array_like=True):
-    """version: of the last change. former: while voters change, the set before; both have to agree then."""
+    """The value of the register."""
 
     version: int  # of the last change
     voters: tuple[str, ...]
@@ -41,24 +41,26 @@
     policy: Policy = Policy()
 
     def next(self, proposal_id: str, **changes: object) -> RegisterDocument:
+        """The document after a change."""
         recent_proposals = (*self.recent_proposals, proposal_id)[-MAX_RECENT_PROPOSALS:]
         return msgspec.structs.replace(
             self, version=self.version + 1, recent_proposals=recent_proposals, **changes
         )
 
     def has_majority(self, voters: Iterable[str]) -> bool:
-        """Whether these are a majority of its voters, and of those before while they change."""
+        """Whether these are a majority of its voters, and of the previous ones while they change."""
         agreeing = set(voters)
         sets = [self.voters, self.previous_voters] if self.previous_voters else [self.voters]
         return all(2 * len(agreeing.intersection(each)) > len(each) for each in sets)
 
     @property
     def voter_set_version(self) -> int:
-        """A number for who votes: leases that were given by two different sets of voters don't add up."""
+        """A number for the set of voters: grants counted by two different sets must not be added up."""
         return _voter_set_version(self.voters, self.previous_voters)
 
     @property
     def all_voters(self) -> set[str]:
+        """The voters, with the previous ones while they change."""
         return {*self.voters, *self.previous_voters}
 
 
@@ -76,6 +78,7 @@
 
 
 def encode(document: RegisterDocument) -> bytes:
+    """Encode a document. Raises DocumentTooLargeError."""
     data = msgspec.msgpack.encode(document)
     if len(data) > MAX_DOCUMENT_BYTES:
         raise DocumentTooLargeError(f"the document would take {len(data)} of {MAX_DOCUMENT_BYTES} bytes")
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -1,9 +1,10 @@
-"""A voter's side of the leases on the version in force: to whom it has given one, and until when.
+"""The voter's side of the leases on the policy version in force: who holds one, and until when.
 
-It gives under what it knows to be chosen, never while it has itself voted for a policy that may be or not. It
-then reads the register, for all who knew may have ended.
-It keeps no list of them on disk: after a start, or when who votes has changed, it waits one lease out before
-it says that nobody has one. Where couriers go on alone, all that are configured count as holders until heard.
+A voter grants leases by the policy that it knows to be chosen, and none while it has itself accepted a policy
+that may or may not be chosen. In that case it reads the register, since all members that knew the result may
+have stopped. Grants are not kept on disk: after a start, or when the set of voters has changed, the voter
+waits for one lease length before it reports that nobody holds a lease. If couriers continue alone, all
+configured members count as holders until they are heard.
 """
 
 from __future__ import annotations
@@ -36,6 +37,8 @@
 
 @dataclass
 class Grant:
+    """The lease that one member holds by this voter."""
+
     generation: int
     seq: int
     expires_at: int  # us
@@ -43,7 +46,7 @@
 
 
 class LeaseGrantor:
-    """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
+    """Times are us of this member's elapsed clock. `outbox` gathers the messages to send."""
 
     def __init__(
         self,
@@ -73,14 +76,14 @@
     # The policy that grants are given by
 
     def accepted_document(self) -> RegisterDocument:
-        """What it has accepted last."""
+        """The document that this voter has accepted last."""
         data = self.register.voter.memory.document
         if data != self.accepted_cache[0]:
             self.accepted_cache = data, self.register.voter.document()
         return self.accepted_cache[1] if data else self.register.voter.initial
 
     def policy_for_grants(self) -> Policy | None:
-        """That it may give leases by; None while it can't tell."""
+        """The policy that it may grant leases by; None while that is unknown."""
         known, accepted = self.register.document, self.accepted_document()
         if not self.register.voter.is_voting or self.me not in known.all_voters:
             return None
@@ -89,10 +92,11 @@
         return known.policy
 
     def is_policy_chosen(self, known: RegisterDocument, accepted: RegisterDocument) -> bool:
-        """Every step of the policy raises its epoch: where it is the same, none lies between."""
+        """Whether the accepted policy is the known one: each step raises the epoch, so none lies between."""
         return accepted.policy == known.policy and accepted.voter_set_version == known.voter_set_version
 
     def _knows_all_grants(self, now: int) -> bool:
+        """Whether grants of an earlier start or set of voters have expired."""
         known = self.register.document
         if self.grants_complete_at < 0 or self.voter_set_version != known.voter_set_version:
             self.voter_set_version, self.grants_complete_at = (
@@ -105,6 +109,7 @@
     # Leases
 
     def on_lease_request(self, sender: str, request: LeaseRequest, now: int) -> None:
+        """Grant or deny a lease."""
         grant = self.grants.get(sender)
         if grant and request.generation == grant.generation and request.seq <= grant.seq:
             return  # a duplicate, or older than the last one
@@ -130,6 +135,7 @@
         self._notify_waiting(now)
 
     def _denial_reason(self, sender: str, request: LeaseRequest, now: int) -> str:
+        """Why no lease is granted, "" if one is."""
         policy = self.policy_for_grants()
         self._knows_all_grants(now)
         if policy is None:
@@ -156,16 +162,19 @@
         return ""
 
     def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
+        """Whether the request is for the version in force for this member."""
         return request.version == policy.version_for(sender)
 
     def refuses_while_closing(self) -> bool:
+        """Whether no lease is granted while a change is closing."""
         return True
 
     def is_ready_for_change(self, policy: Policy, request: LeaseRequest) -> bool:
-        """While a change is prepared, only those that are ready go on."""
+        """While a change is prepared, only members that are ready for it get a lease."""
         return policy.change is None or request.ready_for == policy.change.id
 
     def on_stopped(self, sender: str, stopped: WorkStopped, now: int) -> None:
+        """Note that a member has stopped for the closing at this epoch."""
         if len(self.stopped_epochs) < MAX_GRANTS or sender in self.stopped_epochs:
             self.stopped_epochs[sender] = max(stopped.epoch, self.stopped_epochs.get(sender, 0))
             self._notify_waiting(now)
@@ -173,18 +182,21 @@
     # Members that a change waits for
 
     def on_drain_query(self, sender: str, query: DrainQuery, now: int) -> None:
+        """Answer which members a change waits for."""
         if len(self.drain_queries) < MAX_GRANTS:
             self.drain_queries[sender] = query.epoch
         self._answer(sender, query.epoch, now, True)
 
     def _notify_waiting(self, now: int) -> None:
-        """Those that have asked need not ask again to hear that it has come true."""
+        """Report to members with an open query as soon as nobody is pending, without a second query."""
         for sender, epoch in list(self.drain_queries.items()):
             self._answer(sender, epoch, now, False)
 
     def _has_pending_members(self, policy: Policy, now: int) -> bool:
-        """Whether `waits` would name anybody. Asked with each datagram of each member: it looks first at the
-        one that was waited for last."""
+        """Whether `pending_members` would name anybody.
+
+        Called for each datagram of each member, so the member found last is checked first.
+        """
         if self.last_waited_for and self._pending_reason(self.last_waited_for, policy, now):
             return True
         self.last_waited_for = next((name for name, _ in self.pending_members(policy, now)), "")
@@ -216,12 +228,15 @@
             self.outbox.append(Send(sender, answer))
 
     def send_drained(self, sender: str, answer: DrainReply) -> None:
-        """Only once its vote for the closing is on disk, by which it gives no more."""
+        """Send it once the vote for the closing is on disk, after which no lease is granted."""
         self.register.voter.persist(Send(sender, answer))
 
     def pending_members(self, policy: Policy, now: int) -> Iterable[tuple[str, str]]:
-        """(member, why) of all that may still work under the version in force without being ready, or, once
-        the change is closing, at all."""
+        """Yield (member, reason) of those that the change waits for.
+
+        While it is prepared: all that may work under the version in force without being ready. Once it is
+        closing: all that may work at all.
+        """
         assert policy.change is not None
         if not self._knows_all_grants(now) and self.waits_full_lease():
             yield self.me, f"waits {(self.grants_complete_at - now) // 1000} ms"
@@ -250,21 +265,22 @@
         return "" if grant.ready_for == change.id else "is not ready"
 
     def has_stopped(self, name: str, policy: Policy) -> bool:
-        """For this closing: it may have gone on after an earlier one."""
+        """Whether it has stopped for this closing: it may have resumed after an earlier one."""
         return self.stopped_epochs.get(name) == policy.epoch
 
     def waits_full_lease(self) -> bool:
+        """Whether unknown grants have to expire first."""
         return True
 
     def next_wake_at(self, now: int) -> int:
-        """When a lease that something waits for runs out."""
+        """When the next lease that an open query waits for expires."""
         if not self.drain_queries:
             return NO_EXPIRY_US
         ends = [g.expires_at for g in self.grants.values() if g.expires_at > now] + [self.grants_complete_at]
         return min((at for at in ends if at > now), default=NO_EXPIRY_US)
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         self._knows_all_grants(now)
         self._notify_waiting(now)
         known, accepted = self.register.document, self.accepted_document()
@@ -286,7 +302,7 @@
         return min(self.next_read_at, self.next_wake_at(now))
 
     def _on_read(self, outcome: Outcome) -> None:
-        """The other voters need not find out by themselves."""
+        """Announce the document that was read, so that the other voters need not read it."""
         self.read_proposal_id = ""
         if outcome.document is not None:
             body = ChosenDocument(doc.encode(outcome.document))
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -1,9 +1,9 @@
-"""A lease on the register: who may act, with a fencing number that only grows.
+"""A lease on the register: the right to act under a name, with a fencing token that only grows.
 
-It rests on one thing, that the elapsed clocks of two machines run apart by at most the declared drift. The
-holder counts from before it asked for its last renewal and gives up early by the drift; whoever wants the
-lease counts from when it first saw that renewal and waits longer by the drift. Two clocks' readings are never
-compared.
+Its safety rests on one assumption: the elapsed clocks of two machines drift apart by at most the declared
+share. The holder counts from before it asked for its last renewal and gives up early by the drift. A member
+that wants the lease counts from when it first saw that renewal and waits longer by the drift. Readings of two
+clocks are never compared.
 """
 
 from __future__ import annotations
@@ -18,6 +18,8 @@
 
 @dataclass
 class LeaseProposal:
+    """A change of the lease that this member has proposed."""
+
     proposal_id: str
     asked_at: int  # us
     action: str  # 'take', 'renew', 'give'
@@ -25,10 +27,10 @@
 
 
 class LeaseHolder:
-    """One member's part in one lease."""
+    """One member's part in one lease. Times are us of its elapsed clock."""
 
     def __init__(self, name: str, owner: str, length_us: int, drift: float, wanted: bool = True) -> None:
-        """owner: this life of this member, for a restarted one does not hold what it held before."""
+        """owner: this generation of this member; after a restart it does not hold what it held before."""
         self.name, self.owner, self.length_us, self.drift = name, owner, length_us, drift
         self.wanted = wanted
         self.token = 0  # the fencing token in use, 0: none
@@ -38,11 +40,11 @@
         self.proposal_count = 0
 
     def fencing_token(self, now: int) -> int:
-        """The fencing number to act under, 0 if it may not. To be asked in the turn that acts."""
+        """The token to act under, 0 if it may not act. To be called in the turn that acts."""
         return self.token if self.token and now < self.valid_until else 0
 
     def observe(self, now: int, document: RegisterDocument) -> None:
-        """The document as known now."""
+        """Note the lease in the newest known document."""
         lease = document.leases.get(self.name, Lease())
         if lease != self.last_seen:
             self.last_seen, self.last_seen_at = lease, now
@@ -50,7 +52,7 @@
             self.token = self.valid_until = 0
 
     def tick(self, now: int, document: RegisterDocument) -> tuple[str, DocumentUpdate] | None:
-        """(ticket, change) to propose, if any."""
+        """Returns (proposal id, change) to propose, if any."""
         self.observe(now, document)
         if self.pending is not None:
             return None
@@ -67,21 +69,23 @@
         return None
 
     def can_wait(self, now: int) -> bool:
-        """Not asked for anything, and its lease has half of its time left, or is another's."""
+        """Whether nothing is proposed and the lease is not held here or has half of its time left."""
         return self.pending is None and (not self.token or self.valid_until - now > self.usable_us() // 2)
 
     def is_free(self, now: int) -> bool:
-        """Whether its owner has given it up, by itself or by time."""
+        """Whether its owner has released it or let it expire."""
         return not self.last_seen.owner or now - self.last_seen_at >= self.takeover_wait_us()
 
     def takeover_wait_us(self) -> int:
+        """How long after its last renewal another member may take the lease."""
         return int(self.last_seen.length_us * (1 + self.drift)) + 1
 
     def usable_us(self) -> int:
+        """How long after asking for a renewal its holder may act."""
         return int(self.length_us * (1 - self.drift))
 
     def next_wake_at(self, now: int) -> int:
-        """When to look again."""
+        """When to call `tick` again."""
         if self.fencing_token(now):
             return max(now + 1000, self.valid_until - self.usable_us() * (RENEWALS - 1) // RENEWALS)
         return (
@@ -115,18 +119,21 @@
         return proposal_id, change
 
     def release(self) -> None:
-        """Before it is given: another may take it the moment that it is free."""
+        """Stop acting before the release is proposed: another member may take the lease as soon as it is
+        free.
+        """
         self.token = self.valid_until = 0
 
     def next_fencing_token(self, seen: Lease) -> int:
+        """The token for a takeover."""
         return seen.fencing_token + 1
 
     def requires_unchanged(self) -> bool:
-        """Taken only as it was last seen: the wait was for that one."""
+        """Whether to take it only as it was last seen: the wait was for that renewal."""
         return True
 
     def on_outcome(self, outcome: Outcome, now: int) -> bool:
-        """Whether the outcome is one of its own."""
+        """Handle the outcome of a proposal. Returns whether it is one of its own."""
         proposal = self.pending
         if proposal is None or outcome.proposal_id != proposal.proposal_id:
             return False
@@ -142,13 +149,14 @@
         return True
 
     def counts_from(self, asked_at: int, now: int) -> int:
-        """From before it asked: the others may count from any moment after that."""
+        """The time before it asked: other members may count from any moment after that."""
         return asked_at
 
     def carry(self) -> dict[str, int]:
-        """For an upgrade on the same machine, whose elapsed clock goes on."""
+        """State for an upgrade on the same machine, whose elapsed clock continues."""
         return {"fence": self.token, "valid_until": self.valid_until, "count": self.proposal_count}
 
     def resume(self, carried: dict[str, int]) -> None:
+        """Continue with the state of the process before."""
         self.token, self.valid_until = carried["fence"], carried["valid_until"]
         self.proposal_count = carried["count"] + 1  # no proposal id is used twice
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -1,8 +1,9 @@
 """Changes of the register: a proposer of CASPaxos (Rystsov 2018), at any member.
 
 A change is a function of the document that returns the next one, or None to leave it as it is. One change is
-under way at a time; the others wait in order. Two proposers in each other's way step back for a random time
-that doubles. A change that may have been accepted is told by its ticket, so that it is never done twice.
+in progress at a time; the others wait in order. Proposers that preempt each other back off for a random time
+that doubles. A change that may have been accepted is recognised by its proposal id, so that it is never made
+twice.
 """
 
 from __future__ import annotations
@@ -29,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a change ended. state: 'done', 'left' (as it was), 'refused' with `why`, or 'unknown'."""
+    """How a change ended.
+
+    state: 'done', 'left' (the document was left as it was), 'refused' with the reason in `why`, or 'unknown'.
+    """
 
     proposal_id: str
     state: str
@@ -53,6 +57,8 @@
 
 @dataclass
 class PendingChange:
+    """A change in the queue."""
+
     proposal_id: str
     change: DocumentUpdate
     deadline: int  # us
@@ -64,7 +70,7 @@
 
 @dataclass
 class BallotAttempt:
-    """One ballot."""
+    """One ballot and the answers to it."""
 
     ballot: Ballot
     promises: dict[str, Promise] = field(default_factory=dict)
@@ -81,8 +87,10 @@
 
 
 class Proposer:
+    """Makes changes to the register. Messages are gathered in `outbox`, results in `outcomes`."""
+
     def __init__(self, name: str, initial: RegisterDocument, rng: random.Random) -> None:
-        """name: of this life of this member and no other, so that no ballot is used twice."""
+        """name: of this generation of this member and no other, so that no ballot is used twice."""
         self.name, self.initial, self.rng, self.round = name, initial, rng, 0
         self.known_document = initial  # the newest that is known to be chosen
         self.pending: deque[PendingChange] = deque()
@@ -95,7 +103,11 @@
     def propose(
         self, proposal_id: str, change: DocumentUpdate, now: int, deadline: int, urgent: bool = False
     ) -> None:
-        """ticket: of this change and no other. It ends by `until` at the latest, then perhaps as unknown."""
+        """Queue a change.
+
+        proposal_id: of this change and no other. The change ends by `deadline` (us), then possibly as
+        unknown. urgent: work waits for it.
+        """
         if len(self.pending) >= MAX_PENDING:
             self.outcomes.append(Outcome(proposal_id, "refused", why=f"{MAX_PENDING} changes are pending"))
             return
@@ -104,7 +116,9 @@
             self._start_ballot(now)
 
     def tick(self, now: int) -> int | None:
-        """Returns when to be called again."""
+        """End overdue changes and send again what is unanswered. Returns the time of the next call, None if
+        idle.
+        """
         while self.pending and now >= self.pending[0].deadline:
             missing_voters = (
                 self.attempt.joining_voters.difference(self.attempt.promises) if self.attempt else ()
@@ -145,7 +159,7 @@
                 self.outbox.append(Send(voter, Prepare(attempt.ballot)))
 
     def expected_voters(self, attempt: BallotAttempt) -> set[str]:
-        """Whom it has to ask: the voters known, those that answers have named, and those to come."""
+        """Whom to ask: the known voters, those that answers have named, and those that are to join."""
         return self.known_document.all_voters.union(
             attempt.joining_voters, *(self._document_of(p).all_voters for p in attempt.promises.values())
         )
@@ -154,6 +168,7 @@
         return doc.decode(promise.document) if promise.document else self.initial
 
     def on_promise(self, sender: str, promise: Promise, now: int) -> None:
+        """Count a promise; with a majority of them, choose the document to be accepted."""
         attempt = self.attempt
         if attempt is None or promise.ballot != attempt.ballot or attempt.next is not None:
             return
@@ -169,6 +184,7 @@
             ]
 
     def newest_document(self, attempt: BallotAttempt) -> RegisterDocument:
+        """The document accepted under the latest ballot among the promises."""
         return self._document_of(max(attempt.promises.values(), key=lambda p: p.accepted))
 
     def _choose_value(self, attempt: BallotAttempt, accepted: Ballot, now: int) -> None:
@@ -213,15 +229,18 @@
         self._send_accepts(attempt)
 
     def can_switch_voters(self, after: RegisterDocument, attempt: BallotAttempt) -> bool:
-        """Whether all that it makes voters vote already, and a majority with them. Accepted anywhere before
-        that, it names voters without whom neither they nor one that lost its folder could be let in."""
+        """Whether all new voters vote already, and a majority with them.
+
+        A document accepted anywhere before that would name voters without whom neither they nor a voter that
+        lost its folder could be readmitted.
+        """
         assert attempt.base is not None
         return after.all_voters - attempt.base.all_voters <= set(attempt.promises) and after.has_majority(
             attempt.promises
         )
 
     def is_already_done(self, proposal_id: str, base: RegisterDocument) -> bool:
-        """Whether the change was done already."""
+        """Whether the document contains the change already."""
         return proposal_id in base.recent_proposals
 
     def _send_accepts(self, attempt: BallotAttempt) -> None:
@@ -237,6 +256,7 @@
         self.outbox += [Send(v, body) for v in sorted(voters - attempt.accepted_by)]
 
     def on_accepted(self, sender: str, accepted: Accepted, now: int) -> None:
+        """Count an acceptance; with a majority of them, the change is done."""
         attempt = self.attempt
         if attempt is None or attempt.next is None or accepted.ballot != attempt.ballot:
             return
@@ -245,12 +265,14 @@
             self._done(now)
 
     def is_accepted(self, attempt: BallotAttempt) -> bool:
+        """Whether a majority of the voters has accepted, by the document before and after the change."""
         assert attempt.next is not None and attempt.base is not None
         return attempt.next.has_majority(attempt.accepted_by) and attempt.base.has_majority(
             attempt.accepted_by
         )
 
     def on_rejected(self, rejected: BallotRejected, now: int) -> None:
+        """Back off, and use a later round next."""
         attempt = self.attempt
         self.round = max(self.round, rejected.promised[0])
         if attempt is None or rejected.ballot != attempt.ballot:
@@ -262,6 +284,7 @@
         self.next_wake_at = now + self.backoff_us(limit_us) // (4 if self.pending[0].is_urgent else 1)
 
     def backoff_us(self, limit_us: int) -> int:
+        """A random delay before the next ballot."""
         return self.rng.randrange(limit_us // 4, limit_us)
 
     # Results
@@ -286,14 +309,14 @@
             self._start_ballot(now)
 
     def cancel(self, proposal_id: str, now: int) -> None:
-        """A reading that is not needed any more; where something of it is under way, that does no harm."""
+        """Drop a read that is no longer needed. Requests already sent for it do no harm."""
         if self.pending and self.pending[0].proposal_id == proposal_id:
             self._end("refused", now, why="no longer needed")
         else:
             self.pending = deque(pending for pending in self.pending if pending.proposal_id != proposal_id)
 
     def learn(self, document: RegisterDocument) -> bool:
-        """It is chosen. True if it is news."""
+        """Note a document that is known to be chosen. Returns whether it is newer."""
         if document.version <= self.known_document.version:
             return False
         self.known_document = document
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -1,4 +1,4 @@
-"""The register at one member: its voter, its proposer, the leases that it keeps, and the newest document."""
+"""The register at one member: its voter, its proposer, the leases that it holds, and the newest document."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Register:
-    """Times are us of this member's elapsed clock. After each call, `take` gives what is to be done."""
+    """Times are us of this member's elapsed clock. After each call, `take` returns the actions to do."""
 
     voter_type, proposer_type, lease_holder_type = Voter, Proposer, LeaseHolder
 
@@ -44,7 +44,10 @@
         same_folder: bool,
         rng: random.Random,
     ) -> None:
-        """life: of this member, never used before. memory, same_folder: what its voter finds on disk."""
+        """Start from what the folder of the voter holds.
+
+        generation: of this member, never used before. memory, same_folder: what its voter finds on disk.
+        """
         self.me, self.name = me, f"{me}#{generation}"
         self.voter = self.voter_type(me, initial, memory, same_folder, rng)
         self.proposer = self.proposer_type(self.name, initial, rng)
@@ -59,7 +62,7 @@
 
     @property
     def document(self) -> RegisterDocument:
-        """The newest that is known to be chosen."""
+        """The newest document that is known to be chosen."""
         return self.proposer.known_document
 
     def hold_lease(self, name: str, length_us: int, drift: float) -> LeaseHolder:
@@ -74,7 +77,11 @@
         within: int = PROPOSAL_TIMEOUT_US,
         urgent: bool = False,
     ) -> str:
-        """change: given its ticket and the document, the next one or None. Returns the ticket."""
+        """Propose a change of the document.
+
+        change: takes its proposal id and the document, and returns the next document or None. callback: gets
+        the outcome. within: us. Returns the proposal id.
+        """
         self.proposal_count += 1
         proposal_id = doc.proposal_id_of(f"{self.name}/{self.proposal_count}")
         self.callbacks[proposal_id] = callback
@@ -87,7 +94,11 @@
         self.proposer.propose(proposal_id, change, now, now + within, urgent)
 
     def receive(self, sender: str, body: Body, now: int) -> None:
-        """msgspec.DecodeError: the document in it is none; nothing of it is kept."""
+        """Handle a message of the register's protocol.
+
+        Raises msgspec.DecodeError if the document in it can't be decoded; nothing of the message is kept
+        then.
+        """
         document = None
         if isinstance(body, (Accept, Promise, RecoveryReply, ChosenDocument)) and body.document:
             document = doc.decode(body.document)
@@ -115,19 +126,20 @@
             proposer.learn(doc.decode(body.document))
 
     def on_texts_stored(self, now: int) -> None:
+        """Handle the accept that was deferred for a missing text."""
         if self.deferred_accept:
             (sender, body), self.deferred_accept = self.deferred_accept, None
             self.receive(sender, body, now)
 
     def note_version(self, sender: str, version: int) -> bool:
-        """Another member says that it knows this version. True if it is news."""
+        """Note the version that another member knows. Returns whether it is newer than the one known here."""
         if version <= self.document.version:
             return False
         self.newer_versions[sender] = version
         return True
 
     def tick(self, now: int) -> int:
-        """Everything that time brings. Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         due = now + 1_000_000
         if (at := self.proposer.tick(now)) is not None:
             due = min(due, at)
@@ -152,7 +164,11 @@
         return due
 
     def _finish_voter_change(self, now: int) -> int:
-        """Whoever began to replace a voter may be gone: any voter ends it, one of them most often first."""
+        """Take the second step of replacing a voter, if its proposer does not.
+
+        The proposer may have stopped, so any voter takes the step. Random delays let one of them be first
+        most of the time.
+        """
         if not self.document.previous_voters or not self.voter.is_voting:
             self.finish_voters_at = 0
         elif not self.finish_voters_at:
@@ -163,7 +179,7 @@
         return self.finish_voters_at or now + VOTER_CHANGE_TAKEOVER_US[1]
 
     def take(self, now: int) -> list[Action]:
-        """What is to be done, in order; outcomes are told to those who asked."""
+        """Return the actions to carry out, in order, and report outcomes to their callbacks."""
         while self.proposer.outcomes:
             ended, self.proposer.outcomes = self.proposer.outcomes, []
             for outcome in ended:
@@ -183,7 +199,10 @@
 def say(
     name: str, text: str, if_version: int | None = None
 ) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
-    """A word of the staff; an empty text takes it away. Left as it is where the version is another."""
+    """Set an entry that operators store in the document; an empty text removes it.
+
+    if_version: leave the document as it is if its version differs.
+    """
 
     def change(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         if if_version is not None and document.version != if_version:
@@ -195,7 +214,7 @@
 
 
 def replace_voter(old: str, new: str) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
-    """First step: from here on a majority of both sets has to agree. One at a time."""
+    """First step of replacing a voter: from here on a majority of both sets has to agree. One at a time."""
 
     def change(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         if document.previous_voters or old not in document.voters or new in document.voters:
@@ -207,5 +226,5 @@
 
 
 def finish_voter_change(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
-    """Second step: the set before has no say any more."""
+    """Second step: the previous set of voters no longer counts."""
     return document.next(proposal_id, previous_voters=()) if document.previous_voters else None
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -1,8 +1,8 @@
-"""A member's lease on the version in force: the right to begin calls and to take messages on.
+"""A member's lease on the policy version in force: the right to begin calls and to take messages on.
 
-A majority of the voters has to give it, and each of them only under what it knows to be chosen. The member
-counts from before it asked, a voter from after it gave, each with the drift on its side. A member that stops
-for a closing says so, and begins nothing before it knows a later epoch.
+A majority of the voters has to grant it, and each of them only by what it knows to be chosen. The member
+counts from before it asked, a voter from after it granted, each with the drift added on its side. A member
+that stops for a closing reports it, and begins nothing before it knows a later epoch.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass
 class GrantRequest:
-    """What one voter was asked last."""
+    """The newest request to one voter."""
 
     seq: int = 0
     sent_at: int = 0  # us
@@ -32,7 +32,7 @@
 
 
 class PolicyLease:
-    """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
+    """Times are us of this member's elapsed clock. `outbox` gathers the messages to send."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         drift: float,
         continues_alone: bool,
     ) -> None:
-        """last: alone, it goes on under the last version; else it holds."""
+        """continues_alone: without the voters it goes on under the last version; else it holds."""
         self.me, self.generation, self.register = me, generation, register
         self.length_us, self.drift, self.continues_alone = length_us, drift, continues_alone
         self.applied_version = -1  # that this courier has applied; -1: none
@@ -59,15 +59,17 @@
 
     @property
     def policy(self) -> Policy:
+        """The newest policy that is known to be chosen."""
         return self.register.document.policy
 
     # Permission to act
 
     def valid_version(self, now: int) -> int:
-        """The version to act under, -1 if it may not act. To be asked in the turn that acts."""
+        """The version to act under, -1 if it may not act. To be called in the turn that acts."""
         return self.applied_version if now < self.valid_until() else -1
 
     def valid_until(self) -> int:
+        """When the permission to act ends, 0 if there is none."""
         document = self.register.document
         if (
             self.applied_version != document.policy.version_for(self.me)
@@ -87,21 +89,23 @@
         return 0
 
     def counts_from(self, voter: str) -> int:
+        """The time from which this voter's grant counts."""
         return self.granted_at[voter]
 
     def must_stop(self) -> bool:
+        """Whether a change that concerns this member is closing."""
         return self.policy.closing_for(self.me)
 
     # Reports of the courier
 
     def set_applied_version(self, version: int) -> None:
-        """All of it is in place; what was given under another counts no more."""
+        """Note that the courier has applied this version; grants for another one no longer count."""
         if version != self.applied_version:
             self.applied_version = version
             self._discard_grants()
 
     def report_check(self, change: str, why: str = "") -> None:
-        """It has checked this change against its own settings and machine. why: it can't take it."""
+        """Report that the courier has checked this change. why: the reason to refuse it."""
         self.ready_for, self.refusal = change, why[:MAX_REASON_CHARS]
         for request in self.requests.values():
             request.next_send_at = 0
@@ -114,7 +118,7 @@
     # Timer and replies
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
+        """Send the requests that are due. Returns the time of the next call."""
         policy, document = self.policy, self.register.document
         if self.must_stop():
             return self._announce_stop(policy, document, now)
@@ -153,7 +157,7 @@
         )
 
     def _announce_stop(self, policy: Policy, document: RegisterDocument, now: int) -> int:
-        """Every voter is told, again and again, until a later epoch is known."""
+        """Repeat to every voter that it has stopped, until a later epoch is known."""
         if self.stopped_epoch < policy.epoch:
             self.stopped_epoch, self.stopped_sent_at = policy.epoch, now - STOPPED_REPEAT_US
             self._discard_grants()
@@ -163,6 +167,7 @@
         return self.stopped_sent_at + STOPPED_REPEAT_US
 
     def on_grant(self, sender: str, grant: LeaseGrant, now: int) -> None:
+        """Count a grant of the version that is applied."""
         request = self.requests.get(sender)
         if request is None or not self.matches_request(grant, request) or self.must_stop():
             return
@@ -174,13 +179,17 @@
         self.denial_reasons.pop(sender, None)
 
     def matches_request(self, grant: LeaseGrant, request: GrantRequest) -> bool:
-        """The newest asking of this life, from which it counts: each life counts from one."""
+        """Whether it answers the newest request of this generation; requests of each generation count from
+        one.
+        """
         return grant.generation == self.generation and grant.seq == request.seq
 
     def has_same_voters(self, grant: LeaseGrant) -> bool:
+        """Whether voter and member know the same set of voters."""
         return grant.voter_set_version == self.register.document.voter_set_version == self.voter_set_version
 
     def on_denial(self, sender: str, denial: LeaseDenial) -> None:
+        """Note a voter's reason to deny."""
         request = self.requests.get(sender)
         if request is not None and denial.seq == request.seq:
             self.denial_reasons[sender] = denial.why
@@ -188,6 +197,7 @@
     # Upgrades, on the same machine, whose elapsed clock continues
 
     def carry(self) -> dict[str, object]:
+        """State for the next process in an upgrade."""
         return {
             "version": self.applied_version,
             "given": self.granted_at,
@@ -197,7 +207,7 @@
         }
 
     def resume(self, carried: dict[str, object]) -> None:
-        """The lease moves along; what was asked and not answered does not."""
+        """Continue with the granted lease; open requests are not carried over."""
         self.applied_version, self.granted_at = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
         self.voter_set_version, self.stopped_epoch = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
         self.seq = int(carried["seq"]) + 1  # type: ignore[call-overload]
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -1,9 +1,10 @@
-"""A voter of the register: the acceptor of CASPaxos (Rystsov 2018), with a memory that it has to prove.
+"""A voter of the register: the acceptor of CASPaxos (Rystsov 2018), with protection against lost memory.
 
-A voter votes by what it has promised and accepted, so one that forgot must not vote as if it had not. Each
-voter has a life: a number that the other voters keep on disk. A folder that is not the one it was (emptied,
-or a copy) ends the life. To be let in again takes a majority without it: they note the new life, from then on
-refuse what stands on a promise of the old one, and tell what they have promised and accepted.
+A voter decides by what it has promised and accepted, so a voter that lost this state must not vote as if it
+had never promised anything. Each voter has a generation: a number that the other voters keep on disk. If the
+folder is not the one the voter last wrote (it was emptied, or is a copy), the generation ends. Readmission
+then needs a majority of the other voters: they record the new generation, refuse from then on every accept
+that is based on a promise of the old one, and report what they have promised and accepted.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Memory(msgspec.Struct):
-    """What is on disk."""
+    """What a voter keeps on disk; the field names are stored."""
 
     life: int = 0  # the generation; 0: has never voted
     promised: Ballot = NO_BALLOT
@@ -42,16 +43,21 @@
     lives: dict[str, int] = {}  # highest known generation of each other voter
 
     def copy(self) -> Memory:
+        """Return a copy that shares no mutable state."""
         return msgspec.structs.replace(self, lives=dict(self.lives))
 
 
 class Voter:
-    """`out` gathers its actions; whoever calls takes them."""
+    """An acceptor. Actions are gathered in `outbox`; the caller takes them."""
 
     def __init__(
         self, me: str, initial: RegisterDocument, memory: Memory, same_folder: bool, rng: random.Random
     ) -> None:
-        """initial: the document of a fleet that has none yet. same_folder: no copy, and not emptied."""
+        """Start a voter from what its folder holds.
+
+        initial: the document of a fleet that has none yet. same_folder: the folder is neither a copy nor
+        emptied.
+        """
         self.me, self.initial, self.memory, self.rng = me, initial, memory, rng
         self.is_voting = self.is_new = False
         self.other_voters: set[str] = initial.all_voters - {me}
@@ -65,30 +71,38 @@
         self.outbox: list[Action] = []
 
     def trusts_folder(self, same_folder: bool) -> bool:
+        """Whether the memory in the folder may be used for voting."""
         return same_folder
 
     def document(self) -> RegisterDocument:
+        """The document accepted last, or the initial one."""
         return doc.decode(self.memory.document) if self.memory.document else self.initial
 
     def is_expected_to_vote(self, known: RegisterDocument) -> bool:
-        """Whether the fleet counts on this voter, by its own memory, by what is known to be chosen, or by
-        having been asked: the change that makes it a voter may need its vote."""
+        """Whether the fleet counts on this voter.
+
+        True by its own memory, by what is known to be chosen, or because it was asked for a vote: the change
+        that makes it a voter may need its vote.
+        """
         return self.was_asked_to_vote or self.me in self._known_voters(known)
 
     def _known_voters(self, known: RegisterDocument) -> set[str]:
-        """Who votes, by what is known to be chosen and what was accepted here; else as a new fleet begins."""
+        """The voters by what is known to be chosen and what was accepted here; else those of the initial
+        document.
+        """
         known_voters = known.all_voters if known.version else set()
         return known_voters | (
             self.document().all_voters if self.memory.document or not known_voters else set()
         )
 
     def persist(self, *then: Send) -> None:
+        """Write the memory to disk, then send these messages."""
         self.outbox.append(Persist(msgspec.msgpack.encode(self.memory), then))
 
     # Recovery: a voter that starts without trusted memory is readmitted by the others
 
     def tick(self, now: int, known: RegisterDocument) -> int:
-        """Ask while it may not vote yet. Returns when to be called again, in us."""
+        """Send recovery requests while it may not vote yet. Returns the time of the next call, in us."""
         if self.is_voting or not self.is_expected_to_vote(known):
             return now + RECOVERY_RETRY_US
         if now - self.last_request_at >= RECOVERY_RETRY_US:
@@ -104,7 +118,9 @@
         return [doc.decode(k.document).all_voters for k in self.replies.values() if k.document]
 
     def on_recovery_request(self, sender: str, request: RecoveryRequest) -> None:
-        """Another voter starts: what is said of its life is on disk before it is answered."""
+        """Handle another voter's start: what is reported of its generation is on disk before the reply is
+        sent.
+        """
         memory = self.memory
         known_generation = max(request.generation, memory.lives.get(sender, 0))
         if known_generation:
@@ -123,8 +139,11 @@
         self.persist(Send(sender, reply))
 
     def _prune(self) -> None:
-        """Lives of the voters stay; of others the latest, for a datagram has to hold them. One that was a
-        voter long ago may be forgotten: no majority has counted on it since."""
+        """Limit the recorded generations to what fits a datagram.
+
+        Those of the voters stay, of others the latest. One that was a voter long ago may be forgotten: no
+        majority has counted on it since.
+        """
         generations, voters = self.memory.lives, self.document().all_voters
         for name in [n for n in generations if n not in voters][
             : max(0, len(generations) - MAX_OTHER_GENERATIONS)
@@ -132,6 +151,7 @@
             del generations[name]
 
     def on_recovery_reply(self, sender: str, reply: RecoveryReply) -> None:
+        """Handle the reply to the newest claim; others are ignored."""
         if self.is_voting or reply.claimed_generation != self.claimed_generation:
             return
         self.replies[sender] = reply
@@ -139,7 +159,7 @@
         self._evaluate_replies()
 
     def _discard_memory(self) -> None:
-        """Nothing that the folder says of its own votes counts: half of them may be missing."""
+        """Ignore all votes that the folder records: some of them may be missing."""
         self.has_trusted_memory, self.claimed_generation, self.replies, self.is_new = False, 0, {}, False
         self.memory = Memory(lives=self.memory.lives)
 
@@ -156,8 +176,12 @@
             self._rejoin(replies)
 
     def _claim_generation(self, highest_known: int) -> None:
-        """A new life. Every life is noted by all others before its first vote, so one that nobody knows of
-        has never voted, and may begin; else it comes back after the latest that is known."""
+        """Choose a new generation.
+
+        All other voters record a generation before its first vote, so a voter that none of them knows has
+        never voted and may start as new. Otherwise, with the replies of a majority, it takes the number after
+        the highest known, or a random one if it is about to become a voter.
+        """
         if not highest_known and self.other_voters <= set(self.replies):
             # Random, so that it never equals an earlier generation.
             self.claimed_generation, self.is_new = 1 + self.rng.getrandbits(GENERATION_BITS), True
@@ -167,14 +191,16 @@
             self.replies, self.last_request_at = {}, -RECOVERY_RETRY_US
 
     def _is_future_voter(self) -> bool:
-        """Whether a majority votes and none of it knows this member as a voter, nor a life of it: whoever was
-        let in without being one was noted by a majority before its first vote."""
+        """Whether a majority votes and none of it knows this member as a voter, nor a generation of it.
+
+        A majority recorded each member that was readmitted without being a voter, before its first vote.
+        """
         voting = {s: k for s, k in self.replies.items() if k.is_voting}
         named = self.initial.all_voters.union(*self._voters_named_by_replies())
         return self.me not in named and self.majority_of_others(voting)
 
     def is_readmitted(self, replies: dict[str, RecoveryReply]) -> bool:
-        """One that begins is noted by all others; one that comes back, by a majority that votes."""
+        """Whether enough have recorded the claim: all others for a new voter, else a voting majority."""
         if self.is_new:
             return self.other_voters <= set(replies)
         return self.majority_of_others({s: k for s, k in replies.items() if k.is_voting})
@@ -193,6 +219,7 @@
         self.persist()
 
     def majority_of_others(self, replies: dict[str, RecoveryReply]) -> bool:
+        """Whether these replies come from a majority of the voters, this one not counted among them."""
         newest = max(replies.values(), key=lambda k: k.accepted, default=None)
         document = doc.decode(newest.document) if newest and newest.document else self.initial
         return document.has_majority(set(replies) - {self.me}) if len(document.all_voters) > 1 else False
@@ -200,6 +227,7 @@
     # Voting
 
     def on_prepare(self, sender: str, prepare: Prepare) -> None:
+        """Promise the ballot, or reject it if a later one is promised."""
         memory = self.memory
         if not self.is_voting:
             self.was_asked_to_vote = True
@@ -211,9 +239,11 @@
         self.persist(Send(sender, Promise(prepare.ballot, memory.life, memory.accepted, memory.document)))
 
     def may_promise(self, ballot: Ballot) -> bool:
+        """Whether no later ballot is promised."""
         return ballot >= self.memory.promised  # the same ballot may be prepared twice
 
     def on_accept(self, sender: str, accept: Accept) -> None:
+        """Accept the document, or reject it if a later ballot is promised or its basis is no longer valid."""
         memory = self.memory
         if not self.is_voting:
             return
@@ -225,10 +255,11 @@
         self.persist(Send(sender, Accepted(accept.ballot, memory.life)))
 
     def may_accept(self, ballot: Ballot) -> bool:
+        """Whether no later ballot is promised."""
         return ballot >= self.memory.promised
 
     def is_basis_valid(self, basis: tuple[tuple[str, int], ...]) -> bool:
-        """No promise under it was given in a life that has ended since."""
+        """Whether no promise that the accept is based on was given in a generation that has ended since."""
         generations = self.memory.lives
         return all(
             generation == self.memory.life if voter == self.me else generation >= generations.get(voter, 0)
