--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -114,7 +114,7 @@
         return {digest for digest in digests if digest}
 
 
-Step = "Callable[[str, Document], Document | None]"
+Step = "Callable[[str, RegisterDocument], RegisterDocument | None]"
 
 
 def _next(document: RegisterDocument, proposal_id: str, **changes: object) -> RegisterDocument:
