--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -49,7 +49,7 @@
     ) -> None:
         """others: who is told of a step at once; those that miss it hear of it by and by."""
         self.me, self.register, self.rng, self.other_members = me, register, rng, other_members
-        self.epoch, self.epoch_began_at, self.leads_from, self.next_query_at, self.query_count = (
+        self.epoch, self.epoch_began_at, self.leads_at, self.next_query_at, self.query_count = (
             -1,
             0,
             0,
@@ -84,8 +84,8 @@
             self._on_new_epoch(policy, now)
         if not (policy.change or policy.stage):
             return now + 1_000_000
-        if now < self.leads_from:
-            return max(now + 1000, self.leads_from)
+        if now < self.leads_at:
+            return max(now + 1000, self.leads_at)
         if policy.change is None:
             return self._watch_canary(policy, now)
         if self.is_proposing:
@@ -116,7 +116,7 @@
         voter = self.me in self.register.document.voters
         later = now + self.rng.randrange(*TAKEOVER_US) if voter else 1 << 62
         self.epoch, self.epoch_began_at, self.next_query_at, self.query_count = policy.epoch, now, now, 0
-        self.leads_from = now if leads else later
+        self.leads_at = now if leads else later
         self.replies = {}
         if policy.stage is None or policy.change:
             self.totals = {}
