--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -28,16 +28,15 @@
 from hopmill.fleet.wire import ChosenDocument, DrainReply, TotalsReply, DrainQuery, TotalsRequest
 from hopmill.fleet import document as doc
 
-QUERY_US, MAX_QUERY_US = 40_000, 320_000  # the voters, doubled each time
-TAKEOVER_US = (800_000, 2_400_000)  # after the newest step, a voter that did not propose it
-# A closing lasts no longer, so that work does not wait for one that fails meanwhile; each one that was opened
-# again is followed by one that may last twice as long, or a slow network would never see the end of it.
+QUERY_US, MAX_QUERY_US = 40_000, 320_000  # between two queries to the voters, doubled each time
+TAKEOVER_US = (800_000, 2_400_000)  # random delay after a step, before another voter takes over
+# A closing that lasts longer is reopened, so that work does not wait for a member that failed meanwhile. Each
+# reopened closing is followed by one that may last twice as long, or a slow network would never finish one.
 CLOSING_TIMEOUT_US, MAX_CLOSING_TIMEOUT_US = 400_000, 6_400_000
-TOTALS_INTERVAL_US = 1_000_000  # at those that go first, once in so long
-MAX_TOTALS = 2000
-QUERIES_PER_READ = (
-    4  # askings without progress, then the document is read anew: that mends a vote that was lost
-)
+TOTALS_INTERVAL_US = 1_000_000  # between two requests for the totals of the members
+MAX_TOTALS = 2000  # members with totals
+# After so many queries without progress the document is read again, which repairs a vote that was lost.
+QUERIES_PER_READ = 4
 OutcomeCallback = Callable[[Outcome], None]
 
 
@@ -49,17 +48,11 @@
     ) -> None:
         """others: who is told of a step at once; those that miss it hear of it by and by."""
         self.me, self.register, self.rng, self.other_members = me, register, rng, other_members
-        self.epoch, self.epoch_began_at, self.leads_at, self.next_query_at, self.query_count = (
-            -1,
-            0,
-            0,
-            0,
-            0,
-        )
+        self.epoch, self.epoch_began_at, self.leads_at, self.next_query_at, self.query_count = -1, 0, 0, 0, 0
         self.replies: dict[str, DrainReply] = {}
         self.is_proposing = False
-        self.totals: dict[str, TotalsReply] = {}  # of a stage, by member
-        self.led_epoch = -1  # the epoch of the newest step taken here
+        self.totals: dict[str, TotalsReply] = {}  # of a canary stage, by member
+        self.led_epoch = -1  # the epoch that the newest step taken here made
         self.outbox: list[Send] = []
 
     @property
@@ -121,7 +114,7 @@
         if policy.stage is None or policy.change:
             self.totals = {}
 
-    # A stage
+    # Canary stage
 
     def _watch_canary(self, policy: Policy, now: int) -> int:
         """Those that go first are watched, and the rest follows or they go back."""
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -28,8 +28,8 @@
     TextRequest,
 )
 
-MAX_MISSING_TEXTS = 4
-SALT_CANDIDATES = 256  # that are tried, for a share of few members to be met
+MAX_MISSING_TEXTS = 4  # remembered
+SALT_CANDIDATES = 256  # salts tried, so that the share is met in a small fleet
 POLICY_BODIES = (
     LeaseRequest,
     LeaseGrant,
@@ -70,12 +70,11 @@
         self.grantor = self.grantor_type(me, register, length_us, drift, continues_alone, names)
         self.coordinator = self.coordinator_type(me, register, rng, others)
         self.watch = CanaryWatch()
-        self.proposed_texts: set[bytes] = set()  # texts that may come into the document yet
-        self.missing_texts: dict[
-            bytes, None
-        ] = {}  # texts of documents that it was to vote for, the newest last
+        self.proposed_texts: set[bytes] = set()  # of own proposals that have not ended
+        # Texts of documents that it was asked to vote for, the newest last.
+        self.missing_texts: dict[bytes, None] = {}
         self.kept_texts: set[bytes] = set()
-        self.deletable_texts: set[bytes] = set()  # that may go from the disk
+        self.deletable_texts: set[bytes] = set()  # may be deleted from the disk
         register.lacks_texts = self._lacks_texts
 
     # Texts
@@ -107,7 +106,7 @@
             self.kept_texts = kept
             self.deletable_texts |= self.texts.retain(kept)
 
-    # In and out
+    # Messages
 
     def receive(self, sender: str, body: Body, now: int) -> bool:
         """Whether there is something to do at once."""
@@ -158,7 +157,7 @@
             part.outbox = []
         return out
 
-    # Words of the staff
+    # Commands of the operators
 
     def propose(
         self,
@@ -201,9 +200,9 @@
         def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
             policy = document.policy
             if policy.stage and policy.stage.id == change_id:
-                return roll_back(policy.epoch, "withdrawn by staff")(proposal_id, document)
+                return roll_back(policy.epoch, "withdrawn by an operator")(proposal_id, document)
             return (
-                end_change(policy.epoch, "withdrawn by staff")(proposal_id, document)
+                end_change(policy.epoch, "withdrawn by an operator")(proposal_id, document)
                 if (policy.change and policy.change.id == change_id)
                 else None
             )
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -20,9 +20,9 @@
 
     from hopmill.fleet.document import RegisterDocument
 
-MAX_ENDED = 3  # outcomes that the document keeps, so that one whose answer was lost is told
-MAX_REASON_CHARS = 48  # characters of a reason
-MAX_CANCELLED = 6  # members that are struck off at once
+MAX_ENDED = 3  # outcomes that the document keeps, for a proposer whose answer was lost
+MAX_REASON_CHARS = 48
+MAX_CANCELLED = 6  # members that are cancelled at once
 IN_FORCE, ENDED_NOWHERE = "in force", "in force nowhere"
 
 
@@ -30,15 +30,16 @@
     """The change can't be made; the text says why."""
 
 
+# Scope of a change: all members, the canary group, the rest after it, or all back to the version before.
 ALL, STAGE, REST, BACK = "all", "stage", "rest", "back"
 
 
 class CanaryGroup(msgspec.Struct, frozen=True, array_like=True):
     """Which members go first: about this share, by their names and a salt. They are watched for so long."""
 
-    share: float
+    share: float  # of the members, 0 to 1
     salt: int
-    watch_ms: int
+    watch_ms: int  # how long the group is watched
 
     def includes(self, member: str) -> bool:
         return zlib.crc32(f"{self.salt} {member}".encode()) < self.share * (1 << 32)
@@ -48,13 +49,13 @@
     """One under way. id: of this proposal and no other; digest: of the text that it would put in force.
     moves: whom it concerns: all, a few first, the rest after them, or all back to what was."""
 
-    id: str
-    digest: bytes
+    id: str  # of this proposal and no other
+    digest: bytes  # of the text that it would put in force
     by: str  # the member that proposed it, and has the text
     closing: bool = False
     scope: str = ALL
     canary: CanaryGroup | None = None
-    reopen_count: int = 0  # times that it was closing and was opened again
+    reopen_count: int = 0  # times that its closing was reopened
 
     def affects(self, member: str) -> bool:
         """Whether it would bring this member to another version."""
@@ -66,7 +67,7 @@
 class CanaryStage(msgspec.Struct, frozen=True, array_like=True):
     """A version that is in force for a few. id: of its proposal."""
 
-    id: str
+    id: str  # of its proposal
     digest: bytes
     version: int
     canary: CanaryGroup
@@ -75,19 +76,19 @@
 
 class EndedChange(msgspec.Struct, frozen=True, array_like=True):
     id: str
-    version: int  # that it put in force, 0: none
+    version: int  # that it put in force; 0: none
     why: str = ""
 
 
 class Policy(msgspec.Struct, frozen=True, array_like=True):
     """version: in force, 0 is each courier's own file. digest: of the text of that version."""
 
-    epoch: int = 0
-    version: int = 0
-    digest: bytes = b""
+    epoch: int = 0  # raised by every step
+    version: int = 0  # in force; 0: each courier's own file
+    digest: bytes = b""  # of the text of that version
     change: PolicyChange | None = None
     ended: tuple[EndedChange, ...] = ()
-    cancelled_members: tuple[str, ...] = ()
+    cancelled_members: tuple[str, ...] = ()  # withdrawn by an operator
     stage: CanaryStage | None = None
 
     def version_for(self, member: str) -> int:
@@ -263,7 +264,7 @@
         if set(cancelled_members) == set(document.policy.cancelled_members):
             return None
         if len(cancelled_members) > MAX_CANCELLED:
-            raise ChangeRefusedError(f"at most {MAX_CANCELLED} members are struck off at once")
+            raise ChangeRefusedError(f"at most {MAX_CANCELLED} members can be struck off at once")
         return _next(document, proposal_id, cancelled_members=cancelled_members)
 
     return step
--- a/hopmill/fleet/texts.py
+++ b/hopmill/fleet/texts.py
@@ -11,10 +11,10 @@
 from hopmill.fleet.actions import Send
 from hopmill.fleet.wire import TextPiece, TextRequest
 
-MAX_TEXT_BYTES = 48 * 1024  # of a text
-PIECE_BYTES, PIECES_PER_REQUEST = 800, 8  # of a piece; pieces that one asking brings
-RETRY_US = 60_000  # without a piece, another is asked
-MAX_FETCHES = 4  # texts at once
+MAX_TEXT_BYTES = 48 * 1024
+PIECE_BYTES, PIECES_PER_REQUEST = 800, 8
+RETRY_US = 60_000  # without a piece, the next source is asked
+MAX_FETCHES = 4  # at a time
 
 
 def digest_of(text: bytes) -> bytes:
@@ -23,9 +23,9 @@
 
 @dataclass
 class TextFetch:
-    sources: list[str]  # who may have it, in the order in which they are asked
-    pieces: dict[int, bytes] = field(default_factory=dict)
-    requested_at: int = -RETRY_US
+    sources: list[str]  # members that may have it, in the order in which they are asked
+    pieces: dict[int, bytes] = field(default_factory=dict)  # by offset in bytes
+    requested_at: int = -RETRY_US  # us
     tries: int = 0
 
 
@@ -39,7 +39,7 @@
         self.fetches: dict[bytes, TextFetch] = {}
         self.writing: set[bytes] = set()
         self.outbox: list[Send] = []
-        self.writes: list[tuple[bytes, bytes]] = []  # (digest, text) for the disk
+        self.writes: list[tuple[bytes, bytes]] = []  # (digest, text) to be written
 
     def add(self, text: bytes) -> bytes:
         """ValueError: it is too long."""
@@ -101,9 +101,9 @@
             if digest_of(text) == piece.digest:
                 self.by_digest[piece.digest] = text
         elif have > piece.size:
-            fetch.pieces.clear()  # of two different wholes: anew
+            fetch.pieces.clear()  # pieces of different texts: start again
         elif is_new and have == piece.at + len(piece.data) and have // PIECE_BYTES % PIECES_PER_REQUEST == 0:
-            self._request(piece.digest, fetch, sender, now)  # the last of its batch
+            self._request(piece.digest, fetch, sender, now)  # the last piece of the request
 
     def _contiguous_bytes(self, fetch: TextFetch) -> int:
         """Bytes from the start without a hole."""
--- a/hopmill/fleet/watch.py
+++ b/hopmill/fleet/watch.py
@@ -14,10 +14,10 @@
 
 from hopmill.fleet.wire import OutcomeTotals
 
-SAMPLE_INTERVAL_US = 1_000_000  # between two counts that are kept
-MAX_SAMPLES = 300
-MIN_COUNT = 20  # messages of a group, before and after, below which nothing is said of it
-# Of a stage that changes nothing, about one in a thousand is ended for it: over all looks and all figures.
+SAMPLE_INTERVAL_US = 1_000_000
+MAX_SAMPLES = 300  # five minutes of history
+MIN_COUNT = 20  # messages of a group, before and after; with fewer no regression is reported
+# Of the stages that change nothing, about one in a thousand is rolled back: over all looks and all figures.
 ALPHA = 1e-3
 FIGURES = ("worth", "refusals", "errors")
 
