--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -1,6 +1,7 @@
-"""Leads a change of policy through its steps. Whoever proposed it does; if that one is gone, a voter does.
+"""Leads a policy change through its steps: prepare, close, commit.
 
-Two who lead at once do no harm: each step is a compare-and-set on the epoch that it was decided at.
+The member that proposed the change leads it; if that member is gone, a voter takes over. Two members that
+lead at once do no harm: each step is a compare-and-set on the epoch that it was decided at.
 """
 
 from __future__ import annotations
@@ -41,12 +42,14 @@
 
 
 class PolicyChangeCoordinator:
+    """Times are us of this member's elapsed clock. `outbox` gathers the messages to send."""
+
     commit = staticmethod(commit)
 
     def __init__(
         self, me: str, register: Register, rng: random.Random, other_members: Callable[[], list[str]]
     ) -> None:
-        """others: who is told of a step at once; those that miss it hear of it by and by."""
+        """other_members: who is told of a step at once; those that miss it learn of it by later datagrams."""
         self.me, self.register, self.rng, self.other_members = me, register, rng, other_members
         self.epoch, self.epoch_began_at, self.leads_at, self.next_query_at, self.query_count = -1, 0, 0, 0, 0
         self.replies: dict[str, DrainReply] = {}
@@ -57,9 +60,12 @@
 
     @property
     def policy(self) -> Policy:
+        """The newest policy that is known to be chosen."""
         return self.register.document.policy
 
     def propose(self, change: PolicyChange, base: int, now: int, callback: OutcomeCallback) -> str:
+        """Propose a change of the policy that was made from version `base`. Returns the proposal id."""
+
         def ended(outcome: Outcome) -> None:
             self.announce_if_done(outcome)
             callback(outcome)
@@ -67,11 +73,11 @@
         return self.register.propose(prepare(change, base), now, ended)
 
     def waiting_for(self) -> dict[str, str]:
-        """Whom the change waits for, by all voters that have answered."""
+        """The members that the change waits for, with reasons, by all voters that have answered."""
         return {name: why for reply in self.replies.values() for name, why in reply.pending}
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         policy, document = self.policy, self.register.document
         if policy.epoch != self.epoch:
             self._on_new_epoch(policy, now)
@@ -117,7 +123,7 @@
     # Canary stage
 
     def _watch_canary(self, policy: Policy, now: int) -> int:
-        """Those that go first are watched, and the rest follows or they go back."""
+        """Watch the canary group, then extend the version to the rest or roll it back."""
         stage = policy.stage
         assert stage is not None
         if self.is_proposing:
@@ -136,6 +142,7 @@
         return min(self.next_query_at, self.epoch_began_at + stage.canary.watch_ms * 1000)
 
     def on_totals(self, sender: str, body: TotalsReply) -> None:
+        """Note a member's totals of the stage."""
         stage = self.policy.stage
         if (
             stage
@@ -148,6 +155,7 @@
     def _step(
         self, policy: Policy, document: RegisterDocument, now: int
     ) -> Callable[[str, RegisterDocument], RegisterDocument | None] | None:
+        """The step that can be taken now, None if none can."""
         assert policy.change is not None
         refused = next((a.refused for a in self.replies.values() if a.refused), "")
         if refused and policy.change.scope != BACK:
@@ -159,6 +167,7 @@
         return None
 
     def all_leases_ended(self, document: RegisterDocument) -> bool:
+        """Whether a majority of the voters reports that nobody is pending."""
         return document.has_majority(
             {
                 v
@@ -183,16 +192,17 @@
         self.register.propose(step, now, ended, urgent=True)
 
     def announce_if_done(self, outcome: Outcome) -> None:
+        """Announce the document of a change that was made."""
         if outcome.state == "done" and outcome.document is not None:
             self.announce(outcome.document)
 
     def announce(self, document: RegisterDocument) -> None:
-        """All that are there, at once: a step that is known late is a longer pause."""
+        """Send the document to all members at once: a step that is known late makes a longer pause."""
         data = doc.encode(document)
         self.outbox += [Send(name, ChosenDocument(data)) for name in self.other_members()]
 
     def on_drain_reply(self, sender: str, reply: DrainReply, now: int) -> bool:
-        """True if a step can be taken."""
+        """Note a voter's reply. Returns whether a step can be taken."""
         policy, document = self.policy, self.register.document
         if reply.epoch != policy.epoch or sender not in document.all_voters:
             return False
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -1,4 +1,4 @@
-"""One member's part in the fleet's policy: its lease, what it gives as a voter, the texts, the changes."""
+"""One member's part in the fleet's policy: its lease, the leases it grants as a voter, texts, and changes."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class PolicyMember:
-    """Times are us of this member's elapsed clock. After each call, `take` gives what is to be sent."""
+    """Times are us of this member's elapsed clock. After each call, `take` returns the messages to send."""
 
     lease_type, grantor_type, coordinator_type = PolicyLease, LeaseGrantor, PolicyChangeCoordinator
 
@@ -62,8 +62,11 @@
         others: Callable[[], list[str]],
         on_disk: dict[bytes, bytes],
     ) -> None:
-        """life: of this process, never used before. names: all members configured; others: those that are
-        there now. on_disk: texts."""
+        """Start a member's part.
+
+        generation: of this process, never used before. names: all configured members. others: returns the
+        other members that are alive. on_disk: texts by digest.
+        """
         self.me, self.register = me, register
         self.texts = TextStore(on_disk)
         self.lease = self.lease_type(me, generation, register, length_us, drift, continues_alone)
@@ -80,6 +83,7 @@
     # Texts
 
     def _lacks_texts(self, document: RegisterDocument, sender: str) -> bool:
+        """Whether a text of the document is not on disk yet; it is then fetched, from the sender first."""
         missing = document.policy.texts - self.texts.on_disk
         for digest in missing:
             self.missing_texts.pop(digest, None)
@@ -94,7 +98,7 @@
         return [name for name in (first, *sorted(self.register.document.all_voters)) if name != self.me]
 
     def _update_texts(self) -> None:
-        """Those that are in force, or may be, by all that this member knows; a voter has them on disk."""
+        """Fetch the texts that are or may come into force; a voter has them on disk. Drop the others."""
         policy, document = self.register.document.policy, self.register.document
         voted = self.grantor.accepted_document().policy.texts
         for digest in policy.texts | voted:
@@ -109,7 +113,7 @@
     # Messages
 
     def receive(self, sender: str, body: Body, now: int) -> bool:
-        """Whether there is something to do at once."""
+        """Handle a message of the policy's protocol. Returns whether `tick` has something to do at once."""
         if isinstance(body, LeaseRequest):
             self.grantor.on_lease_request(sender, body, now)
             return False
@@ -142,7 +146,7 @@
         return False
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         self._update_texts()
         self.watch.tick(now)
         if (stage := self.register.document.policy.stage) and self.lease.valid_version(now) >= 0:
@@ -151,6 +155,7 @@
         return min(due, self.grantor.tick(now) if self.register.voter.is_voting else due)
 
     def take(self) -> list[Send]:
+        """Return the messages to send."""
         parts = (self.lease, self.grantor, self.texts, self.coordinator)
         out = [send for part in parts for send in part.outbox]
         for part in parts:
@@ -169,8 +174,11 @@
         share: float = 1.0,
         watch_ms: int = 0,
     ) -> str:
-        """ident: of this proposal and no other, however often it is told. share: under 1, so many go first
-        and are watched. ValueError: too long."""
+        """Propose a change of the policy. Returns the proposal id.
+
+        change_id: of this proposal and no other, however often it is sent. share: if under 1, this share of
+        the members is a canary group and is watched. Raises ValueError if the text is too long.
+        """
         digest = self.texts.add(text)
         self.proposed_texts.add(digest)
 
@@ -186,7 +194,7 @@
         return self.coordinator.propose(change, base, now, ended)
 
     def _canary_group(self, share: float, watch_ms: int) -> CanaryGroup:
-        """By the salt that comes nearest to the share of those that are there: one at least, and not all."""
+        """The group whose size is nearest to the share of the live members: at least one, and not all."""
         names = [self.me, *self.coordinator.other_members()]
         wanted = min(max(1, round(share * len(names))), max(1, len(names) - 1))
         return min(
@@ -195,7 +203,7 @@
         )
 
     def withdraw(self, change_id: str, now: int) -> str:
-        """End the change that is under way, if it is this one."""
+        """End the change in progress, if it is this one."""
 
         def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
             policy = document.policy
@@ -210,4 +218,5 @@
         return self.register.propose(step, now, lambda outcome: self.coordinator.announce_if_done(outcome))
 
     def cancel_member(self, member: str, is_cancelled: bool, now: int, callback: OutcomeCallback) -> str:
+        """Withdraw a member by name, or let it back."""
         return self.register.propose(cancel_member(member, is_cancelled), now, callback)
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -1,11 +1,12 @@
-"""The fleet's policy in the register's document: which version is in force, and the change under way.
+"""The fleet's policy in the register's document: which version is in force, and the change in progress.
 
-A change goes through two steps before it is in force. Prepared: each member checks it, and goes on under the
-version in force. Closing: no voter gives a lease on that version any more, those who hold one stop. Each step
-is one compare-and-set on `epoch`, which every step raises, so that no step is ever taken on an older one.
+A change takes two steps before it is in force. Prepared: each member checks it, and continues under the
+version in force. Closing: no voter grants a lease on that version any more, and members that hold one stop.
+Each step is a compare-and-set on `epoch`, which every step raises, so no step is taken on an older one.
 
-A change may be staged: then two versions are in force for a while, each member's by its name, and a second
-change brings the others to the new one, or those few to a third that is as the one before.
+A change may be staged: then two versions are in force for a while, and the name of a member decides which one
+applies to it. A second change brings the other members to the new version, or the canary group to a third
+version that equals the one before.
 """
 
 from __future__ import annotations
@@ -35,19 +36,21 @@
 
 
 class CanaryGroup(msgspec.Struct, frozen=True, array_like=True):
-    """Which members go first: about this share, by their names and a salt. They are watched for so long."""
+    """The members on which a staged change is tried first: about this share, chosen by their names and a
+    salt.
+    """
 
     share: float  # of the members, 0 to 1
     salt: int
     watch_ms: int  # how long the group is watched
 
     def includes(self, member: str) -> bool:
+        """Whether the member belongs to the group."""
         return zlib.crc32(f"{self.salt} {member}".encode()) < self.share * (1 << 32)
 
 
 class PolicyChange(msgspec.Struct, frozen=True, array_like=True):
-    """One under way. id: of this proposal and no other; digest: of the text that it would put in force.
-    moves: whom it concerns: all, a few first, the rest after them, or all back to what was."""
+    """A change in progress."""
 
     id: str  # of this proposal and no other
     digest: bytes  # of the text that it would put in force
@@ -65,7 +68,7 @@
 
 
 class CanaryStage(msgspec.Struct, frozen=True, array_like=True):
-    """A version that is in force for a few. id: of its proposal."""
+    """A version that is in force for a canary group."""
 
     id: str  # of its proposal
     digest: bytes
@@ -75,13 +78,15 @@
 
 
 class EndedChange(msgspec.Struct, frozen=True, array_like=True):
+    """The outcome of a change."""
+
     id: str
     version: int  # that it put in force; 0: none
     why: str = ""
 
 
 class Policy(msgspec.Struct, frozen=True, array_like=True):
-    """version: in force, 0 is each courier's own file. digest: of the text of that version."""
+    """The policy's part of the document."""
 
     epoch: int = 0  # raised by every step
     version: int = 0  # in force; 0: each courier's own file
@@ -92,21 +97,24 @@
     stage: CanaryStage | None = None
 
     def version_for(self, member: str) -> int:
+        """The version in force for this member."""
         return self.stage.version if self.stage and self.stage.canary.includes(member) else self.version
 
     def digest_for(self, member: str) -> bytes:
+        """The digest of the text in force for this member."""
         return self.stage.digest if self.stage and self.stage.canary.includes(member) else self.digest
 
     def closing_for(self, member: str) -> bool:
-        """Whether it has to stop."""
+        """Whether this member has to stop."""
         return self.change is not None and self.change.closing and self.change.affects(member)
 
     def outcome(self, change_id: str) -> EndedChange | None:
+        """How a change ended, None if it has not or is no longer kept."""
         return next((e for e in self.ended if e.id == change_id), None)
 
     @property
     def texts(self) -> set[bytes]:
-        """Digests of all that is in force or may be."""
+        """Digests of all texts that are in force or may come into force."""
         digests = (
             self.digest,
             self.change.digest if self.change else b"",
@@ -126,7 +134,12 @@
 
 
 def prepare(change: PolicyChange, base: int) -> Step:
-    """base: the version that its text was made from. Left as it is where it is under way or has ended."""
+    """Begin a change.
+
+    base: the version that its text was made from. The document is left as it is if the change is in progress
+    or has ended. The step raises ChangeRefusedError if another one is in progress or another version is in
+    force.
+    """
 
     def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         policy = document.policy
@@ -145,7 +158,7 @@
 
 
 def _at_epoch(epoch: int, apply: Callable[[str, RegisterDocument], RegisterDocument | None]) -> Step:
-    """Only where nothing has happened to the policy since this epoch."""
+    """A step that is taken only if nothing has happened to the policy since this epoch."""
 
     def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         return (
@@ -169,18 +182,20 @@
 
 
 def close(epoch: int) -> Step:
-    """From here on nobody gets a lease on the version in force."""
+    """From here on no member gets a lease on the version in force."""
     return _at_epoch(epoch, lambda proposal_id, document: _with_closing(document, proposal_id, True))
 
 
 def reopen(epoch: int) -> Step:
-    """Somebody who was ready does not stop: all go on under the version in force, until that one's lease
-    has run out."""
+    """Undo a closing: all members continue under the version in force.
+
+    A member that was ready does not stop; its lease has to expire first.
+    """
     return _at_epoch(epoch, lambda proposal_id, document: _with_closing(document, proposal_id, False))
 
 
 def commit(epoch: int) -> Step:
-    """It is in force: a majority of voters knows of nobody who works under the version before."""
+    """Put the change in force: a majority of voters knows of no member working under the old version."""
 
     def apply(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         policy, change, stage = document.policy, document.policy.change, document.policy.stage
@@ -204,7 +219,7 @@
 
 
 def extend_to_rest(epoch: int) -> Step:
-    """Those that are watched do well: the rest follows."""
+    """The canary group does well: bring the other members to its version."""
 
     def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         policy = document.policy
@@ -221,8 +236,11 @@
 
 
 def roll_back(epoch: int, why: str) -> Step:
-    """They do worse, or staff say so: all go to a version that is as the one before the stage. It can't be
-    refused, for all went by it."""
+    """The canary group does worse, or an operator ends the stage.
+
+    All members change to a version that equals the one before the stage. It can't be refused, for all have
+    worked under it.
+    """
 
     def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         policy = document.policy
@@ -237,7 +255,7 @@
 
 
 def end_change(epoch: int, why: str) -> Step:
-    """It is in force nowhere. Where some go by it already, they go back."""
+    """End a change without putting it in force. Members that apply it already are rolled back."""
 
     def apply(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         change = document.policy.change
@@ -255,7 +273,11 @@
 
 
 def cancel_member(member: str, is_cancelled: bool = True) -> Step:
-    """Staff's word that this member does not work any more: no change waits for it, and it gets no lease."""
+    """Withdraw a member by name, or let it back.
+
+    An operator declares that the member does not run: no change waits for it, and it gets no lease. The step
+    raises ChangeRefusedError if too many are withdrawn.
+    """
 
     def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
         cancelled_members = tuple(s for s in document.policy.cancelled_members if s != member) + (
--- a/hopmill/fleet/texts.py
+++ b/hopmill/fleet/texts.py
@@ -1,6 +1,7 @@
-"""Texts too long for a datagram, known by their digest and fetched in pieces from whoever has them.
+"""Texts too long for a datagram, identified by their digest and fetched in pieces from members that have
+them.
 
-A voter votes only for documents whose texts it has on disk, so a majority has whatever is in force.
+A voter votes only for documents whose texts it has on disk, so a majority has every text in force.
 """
 
 from __future__ import annotations
@@ -18,11 +19,14 @@
 
 
 def digest_of(text: bytes) -> bytes:
+    """The first half of the SHA-256 hash."""
     return hashlib.sha256(text).digest()[:16]
 
 
 @dataclass
 class TextFetch:
+    """A text that is being fetched."""
+
     sources: list[str]  # members that may have it, in the order in which they are asked
     pieces: dict[int, bytes] = field(default_factory=dict)  # by offset in bytes
     requested_at: int = -RETRY_US  # us
@@ -30,10 +34,10 @@
 
 
 class TextStore:
-    """`out` and `writes` gather what is to be done; whoever calls takes them."""
+    """`outbox` and `writes` gather messages and disk writes; the caller takes them."""
 
     def __init__(self, on_disk: dict[bytes, bytes]) -> None:
-        """on_disk: by digest, as they were found there; one that does not fit its digest is none."""
+        """on_disk: texts found there by digest; those that do not match their digest are ignored."""
         self.by_digest = {d: t for d, t in on_disk.items() if digest_of(t) == d}
         self.on_disk = set(self.by_digest)
         self.fetches: dict[bytes, TextFetch] = {}
@@ -42,13 +46,14 @@
         self.writes: list[tuple[bytes, bytes]] = []  # (digest, text) to be written
 
     def add(self, text: bytes) -> bytes:
-        """ValueError: it is too long."""
+        """Take a text. Returns its digest; raises ValueError if it is too long."""
         if len(text) > MAX_TEXT_BYTES:
             raise ValueError(f"the policy would take {len(text)} of {MAX_TEXT_BYTES} bytes")
         self.by_digest[digest := digest_of(text)] = text
         return digest
 
     def fetch(self, digest: bytes, sources: list[str]) -> None:
+        """Fetch a text unless it is here."""
         if digest in self.by_digest or not sources:
             return
         fetch = self.fetches.get(digest)
@@ -58,18 +63,19 @@
             fetch.sources += [name for name in sources if name not in fetch.sources]
 
     def store(self, digest: bytes) -> None:
-        """On disk, if it is not there yet."""
+        """Write a text to disk unless it is there."""
         if digest in self.by_digest and digest not in self.on_disk | self.writing:
             self.writing.add(digest)
             self.writes.append((digest, self.by_digest[digest]))
 
     def written(self, digest: bytes, ok: bool) -> None:
+        """Note that a write has ended."""
         self.writing.discard(digest)
         if ok:
             self.on_disk.add(digest)
 
     def retain(self, digests: set[bytes]) -> set[bytes]:
-        """Forget all others; returns those that may go from the disk."""
+        """Drop all other texts. Returns the digests of those that may be deleted from the disk."""
         for digest in [d for d in self.by_digest if d not in digests]:
             del self.by_digest[digest]
         for digest in [d for d in self.fetches if d not in digests]:
@@ -79,6 +85,7 @@
         return deleted
 
     def on_text_request(self, sender: str, request: TextRequest) -> None:
+        """Send the pieces that another member asks for."""
         text = self.by_digest.get(request.digest)
         if text is None or not 0 <= request.at < max(1, len(text)):
             return
@@ -89,6 +96,7 @@
             self.outbox.append(Send(sender, piece))
 
     def on_piece(self, sender: str, piece: TextPiece, now: int) -> None:
+        """Take a piece of a text that is being fetched; the last one of a request asks for more."""
         fetch = self.fetches.get(piece.digest)
         if fetch is None or piece.size > MAX_TEXT_BYTES or len(piece.data) > PIECE_BYTES:
             return
@@ -106,7 +114,7 @@
             self._request(piece.digest, fetch, sender, now)  # the last piece of the request
 
     def _contiguous_bytes(self, fetch: TextFetch) -> int:
-        """Bytes from the start without a hole."""
+        """Bytes from the start without a gap."""
         at = 0
         while at in fetch.pieces and fetch.pieces[at]:
             at += len(fetch.pieces[at])
@@ -117,7 +125,7 @@
         self.outbox.append(Send(source, TextRequest(digest, self._contiguous_bytes(fetch))))
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
+        """Ask for what is missing. Returns the time of the next call."""
         for digest, fetch in self.fetches.items():
             if now - fetch.requested_at >= RETRY_US:
                 self._request(digest, fetch, fetch.sources[fetch.tries % len(fetch.sources)], now)
--- a/hopmill/fleet/watch.py
+++ b/hopmill/fleet/watch.py
@@ -1,9 +1,9 @@
-"""A staged change: how those that go first do, against the others and against themselves before.
+"""A staged change: how the canary group does, against the other members and against itself before.
 
-Each member counts; whoever leads the change asks for the sums. What is compared is the change of a share from
-before to after, of the few against the rest, so that couriers that always differ do not count; the spread
-between couriers of the rest widens it. A pre/post comparison with controls: Angrist, Pischke, Mostly Harmless
-Econometrics (2009), ch. 5.
+Each member counts; the member that leads the change asks for the totals. What is compared is the change of a
+share from before to after, of the canary group against the rest, so that couriers that always differ do not
+count; the spread between couriers of the rest widens the allowed range. A pre/post comparison with controls:
+Angrist, Pischke, Mostly Harmless Econometrics (2009), ch. 5.
 """
 
 from __future__ import annotations
@@ -23,25 +23,27 @@
 
 
 class CanaryWatch:
-    """One member's counts over time. Times are us of its elapsed clock."""
+    """One member's totals over time. Times are us of its elapsed clock."""
 
     def __init__(self) -> None:
+        """`counts` returns the totals so far; the host sets it."""
         self.counts: Callable[[], OutcomeTotals] = OutcomeTotals
         self.samples: deque[tuple[int, OutcomeTotals]] = deque(maxlen=MAX_SAMPLES)
         self.stage_id = ""
         self.stage_start: tuple[int, OutcomeTotals] = 0, OutcomeTotals()
 
     def tick(self, now: int) -> None:
+        """Take a sample if one is due."""
         if not self.samples or now - self.samples[-1][0] >= SAMPLE_INTERVAL_US:
             self.samples.append((now, self.counts()))
 
     def on_stage(self, stage_id: str, now: int) -> None:
-        """The first that is known of this stage here."""
+        """Note the start of a stage when it is first known here."""
         if stage_id != self.stage_id:
             self.stage_id, self.stage_start = stage_id, (now, self.counts())
 
     def totals_around(self, now: int, watch_us: int) -> tuple[OutcomeTotals, OutcomeTotals]:
-        """(before, after): over as long before the stage as it lasts, and since."""
+        """(before, after): what was counted over as long before the stage as it lasts, and since."""
         at, start_totals = self.stage_start
         since = max(watch_us, now - at)
         earlier = next((totals for at_us, totals in self.samples if at_us >= at - since), start_totals)
@@ -49,6 +51,7 @@
 
 
 def difference(later: OutcomeTotals, earlier: OutcomeTotals) -> OutcomeTotals:
+    """What was counted between two totals, never negative."""
     return OutcomeTotals(*(max(0, x - y) for x, y in zip(_as_tuple(later), _as_tuple(earlier), strict=True)))
 
 
@@ -57,7 +60,7 @@
 
 
 def shares(totals: OutcomeTotals) -> dict[str, tuple[float, float]]:
-    """(good share, of how many) by figure: all of them are better when larger."""
+    """(good share, of how many) by figure: larger is better for all of them."""
     calls = max(1e-9, totals.calls)
     return {
         "worth": (totals.earned / max(1e-9, totals.worth), totals.worth),
@@ -71,7 +74,11 @@
     rest: Iterable[tuple[OutcomeTotals, OutcomeTotals]],
     looks: int,
 ) -> str:
-    """What the few do worse beyond chance, "" if nothing. looks: how often it is asked in all."""
+    """What the canary group does worse beyond chance, "" if nothing.
+
+    Each row is (before, after) of one member. looks: how often the test is made in all, for which the
+    threshold is corrected.
+    """
     canary, rest = list(canary), list(rest)
     if not canary or not rest:
         return ""
@@ -102,17 +109,18 @@
 
 
 def total(rows: Iterable[OutcomeTotals]) -> OutcomeTotals:
+    """The sum of these totals."""
     return OutcomeTotals(*(sum(column) for column in zip(*map(_as_tuple, rows), strict=True)))
 
 
 def _variance(share: float, count: float) -> float:
-    """Of a share, and never none: one of so many may be otherwise."""
+    """Of a share, and never zero: one of so many may be otherwise."""
     share = min(max(share, 1 / (count + 2)), 1 - 1 / (count + 2))
     return share * (1 - share) / max(count, 1e-9)
 
 
 def _spread(group: list[tuple[OutcomeTotals, OutcomeTotals]], figure: str) -> float:
-    """How much more couriers differ than chance would have them, at least 1."""
+    """How much more couriers differ than by chance alone, at least 1."""
     mean = _shift(group, figure)[0]
     squares = [
         (_shift([row], figure)[0] - mean) ** 2 / max(1e-12, _shift([row], figure)[1])
@@ -123,7 +131,7 @@
 
 
 def _quantile(tail: float) -> float:
-    """The normal deviate with this much beyond it."""
+    """The normal deviate with this probability beyond it."""
     low, high = 0.0, 40.0
     for _ in range(60):
         middle = (low + high) / 2
