--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -173,13 +173,13 @@
         self.writes.append(Write(self._state(self.requested_ceiling), self.requested_ceiling))
 
     def _next_incarnation(self, after: int) -> int:
-        following = max(self.swim.me.incarnation, after) + 1
-        if following > MAX_INCARNATION:
+        next_incarnation = max(self.swim.me.incarnation, after) + 1
+        if next_incarnation > MAX_INCARNATION:
             return 0
-        if following <= self.ceiling:
-            return following
-        if following > self.requested_ceiling:
-            self._reserve(following)
+        if next_incarnation <= self.ceiling:
+            return next_incarnation
+        if next_incarnation > self.requested_ceiling:
+            self._reserve(next_incarnation)
         return 0
 
     def _state(self, ceiling: int) -> bytes:
@@ -220,25 +220,25 @@
             frame.sender, frame.incarnation, updates, now
         ):
             return False
-        about_members, stirred = isinstance(body, (Ping, Ack, IndirectPing, ProbeFailed)), False
-        if about_members:
+        is_membership, has_work = isinstance(body, (Ping, Ack, IndirectPing, ProbeFailed)), False
+        if is_membership:
             self.swim.receive(frame.sender, body, now)
         elif isinstance(body, POLICY_BODIES):
-            stirred = self.policy_member is not None and self.policy_member.receive(frame.sender, body, now)
+            has_work = self.policy_member is not None and self.policy_member.receive(frame.sender, body, now)
         else:
-            stirred = True
+            has_work = True
             try:
                 self.register.receive(frame.sender, body, now)
             except msgspec.DecodeError:  # the document in it
                 self.counts.dropped["unreadable"] += 1
                 return False
-        return self.register.note_version(frame.sender, frame.version) or stirred
+        return self.register.note_version(frame.sender, frame.version) or has_work
 
     def _compensate_stall(self, now: int) -> None:
         """This process stood still: what was silent meanwhile was not heard, so nobody is blamed for it."""
-        late = now - self.due_at
-        if self.due_at and late > self.swim.period_us:
-            self.swim.on_stall(late)
+        late_us = now - self.due_at
+        if self.due_at and late_us > self.swim.period_us:
+            self.swim.on_stall(late_us)
             self.due_at = now
 
     def tick(self, now: int) -> int:
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -43,10 +43,10 @@
     address: str
     zone: str
     region: str
-    configured: bool
+    is_configured: bool
     state: int = DEAD
     incarnation: int = 0
-    since: int = 0  # of this state
+    state_since: int = 0  # of this state
     heard_at: int = 0  # its last datagram here
     suspected_by: set[str] = field(default_factory=set)  # who suspects it
 
@@ -156,9 +156,11 @@
 
     def _on_update(self, update: MemberUpdate, now: int, sender: str) -> None:
         if update.id == self.me.id:
-            mine = self.me.incarnation
+            own_incarnation = self.me.incarnation
             if not self.is_leaving and (
-                update.incarnation > mine or update.state != ALIVE and update.incarnation == mine
+                update.incarnation > own_incarnation
+                or update.state != ALIVE
+                and update.incarnation == own_incarnation
             ):
                 self._refute(update.incarnation)
             return
@@ -170,7 +172,7 @@
             peer = self.peers[update.id] = Peer(
                 update.id, update.address, update.zone, update.region, False, incarnation=-1
             )
-        if update.incarnation > peer.incarnation and not peer.configured:  # the name may have moved
+        if update.incarnation > peer.incarnation and not peer.is_configured:  # the name may have moved
             peer.address, peer.zone, peer.region = update.address, update.zone, update.region
         if (update.incarnation, update.state) > (peer.incarnation, peer.state):
             self._set_state(peer, update.state, update.incarnation, update.suspected_by or sender, now)
@@ -184,23 +186,25 @@
             self._enqueue_update(peer, by)
 
     def _set_state(self, peer: Peer, state: int, incarnation: int, why: str, now: int) -> None:
-        was, peer.state, peer.incarnation = peer.state, state, incarnation
-        self.live_count += (state <= SUSPECT) - (was <= SUSPECT)
+        previous_state, peer.state, peer.incarnation = peer.state, state, incarnation
+        self.live_count += (state <= SUSPECT) - (previous_state <= SUSPECT)
         peer.suspected_by = {why} if state in (SUSPECT, DEAD) else set()
         self.suspects.discard(peer.id)
         if state == SUSPECT:
             self.suspects.add(peer.id)
-        if was != state:
-            peer.since = now
-            self.changes.append(MemberChange(peer.id, STATES[state], STATES[was], incarnation, why))
+        if previous_state != state:
+            peer.state_since = now
+            self.changes.append(
+                MemberChange(peer.id, STATES[state], STATES[previous_state], incarnation, why)
+            )
         elif state == SUSPECT:
-            peer.since = now
+            peer.state_since = now
         self._enqueue_update(peer)
 
     def _refute(self, incarnation: int) -> None:
-        following = self.next_incarnation(incarnation)
-        if following:
-            self.me.incarnation = following
+        next_incarnation = self.next_incarnation(incarnation)
+        if next_incarnation:
+            self.me.incarnation = next_incarnation
             self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
             self._enqueue_update(self.me)
             live_members = [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
@@ -213,11 +217,11 @@
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
         for seq, probe in list(self.probes.items()):
-            waited = now - probe.sent_at
-            if waited >= self.probe_timeout_us * (1 + self.health_score):
+            waited_us = now - probe.sent_at
+            if waited_us >= self.probe_timeout_us * (1 + self.health_score):
                 del self.probes[seq]
                 self._on_probe_failed(probe, now)
-            elif waited >= self._ack_timeout_us() and not probe.is_indirect:
+            elif waited_us >= self._ack_timeout_us() and not probe.is_indirect:
                 self._probe_indirectly(seq, probe)
         for seq, (asker, asker_seq, at) in list(self.relays.items()):
             if now - at >= self._ack_timeout_us():
@@ -225,7 +229,7 @@
                 self.outbox.append(Send(asker, ProbeFailed(asker_seq)))
         for name in list(self.suspects):
             peer = self.peers[name]
-            if now - peer.since >= self._suspicion_timeout_us(peer):
+            if now - peer.state_since >= self._suspicion_timeout_us(peer):
                 who = ",".join(sorted(peer.suspected_by))
                 self._set_state(peer, DEAD, peer.incarnation, f"silent; suspected by {who}", now)
                 peer.suspected_by = {self.me.id}
@@ -245,7 +249,7 @@
                     for p in self.probes.values()
                 ),
                 *(
-                    self.peers[name].since + self._suspicion_timeout_us(self.peers[name])
+                    self.peers[name].state_since + self._suspicion_timeout_us(self.peers[name])
                     for name in self.suspects
                 ),
             ]
@@ -256,7 +260,7 @@
         self.probes.clear()
         self.relays.clear()
         for name in self.suspects:
-            self.peers[name].since += late_us
+            self.peers[name].state_since += late_us
         self.next_probe_at += late_us
 
     def _ack_timeout_us(self) -> int:
@@ -275,12 +279,12 @@
         if self.probe_count % DEAD_PROBE_EVERY == 0:
             dead_peers = [p for p in self.peers.values() if p.state == DEAD]
             for peer in dead_peers:
-                if not peer.configured and now - peer.since > FORGET_DEAD_US:
+                if not peer.is_configured and now - peer.state_since > FORGET_DEAD_US:
                     self._forget(peer.id)
             if dead_peers:
                 self._ping(self.rng.choice(dead_peers).id, now)
-            for peer in [p for p in self.peers.values() if p.state == LEFT and not p.configured]:
-                if now - peer.since > FORGET_DEAD_US:
+            for peer in [p for p in self.peers.values() if p.state == LEFT and not p.is_configured]:
+                if now - peer.state_since > FORGET_DEAD_US:
                     self._forget(peer.id)
         while True:
             if not self.probe_order:
@@ -298,8 +302,8 @@
 
     def _forget(self, name: str) -> None:
         self.live_count -= self.peers[name].state <= SUSPECT
-        for kept in (self.peers, self.gossip_counts, self.encoded_updates):
-            kept.pop(name, None)
+        for table in (self.peers, self.gossip_counts, self.encoded_updates):
+            table.pop(name, None)
         self.suspects.discard(name)
         self.outdated_senders.discard(name)
 
--- a/hopmill/fleet/texts.py
+++ b/hopmill/fleet/texts.py
@@ -87,38 +87,44 @@
     def on_text_request(self, sender: str, request: TextRequest) -> None:
         """Send the pieces that another member asks for."""
         text = self.by_digest.get(request.digest)
-        if text is None or not 0 <= request.at < max(1, len(text)):
+        if text is None or not 0 <= request.offset < max(1, len(text)):
             return
-        for at in range(
-            request.at, min(len(text), request.at + PIECES_PER_REQUEST * PIECE_BYTES) or 1, PIECE_BYTES
+        for offset in range(
+            request.offset,
+            min(len(text), request.offset + PIECES_PER_REQUEST * PIECE_BYTES) or 1,
+            PIECE_BYTES,
         ):
-            piece = TextPiece(request.digest, at, len(text), text[at : at + PIECE_BYTES])
+            piece = TextPiece(request.digest, offset, len(text), text[offset : offset + PIECE_BYTES])
             self.outbox.append(Send(sender, piece))
 
     def on_piece(self, sender: str, piece: TextPiece, now: int) -> None:
         """Take a piece of a text that is being fetched; the last one of a request asks for more."""
         fetch = self.fetches.get(piece.digest)
-        if fetch is None or piece.size > MAX_TEXT_BYTES or len(piece.data) > PIECE_BYTES:
+        if fetch is None or piece.total_bytes > MAX_TEXT_BYTES or len(piece.data) > PIECE_BYTES:
             return
-        is_new = piece.at not in fetch.pieces
-        fetch.pieces[piece.at] = piece.data
-        have = self._contiguous_bytes(fetch)
-        if have == piece.size:
+        is_new = piece.offset not in fetch.pieces
+        fetch.pieces[piece.offset] = piece.data
+        contiguous = self._contiguous_bytes(fetch)
+        if contiguous == piece.total_bytes:
             text = b"".join(data for _, data in sorted(fetch.pieces.items()))
             del self.fetches[piece.digest]
             if digest_of(text) == piece.digest:
                 self.by_digest[piece.digest] = text
-        elif have > piece.size:
+        elif contiguous > piece.total_bytes:
             fetch.pieces.clear()  # pieces of different texts: start again
-        elif is_new and have == piece.at + len(piece.data) and have // PIECE_BYTES % PIECES_PER_REQUEST == 0:
+        elif (
+            is_new
+            and contiguous == piece.offset + len(piece.data)
+            and contiguous // PIECE_BYTES % PIECES_PER_REQUEST == 0
+        ):
             self._request(piece.digest, fetch, sender, now)  # the last piece of the request
 
     def _contiguous_bytes(self, fetch: TextFetch) -> int:
         """Bytes from the start without a gap."""
-        at = 0
-        while at in fetch.pieces and fetch.pieces[at]:
-            at += len(fetch.pieces[at])
-        return at
+        offset = 0
+        while offset in fetch.pieces and fetch.pieces[offset]:
+            offset += len(fetch.pieces[offset])
+        return offset
 
     def _request(self, digest: bytes, fetch: TextFetch, source: str, now: int) -> None:
         fetch.requested_at = now
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -191,13 +191,13 @@
     """So many pieces of it, from this byte on."""
 
     digest: bytes
-    at: int
+    offset: int
 
 
 class TextPiece(ArrayStruct, tag="u"):
     digest: bytes
-    at: int
-    size: int  # of the whole
+    offset: int
+    total_bytes: int  # of the whole
     data: bytes
 
 
@@ -269,13 +269,13 @@
 def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, updates: list[bytes]) -> bytes:
     """As much of the news as fits, the first first. ValueError if the body alone does not."""
     head = Frame(FORMAT, fleet, sender, incarnation, version, msgspec.Raw(encode(body)))
-    room = MAX_DATAGRAM_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
-    if room < 0:
+    room_bytes = MAX_DATAGRAM_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
+    if room_bytes < 0:
         raise ValueError("the body does not fit a datagram")
-    taken = []
-    for each in updates:
-        room -= len(each)
-        if room < 0:
+    fitting = []
+    for update in updates:
+        room_bytes -= len(update)
+        if room_bytes < 0:
             break
-        taken.append(msgspec.Raw(each))
-    return encode(msgspec.structs.replace(head, updates=tuple(taken)))
+        fitting.append(msgspec.Raw(update))
+    return encode(msgspec.structs.replace(head, updates=tuple(fitting)))
