--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -25,17 +25,17 @@
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Ack, Ping, IndirectPing, ProbeFailed
 
-INCARNATION_BLOCK = 1000  # incarnations that are put on disk at a time, before the first of them is used
-MIN_FRESH_INCARNATION = 1 << 32  # a member without a past begins above it
-DISK_RETRY_US = 1_000_000  # after a disk that said no
-MAX_STATUS_MEMBERS = 60  # members, in a row for staff
-MAX_INCARNATION = 1 << 48  # an incarnation past it is nobody's
+INCARNATION_BLOCK = 1000  # incarnations reserved on disk at a time, before the first of them is used
+MIN_FRESH_INCARNATION = 1 << 32  # a member without trusted state starts above it
+DISK_RETRY_US = 1_000_000  # after a failed write
+MAX_STATUS_MEMBERS = 60  # members of a canary group in the status
+MAX_INCARNATION = 1 << 48  # a datagram with a later one is dropped
 
 
 class Stored(msgspec.Struct):
     """All that a member keeps on disk."""
 
-    ceiling: int = 0  # no incarnation above it was ever used
+    ceiling: int = 0  # the highest reserved incarnation: none above it was ever used
     memory: Memory = msgspec.field(default_factory=Memory)
 
 
@@ -50,8 +50,8 @@
     """Put these bytes on disk (fsync), in this order; then tell the node whether they are there."""
 
     state: bytes
-    ceiling: int
-    then: tuple[Send, ...] = ()
+    ceiling: int  # in `state`
+    then: tuple[Send, ...] = ()  # sent after the write
 
 
 @dataclass(frozen=True)
@@ -100,9 +100,9 @@
         self.ceiling = stored.ceiling
         incarnation = carried["incarnation"] if carried else stored.ceiling + 1
         if not carried and not same_folder:
-            # What it used since is not in this folder, nor in a copy: from a place where it has never been.
+            # The folder does not tell what was used since it was written: start at a random place.
             incarnation = self.rng.randrange(MIN_FRESH_INCARNATION, MAX_INCARNATION >> 1)
-        self.requested_ceiling = max(incarnation, self.ceiling if carried else 0)  # the ceiling asked for
+        self.requested_ceiling = max(incarnation, self.ceiling if carried else 0)  # being written
         self.counts = DatagramCounts()
         self.swim = Swim(members, incarnation, self.rng, self._next_incarnation)
         initial = RegisterDocument(0, members.voters)
@@ -201,7 +201,7 @@
             self.started = True
             self.swim.start(now)
 
-    # In and out
+    # Datagrams
 
     def datagram(self, data: bytes, now: int) -> bool:
         """Whether `tick` has something to do at once; else it may wait for its time."""
@@ -229,7 +229,7 @@
             has_work = True
             try:
                 self.register.receive(frame.sender, body, now)
-            except msgspec.DecodeError:  # the document in it
+            except msgspec.DecodeError:  # of the document in it
                 self.counts.dropped["unreadable"] += 1
                 return False
         return self.register.note_version(frame.sender, frame.version) or has_work
@@ -247,7 +247,7 @@
             self._start(now)
         if not self.started:
             if not self.writes and self.requested_ceiling <= self.ceiling:
-                self._reserve(self.swim.me.incarnation)  # the disk said no: once more
+                self._reserve(self.swim.me.incarnation)  # the write failed: try again
             return now + DISK_RETRY_US
         self._compensate_stall(now)
         self.due_at = min(self.swim.tick(now), self.register.tick(now))
@@ -270,7 +270,7 @@
                     self.writes.append(
                         Write(self._state(self.requested_ceiling), self.requested_ceiling, action.then)
                     )
-                elif action.to == self.settings.id:  # what is meant for this member itself is heard at once
+                elif action.to == self.settings.id:  # messages to this member are handled at once
                     self._deliver_to_self(action.body, now)
                 else:
                     self._send(action)
@@ -281,9 +281,8 @@
         if self.policy_member is None:
             return []
         store = self.policy_member.texts
-        if (
-            self.policy_member.deletable_texts
-        ):  # first: what is written now as well was wanted again after that
+        # Deletions first: a text that is written now as well was needed again after that.
+        if self.policy_member.deletable_texts:
             texts.append(DeleteTexts(frozenset(self.policy_member.deletable_texts)))
             self.policy_member.deletable_texts = set()
         texts += [WriteText(digest, text) for digest, text in store.writes]
@@ -325,7 +324,7 @@
         self.counts.sent_bytes += len(data)
         self.ready_datagrams.append(Datagram(address, data))
 
-    # What staff and logs are told
+    # Operators and logs
 
     def take_member_changes(self) -> list[MemberChange]:
         """Members whose state has changed since the last call."""
--- a/hopmill/fleet/settings.py
+++ b/hopmill/fleet/settings.py
@@ -15,7 +15,7 @@
 Place = Annotated[str, msgspec.Meta(max_length=32)]
 Drift = Annotated[float, msgspec.Meta(ge=0, le=0.1)]
 VOTERS = (1, 3, 5)
-MAX_MEMBERS = 2000  # that a member keeps in mind; names past it are counted and dropped
+MAX_MEMBERS = 2000  # known to one member; further names are counted and dropped
 ADDRESS = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 
 
@@ -23,7 +23,7 @@
     """Another courier of the fleet."""
 
     id: Id
-    address: str  # IPv4 HOST:PORT where it hears datagrams
+    address: str  # IPv4 HOST:PORT where it receives datagrams
     zone: Place = ""
     region: Place = ""
 
@@ -44,14 +44,14 @@
     zone: Place = ""
     region: Place = ""
     others: tuple[Other, ...] = ()
-    voters: tuple[Id, ...]  # of a new fleet; from then on the register's document names them
+    voters: tuple[Id, ...]  # of a new fleet; later the register's document names them
     leases: tuple[Id, ...] = ()  # that this courier tries to hold
-    period_ms: Positive = 100.0  # from one look at another member to the next
-    probe_ms: Positive = 180.0  # without an answer for so long, a member is suspected
-    patience_ms: Positive = 2250.0  # suspected for so long, it is taken for dead
+    period_ms: Positive = 100.0  # between two probes of other members
+    probe_ms: Positive = 180.0  # a member that does not answer for so long is suspected
+    patience_ms: Positive = 2250.0  # a member that is suspected for so long is declared dead
     lease_ms: Positive = 3000.0
-    policy: PolicyRule | None = None  # none: each courier goes by its own file
-    drift: Drift = 0.01  # two machines' elapsed clocks run apart by at most this share
+    policy: PolicyRule | None = None  # none: each courier applies its own file
+    drift: Drift = 0.01  # elapsed clocks of two machines drift apart by at most this share
 
 
 def problems(members: Members) -> Iterator[str]:
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -24,15 +24,15 @@
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
-INDIRECT_PROBES = 3  # asked to ping a silent member
-MAX_CONFIRMATIONS = 3  # members that share a suspicion, from which on it is at its shortest
-UNCONFIRMED_FACTOR = 2.0  # a suspicion that nobody shares lasts so many times as long
-MAX_HEALTH_SCORE = 8  # of a member's own health
-GOSSIP_FACTOR = 3  # times the logarithm of the fleet that a piece of news is told
-RANDOM_UPDATES = 2  # rows of the table that ride along where there is room, so that a split mends
-DEAD_PROBE_EVERY = 8  # one probe in so many goes to a member that is taken for dead
-FORGET_DEAD_US = 60_000_000  # one that is dead and in no configuration is kept in mind so long
-MAX_RELAYS = 256
+INDIRECT_PROBES = 3  # members asked to ping a silent one
+MAX_CONFIRMATIONS = 3  # with so many members that share it, a suspicion is shortest
+UNCONFIRMED_FACTOR = 2.0  # how much longer a suspicion lasts that no other member shares
+MAX_HEALTH_SCORE = 8
+GOSSIP_FACTOR = 3  # an update is sent so many times the logarithm of the fleet's size
+RANDOM_UPDATES = 2  # random members added to a datagram with room, so that a partition heals
+DEAD_PROBE_EVERY = 8  # one probe in so many goes to a dead member
+FORGET_DEAD_US = 60_000_000  # then a dead member is forgotten, unless it is configured
+MAX_RELAYS = 256  # open pings for other members
 
 
 @dataclass
@@ -43,12 +43,12 @@
     address: str
     zone: str
     region: str
-    is_configured: bool
+    is_configured: bool  # named in the own configuration
     state: int = DEAD
     incarnation: int = 0
-    state_since: int = 0  # of this state
-    heard_at: int = 0  # its last datagram here
-    suspected_by: set[str] = field(default_factory=set)  # who suspects it
+    state_since: int = 0  # us
+    heard_at: int = 0  # us, of its last datagram
+    suspected_by: set[str] = field(default_factory=set)
 
     def to_update(self) -> MemberUpdate:
         return MemberUpdate(
@@ -65,9 +65,9 @@
 @dataclass
 class Probe:
     target: str
-    sent_at: int
-    is_indirect: bool = False
-    failed_helpers: int = 0
+    sent_at: int  # us
+    is_indirect: bool = False  # helpers were asked
+    failed_helpers: int = 0  # that got no answer either
     helper_count: int = 0
 
 
@@ -98,24 +98,22 @@
         self.peers = {o.id: Peer(o.id, o.address, o.zone, o.region, True) for o in members.others}
         self.period_us, self.probe_timeout_us = int(members.period_ms * 1e3), int(members.probe_ms * 1e3)
         self.suspicion_us = int(members.patience_ms * 1e3)
-        self.health_score = 0  # of this member's own hearing: 0 is well
+        self.health_score = 0  # local health of Lifeguard: 0 is healthy, failed probes raise it
         self.seq = 0
         self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, tuple[str, int, int]] = {}  # own seq: who asked, its seq, when
+        self.relays: dict[int, tuple[str, int, int]] = {}  # by own seq: (member that asked, its seq, us)
         self.probe_order: list[str] = []
         self.probe_count = 0
         self.next_probe_at = 0
-        self.gossip_counts: dict[str, int] = {}  # of each piece of news, how often it was
+        self.gossip_counts: dict[str, int] = {}  # by member: how often its update was sent
         self.encoded_updates: dict[str, bytes] = {}
         self.suspects: set[str] = set()
-        self.outdated_senders: set[str] = (
-            set()
-        )  # members that spoke with an earlier incarnation than is known
+        self.outdated_senders: set[str] = set()  # used an earlier incarnation than is known
         self.outbox: list[Send] = []
         self.changes: list[MemberChange] = []
         self.dropped: Counter[str] = Counter()
         self.is_leaving = False
-        self.live_count = 1  # members that are alive or suspected, this one included
+        self.live_count = 1  # alive or suspected members, this one included
 
     def start(self, now: int) -> None:
         self.next_probe_at = now + self.rng.randrange(self.period_us)
@@ -123,7 +121,7 @@
         for peer in self._sample(list(self.peers), INDIRECT_PROBES):
             self._ping(peer, now)
 
-    # What is known
+    # State
 
     def is_alive(self, name: str) -> bool:
         return name == self.me.id or (p := self.peers.get(name)) is not None and p.state in (ALIVE, SUSPECT)
@@ -142,15 +140,14 @@
             return False
         if incarnation < peer.incarnation:
             self.dropped["old incarnation"] += 1
-            if (
-                sender not in self.outdated_senders
-            ):  # perhaps its folder is new: it has to hear of what it once was
+            # Its folder may be new: it has to learn the incarnation that it had before.
+            if sender not in self.outdated_senders:
                 self.outdated_senders.add(sender)
                 self._ping(sender, now)
             return False
         self.outdated_senders.discard(sender)
         if incarnation > peer.incarnation:
-            self._set_state(peer, ALIVE, incarnation, "its own word", now)
+            self._set_state(peer, ALIVE, incarnation, "its own datagram", now)
         peer.heard_at = now
         return True
 
@@ -172,7 +169,7 @@
             peer = self.peers[update.id] = Peer(
                 update.id, update.address, update.zone, update.region, False, incarnation=-1
             )
-        if update.incarnation > peer.incarnation and not peer.is_configured:  # the name may have moved
+        if update.incarnation > peer.incarnation and not peer.is_configured:  # the address may have changed
             peer.address, peer.zone, peer.region = update.address, update.zone, update.region
         if (update.incarnation, update.state) > (peer.incarnation, peer.state):
             self._set_state(peer, update.state, update.incarnation, update.suspected_by or sender, now)
@@ -212,7 +209,7 @@
                 self.seq += 1
                 self.outbox.append(Send(name, Ping(self.seq, name)))
 
-    # Time
+    # Timer
 
     def tick(self, now: int) -> int:
         """Returns when to be called again."""
@@ -291,7 +288,7 @@
                 self.probe_order = [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT)]
                 self.rng.shuffle(self.probe_order)
                 if not self.probe_order:
-                    if self.peers:  # alone: those of the configuration may be there
+                    if self.peers:  # no other is alive: try any that is known
                         self._ping(self.rng.choice(list(self.peers)), now)
                     return
             target = self.probe_order.pop()
@@ -323,9 +320,8 @@
 
     def _on_probe_failed(self, probe: Probe, now: int) -> None:
         if probe.failed_helpers < probe.helper_count or not probe.helper_count:
-            self.health_score = min(
-                MAX_HEALTH_SCORE, self.health_score + 1
-            )  # helpers that are silent too speak against this member
+            # Helpers that do not answer either suggest that this member is at fault.
+            self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         peer = self.peers.get(probe.target)
         if peer and peer.state == ALIVE and peer.heard_at <= probe.sent_at:
             self._set_state(peer, SUSPECT, peer.incarnation, self.me.id, now)
@@ -367,7 +363,7 @@
     def _sample(self, names: list[str], limit: int) -> list[str]:
         return self.rng.sample(names, min(limit, len(names)))
 
-    # News
+    # Gossip
 
     def _enqueue_update(self, peer: Peer, by: str = "") -> None:
         update = peer.to_update()
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -6,7 +6,7 @@
 
 FORMAT = 1
 MAX_DATAGRAM_BYTES = 1200
-Ballot = tuple[int, str]  # round, then who proposes: all are different
+Ballot = tuple[int, str]  # (round, proposer): no two are equal
 
 
 class ArrayStruct(msgspec.Struct, array_like=True, frozen=True):
@@ -22,7 +22,7 @@
     address: str
     zone: str
     region: str
-    suspected_by: str = ""  # who suspects it, or took it for dead
+    suspected_by: str = ""  # the member that suspects it or declared it dead
 
 
 # Membership
@@ -30,7 +30,7 @@
 
 class Ping(ArrayStruct, tag="p"):
     seq: int
-    target: str  # whom it is meant for: an address may have changed hands
+    target: str  # the member that it is meant for: an address may have a new owner
 
 
 class Ack(ArrayStruct, tag="a"):
@@ -62,13 +62,13 @@
 class RecoveryReply(ArrayStruct, tag="w"):
     """life: the highest known of the asker, its own told one included."""
 
-    generation: int
+    generation: int  # the highest known of the member that asked, its claim included
     is_voting: bool
-    claimed_generation: int  # the life in the Ask that this answers
+    claimed_generation: int  # the generation in the request that this answers
     promised: Ballot
     accepted: Ballot
     document: bytes
-    generations: dict[str, int] = {}  # of the other voters, as known here
+    generations: dict[str, int] = {}  # of the other voters, as known to the sender
 
 
 class Prepare(ArrayStruct, tag="1"):
@@ -87,7 +87,7 @@
 
     ballot: Ballot
     document: bytes
-    basis: tuple[tuple[str, int], ...]
+    basis: tuple[tuple[str, int], ...]  # (voter, generation) of the promises it is based on
 
 
 class Accepted(ArrayStruct, tag="4"):
@@ -112,7 +112,7 @@
     document: bytes
 
 
-# The policy in force: who may act under it, and its texts
+# The policy in force: leases on it, changes, and texts
 
 
 class LeaseRequest(ArrayStruct, tag="h"):
@@ -121,9 +121,9 @@
     generation: int
     seq: int
     version: int
-    continues_alone: bool  # alone, it goes on under the last version
-    ready_for: str = ""
-    refusal: str = ""
+    continues_alone: bool  # without the voters it goes on under the last version
+    ready_for: str = ""  # the change that the member is ready for
+    refusal: str = ""  # the change that it refuses, and why
 
 
 class LeaseGrant(ArrayStruct, tag="g"):
@@ -131,7 +131,7 @@
 
     seq: int
     version: int
-    voter_set_version: int
+    voter_set_version: int  # as the voter knows it
     generation: int = 0
 
 
@@ -157,20 +157,20 @@
 
     epoch: int
     voter_set_version: int
-    is_drained: bool
-    pending: tuple[tuple[str, str], ...] = ()
-    refused: str = ""
+    is_drained: bool  # no member is pending
+    pending: tuple[tuple[str, str], ...] = ()  # (member, reason) of some of them
+    refused: str = ""  # a member and its reason to refuse the change
 
 
 class OutcomeTotals(ArrayStruct):
     """What a courier has counted: worth of the messages that ended, and earned by them; calls that ended,
     refused as full, and failed otherwise."""
 
-    worth: float = 0.0
-    earned: float = 0.0
-    calls: float = 0.0
-    refused: float = 0.0
-    failed: float = 0.0
+    worth: float = 0.0  # of the messages that ended
+    earned: float = 0.0  # by them
+    calls: float = 0.0  # that ended
+    refused: float = 0.0  # calls refused as full
+    failed: float = 0.0  # calls that failed otherwise
 
 
 class TotalsRequest(ArrayStruct, tag="S"):
@@ -197,7 +197,7 @@
 class TextPiece(ArrayStruct, tag="u"):
     digest: bytes
     offset: int
-    total_bytes: int  # of the whole
+    total_bytes: int  # of the text
     data: bytes
 
 
@@ -269,9 +269,10 @@
 def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, updates: list[bytes]) -> bytes:
     """As much of the news as fits, the first first. ValueError if the body alone does not."""
     head = Frame(FORMAT, fleet, sender, incarnation, version, msgspec.Raw(encode(body)))
-    room_bytes = MAX_DATAGRAM_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
+    # The length prefix of the array of updates grows with its content.
+    room_bytes = MAX_DATAGRAM_BYTES - len(encode(head)) - 4
     if room_bytes < 0:
-        raise ValueError("the body does not fit a datagram")
+        raise ValueError(f"the message does not fit a datagram of {MAX_DATAGRAM_BYTES} bytes")
     fitting = []
     for update in updates:
         room_bytes -= len(update)
