--- a/hopmill/fleet/__init__.py
+++ b/hopmill/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between couriers: members, the register, its leases. No I/O and no clock in it; docs/fleet.md."""
+"""Agreement between couriers: membership, the register, its leases. No I/O, no clock; see docs/fleet.md."""
--- a/hopmill/fleet/actions.py
+++ b/hopmill/fleet/actions.py
@@ -1,4 +1,4 @@
-"""What the members' protocols ask of whoever runs them."""
+"""What the members' protocols ask their host to do."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram to a member, this one included; it may be lost, late, twice."""
+    """Send a message to a member, possibly this one; it may be lost, delayed or duplicated."""
 
     to: str
     body: Body
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Put the whole state on disk (fsync); only then send. If the disk says no, nothing of it is sent."""
+    """Write the whole state to disk (fsync), and only then send. If the write fails, nothing is sent."""
 
     state: bytes
     then: tuple[Send, ...]
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -1,6 +1,6 @@
-"""A member of the fleet: who is there, the register and its leases, behind one clock and one way in and out.
+"""A member of the fleet: membership, the register and its leases, with one clock and one set of entry points.
 
-Whoever runs it (a process, the laboratory, a test) gives it datagrams and time and carries its actions out.
+The host (a process, the laboratory, a test) passes it datagrams and time and carries its actions out.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Stored(msgspec.Struct):
-    """All that a member keeps on disk."""
+    """All that a member keeps on disk; the field names are stored."""
 
     ceiling: int = 0  # the highest reserved incarnation: none above it was ever used
     memory: Memory = msgspec.field(default_factory=Memory)
@@ -41,13 +41,15 @@
 
 @dataclass(frozen=True)
 class Datagram:
+    """Send these bytes to an address."""
+
     address: str
     data: bytes
 
 
 @dataclass(frozen=True)
 class Write:
-    """Put these bytes on disk (fsync), in this order; then tell the node whether they are there."""
+    """Write the state to disk (fsync), in this order; then report to the node whether that succeeded."""
 
     state: bytes
     ceiling: int  # in `state`
@@ -56,7 +58,7 @@
 
 @dataclass(frozen=True)
 class WriteText:
-    """Put this text on disk under its digest (fsync); then tell the node whether it is there."""
+    """Write a text to disk under its digest (fsync); then report to the node whether that succeeded."""
 
     digest: bytes
     text: bytes
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True)
 class DeleteTexts:
-    """These may go from the disk."""
+    """These texts may be deleted from the disk."""
 
     digests: frozenset[bytes]
 
@@ -74,7 +76,7 @@
 
 @dataclass
 class DatagramCounts:
-    """Since the start."""
+    """Counts since the start."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -83,7 +85,7 @@
 
 
 class Node:
-    """Times are us of this member's elapsed clock. After each call, `take` gives what is to be done."""
+    """Times are us of this member's elapsed clock. After each call, `take` returns the actions to do."""
 
     def __init__(
         self,
@@ -94,8 +96,12 @@
         carried: dict[str, Any] | None = None,
         texts: dict[bytes, bytes] | None = None,
     ) -> None:
-        """same_folder: it is where it was stored, no copy. seed: another with each start, from the system's
-        own chance. carried: by the process before, in an upgrade. texts: those on disk, by digest."""
+        """Start a member.
+
+        same_folder: the state is where it was stored, no copy. seed: a different one at each start, from the
+        system's random source. carried: what the process before handed over in an upgrade. texts: those on
+        disk, by digest.
+        """
         self.settings, self.rng = members, random.Random(seed)
         self.ceiling = stored.ceiling
         incarnation = carried["incarnation"] if carried else stored.ceiling + 1
@@ -137,7 +143,7 @@
     # Upgrades
 
     def carry(self) -> dict[str, Any]:
-        """For the next process on this machine; this one must not speak any more."""
+        """State for the next process on this machine; this one must not send anything any more."""
         register = self.register
         return {
             "born": self.generation,
@@ -168,7 +174,7 @@
     # Incarnations
 
     def _reserve(self, incarnation: int) -> None:
-        """On disk before the first of them is used."""
+        """Reserve a block of incarnations on disk before the first of them is used."""
         self.requested_ceiling = incarnation + INCARNATION_BLOCK
         self.writes.append(Write(self._state(self.requested_ceiling), self.requested_ceiling))
 
@@ -186,7 +192,7 @@
         return msgspec.msgpack.encode(Stored(ceiling, self.register.voter.memory))
 
     def written(self, write: Write, ok: bool, now: int) -> None:
-        """The disk has done it, or said no: then what waits for it is not sent, as if it had been lost."""
+        """Note that a write has ended. If it failed, what waits for it is not sent, as if it were lost."""
         if not ok:
             self.requested_ceiling = self.ceiling
             return
@@ -196,7 +202,7 @@
         self._start(now)
 
     def _start(self, now: int) -> None:
-        """Nothing is said before the incarnation is on disk."""
+        """Send nothing before the incarnation is on disk."""
         if not self.started and self.swim.me.incarnation <= self.ceiling:
             self.started = True
             self.swim.start(now)
@@ -204,7 +210,7 @@
     # Datagrams
 
     def datagram(self, data: bytes, now: int) -> bool:
-        """Whether `tick` has something to do at once; else it may wait for its time."""
+        """Handle a datagram. Returns whether `tick` has something to do at once."""
         self.counts.received += 1
         try:
             frame, body, updates = wire.read(data, self.settings.fleet)
@@ -235,14 +241,14 @@
         return self.register.note_version(frame.sender, frame.version) or has_work
 
     def _compensate_stall(self, now: int) -> None:
-        """This process stood still: what was silent meanwhile was not heard, so nobody is blamed for it."""
+        """If this process did not run, silence of others in that time is not held against them."""
         late_us = now - self.due_at
         if self.due_at and late_us > self.swim.period_us:
             self.swim.on_stall(late_us)
             self.due_at = now
 
     def tick(self, now: int) -> int:
-        """Everything that time brings. Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         if not self.started:
             self._start(now)
         if not self.started:
@@ -256,7 +262,7 @@
         return self.due_at
 
     def take(self, now: int) -> list[NodeAction]:
-        """What is to be done, in order."""
+        """Return the actions to carry out, in order."""
         texts: list[NodeAction] = []
         while actions := [
             *self.own_messages,
@@ -296,6 +302,7 @@
             self.policy_member.receive(self.settings.id, body, now)
 
     def text_written(self, digest: bytes, ok: bool, now: int) -> None:
+        """Note that the write of a text has ended."""
         if self.policy_member:
             self.policy_member.texts.written(digest, ok)
             self.register.on_texts_stored(now)
@@ -337,15 +344,16 @@
         now: int,
         callback: Callable[[Outcome], None],
     ) -> str:
+        """Propose a change of the document. Returns the proposal id."""
         return self.register.propose(change, now, callback)
 
     def fencing_token(self, lease: str, now: int) -> int:
-        """The fencing number to act under, 0 if it may not act. To be asked in the turn that acts."""
+        """The token to act under, 0 if it may not act. To be called in the turn that acts."""
         holder = self.register.lease_holders.get(lease)
         return holder.fencing_token(now) if holder else 0
 
     def status(self, now: int) -> dict[str, Any]:
-        """Ages are in ms."""
+        """The status for operators; ages are in ms."""
         me, register = self.swim.me, self.register
         peers = sorted(self.swim.peers.values(), key=lambda peer: peer.id)
         rows = [
--- a/hopmill/fleet/settings.py
+++ b/hopmill/fleet/settings.py
@@ -1,4 +1,4 @@
-"""`[members]`: who the couriers of a fleet are and how they speak. Off unless it names a fleet."""
+"""`[members]`: the couriers of a fleet and how they communicate. Off unless it names a fleet."""
 
 from __future__ import annotations
 
@@ -29,14 +29,17 @@
 
 
 class PolicyRule(Strict, kw_only=True):
-    """`[members.policy]`: the fleet has one policy. What a courier does that holds no lease on it has to be
-    said; docs/operations.md tells what each costs."""
+    """`[members.policy]`: the fleet has one policy.
+
+    `alone` says what a courier does that holds no lease on it; docs/operations.md tells what each choice
+    costs.
+    """
 
     alone: Literal["hold", "last"]
 
 
 class Members(Strict, kw_only=True):
-    """This courier among the others. Times count elapsed time on this machine (CLOCK_BOOTTIME)."""
+    """This courier and the other members. Times count elapsed time on this machine (CLOCK_BOOTTIME)."""
 
     fleet: Id
     id: Id
@@ -55,7 +58,7 @@
 
 
 def problems(members: Members) -> Iterator[str]:
-    """What is wrong in the relation of fields, one line each."""
+    """Invalid relations of fields, one line each."""
     ids = [members.id, *(o.id for o in members.others)]
     for index, other in enumerate(members.others):
         if other.id in ids[: index + 1]:
@@ -74,7 +77,7 @@
 
 
 def warnings(members: Members) -> Iterator[str]:
-    """What works, and costs the fleet its register when one zone fails."""
+    """What works, but loses the register when one zone fails."""
     zone = {members.id: members.zone} | {o.id: o.zone for o in members.others}
     for name, count in Counter(zone[v] for v in members.voters if v in zone).items():
         if len(members.voters) > 1 and count > len(members.voters) // 2:
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -1,10 +1,10 @@
-"""Who is there: SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar and others, 2018).
+"""Membership: SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar and others, 2018).
 
-Each period one other member is pinged; a silent one is pinged again and through others; silent still, it
-is suspected, and whoever is suspected may refute it by a later incarnation. A suspicion lasts the shorter the
-more members share it, and a member whose own probes fail takes its own hearing for the cause and gives the
-others more time. News ride on the datagrams, the least told first, each a number of times that grows with the
-logarithm of the fleet.
+In each period one other member is pinged. If it does not answer, it is pinged again and through others; if it
+still does not answer, it is suspected, and a suspected member may refute that with a later incarnation. A
+suspicion lasts shorter the more members share it. A member whose own probes fail assumes that it is itself at
+fault and gives the others more time. Updates are piggybacked on datagrams, those sent least often first, each
+a number of times that grows with the logarithm of the fleet's size.
 """
 
 from __future__ import annotations
@@ -51,6 +51,7 @@
     suspected_by: set[str] = field(default_factory=set)
 
     def to_update(self) -> MemberUpdate:
+        """The gossip about this member."""
         return MemberUpdate(
             self.id,
             self.state,
@@ -64,6 +65,8 @@
 
 @dataclass
 class Probe:
+    """A ping that waits for its answer."""
+
     target: str
     sent_at: int  # us
     is_indirect: bool = False  # helpers were asked
@@ -73,7 +76,7 @@
 
 @dataclass(frozen=True)
 class MemberChange:
-    """A member's state is another now; why says on whose word."""
+    """A change of a member's state; why says by whose report."""
 
     id: str
     state: str
@@ -83,7 +86,7 @@
 
 
 class Swim:
-    """Times are us of this member's elapsed clock."""
+    """Times are us of this member's elapsed clock. `outbox` gathers messages, `changes` changes of state."""
 
     def __init__(
         self,
@@ -92,7 +95,7 @@
         rng: random.Random,
         next_incarnation: Callable[[int], int],
     ) -> None:
-        """next_incarnation: one above the given, never used before; 0 while it can't be had."""
+        """next_incarnation: one above the given, never used before; 0 while none is available."""
         self.settings, self.rng, self.next_incarnation = members, rng, next_incarnation
         self.me = Peer(members.id, members.address, members.zone, members.region, True, ALIVE, incarnation)
         self.peers = {o.id: Peer(o.id, o.address, o.zone, o.region, True) for o in members.others}
@@ -116,6 +119,7 @@
         self.live_count = 1  # alive or suspected members, this one included
 
     def start(self, now: int) -> None:
+        """Announce this member to some others."""
         self.next_probe_at = now + self.rng.randrange(self.period_us)
         self._enqueue_update(self.me)
         for peer in self._sample(list(self.peers), INDIRECT_PROBES):
@@ -124,14 +128,17 @@
     # State
 
     def is_alive(self, name: str) -> bool:
+        """Whether the member is this one, alive or suspected."""
         return name == self.me.id or (p := self.peers.get(name)) is not None and p.state in (ALIVE, SUSPECT)
 
     def address(self, name: str) -> str:
-        """Where it hears, "" if it is not known."""
+        """Where the member receives datagrams, "" if that is not known."""
         return p.address if (p := self.peers.get(name)) else ""
 
     def on_datagram(self, sender: str, incarnation: int, updates: list[MemberUpdate], now: int) -> bool:
-        """A datagram came. False if it is to be dropped: of an earlier incarnation, or from nobody known."""
+        """Handle sender and updates. Returns False if the datagram is to be dropped: outdated or unknown
+        sender.
+        """
         for update in updates:
             self._on_update(update, now, sender)
         peer = self.peers.get(sender)
@@ -152,6 +159,7 @@
         return True
 
     def _on_update(self, update: MemberUpdate, now: int, sender: str) -> None:
+        """Apply gossip; refute what is said of this member itself."""
         if update.id == self.me.id:
             own_incarnation = self.me.incarnation
             if not self.is_leaving and (
@@ -177,7 +185,7 @@
             self._confirm(peer, update.suspected_by)
 
     def _confirm(self, peer: Peer, by: str) -> None:
-        """One more suspects it; only so many count, and so many are told."""
+        """Count one more member that suspects it; only so many count, and so many are gossiped."""
         if by and by not in peer.suspected_by and len(peer.suspected_by) <= MAX_CONFIRMATIONS:
             peer.suspected_by.add(by)
             self._enqueue_update(peer, by)
@@ -212,7 +220,7 @@
     # Timer
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         for seq, probe in list(self.probes.items()):
             waited_us = now - probe.sent_at
             if waited_us >= self.probe_timeout_us * (1 + self.health_score):
@@ -253,7 +261,7 @@
         )
 
     def on_stall(self, late_us: int) -> None:
-        """This process was, for so long: its open probes say nothing, and suspicions wait on."""
+        """Handle that this process did not run for so long: drop open probes and extend suspicions."""
         self.probes.clear()
         self.relays.clear()
         for name in self.suspects:
@@ -264,7 +272,7 @@
         return self.period_us * (1 + self.health_score)
 
     def _suspicion_timeout_us(self, peer: Peer) -> int:
-        """Shorter the more members share the suspicion, as Lifeguard's."""
+        """Shorter the more members share the suspicion, as in Lifeguard."""
         limit = min(MAX_CONFIRMATIONS, self.live_count - 3)
         if limit <= 0:
             return self.suspicion_us
@@ -310,7 +318,7 @@
         return self.seq
 
     def _probe_indirectly(self, seq: int, probe: Probe) -> None:
-        """Once more, and through others: it may be the way here that is lost."""
+        """Ping once more, and through others: only the direct path may be broken."""
         probe.is_indirect = True
         self.outbox.append(Send(probe.target, Ping(seq, probe.target)))
         alive = [p.id for p in self.peers.values() if p.state == ALIVE and p.id != probe.target]
@@ -331,6 +339,7 @@
     # Datagrams
 
     def receive(self, sender: str, body: Ping | Ack | IndirectPing | ProbeFailed, now: int) -> None:
+        """Handle a message of the membership protocol."""
         if isinstance(body, Ping):
             if body.target == self.me.id:
                 self.outbox.append(Send(sender, Ack(body.seq)))
@@ -347,11 +356,11 @@
             self.probes[body.seq].failed_helpers += 1
 
     def live_members(self) -> list[str]:
-        """All others that are not known to be dead or gone."""
+        """All others that are alive or suspected."""
         return [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT) and p.incarnation > 0]
 
     def leave(self) -> None:
-        """A planned end: some are told, and pass it on."""
+        """Announce a planned stop to some members, which pass it on."""
         self.is_leaving, self.me.state = True, LEFT
         self._enqueue_update(self.me)
         for name in self._sample(
@@ -372,7 +381,7 @@
         self.gossip_counts[peer.id], self.encoded_updates[peer.id] = 0, encode(update)
 
     def updates_for(self, to: str) -> list[bytes]:
-        """What to say with a datagram: first what is thought of its receiver, if that is not alive."""
+        """Gossip for a datagram: first the state of its receiver, unless that is known to be alive."""
         rows = []
         peer = self.peers.get(to)
         if peer and (peer.state in (SUSPECT, DEAD) or to in self.outdated_senders) and peer.incarnation:
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -1,4 +1,4 @@
-"""Datagrams between members: msgpack by msgspec, at most 1,200 bytes, with who sent it and in which life."""
+"""Datagrams between members: msgpack by msgspec, at most 1,200 bytes, with sender and incarnation."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ArrayStruct(msgspec.Struct, array_like=True, frozen=True):
-    """Of a datagram: an array, its kind first where there are several."""
+    """A part of a datagram: encoded as an array, with its tag first where there are several kinds."""
 
 
 class MemberUpdate(ArrayStruct):
-    """What is said of a member. Of two, the later incarnation prevails, then the later state."""
+    """Gossip about a member. Of two, the later incarnation prevails, then the later state."""
 
     id: str
     state: int
@@ -29,23 +29,27 @@
 
 
 class Ping(ArrayStruct, tag="p"):
+    """Is the target alive?"""
+
     seq: int
     target: str  # the member that it is meant for: an address may have a new owner
 
 
 class Ack(ArrayStruct, tag="a"):
+    """The answer to a ping."""
+
     seq: int
 
 
 class IndirectPing(ArrayStruct, tag="q"):
-    """Ping the target and pass its answer on."""
+    """Ping the target and pass its answer on (ping-req of SWIM)."""
 
     seq: int
     target: str
 
 
 class ProbeFailed(ArrayStruct, tag="n"):
-    """The one asked for is silent here too; the asker's own hearing is well."""
+    """The target does not answer this helper either (nack of Lifeguard): the helper itself was heard."""
 
     seq: int
 
@@ -54,13 +58,13 @@
 
 
 class RecoveryRequest(ArrayStruct, tag="k"):
-    """A voter that has just started: what do you know of me? Remember that this is my life now."""
+    """A voter starts without trusted memory: record its generation and report what is known of it."""
 
     generation: int
 
 
 class RecoveryReply(ArrayStruct, tag="w"):
-    """life: the highest known of the asker, its own told one included."""
+    """What a voter knows of the member that asked, and what it has promised and accepted."""
 
     generation: int  # the highest known of the member that asked, its claim included
     is_voting: bool
@@ -72,10 +76,14 @@
 
 
 class Prepare(ArrayStruct, tag="1"):
+    """First phase of a ballot."""
+
     ballot: Ballot
 
 
 class Promise(ArrayStruct, tag="2"):
+    """The voter accepts no earlier ballot; with what it accepted last."""
+
     ballot: Ballot
     generation: int
     accepted: Ballot
@@ -83,7 +91,7 @@
 
 
 class Accept(ArrayStruct, tag="3"):
-    """basis: the voters, with their lives, whose promises this stands on."""
+    """Second phase of a ballot."""
 
     ballot: Ballot
     document: bytes
@@ -91,24 +99,28 @@
 
 
 class Accepted(ArrayStruct, tag="4"):
+    """The voter has accepted the document."""
+
     ballot: Ballot
     generation: int
 
 
 class BallotRejected(ArrayStruct, tag="5"):
-    """Not this ballot: a later one is promised, or its basis no longer stands."""
+    """The ballot is refused: a later one is promised, or its basis is no longer valid."""
 
     ballot: Ballot
     promised: Ballot
 
 
 class DocumentRequest(ArrayStruct, tag="f"):
-    """I have an older version of the document than you say there is."""
+    """The sender has an older version of the document than the receiver reports."""
 
     version: int
 
 
 class ChosenDocument(ArrayStruct, tag="c"):
+    """A document that is known to be chosen."""
+
     document: bytes
 
 
@@ -116,7 +128,7 @@
 
 
 class LeaseRequest(ArrayStruct, tag="h"):
-    """I work under this version, or will: a lease on it. ready: for this change; refuses: it, and why."""
+    """The sender works under this version, or is about to, and asks for a lease on it."""
 
     generation: int
     seq: int
@@ -127,7 +139,7 @@
 
 
 class LeaseGrant(ArrayStruct, tag="g"):
-    """roster: who votes, as the voter knows it. life, seq: of the Hold that it answers."""
+    """A lease; generation and seq are those of the request that it answers."""
 
     seq: int
     version: int
@@ -136,24 +148,26 @@
 
 
 class LeaseDenial(ArrayStruct, tag="x"):
+    """No lease, and why."""
+
     seq: int
     why: str
 
 
 class WorkStopped(ArrayStruct, tag="r"):
-    """I have stopped for the closing at this epoch, and begin nothing before I know a later one."""
+    """The sender has stopped for the closing at this epoch, and begins nothing until it knows a later one."""
 
     epoch: int
 
 
 class DrainQuery(ArrayStruct, tag="C"):
-    """At this epoch: whom does the change wait for?"""
+    """Which members does the change wait for at this epoch?"""
 
     epoch: int
 
 
 class DrainReply(ArrayStruct, tag="d"):
-    """clear: for nobody that this voter has given a lease. waits: some of them, and why."""
+    """Whether the change still waits for members that this voter has granted a lease."""
 
     epoch: int
     voter_set_version: int
@@ -163,8 +177,7 @@
 
 
 class OutcomeTotals(ArrayStruct):
-    """What a courier has counted: worth of the messages that ended, and earned by them; calls that ended,
-    refused as full, and failed otherwise."""
+    """What a courier has counted."""
 
     worth: float = 0.0  # of the messages that ended
     earned: float = 0.0  # by them
@@ -174,13 +187,15 @@
 
 
 class TotalsRequest(ArrayStruct, tag="S"):
-    """Of this stage, which is watched for so long."""
+    """Asks for the totals around the start of a canary stage, which is watched for so long."""
 
     stage_id: str
     watch_ms: int
 
 
 class TotalsReply(ArrayStruct, tag="T"):
+    """Totals of as long before the stage as it lasts, and since."""
+
     stage_id: str
     version: int  # that the sender works under
     before: OutcomeTotals
@@ -188,13 +203,15 @@
 
 
 class TextRequest(ArrayStruct, tag="t"):
-    """So many pieces of it, from this byte on."""
+    """Asks for some pieces of a text, from this byte on."""
 
     digest: bytes
     offset: int
 
 
 class TextPiece(ArrayStruct, tag="u"):
+    """A piece of a text."""
+
     digest: bytes
     offset: int
     total_bytes: int  # of the text
@@ -229,7 +246,7 @@
 
 
 class Frame(ArrayStruct):
-    """A datagram. What a later format adds goes behind."""
+    """A datagram. A later format adds its fields at the end."""
 
     format: int
     fleet: str
@@ -252,7 +269,7 @@
 
 
 def read(data: bytes, fleet: str) -> tuple[Frame, Body, list[MemberUpdate]]:
-    """Unreadable: the reason in a word."""
+    """Decode a datagram. Raises UnreadableDatagramError with the reason in one word."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise UnreadableDatagramError("long")
     try:
@@ -267,7 +284,10 @@
 
 
 def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, updates: list[bytes]) -> bytes:
-    """As much of the news as fits, the first first. ValueError if the body alone does not."""
+    """Encode a datagram with as many of the updates as fit, in their order.
+
+    Raises ValueError if the body alone does not fit.
+    """
     head = Frame(FORMAT, fleet, sender, incarnation, version, msgspec.Raw(encode(body)))
     # The length prefix of the array of updates grows with its content.
     room_bytes = MAX_DATAGRAM_BYTES - len(encode(head)) - 4
