--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import RegisterDocument, Lease
+from hopmill.fleet.document import Lease, RegisterDocument
 from hopmill.fleet.lease import LeaseHolder
-from hopmill.fleet.proposer import Proposer, BallotAttempt
+from hopmill.fleet.proposer import BallotAttempt, Proposer
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Voter
 from hopmill.fleet.wire import Ballot, RecoveryReply
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -12,21 +12,21 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import close, reopen
-from hopmill.fleet.register import replace_voter, finish_voter_change
+from hopmill.fleet.register import finish_voter_change, replace_voter
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import (
     Accept,
     Accepted,
-    RecoveryRequest,
     Body,
     ChosenDocument,
+    DrainQuery,
     DrainReply,
     LeaseGrant,
     LeaseRequest,
-    DrainQuery,
-    RecoveryReply,
     Prepare,
     Promise,
+    RecoveryReply,
+    RecoveryRequest,
     WorkStopped,
 )
 
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from hopmill.fleet.actions import Persist, Send
 from hopmill.explorer.checker import Checker, Op, Violation
+from hopmill.fleet.actions import Persist, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.register import Register, replace_voter, say, finish_voter_change
+from hopmill.fleet.register import Register, finish_voter_change, replace_voter, say
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
 
--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -9,25 +9,25 @@
 import random
 from collections.abc import Callable
 
+from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.policy import (
     BACK,
-    PolicyChange,
     Policy,
+    PolicyChange,
     close,
     commit,
     end_change,
-    roll_back,
     extend_to_rest,
     prepare,
     reopen,
+    roll_back,
 )
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.watch import regression
-from hopmill.fleet.wire import ChosenDocument, DrainReply, TotalsReply, DrainQuery, TotalsRequest
-from hopmill.fleet import document as doc
+from hopmill.fleet.wire import ChosenDocument, DrainQuery, DrainReply, TotalsReply, TotalsRequest
 
 QUERY_US, MAX_QUERY_US = 40_000, 320_000  # between two queries to the voters, doubled each time
 TAKEOVER_US = (800_000, 2_400_000)  # random delay after a step, before another voter takes over
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -21,11 +21,11 @@
 from hopmill.fleet.standing import NO_EXPIRY_US
 from hopmill.fleet.wire import (
     ChosenDocument,
+    DrainQuery,
     DrainReply,
+    LeaseDenial,
     LeaseGrant,
     LeaseRequest,
-    DrainQuery,
-    LeaseDenial,
     WorkStopped,
 )
 
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -6,26 +6,26 @@
 from collections.abc import Callable, Iterable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.conductor import PolicyChangeCoordinator, OutcomeCallback
+from hopmill.fleet.conductor import OutcomeCallback, PolicyChangeCoordinator
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.giver import LeaseGrantor
-from hopmill.fleet.policy import STAGE, PolicyChange, CanaryGroup, end_change, roll_back, cancel_member
+from hopmill.fleet.policy import STAGE, CanaryGroup, PolicyChange, cancel_member, end_change, roll_back
 from hopmill.fleet.register import Register
 from hopmill.fleet.standing import PolicyLease
 from hopmill.fleet.texts import TextStore
 from hopmill.fleet.watch import CanaryWatch
 from hopmill.fleet.wire import (
     Body,
+    DrainQuery,
     DrainReply,
-    TotalsReply,
+    LeaseDenial,
     LeaseGrant,
     LeaseRequest,
-    DrainQuery,
-    LeaseDenial,
     TextPiece,
-    WorkStopped,
-    TotalsRequest,
     TextRequest,
+    TotalsReply,
+    TotalsRequest,
+    WorkStopped,
 )
 
 MAX_MISSING_TEXTS = 4  # remembered
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from hopmill.fleet.document import RegisterDocument, Lease, proposal_id_of
+from hopmill.fleet.document import Lease, RegisterDocument, proposal_id_of
 from hopmill.fleet.proposer import DocumentUpdate, Outcome
 
 RENEWALS = 3  # per lease length
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -23,7 +23,7 @@
 from hopmill.fleet.settings import Members
 from hopmill.fleet.swim import STATES, MemberChange, Swim
 from hopmill.fleet.voter import Memory
-from hopmill.fleet.wire import Ack, Ping, IndirectPing, ProbeFailed
+from hopmill.fleet.wire import Ack, IndirectPing, Ping, ProbeFailed
 
 INCARNATION_BLOCK = 1000  # incarnations reserved on disk at a time, before the first of them is used
 MIN_FRESH_INCARNATION = 1 << 32  # a member without trusted state starts above it
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -16,7 +16,7 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.wire import Accept, Accepted, Ballot, Prepare, Promise, BallotRejected
+from hopmill.fleet.wire import Accept, Accepted, Ballot, BallotRejected, Prepare, Promise
 
 # Without answers of a majority the requests are sent again, after a multiple of the recent ballot time.
 RETRY_US, MAX_RETRY_US, RETRY_FACTOR = 100_000, 1_000_000, 3
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -14,14 +14,14 @@
 from hopmill.fleet.wire import (
     Accept,
     Accepted,
-    RecoveryRequest,
+    BallotRejected,
     Body,
     ChosenDocument,
     DocumentRequest,
-    RecoveryReply,
     Prepare,
     Promise,
-    BallotRejected,
+    RecoveryReply,
+    RecoveryRequest,
 )
 
 VOTER_CHANGE_TAKEOVER_US = (500_000, 2_000_000)  # random delay, from the first step of replacing a voter
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -13,7 +13,7 @@
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.policy import MAX_REASON_CHARS, Policy
 from hopmill.fleet.register import Register
-from hopmill.fleet.wire import LeaseGrant, LeaseRequest, LeaseDenial, WorkStopped
+from hopmill.fleet.wire import LeaseDenial, LeaseGrant, LeaseRequest, WorkStopped
 
 RENEWALS_PER_LEASE = 3
 RETRY_US, MAX_RETRY_US = 40_000, 640_000  # to a voter that does not answer, doubled each time
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -20,7 +20,7 @@
 
 from hopmill.fleet.actions import Send
 from hopmill.fleet.settings import MAX_MEMBERS, Members
-from hopmill.fleet.wire import Ack, MemberUpdate, Ping, IndirectPing, ProbeFailed, encode
+from hopmill.fleet.wire import Ack, IndirectPing, MemberUpdate, Ping, ProbeFailed, encode
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -19,12 +19,12 @@
 from hopmill.fleet.wire import (
     Accept,
     Accepted,
-    RecoveryRequest,
     Ballot,
-    RecoveryReply,
+    BallotRejected,
     Prepare,
     Promise,
-    BallotRejected,
+    RecoveryReply,
+    RecoveryRequest,
 )
 
 NO_BALLOT: Ballot = (0, "")
