--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document, Lease
-from hopmill.fleet.lease import Keeper
-from hopmill.fleet.proposer import Proposer, Try
+from hopmill.fleet.document import Lease, RegisterDocument
+from hopmill.fleet.lease import LeaseHolder
+from hopmill.fleet.proposer import BallotAttempt, Proposer
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Voter
-from hopmill.fleet.wire import Ballot, Known
+from hopmill.fleet.wire import Ballot, RecoveryReply
 
 
 class PromisesAnything(Voter):
@@ -23,79 +23,79 @@
 
 class AnswersBeforeTheDisk(Voter):
     def persist(self, *then: Send) -> None:
-        self.out += then
+        self.outbox += then
         super().persist()
 
 
 class TrustsACopy(Voter):
-    def trusts(self, same_folder: bool) -> bool:
+    def trusts_folder(self, same_folder: bool) -> bool:
         return True
 
 
 class LetInByAnyone(Voter):
-    def majority_of_others(self, answers: dict[str, Known]) -> bool:
+    def majority_of_others(self, answers: dict[str, RecoveryReply]) -> bool:
         return bool(answers)
 
 
 class VotesAtOnce(Voter):
-    def let_in(self, answers: dict[str, Known]) -> bool:
+    def is_readmitted(self, answers: dict[str, RecoveryReply]) -> bool:
         return True
 
 
 class OldPromisesStand(Voter):
-    def stands(self, basis: tuple[tuple[str, int], ...]) -> bool:
+    def is_basis_valid(self, basis: tuple[tuple[str, int], ...]) -> bool:
         return True
 
 
 class OneVoteIsEnough(Proposer):
-    def enough(self, at: Try) -> bool:
-        return bool(at.accepted)
+    def is_accepted(self, attempt: BallotAttempt) -> bool:
+        return bool(attempt.accepted_by)
 
 
 class AnyValueWillDo(Proposer):
-    def newest(self, at: Try) -> Document:
-        return self._read(min(at.promises.values(), key=lambda p: p.accepted))
+    def newest_document(self, attempt: BallotAttempt) -> RegisterDocument:
+        return self._document_of(min(attempt.promises.values(), key=lambda p: p.accepted))
 
 
 class OnlyTheNewVoters(Proposer):
-    def enough(self, at: Try) -> bool:
-        assert at.next is not None
-        return 2 * len(at.accepted & set(at.next.voters)) > len(at.next.voters)
+    def is_accepted(self, attempt: BallotAttempt) -> bool:
+        assert attempt.next is not None
+        return 2 * len(attempt.accepted_by & set(attempt.next.voters)) > len(attempt.next.voters)
 
 
 class ForgetsItsTicket(Proposer):
-    def own(self, ticket: str, base: Document) -> bool:
+    def is_already_done(self, ticket: str, base: RegisterDocument) -> bool:
         return False
 
 
-class CountsFromTheAnswer(Keeper):
+class CountsFromTheAnswer(LeaseHolder):
     def counts_from(self, asked_at: int, now: int) -> int:
         return now
 
 
-class WaitsNoLonger(Keeper):
-    def waits_us(self) -> int:
-        return int(self.seen.length_us * (1 - self.drift))
+class WaitsNoLonger(LeaseHolder):
+    def takeover_wait_us(self) -> int:
+        return int(self.last_seen.length_us * (1 - self.drift))
 
 
-class SameFence(Keeper):
-    def next_fence(self, seen: Lease) -> int:
-        return max(1, seen.fence)
+class SameFence(LeaseHolder):
+    def next_fencing_token(self, seen: Lease) -> int:
+        return max(1, seen.fencing_token)
 
 
-class TakesBlindly(Keeper):
-    def unchanged(self) -> bool:
+class TakesBlindly(LeaseHolder):
+    def requires_unchanged(self) -> bool:
         return False
 
 
-class ActsAfterGiving(Keeper):
-    def lets_go(self) -> None:
+class ActsAfterGiving(LeaseHolder):
+    def release(self) -> None:
         pass
 
 
-class KeepsForEver(Keeper):
-    def held(self, now: int) -> int:
-        return self.fence
+class KeepsForEver(LeaseHolder):
+    def fencing_token(self, now: int) -> int:
+        return self.token
 
 
 PLANTED = {
@@ -125,6 +125,7 @@
     kind = next(
         k
         for k in ("voter", "proposer", "keeper")
-        if issubclass(fault, {"voter": Voter, "proposer": Proposer, "keeper": Keeper}[k])
+        if issubclass(fault, {"voter": Voter, "proposer": Proposer, "keeper": LeaseHolder}[k])
     )
-    return type(fault.__name__, (Register,), {f"{kind}_type": fault})
+    attribute = "lease_holder_type" if kind == "keeper" else f"{kind}_type"
+    return type(fault.__name__, (Register,), {attribute: fault})
--- a/hopmill/explorer/policy_mutants.py
+++ b/hopmill/explorer/policy_mutants.py
@@ -5,122 +5,122 @@
 from collections.abc import Iterable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.conductor import Conductor
-from hopmill.fleet.document import Document
-from hopmill.fleet.giver import Giver
-from hopmill.fleet.govern import Govern
+from hopmill.fleet.conductor import PolicyChangeCoordinator
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.giver import LeaseGrantor
+from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import Policy, Step, commit
-from hopmill.fleet.standing import FOREVER, Asked, Standing
-from hopmill.fleet.wire import Clear, Given, Hold
+from hopmill.fleet.standing import NO_EXPIRY_US, GrantRequest, PolicyLease
+from hopmill.fleet.wire import DrainReply, LeaseGrant, LeaseRequest
 
 
-class GivesBeforeItIsChosen(Giver):
-    def chosen_alike(self, known: Document, voted: Document) -> bool:
+class GivesBeforeItIsChosen(LeaseGrantor):
+    def is_policy_chosen(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
         return True
 
 
-class GivesWhileClosing(Giver):
-    def minds_closing(self) -> bool:
+class GivesWhileClosing(LeaseGrantor):
+    def refuses_while_closing(self) -> bool:
         return False
 
 
-class GivesToThoseNotReady(Giver):
-    def may_be_given(self, p: Policy, hold: Hold) -> bool:
+class GivesToThoseNotReady(LeaseGrantor):
+    def is_ready_for_change(self, p: Policy, request: LeaseRequest) -> bool:
         return True
 
 
-class GivesAnyVersion(Giver):
-    def in_force(self, p: Policy, sender: str, hold: Hold) -> bool:
+class GivesAnyVersion(LeaseGrantor):
+    def is_version_in_force(self, p: Policy, sender: str, request: LeaseRequest) -> bool:
         return True
 
 
-class WaitsNoLeaseOut(Giver):
-    def waits_one_out(self) -> bool:
+class WaitsNoLeaseOut(LeaseGrantor):
+    def waits_full_lease(self) -> bool:
         return False
 
 
-class WaitsTooShort(Giver):
+class WaitsTooShort(LeaseGrantor):
     def __init__(
         self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
     ) -> None:
         super().__init__(me, register, length_us, -drift, last, names)  # type: ignore[arg-type]
 
 
-class AnyStopCounts(Giver):
+class AnyStopCounts(LeaseGrantor):
     def has_stopped(self, name: str, p: Policy) -> bool:
-        return name in self.stopped
+        return name in self.stopped_epochs
 
 
-class ClearBeforeTheDisk(Giver):
-    def say_clear(self, sender: str, answer: Clear) -> None:
-        self.out.append(Send(sender, answer))
+class ClearBeforeTheDisk(LeaseGrantor):
+    def send_drained(self, sender: str, answer: DrainReply) -> None:
+        self.outbox.append(Send(sender, answer))
 
 
-class ForgetsWhoIsAlone(Giver):
+class ForgetsWhoIsAlone(LeaseGrantor):
     def __init__(
         self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
     ) -> None:
         super().__init__(me, register, length_us, drift, last, ())  # type: ignore[arg-type]
 
 
-class KeepsForEver(Standing):
+class KeepsForEver(PolicyLease):
     def valid_until(self) -> int:
-        return FOREVER if super().valid_until() else 0
+        return NO_EXPIRY_US if super().valid_until() else 0
 
 
-class GoesOnWhileClosing(Standing):
+class GoesOnWhileClosing(PolicyLease):
     """It says that it has stopped."""
 
     def valid_until(self) -> int:
         kept, self.quiet = getattr(self, "kept", 0), True
         self.kept = super().valid_until() or kept
-        return self.kept if self.version == self.policy.version_for(self.me) else 0
+        return self.kept if self.applied_version == self.policy.version_for(self.me) else 0
 
-    def stops(self) -> bool:
+    def must_stop(self) -> bool:
         quiet, self.quiet = getattr(self, "quiet", False), False
-        return super().stops() and not quiet
+        return super().must_stop() and not quiet
 
 
-class CountsFromTheAnswer(Standing):
-    def given_by(self, sender: str, given: Given, now: int) -> None:
-        before = self.given.get(sender)
-        super().given_by(sender, given, now)
-        if self.given.get(sender) != before:
-            self.given[sender] = now
+class CountsFromTheAnswer(PolicyLease):
+    def on_grant(self, sender: str, grant: LeaseGrant, now: int) -> None:
+        before = self.granted_at.get(sender)
+        super().on_grant(sender, grant, now)
+        if self.granted_at.get(sender) != before:
+            self.granted_at[sender] = now
 
 
-class AnyAnswerCounts(Standing):
-    def answers(self, given: Given, asked: Asked) -> bool:
+class AnyAnswerCounts(PolicyLease):
+    def matches_request(self, grant: LeaseGrant, asked: GrantRequest) -> bool:
         return True
 
 
-class AnswersToAFormerLife(Standing):
-    def answers(self, given: Given, asked: Asked) -> bool:
-        return given.seq == asked.seq
+class AnswersToAFormerLife(PolicyLease):
+    def matches_request(self, grant: LeaseGrant, asked: GrantRequest) -> bool:
+        return grant.seq == asked.seq
 
 
-class AddsUpTwoRosters(Standing):
-    def same_voters(self, given: Given) -> bool:
-        self.roster = self.register.document.roster
+class AddsUpTwoRosters(PolicyLease):
+    def has_same_voters(self, grant: LeaseGrant) -> bool:
+        self.voter_set_version = self.register.document.voter_set_version
         return True
 
 
-class OneVoterIsClear(Conductor):
-    def all_clear(self, d: Document) -> bool:
-        return any(a.clear for a in self.answers.values())
+class OneVoterIsClear(PolicyChangeCoordinator):
+    def all_leases_ended(self, d: RegisterDocument) -> bool:
+        return any(a.is_drained for a in self.replies.values())
 
 
-class CommitsAtAnyEpoch(Conductor):
+class CommitsAtAnyEpoch(PolicyChangeCoordinator):
     @staticmethod
     def commit(epoch: int) -> Step:
-        def step(ticket: str, document: Document) -> Document | None:
+        def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
             return commit(document.policy.epoch)(ticket, document)
 
         return step
 
 
-class VotesWithoutTheText(Govern):
-    def _lacks(self, document: Document, sender: str) -> bool:
+class VotesWithoutTheText(PolicyMember):
+    def _lacks_texts(self, document: RegisterDocument, sender: str) -> bool:
         return False
 
 
@@ -146,10 +146,14 @@
 }
 
 
-def planted(name: str) -> type[Govern]:
+def planted(name: str) -> type[PolicyMember]:
     """A member's part in the policy with the fault of this name. KeyError if there is none."""
     fault = PLANTED[name]
-    for kind, base in (("standing", Standing), ("giver", Giver), ("conductor", Conductor)):
+    for kind, base in (
+        ("lease", PolicyLease),
+        ("grantor", LeaseGrantor),
+        ("coordinator", PolicyChangeCoordinator),
+    ):
         if issubclass(fault, base):
-            return type(fault.__name__, (Govern,), {f"{kind}_type": fault})
+            return type(fault.__name__, (PolicyMember,), {f"{kind}_type": fault})
     return fault  # type: ignore[return-value]
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -1,6 +1,6 @@
-"""A member of the fleet: who is there, the register and its leases, behind one clock and one way in and out.
+"""A member of the fleet: membership, the register and its leases, with one clock and one set of entry points.
 
-Whoever runs it (a process, the laboratory, a test) gives it datagrams and time and carries its actions out.
+The host (a process, the laboratory, a test) passes it datagrams and time and carries its actions out.
 """
 
 from __future__ import annotations
@@ -16,65 +16,67 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet import wire
 from hopmill.fleet.actions import Persist, Send
-from hopmill.fleet.document import Document
-from hopmill.fleet.govern import KINDS, Govern
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.settings import Members
-from hopmill.fleet.swim import STATES, Changed, Swim
+from hopmill.fleet.swim import STATES, MemberChange, Swim
 from hopmill.fleet.voter import Memory
-from hopmill.fleet.wire import Ack, Ping, PingFor, Unheard
+from hopmill.fleet.wire import Ack, IndirectPing, Ping, ProbeFailed
 
-BLOCK = 1000  # incarnations that are put on disk at a time, before the first of them is used
-FRESH = 1 << 32  # a member without a past begins above it
-AGAIN_US = 1_000_000  # after a disk that said no
-MOST_NAMED = 60  # members, in a row for staff
-LARGEST = 1 << 48  # an incarnation past it is nobody's
+INCARNATION_BLOCK = 1000  # incarnations reserved on disk at a time, before the first of them is used
+MIN_FRESH_INCARNATION = 1 << 32  # a member without trusted state starts above it
+DISK_RETRY_US = 1_000_000  # after a failed write
+MAX_STATUS_MEMBERS = 60  # members of a canary group in the status
+MAX_INCARNATION = 1 << 48  # a datagram with a later one is dropped
 
 
 class Stored(msgspec.Struct):
-    """All that a member keeps on disk."""
+    """All that a member keeps on disk; the field names are stored."""
 
-    ceiling: int = 0  # no incarnation above it was ever used
+    ceiling: int = 0  # the highest reserved incarnation: none above it was ever used
     memory: Memory = msgspec.field(default_factory=Memory)
 
 
 @dataclass(frozen=True)
 class Datagram:
+    """Send these bytes to an address."""
+
     address: str
     data: bytes
 
 
 @dataclass(frozen=True)
 class Write:
-    """Put these bytes on disk (fsync), in this order; then tell the node whether they are there."""
+    """Write the state to disk (fsync), in this order; then report to the node whether that succeeded."""
 
     state: bytes
-    ceiling: int
-    then: tuple[Send, ...] = ()
+    ceiling: int  # in `state`
+    then: tuple[Send, ...] = ()  # sent after the write
 
 
 @dataclass(frozen=True)
 class WriteText:
-    """Put this text on disk under its digest (fsync); then tell the node whether it is there."""
+    """Write a text to disk under its digest (fsync); then report to the node whether that succeeded."""
 
     digest: bytes
     text: bytes
 
 
 @dataclass(frozen=True)
-class DropTexts:
-    """These may go from the disk."""
+class DeleteTexts:
+    """These texts may be deleted from the disk."""
 
     digests: frozenset[bytes]
 
 
-Deed = Datagram | Write | WriteText | DropTexts
+NodeAction = Datagram | Write | WriteText | DeleteTexts
 
 
 @dataclass
-class Counts:
-    """Since the start."""
+class DatagramCounts:
+    """Counts since the start."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -83,7 +85,7 @@
 
 
 class Node:
-    """Times are us of this member's elapsed clock. After each call, `take` gives what is to be done."""
+    """Times are us of this member's elapsed clock. After each call, `take` returns the actions to do."""
 
     def __init__(
         self,
@@ -94,101 +96,105 @@
         carried: dict[str, Any] | None = None,
         texts: dict[bytes, bytes] | None = None,
     ) -> None:
-        """same_folder: it is where it was stored, no copy. seed: another with each start, from the system's
-        own chance. carried: by the process before, in an upgrade. texts: those on disk, by digest."""
-        self.s, self.chance = members, random.Random(seed)
+        """Start a member.
+
+        same_folder: the state is where it was stored, no copy. seed: a different one at each start, from the
+        system's random source. carried: what the process before handed over in an upgrade. texts: those on
+        disk, by digest.
+        """
+        self.settings, self.rng = members, random.Random(seed)
         self.ceiling = stored.ceiling
-        life = carried["incarnation"] if carried else stored.ceiling + 1
+        incarnation = carried["incarnation"] if carried else stored.ceiling + 1
         if not carried and not same_folder:
-            # What it used since is not in this folder, nor in a copy: from a place where it has never been.
-            life = self.chance.randrange(FRESH, LARGEST >> 1)
-        self.wanted = max(life, self.ceiling if carried else 0)  # the ceiling asked for
-        self.counts = Counts()
-        self.swim = Swim(members, life, self.chance, self._next_incarnation)
-        initial = Document(0, members.voters)
-        born = carried["born"] if carried else life
-        self.register = Register(members.id, born, initial, stored.memory, same_folder, self.chance)
+            # The folder does not tell what was used since it was written: start at a random place.
+            incarnation = self.rng.randrange(MIN_FRESH_INCARNATION, MAX_INCARNATION >> 1)
+        self.requested_ceiling = max(incarnation, self.ceiling if carried else 0)  # being written
+        self.counts = DatagramCounts()
+        self.swim = Swim(members, incarnation, self.rng, self._next_incarnation)
+        initial = RegisterDocument(0, members.voters)
+        generation = carried["born"] if carried else incarnation
+        self.register = Register(members.id, generation, initial, stored.memory, same_folder, self.rng)
         for name in members.leases:
-            self.register.keep(name, int(members.lease_ms * 1e3), members.drift)
-        self.born = born
-        self.govern: Govern | None = None
+            self.register.hold_lease(name, int(members.lease_ms * 1e3), members.drift)
+        self.generation = generation
+        self.policy_member: PolicyMember | None = None
         if members.policy:
-            self.govern = Govern(
+            self.policy_member = PolicyMember(
                 members.id,
-                born,
+                generation,
                 self.register,
-                self.chance,
+                self.rng,
                 int(members.lease_ms * 1e3),
                 members.drift,
                 members.policy.alone == "last",
                 [members.id, *(o.id for o in members.others)],
-                self.swim.there,
+                self.swim.live_members,
                 texts or {},
             )
-        self.started, self.due = False, 0
+        self.started, self.due_at = False, 0
         self.writes: list[Write] = []
-        self.ready: list[Datagram] = []
-        self.own: list[Send] = []
+        self.ready_datagrams: list[Datagram] = []
+        self.own_messages: list[Send] = []
         if carried:
             self._resume(carried)
         else:
-            self._reserve(life)
+            self._reserve(incarnation)
 
     # Upgrades
 
     def carry(self) -> dict[str, Any]:
-        """For the next process on this machine; this one must not speak any more."""
-        r = self.register
+        """State for the next process on this machine; this one must not send anything any more."""
+        register = self.register
         return {
-            "born": self.born,
+            "born": self.generation,
             "incarnation": self.swim.me.incarnation,
             "ceiling": self.ceiling,
-            "round": r.proposer.round,
-            "counted": r.counted,
-            "document": doc.encode(r.document),
+            "round": register.proposer.round,
+            "counted": register.proposal_count,
+            "document": doc.encode(register.document),
             "state": self._state(self.ceiling),
-            "voting": r.voter.voting,
-            "leases": {name: k.carry() for name, k in r.keepers.items()},
-            "policy": self.govern and self.govern.standing.carry(),
-            "texts": dict(self.govern.texts.held) if self.govern else {},
+            "voting": register.voter.is_voting,
+            "leases": {name: k.carry() for name, k in register.lease_holders.items()},
+            "policy": self.policy_member and self.policy_member.lease.carry(),
+            "texts": dict(self.policy_member.texts.by_digest) if self.policy_member else {},
         }
 
     def _resume(self, carried: dict[str, Any]) -> None:
-        r = self.register
-        r.proposer.round, r.counted = carried["round"], carried["counted"] + 1
-        r.proposer.learn(doc.decode(carried["document"]))
-        r.voter.voting = carried["voting"]
+        register = self.register
+        register.proposer.round, register.proposal_count = carried["round"], carried["counted"] + 1
+        register.proposer.learn(doc.decode(carried["document"]))
+        register.voter.is_voting = carried["voting"]
         for name, values in carried["leases"].items():
-            if name in r.keepers:
-                r.keepers[name].resume(values)
-        if self.govern and carried.get("policy"):
-            self.govern.texts.held |= carried["texts"]
-            self.govern.standing.resume(carried["policy"])
+            if name in register.lease_holders:
+                register.lease_holders[name].resume(values)
+        if self.policy_member and carried.get("policy"):
+            self.policy_member.texts.by_digest |= carried["texts"]
+            self.policy_member.lease.resume(carried["policy"])
 
     # Incarnations
 
     def _reserve(self, incarnation: int) -> None:
-        """On disk before the first of them is used."""
-        self.wanted = incarnation + BLOCK
-        self.writes.append(Write(self._state(self.wanted), self.wanted))
+        """Reserve a block of incarnations on disk before the first of them is used."""
+        self.requested_ceiling = incarnation + INCARNATION_BLOCK
+        self.writes.append(Write(self._state(self.requested_ceiling), self.requested_ceiling))
 
     def _next_incarnation(self, after: int) -> int:
-        following = max(self.swim.me.incarnation, after) + 1
-        if following > LARGEST:
+        next_incarnation = max(self.swim.me.incarnation, after) + 1
+        if next_incarnation > MAX_INCARNATION:
             return 0
-        if following <= self.ceiling:
-            return following
-        if following > self.wanted:
-            self._reserve(following)
+        if next_incarnation <= self.ceiling:
+            return next_incarnation
+        if next_incarnation > self.requested_ceiling:
+            self._reserve(next_incarnation)
         return 0
 
     def _state(self, ceiling: int) -> bytes:
         return msgspec.msgpack.encode(Stored(ceiling, self.register.voter.memory))
 
     def written(self, write: Write, ok: bool, now: int) -> None:
-        """The disk has done it, or said no: then what waits for it is not sent, as if it had been lost."""
+        """Note that a write has ended. If it failed, what waits for it is not sent, as if it were lost."""
         if not ok:
-            self.wanted = self.ceiling
+            self.requested_ceiling = self.ceiling
             return
         self.ceiling = max(self.ceiling, write.ceiling)
         for send in write.then:
@@ -196,103 +202,114 @@
         self._start(now)
 
     def _start(self, now: int) -> None:
-        """Nothing is said before the incarnation is on disk."""
+        """Send nothing before the incarnation is on disk."""
         if not self.started and self.swim.me.incarnation <= self.ceiling:
             self.started = True
             self.swim.start(now)
 
-    # In and out
+    # Datagrams
 
     def datagram(self, data: bytes, now: int) -> bool:
-        """Whether `tick` has something to do at once; else it may wait for its time."""
+        """Handle a datagram. Returns whether `tick` has something to do at once."""
         self.counts.received += 1
         try:
-            frame, body, news = wire.read(data, self.s.fleet)
-            if frame.incarnation > LARGEST or any(n.incarnation > LARGEST for n in news):
-                raise wire.Unreadable("incarnation")
-        except wire.Unreadable as error:
+            frame, body, updates = wire.read(data, self.settings.fleet)
+            if frame.incarnation > MAX_INCARNATION or any(n.incarnation > MAX_INCARNATION for n in updates):
+                raise wire.UnreadableDatagramError("incarnation")
+        except wire.UnreadableDatagramError as error:
             self.counts.dropped[str(error)] += 1
             return False
         if not self.started:
             return False
-        self._catch_up(now)
-        if frame.sender != self.s.id and not self.swim.heard(frame.sender, frame.incarnation, news, now):
+        self._compensate_stall(now)
+        if frame.sender != self.settings.id and not self.swim.on_datagram(
+            frame.sender, frame.incarnation, updates, now
+        ):
             return False
-        about_members, stirred = isinstance(body, (Ping, Ack, PingFor, Unheard)), False
-        if about_members:
+        is_membership, has_work = isinstance(body, (Ping, Ack, IndirectPing, ProbeFailed)), False
+        if is_membership:
             self.swim.receive(frame.sender, body, now)
-        elif isinstance(body, KINDS):
-            stirred = self.govern is not None and self.govern.receive(frame.sender, body, now)
+        elif isinstance(body, POLICY_BODIES):
+            has_work = self.policy_member is not None and self.policy_member.receive(frame.sender, body, now)
         else:
-            stirred = True
+            has_work = True
             try:
                 self.register.receive(frame.sender, body, now)
-            except msgspec.DecodeError:  # the document in it
+            except msgspec.DecodeError:  # of the document in it
                 self.counts.dropped["unreadable"] += 1
                 return False
-        return self.register.newer(frame.sender, frame.version) or stirred
+        return self.register.note_version(frame.sender, frame.version) or has_work
 
-    def _catch_up(self, now: int) -> None:
-        """This process stood still: what was silent meanwhile was not heard, so nobody is blamed for it."""
-        late = now - self.due
-        if self.due and late > self.swim.period:
-            self.swim.stood_still(late)
-            self.due = now
+    def _compensate_stall(self, now: int) -> None:
+        """If this process did not run, silence of others in that time is not held against them."""
+        late_us = now - self.due_at
+        if self.due_at and late_us > self.swim.period_us:
+            self.swim.on_stall(late_us)
+            self.due_at = now
 
     def tick(self, now: int) -> int:
-        """Everything that time brings. Returns when to be called again."""
+        """Do everything that is due. Returns the time of the next call."""
         if not self.started:
             self._start(now)
         if not self.started:
-            if not self.writes and self.wanted <= self.ceiling:
-                self._reserve(self.swim.me.incarnation)  # the disk said no: once more
-            return now + AGAIN_US
-        self._catch_up(now)
-        self.due = min(self.swim.tick(now), self.register.tick(now))
-        if self.govern:
-            self.due = min(self.due, self.govern.tick(now))
-        return self.due
-
-    def take(self, now: int) -> list[Deed]:
-        """What is to be done, in order."""
-        texts: list[Deed] = []
-        while actions := [*self.own, *self.register.take(now), *self.swim.out, *self._governed(texts)]:
-            self.own, self.swim.out = [], []
+            if not self.writes and self.requested_ceiling <= self.ceiling:
+                self._reserve(self.swim.me.incarnation)  # the write failed: try again
+            return now + DISK_RETRY_US
+        self._compensate_stall(now)
+        self.due_at = min(self.swim.tick(now), self.register.tick(now))
+        if self.policy_member:
+            self.due_at = min(self.due_at, self.policy_member.tick(now))
+        return self.due_at
+
+    def take(self, now: int) -> list[NodeAction]:
+        """Return the actions to carry out, in order."""
+        texts: list[NodeAction] = []
+        while actions := [
+            *self.own_messages,
+            *self.register.take(now),
+            *self.swim.outbox,
+            *self._take_policy_actions(texts),
+        ]:
+            self.own_messages, self.swim.outbox = [], []
             for action in actions:
                 if isinstance(action, Persist):
-                    self.writes.append(Write(self._state(self.wanted), self.wanted, action.then))
-                elif action.to == self.s.id:  # what is meant for this member itself is heard at once
-                    self._own(action.body, now)
+                    self.writes.append(
+                        Write(self._state(self.requested_ceiling), self.requested_ceiling, action.then)
+                    )
+                elif action.to == self.settings.id:  # messages to this member are handled at once
+                    self._deliver_to_self(action.body, now)
                 else:
                     self._send(action)
-        out, self.ready, self.writes = [*texts, *self.writes, *self.ready], [], []
+        out, self.ready_datagrams, self.writes = [*texts, *self.writes, *self.ready_datagrams], [], []
         return out
 
-    def _governed(self, texts: list[Deed]) -> list[Send]:
-        if self.govern is None:
+    def _take_policy_actions(self, texts: list[NodeAction]) -> list[Send]:
+        if self.policy_member is None:
             return []
-        store = self.govern.texts
-        if self.govern.dropped:  # first: what is written now as well was wanted again after that
-            texts.append(DropTexts(frozenset(self.govern.dropped)))
-            self.govern.dropped = set()
+        store = self.policy_member.texts
+        # Deletions first: a text that is written now as well was needed again after that.
+        if self.policy_member.deletable_texts:
+            texts.append(DeleteTexts(frozenset(self.policy_member.deletable_texts)))
+            self.policy_member.deletable_texts = set()
         texts += [WriteText(digest, text) for digest, text in store.writes]
         store.writes = []
-        return self.govern.take()
+        return self.policy_member.take()
 
-    def _own(self, body: Any, now: int) -> None:
-        if not isinstance(body, KINDS):
-            self.register.receive(self.s.id, body, now)
-        elif self.govern:
-            self.govern.receive(self.s.id, body, now)
+    def _deliver_to_self(self, body: Any, now: int) -> None:
+        if not isinstance(body, POLICY_BODIES):
+            self.register.receive(self.settings.id, body, now)
+        elif self.policy_member:
+            self.policy_member.receive(self.settings.id, body, now)
 
     def text_written(self, digest: bytes, ok: bool, now: int) -> None:
-        if self.govern:
-            self.govern.texts.written(digest, ok)
-            self.register.texts_came(now)
+        """Note that the write of a text has ended."""
+        if self.policy_member:
+            self.policy_member.texts.written(digest, ok)
+            self.register.on_texts_stored(now)
 
     def _send(self, send: Send) -> None:
-        if send.to == self.s.id:
-            self.own.append(send)
+        if send.to == self.settings.id:
+            self.own_messages.append(send)
             return
         address = self.swim.address(send.to)
         if not address:
@@ -300,41 +317,45 @@
             return
         try:
             data = wire.write(
-                self.s.fleet,
-                self.s.id,
+                self.settings.fleet,
+                self.settings.id,
                 self.swim.me.incarnation,
                 self.register.document.version,
                 send.body,
-                self.swim.news_for(send.to),
+                self.swim.updates_for(send.to),
             )
         except ValueError:
             self.counts.dropped["too large"] += 1
             return
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
-        self.ready.append(Datagram(address, data))
+        self.ready_datagrams.append(Datagram(address, data))
 
-    # What staff and logs are told
+    # Operators and logs
 
-    def changed(self) -> list[Changed]:
+    def take_member_changes(self) -> list[MemberChange]:
         """Members whose state has changed since the last call."""
-        changed, self.swim.changed = self.swim.changed, []
+        changed, self.swim.changes = self.swim.changes, []
         return changed
 
     def propose(
-        self, change: Callable[[str, Document], Document | None], now: int, then: Callable[[Outcome], None]
+        self,
+        change: Callable[[str, RegisterDocument], RegisterDocument | None],
+        now: int,
+        callback: Callable[[Outcome], None],
     ) -> str:
-        return self.register.propose(change, now, then)
+        """Propose a change of the document. Returns the proposal id."""
+        return self.register.propose(change, now, callback)
 
-    def held(self, lease: str, now: int) -> int:
-        """The fencing number to act under, 0 if it may not act. To be asked in the turn that acts."""
-        keeper = self.register.keepers.get(lease)
-        return keeper.held(now) if keeper else 0
+    def fencing_token(self, lease: str, now: int) -> int:
+        """The token to act under, 0 if it may not act. To be called in the turn that acts."""
+        holder = self.register.lease_holders.get(lease)
+        return holder.fencing_token(now) if holder else 0
 
     def status(self, now: int) -> dict[str, Any]:
-        """Ages are in ms."""
-        me, r = self.swim.me, self.register
-        peers = sorted(self.swim.peers.values(), key=lambda p: p.id)
+        """The status for operators; ages are in ms."""
+        me, register = self.swim.me, self.register
+        peers = sorted(self.swim.peers.values(), key=lambda peer: peer.id)
         rows = [
             {
                 "id": me.id,
@@ -348,34 +369,39 @@
         ]
         rows += [
             {
-                "id": p.id,
-                "state": STATES[p.state] if p.incarnation > 0 else "unheard",
-                "zone": p.zone,
-                "region": p.region,
-                "incarnation": p.incarnation,
-                "age_ms": (now - p.heard_at) // 1000 if p.heard_at else None,
+                "id": peer.id,
+                "state": STATES[peer.state] if peer.incarnation > 0 else "unheard",
+                "zone": peer.zone,
+                "region": peer.region,
+                "incarnation": peer.incarnation,
+                "age_ms": (now - peer.heard_at) // 1000 if peer.heard_at else None,
                 "self": False,
             }
-            for p in peers
+            for peer in peers
         ]
-        d = r.document
+        document = register.document
         return {
-            "fleet": self.s.fleet,
+            "fleet": self.settings.fleet,
             "id": me.id,
-            "life": self.born,
+            "life": self.generation,
             "started": self.started,
             "members": rows,
-            "health": self.swim.health,
-            "version": d.version,
-            "voters": list(d.voters),
-            "former": list(d.former),
-            "votes": r.voter.voting,
-            "words": d.words,
+            "health": self.swim.health_score,
+            "version": document.version,
+            "voters": list(document.voters),
+            "former": list(document.previous_voters),
+            "votes": register.voter.is_voting,
+            "words": document.entries,
             "leases": [
-                {"name": name, "owner": lease.owner, "fence": lease.fence, "mine": bool(self.held(name, now))}
-                for name, lease in sorted(d.leases.items())
+                {
+                    "name": name,
+                    "owner": lease.owner,
+                    "fence": lease.fencing_token,
+                    "mine": bool(self.fencing_token(name, now)),
+                }
+                for name, lease in sorted(document.leases.items())
             ],
-            "policy": self._policy_status(now) if self.govern else None,
+            "policy": self._policy_status(now) if self.policy_member else None,
             "datagrams": {
                 "sent": self.counts.sent,
                 "sent_bytes": self.counts.sent_bytes,
@@ -385,29 +411,36 @@
         }
 
     def _policy_status(self, now: int) -> dict[str, Any]:
-        assert self.govern is not None
-        p, standing = self.register.document.policy, self.govern.standing
-        until = standing.valid_until()
+        assert self.policy_member is not None
+        policy, policy_lease = self.register.document.policy, self.policy_member.lease
+        until = policy_lease.valid_until()
         return {
-            "version": p.version,
-            "epoch": p.epoch,
-            "may_act": standing.held(now) >= 0,
-            "set_up_for": standing.version,
-            "alone": "last" if standing.last else "hold",
+            "version": policy.version,
+            "epoch": policy.epoch,
+            "may_act": policy_lease.valid_version(now) >= 0,
+            "set_up_for": policy_lease.applied_version,
+            "alone": "last" if policy_lease.continues_alone else "hold",
             "lease_ms": None if until - now > 1 << 60 else max(0, (until - now) // 1000),
-            "not_given": standing.why,
-            "struck": list(p.struck),
-            "waits": self.govern.conductor.waits(),
-            "change": p.change
-            and {"id": p.change.id, "by": p.change.by, "closing": p.change.closing, "moves": p.change.moves},
-            "stage": p.stage
+            "not_given": policy_lease.denial_reasons,
+            "struck": list(policy.cancelled_members),
+            "waits": self.policy_member.coordinator.waiting_for(),
+            "change": policy.change
+            and {
+                "id": policy.change.id,
+                "by": policy.change.by,
+                "closing": policy.change.closing,
+                "moves": policy.change.scope,
+            },
+            "stage": policy.stage
             and {
-                "id": p.stage.id,
-                "version": p.stage.version,
-                "share": p.stage.few.share,
-                "members": [m for m in sorted((self.s.id, *self.swim.there())) if p.stage.few.has(m)][
-                    :MOST_NAMED
-                ],
+                "id": policy.stage.id,
+                "version": policy.stage.version,
+                "share": policy.stage.canary.share,
+                "members": [
+                    m
+                    for m in sorted((self.settings.id, *self.swim.live_members()))
+                    if policy.stage.canary.includes(m)
+                ][:MAX_STATUS_MEMBERS],
             },
-            "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in p.ended],
+            "ended": [{"id": e.id, "version": e.version, "why": e.why} for e in policy.ended],
         }
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -1,11 +1,12 @@
-"""The fleet's policy in the register's document: which version is in force, and the change under way.
+"""The fleet's policy in the register's document: which version is in force, and the change in progress.
 
-A change goes through two steps before it is in force. Prepared: each member checks it, and goes on under the
-version in force. Closing: no voter gives a lease on that version any more, those who hold one stop. Each step
-is one compare-and-set on `epoch`, which every step raises, so that no step is ever taken on an older one.
+A change takes two steps before it is in force. Prepared: each member checks it, and continues under the
+version in force. Closing: no voter grants a lease on that version any more, and members that hold one stop.
+Each step is a compare-and-set on `epoch`, which every step raises, so no step is taken on an older one.
 
-A change may be staged: then two versions are in force for a while, each member's by its name, and a second
-change brings the others to the new one, or those few to a third that is as the one before.
+A change may be staged: then two versions are in force for a while, and the name of a member decides which one
+applies to it. A second change brings the other members to the new version, or the canary group to a third
+version that equals the one before.
 """
 
 from __future__ import annotations
@@ -18,229 +19,274 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hopmill.fleet.document import Document
+    from hopmill.fleet.document import RegisterDocument
 
-ENDED = 3  # outcomes that the document keeps, so that one whose answer was lost is told
-MOST_WHY = 48  # characters of a reason
-MOST_STRUCK = 6  # members that are struck off at once
+MAX_ENDED = 3  # outcomes that the document keeps, for a proposer whose answer was lost
+MAX_REASON_CHARS = 48
+MAX_CANCELLED = 6  # members that are cancelled at once
 IN_FORCE, ENDED_NOWHERE = "in force", "in force nowhere"
 
 
-class Refused(ValueError):
+class ChangeRefusedError(ValueError):
     """The change can't be made; the text says why."""
 
 
+# Scope of a change: all members, the canary group, the rest after it, or all back to the version before.
 ALL, STAGE, REST, BACK = "all", "stage", "rest", "back"
 
 
-class Few(msgspec.Struct, frozen=True, array_like=True):
-    """Which members go first: about this share, by their names and a salt. They are watched for so long."""
+class CanaryGroup(msgspec.Struct, frozen=True, array_like=True):
+    """The members on which a staged change is tried first: about this share, chosen by their names and a
+    salt.
+    """
 
-    share: float
+    share: float  # of the members, 0 to 1
     salt: int
-    watch_ms: int
+    watch_ms: int  # how long the group is watched
 
-    def has(self, member: str) -> bool:
+    def includes(self, member: str) -> bool:
+        """Whether the member belongs to the group."""
         return zlib.crc32(f"{self.salt} {member}".encode()) < self.share * (1 << 32)
 
 
-class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One under way. id: of this proposal and no other; digest: of the text that it would put in force.
-    moves: whom it concerns: all, a few first, the rest after them, or all back to what was."""
+class PolicyChange(msgspec.Struct, frozen=True, array_like=True):
+    """A change in progress."""
 
-    id: str
-    digest: bytes
+    id: str  # of this proposal and no other
+    digest: bytes  # of the text that it would put in force
     by: str  # the member that proposed it, and has the text
     closing: bool = False
-    moves: str = ALL
-    few: Few | None = None
-    opened: int = 0  # times that it was closing and was opened again
+    scope: str = ALL
+    canary: CanaryGroup | None = None
+    reopen_count: int = 0  # times that its closing was reopened
 
-    def concerns(self, member: str) -> bool:
+    def affects(self, member: str) -> bool:
         """Whether it would bring this member to another version."""
-        if self.few is None or self.moves in (ALL, BACK):
+        if self.canary is None or self.scope in (ALL, BACK):
             return True
-        return self.few.has(member) is (self.moves == STAGE)
+        return self.canary.includes(member) is (self.scope == STAGE)
 
 
-class Stage(msgspec.Struct, frozen=True, array_like=True):
-    """A version that is in force for a few. id: of its proposal."""
+class CanaryStage(msgspec.Struct, frozen=True, array_like=True):
+    """A version that is in force for a canary group."""
 
-    id: str
+    id: str  # of its proposal
     digest: bytes
     version: int
-    few: Few
+    canary: CanaryGroup
     by: str
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
+class EndedChange(msgspec.Struct, frozen=True, array_like=True):
+    """The outcome of a change."""
+
     id: str
-    version: int  # that it put in force, 0: none
+    version: int  # that it put in force; 0: none
     why: str = ""
 
 
 class Policy(msgspec.Struct, frozen=True, array_like=True):
-    """version: in force, 0 is each courier's own file. digest: of the text of that version."""
+    """The policy's part of the document."""
 
-    epoch: int = 0
-    version: int = 0
-    digest: bytes = b""
-    change: Change | None = None
-    ended: tuple[Ended, ...] = ()
-    struck: tuple[str, ...] = ()
-    stage: Stage | None = None
+    epoch: int = 0  # raised by every step
+    version: int = 0  # in force; 0: each courier's own file
+    digest: bytes = b""  # of the text of that version
+    change: PolicyChange | None = None
+    ended: tuple[EndedChange, ...] = ()
+    cancelled_members: tuple[str, ...] = ()  # withdrawn by an operator
+    stage: CanaryStage | None = None
 
     def version_for(self, member: str) -> int:
-        return self.stage.version if self.stage and self.stage.few.has(member) else self.version
+        """The version in force for this member."""
+        return self.stage.version if self.stage and self.stage.canary.includes(member) else self.version
 
     def digest_for(self, member: str) -> bytes:
-        return self.stage.digest if self.stage and self.stage.few.has(member) else self.digest
+        """The digest of the text in force for this member."""
+        return self.stage.digest if self.stage and self.stage.canary.includes(member) else self.digest
 
     def closing_for(self, member: str) -> bool:
-        """Whether it has to stop."""
-        return self.change is not None and self.change.closing and self.change.concerns(member)
+        """Whether this member has to stop."""
+        return self.change is not None and self.change.closing and self.change.affects(member)
 
-    def outcome(self, ident: str) -> Ended | None:
-        return next((e for e in self.ended if e.id == ident), None)
+    def outcome(self, change_id: str) -> EndedChange | None:
+        """How a change ended, None if it has not or is no longer kept."""
+        return next((e for e in self.ended if e.id == change_id), None)
 
     @property
     def texts(self) -> set[bytes]:
-        """Digests of all that is in force or may be."""
-        there = (
+        """Digests of all texts that are in force or may come into force."""
+        digests = (
             self.digest,
             self.change.digest if self.change else b"",
             self.stage.digest if self.stage else b"",
         )
-        return {d for d in there if d}
+        return {digest for digest in digests if digest}
 
 
-Step = "Callable[[str, Document], Document | None]"
+Step = "Callable[[str, RegisterDocument], RegisterDocument | None]"
 
 
-def _next(document: Document, ticket: str, **changes: object) -> Document:
-    p = document.policy
-    return document.next(ticket, policy=msgspec.structs.replace(p, epoch=p.epoch + 1, **changes))
+def _next(document: RegisterDocument, proposal_id: str, **changes: object) -> RegisterDocument:
+    policy = document.policy
+    return document.next(
+        proposal_id, policy=msgspec.structs.replace(policy, epoch=policy.epoch + 1, **changes)
+    )
 
 
-def prepare(change: Change, base: int) -> Step:
-    """base: the version that its text was made from. Left as it is where it is under way or has ended."""
+def prepare(change: PolicyChange, base: int) -> Step:
+    """Begin a change.
 
-    def step(ticket: str, document: Document) -> Document | None:
-        p = document.policy
-        if p.outcome(change.id) or p.change and p.change.id == change.id:
+    base: the version that its text was made from. The document is left as it is if the change is in progress
+    or has ended. The step raises ChangeRefusedError if another one is in progress or another version is in
+    force.
+    """
+
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy = document.policy
+        if policy.outcome(change.id) or policy.change and policy.change.id == change.id:
             return None
-        if p.change or p.stage:
-            there = p.change or p.stage
-            raise Refused(f"change {there.id} of {there.by} is " + ("under way" if p.change else "staged"))
-        if p.version != base:
-            raise Refused(f"version {p.version} is in force, not {base}")
-        return _next(document, ticket, change=change)
+        if policy.change or policy.stage:
+            under_way = policy.change or policy.stage
+            raise ChangeRefusedError(
+                f"change {under_way.id} of {under_way.by} is " + ("under way" if policy.change else "staged")
+            )
+        if policy.version != base:
+            raise ChangeRefusedError(f"version {policy.version} is in force, not {base}")
+        return _next(document, proposal_id, change=change)
 
     return step
 
 
-def _at(epoch: int, then: Callable[[str, Document], Document | None]) -> Step:
-    """Only where nothing has happened to the policy since this epoch."""
+def _at_epoch(epoch: int, apply: Callable[[str, RegisterDocument], RegisterDocument | None]) -> Step:
+    """A step that is taken only if nothing has happened to the policy since this epoch."""
 
-    def step(ticket: str, document: Document) -> Document | None:
-        return then(ticket, document) if document.policy.epoch == epoch and document.policy.change else None
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        return (
+            apply(proposal_id, document)
+            if document.policy.epoch == epoch and document.policy.change
+            else None
+        )
 
     return step
 
 
-def _closing(document: Document, ticket: str, closing: bool) -> Document:
+def _with_closing(document: RegisterDocument, proposal_id: str, closing: bool) -> RegisterDocument:
     change = document.policy.change
     assert change is not None
-    opened = change.opened + (change.closing and not closing)
-    return _next(document, ticket, change=msgspec.structs.replace(change, closing=closing, opened=opened))
+    reopen_count = change.reopen_count + (change.closing and not closing)
+    return _next(
+        document,
+        proposal_id,
+        change=msgspec.structs.replace(change, closing=closing, reopen_count=reopen_count),
+    )
 
 
 def close(epoch: int) -> Step:
-    """From here on nobody gets a lease on the version in force."""
-    return _at(epoch, lambda t, d: _closing(d, t, True))
+    """From here on no member gets a lease on the version in force."""
+    return _at_epoch(epoch, lambda proposal_id, document: _with_closing(document, proposal_id, True))
 
 
 def reopen(epoch: int) -> Step:
-    """Somebody who was ready does not stop: all go on under the version in force, until that one's lease
-    has run out."""
-    return _at(epoch, lambda t, d: _closing(d, t, False))
+    """Undo a closing: all members continue under the version in force.
+
+    A member that was ready does not stop; its lease has to expire first.
+    """
+    return _at_epoch(epoch, lambda proposal_id, document: _with_closing(document, proposal_id, False))
 
 
 def commit(epoch: int) -> Step:
-    """It is in force: a majority of voters knows of nobody who works under the version before."""
+    """Put the change in force: a majority of voters knows of no member working under the old version."""
 
-    def then(ticket: str, d: Document) -> Document | None:
-        p, change, stage = d.policy, d.policy.change, d.policy.stage
+    def apply(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy, change, stage = document.policy, document.policy.change, document.policy.stage
         assert change is not None
         if not change.closing:
             return None
-        if change.moves == STAGE:
-            assert change.few is not None
-            staged = Stage(change.id, change.digest, p.version + 1, change.few, change.by)
-            return _next(d, ticket, change=None, stage=staged)
-        if change.moves == BACK:
+        if change.scope == STAGE:
+            assert change.canary is not None
+            staged = CanaryStage(change.id, change.digest, policy.version + 1, change.canary, change.by)
+            return _next(document, proposal_id, change=None, stage=staged)
+        if change.scope == BACK:
             assert stage is not None
-            return _next(d, ticket, version=stage.version + 1, change=None, stage=None)
-        version = stage.version if stage else p.version + 1
-        ended = (*p.ended, Ended(change.id, version))[-ENDED:]
-        return _next(d, ticket, version=version, digest=change.digest, change=None, stage=None, ended=ended)
+            return _next(document, proposal_id, version=stage.version + 1, change=None, stage=None)
+        version = stage.version if stage else policy.version + 1
+        ended = (*policy.ended, EndedChange(change.id, version))[-MAX_ENDED:]
+        return _next(
+            document, proposal_id, version=version, digest=change.digest, change=None, stage=None, ended=ended
+        )
 
-    return _at(epoch, then)
+    return _at_epoch(epoch, apply)
 
 
-def go_on(epoch: int) -> Step:
-    """Those that are watched do well: the rest follows."""
+def extend_to_rest(epoch: int) -> Step:
+    """The canary group does well: bring the other members to its version."""
 
-    def step(ticket: str, document: Document) -> Document | None:
-        p = document.policy
-        if p.epoch != epoch or p.stage is None or p.change:
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy = document.policy
+        if policy.epoch != epoch or policy.stage is None or policy.change:
             return None
-        s = p.stage
-        return _next(document, ticket, change=Change(s.id, s.digest, s.by, False, REST, s.few))
+        stage = policy.stage
+        return _next(
+            document,
+            proposal_id,
+            change=PolicyChange(stage.id, stage.digest, stage.by, False, REST, stage.canary),
+        )
 
     return step
 
 
-def go_back(epoch: int, why: str) -> Step:
-    """They do worse, or staff say so: all go to a version that is as the one before the stage. It can't be
-    refused, for all went by it."""
+def roll_back(epoch: int, why: str) -> Step:
+    """The canary group does worse, or an operator ends the stage.
 
-    def step(ticket: str, document: Document) -> Document | None:
-        p = document.policy
-        if p.epoch != epoch or p.stage is None or p.change and p.change.moves != REST:
+    All members change to a version that equals the one before the stage. It can't be refused, for all have
+    worked under it.
+    """
+
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        policy = document.policy
+        if policy.epoch != epoch or policy.stage is None or policy.change and policy.change.scope != REST:
             return None
-        s = p.stage
-        ended = (*p.ended, Ended(s.id, 0, why[:MOST_WHY]))[-ENDED:]
-        back = Change(s.id + "~", p.digest, s.by, False, BACK, s.few)
-        return _next(document, ticket, ended=ended, change=back)
+        stage = policy.stage
+        ended = (*policy.ended, EndedChange(stage.id, 0, why[:MAX_REASON_CHARS]))[-MAX_ENDED:]
+        roll_back_change = PolicyChange(stage.id + "~", policy.digest, stage.by, False, BACK, stage.canary)
+        return _next(document, proposal_id, ended=ended, change=roll_back_change)
 
     return step
 
 
-def end(epoch: int, why: str) -> Step:
-    """It is in force nowhere. Where some go by it already, they go back."""
+def end_change(epoch: int, why: str) -> Step:
+    """End a change without putting it in force. Members that apply it already are rolled back."""
 
-    def then(ticket: str, d: Document) -> Document | None:
-        change = d.policy.change
+    def apply(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        change = document.policy.change
         assert change is not None
-        if d.policy.stage:
-            return go_back(epoch, why)(ticket, d)
+        if document.policy.stage:
+            return roll_back(epoch, why)(proposal_id, document)
         return _next(
-            d, ticket, change=None, ended=(*d.policy.ended, Ended(change.id, 0, why[:MOST_WHY]))[-ENDED:]
+            document,
+            proposal_id,
+            change=None,
+            ended=(*document.policy.ended, EndedChange(change.id, 0, why[:MAX_REASON_CHARS]))[-MAX_ENDED:],
         )
 
-    return _at(epoch, then)
+    return _at_epoch(epoch, apply)
+
 
+def cancel_member(member: str, is_cancelled: bool = True) -> Step:
+    """Withdraw a member by name, or let it back.
 
-def strike(member: str, off: bool = True) -> Step:
-    """Staff's word that this member does not work any more: no change waits for it, and it gets no lease."""
+    An operator declares that the member does not run: no change waits for it, and it gets no lease. The step
+    raises ChangeRefusedError if too many are withdrawn.
+    """
 
-    def step(ticket: str, document: Document) -> Document | None:
-        struck = tuple(s for s in document.policy.struck if s != member) + ((member,) if off else ())
-        if set(struck) == set(document.policy.struck):
+    def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+        cancelled_members = tuple(s for s in document.policy.cancelled_members if s != member) + (
+            (member,) if is_cancelled else ()
+        )
+        if set(cancelled_members) == set(document.policy.cancelled_members):
             return None
-        if len(struck) > MOST_STRUCK:
-            raise Refused(f"at most {MOST_STRUCK} members are struck off at once")
-        return _next(document, ticket, struck=struck)
+        if len(cancelled_members) > MAX_CANCELLED:
+            raise ChangeRefusedError(f"at most {MAX_CANCELLED} members can be struck off at once")
+        return _next(document, proposal_id, cancelled_members=cancelled_members)
 
     return step
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -1,8 +1,8 @@
-"""A member's lease on the version in force: the right to begin calls and to take messages on.
+"""A member's lease on the policy version in force: the right to begin calls and to take messages on.
 
-A majority of the voters has to give it, and each of them only under what it knows to be chosen. The member
-counts from before it asked, a voter from after it gave, each with the drift on its side. A member that stops
-for a closing says so, and begins nothing before it knows a later epoch.
+A majority of the voters has to grant it, and each of them only by what it knows to be chosen. The member
+counts from before it asked, a voter from after it granted, each with the drift added on its side. A member
+that stops for a closing reports it, and begins nothing before it knows a later epoch.
 """
 
 from __future__ import annotations
@@ -10,184 +10,204 @@
 from dataclasses import dataclass
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.document import Document
-from hopmill.fleet.policy import MOST_WHY, Policy
+from hopmill.fleet.document import RegisterDocument
+from hopmill.fleet.policy import MAX_REASON_CHARS, Policy
 from hopmill.fleet.register import Register
-from hopmill.fleet.wire import Given, Hold, NotGiven, Stopped
+from hopmill.fleet.wire import LeaseDenial, LeaseGrant, LeaseRequest, WorkStopped
 
-RENEWALS = 3  # in the time of a lease
-AGAIN_US, MOST_AGAIN_US = 40_000, 640_000  # to a voter that does not answer, doubled each time
-STOPPED_AGAIN_US = 60_000
-FOREVER = 1 << 62
+RENEWALS_PER_LEASE = 3
+RETRY_US, MAX_RETRY_US = 40_000, 640_000  # to a voter that does not answer, doubled each time
+STOPPED_REPEAT_US = 60_000  # between two announcements that it has stopped
+NO_EXPIRY_US = 1 << 62  # later than any time
 
 
 @dataclass
-class Asked:
-    """What one voter was asked last."""
+class GrantRequest:
+    """The newest request to one voter."""
 
     seq: int = 0
-    at: int = 0
-    tries: int = 0
-    next_at: int = 0
+    sent_at: int = 0  # us
+    tries: int = 0  # without a grant
+    next_send_at: int = 0  # us
 
 
-class Standing:
-    """Times are us of this member's elapsed clock. `out` gathers what is to be sent."""
+class PolicyLease:
+    """Times are us of this member's elapsed clock. `outbox` gathers the messages to send."""
 
     def __init__(
-        self, me: str, life: int, register: Register, length_us: int, drift: float, last: bool
+        self,
+        me: str,
+        generation: int,
+        register: Register,
+        length_us: int,
+        drift: float,
+        continues_alone: bool,
     ) -> None:
-        """last: alone, it goes on under the last version; else it holds."""
-        self.me, self.life, self.register = me, life, register
-        self.length_us, self.drift, self.last = length_us, drift, last
-        self.version = -1  # that this courier is set up for
-        self.ready, self.refuses = "", ""  # the change that it has checked, and what speaks against it
-        self.stopped = 0  # the epoch of the newest closing that it has stopped for
+        """continues_alone: without the voters it goes on under the last version; else it holds."""
+        self.me, self.generation, self.register = me, generation, register
+        self.length_us, self.drift, self.continues_alone = length_us, drift, continues_alone
+        self.applied_version = -1  # that this courier has applied; -1: none
+        self.ready_for, self.refusal = "", ""  # the change that it has checked, and why it refuses
+        self.stopped_epoch = 0  # the epoch of the newest closing that it has stopped for
         self.seq = 0
-        self.asked: dict[str, Asked] = {}
-        self.given: dict[str, int] = {}  # by voter: when it was asked for what it gave
-        self.roster = 0  # that the given are of
-        self.stopped_at = -STOPPED_AGAIN_US
-        self.why: dict[str, str] = {}  # by voter: why it gave none
-        self.out: list[Send] = []
+        self.requests: dict[str, GrantRequest] = {}
+        self.granted_at: dict[str, int] = {}  # by voter: when the granted lease was requested
+        self.voter_set_version = 0  # that the grants belong to
+        self.stopped_sent_at = -STOPPED_REPEAT_US
+        self.denial_reasons: dict[str, str] = {}  # by voter: why it denied a lease
+        self.outbox: list[Send] = []
 
     @property
     def policy(self) -> Policy:
+        """The newest policy that is known to be chosen."""
         return self.register.document.policy
 
-    # What the courier may do
+    # Permission to act
 
-    def held(self, now: int) -> int:
-        """The version to act under, -1 if it may not act. To be asked in the turn that acts."""
-        return self.version if now < self.valid_until() else -1
+    def valid_version(self, now: int) -> int:
+        """The version to act under, -1 if it may not act. To be called in the turn that acts."""
+        return self.applied_version if now < self.valid_until() else -1
 
     def valid_until(self) -> int:
-        d = self.register.document
-        if self.version != d.policy.version_for(self.me) or self.stops() or self.me in d.policy.struck:
+        """When the permission to act ends, 0 if there is none."""
+        document = self.register.document
+        if (
+            self.applied_version != document.policy.version_for(self.me)
+            or self.must_stop()
+            or self.me in document.policy.cancelled_members
+        ):
             return 0
-        if self.roster != d.roster:
+        if self.voter_set_version != document.voter_set_version:
             return 0
-        if self.last:
-            return FOREVER if d.agrees(self.given) else 0
-        there: set[str] = set()
-        for voter in sorted(self.given, key=self.given.__getitem__, reverse=True):
-            there.add(voter)
-            if d.agrees(there):
+        if self.continues_alone:
+            return NO_EXPIRY_US if document.has_majority(self.granted_at) else 0
+        granting_voters: set[str] = set()
+        for voter in sorted(self.granted_at, key=self.granted_at.__getitem__, reverse=True):
+            granting_voters.add(voter)
+            if document.has_majority(granting_voters):
                 return self.counts_from(voter) + int(self.length_us * (1 - self.drift))
         return 0
 
     def counts_from(self, voter: str) -> int:
-        return self.given[voter]
+        """The time from which this voter's grant counts."""
+        return self.granted_at[voter]
 
-    def stops(self) -> bool:
+    def must_stop(self) -> bool:
+        """Whether a change that concerns this member is closing."""
         return self.policy.closing_for(self.me)
 
-    # What the courier says
+    # Reports of the courier
 
-    def set_up_for(self, version: int) -> None:
-        """All of it is in place; what was given under another counts no more."""
-        if version != self.version:
-            self.version = version
-            self._forget()
+    def set_applied_version(self, version: int) -> None:
+        """Note that the courier has applied this version; grants for another one no longer count."""
+        if version != self.applied_version:
+            self.applied_version = version
+            self._discard_grants()
 
-    def judged(self, change: str, why: str = "") -> None:
-        """It has checked this change against its own settings and machine. why: it can't take it."""
-        self.ready, self.refuses = change, why[:MOST_WHY]
-        for asked in self.asked.values():
-            asked.next_at = 0
+    def report_check(self, change: str, why: str = "") -> None:
+        """Report that the courier has checked this change. why: the reason to refuse it."""
+        self.ready_for, self.refusal = change, why[:MAX_REASON_CHARS]
+        for request in self.requests.values():
+            request.next_send_at = 0
 
-    def _forget(self) -> None:
-        self.given.clear()
-        self.asked.clear()
-        self.why.clear()
+    def _discard_grants(self) -> None:
+        self.granted_at.clear()
+        self.requests.clear()
+        self.denial_reasons.clear()
 
-    # Time and answers
+    # Timer and replies
 
     def tick(self, now: int) -> int:
-        """Returns when to be called again."""
-        p, d = self.policy, self.register.document
-        if self.stops():
-            return self._stop(p, d, now)
-        if self.roster != d.roster:
-            self.roster = d.roster
-            self._forget()
-        if self.version != p.version_for(self.me) or self.me in p.struck:
+        """Send the requests that are due. Returns the time of the next call."""
+        policy, document = self.policy, self.register.document
+        if self.must_stop():
+            return self._announce_stop(policy, document, now)
+        if self.voter_set_version != document.voter_set_version:
+            self.voter_set_version = document.voter_set_version
+            self._discard_grants()
+        if self.applied_version != policy.version_for(self.me) or self.me in policy.cancelled_members:
             return now + 1_000_000
-        due = FOREVER
-        for voter in sorted(d.everyone):
-            asked = self.asked.setdefault(voter, Asked())
-            if now >= asked.next_at:
-                self._ask(voter, asked, p, now)
-            due = min(due, asked.next_at)
+        due = NO_EXPIRY_US
+        for voter in sorted(document.all_voters):
+            request = self.requests.setdefault(voter, GrantRequest())
+            if now >= request.next_send_at:
+                self._send_request(voter, request, policy, now)
+            due = min(due, request.next_send_at)
         until = self.valid_until()
         return min(due, until) if until > now else due
 
-    def _ask(self, voter: str, asked: Asked, p: Policy, now: int) -> None:
+    def _send_request(self, voter: str, request: GrantRequest, policy: Policy, now: int) -> None:
         self.seq += 1
-        asked.seq, asked.at = self.seq, now
-        asked.next_at = now + min(MOST_AGAIN_US, AGAIN_US << min(asked.tries, 8))
-        asked.tries += 1
-        mine = p.change is not None and p.change.id == self.ready
-        self.out.append(
+        request.seq, request.sent_at = self.seq, now
+        request.next_send_at = now + min(MAX_RETRY_US, RETRY_US << min(request.tries, 8))
+        request.tries += 1
+        mine = policy.change is not None and policy.change.id == self.ready_for
+        self.outbox.append(
             Send(
                 voter,
-                Hold(
-                    self.life,
+                LeaseRequest(
+                    self.generation,
                     self.seq,
-                    self.version,
-                    self.last,
-                    self.ready if mine and not self.refuses else "",
-                    f"{self.ready} {self.refuses}" if mine and self.refuses else "",
+                    self.applied_version,
+                    self.continues_alone,
+                    self.ready_for if mine and not self.refusal else "",
+                    f"{self.ready_for} {self.refusal}" if mine and self.refusal else "",
                 ),
             )
         )
 
-    def _stop(self, p: Policy, d: Document, now: int) -> int:
-        """Every voter is told, again and again, until a later epoch is known."""
-        if self.stopped < p.epoch:
-            self.stopped, self.stopped_at = p.epoch, now - STOPPED_AGAIN_US
-            self._forget()
-        if now - self.stopped_at >= STOPPED_AGAIN_US:
-            self.stopped_at = now
-            self.out += [Send(voter, Stopped(p.epoch)) for voter in sorted(d.everyone)]
-        return self.stopped_at + STOPPED_AGAIN_US
-
-    def given_by(self, sender: str, given: Given, now: int) -> None:
-        asked = self.asked.get(sender)
-        if asked is None or not self.answers(given, asked) or self.stops():
+    def _announce_stop(self, policy: Policy, document: RegisterDocument, now: int) -> int:
+        """Repeat to every voter that it has stopped, until a later epoch is known."""
+        if self.stopped_epoch < policy.epoch:
+            self.stopped_epoch, self.stopped_sent_at = policy.epoch, now - STOPPED_REPEAT_US
+            self._discard_grants()
+        if now - self.stopped_sent_at >= STOPPED_REPEAT_US:
+            self.stopped_sent_at = now
+            self.outbox += [Send(voter, WorkStopped(policy.epoch)) for voter in sorted(document.all_voters)]
+        return self.stopped_sent_at + STOPPED_REPEAT_US
+
+    def on_grant(self, sender: str, grant: LeaseGrant, now: int) -> None:
+        """Count a grant of the version that is applied."""
+        request = self.requests.get(sender)
+        if request is None or not self.matches_request(grant, request) or self.must_stop():
             return
-        if given.version != self.version or not self.same_voters(given):
+        if grant.version != self.applied_version or not self.has_same_voters(grant):
             return
-        self.given[sender] = asked.at
-        asked.tries = 0
-        asked.next_at = asked.at + int(self.length_us * (1 - self.drift)) // RENEWALS
-        self.why.pop(sender, None)
+        self.granted_at[sender] = request.sent_at
+        request.tries = 0
+        request.next_send_at = request.sent_at + int(self.length_us * (1 - self.drift)) // RENEWALS_PER_LEASE
+        self.denial_reasons.pop(sender, None)
 
-    def answers(self, given: Given, asked: Asked) -> bool:
-        """The newest asking of this life, from which it counts: each life counts from one."""
-        return given.life == self.life and given.seq == asked.seq
+    def matches_request(self, grant: LeaseGrant, request: GrantRequest) -> bool:
+        """Whether it answers the newest request of this generation; requests of each generation count from
+        one.
+        """
+        return grant.generation == self.generation and grant.seq == request.seq
 
-    def same_voters(self, given: Given) -> bool:
-        return given.roster == self.register.document.roster == self.roster
+    def has_same_voters(self, grant: LeaseGrant) -> bool:
+        """Whether voter and member know the same set of voters."""
+        return grant.voter_set_version == self.register.document.voter_set_version == self.voter_set_version
 
-    def not_given_by(self, sender: str, refused: NotGiven) -> None:
-        asked = self.asked.get(sender)
-        if asked is not None and refused.seq == asked.seq:
-            self.why[sender] = refused.why
+    def on_denial(self, sender: str, denial: LeaseDenial) -> None:
+        """Note a voter's reason to deny."""
+        request = self.requests.get(sender)
+        if request is not None and denial.seq == request.seq:
+            self.denial_reasons[sender] = denial.why
 
-    # Upgrades, on the same machine, whose elapsed clock goes on
+    # Upgrades, on the same machine, whose elapsed clock continues
 
     def carry(self) -> dict[str, object]:
+        """State for the next process in an upgrade."""
         return {
-            "version": self.version,
-            "given": self.given,
-            "roster": self.roster,
+            "version": self.applied_version,
+            "given": self.granted_at,
+            "roster": self.voter_set_version,
             "seq": self.seq,
-            "stopped": self.stopped,
+            "stopped": self.stopped_epoch,
         }
 
     def resume(self, carried: dict[str, object]) -> None:
-        """The lease moves along; what was asked and not answered does not."""
-        self.version, self.given = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
-        self.roster, self.stopped = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
+        """Continue with the granted lease; open requests are not carried over."""
+        self.applied_version, self.granted_at = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
+        self.voter_set_version, self.stopped_epoch = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
         self.seq = int(carried["seq"]) + 1  # type: ignore[call-overload]
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -1,20 +1,20 @@
-"""Datagrams between members: msgpack by msgspec, at most 1,200 bytes, with who sent it and in which life."""
+"""Datagrams between members: msgpack by msgspec, at most 1,200 bytes, with sender and incarnation."""
 
 from __future__ import annotations
 
 import msgspec
 
 FORMAT = 1
-MOST_BYTES = 1200
-Ballot = tuple[int, str]  # round, then who proposes: all are different
+MAX_DATAGRAM_BYTES = 1200
+Ballot = tuple[int, str]  # (round, proposer): no two are equal
 
 
-class Part(msgspec.Struct, array_like=True, frozen=True):
-    """Of a datagram: an array, its kind first where there are several."""
+class ArrayStruct(msgspec.Struct, array_like=True, frozen=True):
+    """A part of a datagram: encoded as an array, with its tag first where there are several kinds."""
 
 
-class News(Part):
-    """What is said of a member. Of two, the later incarnation prevails, then the later state."""
+class MemberUpdate(ArrayStruct):
+    """Gossip about a member. Of two, the later incarnation prevails, then the later state."""
 
     id: str
     state: int
@@ -22,30 +22,34 @@
     address: str
     zone: str
     region: str
-    by: str = ""  # who suspects it, or took it for dead
+    suspected_by: str = ""  # the member that suspects it or declared it dead
 
 
 # Membership
 
 
-class Ping(Part, tag="p"):
+class Ping(ArrayStruct, tag="p"):
+    """Is the target alive?"""
+
     seq: int
-    target: str  # whom it is meant for: an address may have changed hands
+    target: str  # the member that it is meant for: an address may have a new owner
+
 
+class Ack(ArrayStruct, tag="a"):
+    """The answer to a ping."""
 
-class Ack(Part, tag="a"):
     seq: int
 
 
-class PingFor(Part, tag="q"):
-    """Ping the target and pass its answer on."""
+class IndirectPing(ArrayStruct, tag="q"):
+    """Ping the target and pass its answer on (ping-req of SWIM)."""
 
     seq: int
     target: str
 
 
-class Unheard(Part, tag="n"):
-    """The one asked for is silent here too; the asker's own hearing is well."""
+class ProbeFailed(ArrayStruct, tag="n"):
+    """The target does not answer this helper either (nack of Lifeguard): the helper itself was heard."""
 
     seq: int
 
@@ -53,183 +57,196 @@
 # The register: voters and proposers
 
 
-class Ask(Part, tag="k"):
-    """A voter that has just started: what do you know of me? Remember that this is my life now."""
+class RecoveryRequest(ArrayStruct, tag="k"):
+    """A voter starts without trusted memory: record its generation and report what is known of it."""
 
-    life: int
+    generation: int
 
 
-class Known(Part, tag="w"):
-    """life: the highest known of the asker, its own told one included."""
+class RecoveryReply(ArrayStruct, tag="w"):
+    """What a voter knows of the member that asked, and what it has promised and accepted."""
 
-    life: int
-    voting: bool
-    told: int  # the life in the Ask that this answers
+    generation: int  # the highest known of the member that asked, its claim included
+    is_voting: bool
+    claimed_generation: int  # the generation in the request that this answers
     promised: Ballot
     accepted: Ballot
     document: bytes
-    lives: dict[str, int] = {}  # of the other voters, as known here
+    generations: dict[str, int] = {}  # of the other voters, as known to the sender
+
 
+class Prepare(ArrayStruct, tag="1"):
+    """First phase of a ballot."""
 
-class Prepare(Part, tag="1"):
     ballot: Ballot
 
 
-class Promise(Part, tag="2"):
+class Promise(ArrayStruct, tag="2"):
+    """The voter accepts no earlier ballot; with what it accepted last."""
+
     ballot: Ballot
-    life: int
+    generation: int
     accepted: Ballot
     document: bytes
 
 
-class Accept(Part, tag="3"):
-    """basis: the voters, with their lives, whose promises this stands on."""
+class Accept(ArrayStruct, tag="3"):
+    """Second phase of a ballot."""
 
     ballot: Ballot
     document: bytes
-    basis: tuple[tuple[str, int], ...]
+    basis: tuple[tuple[str, int], ...]  # (voter, generation) of the promises it is based on
+
 
+class Accepted(ArrayStruct, tag="4"):
+    """The voter has accepted the document."""
 
-class Accepted(Part, tag="4"):
     ballot: Ballot
-    life: int
+    generation: int
 
 
-class Refused(Part, tag="5"):
-    """Not this ballot: a later one is promised, or its basis no longer stands."""
+class BallotRejected(ArrayStruct, tag="5"):
+    """The ballot is refused: a later one is promised, or its basis is no longer valid."""
 
     ballot: Ballot
     promised: Ballot
 
 
-class Fetch(Part, tag="f"):
-    """I have an older version of the document than you say there is."""
+class DocumentRequest(ArrayStruct, tag="f"):
+    """The sender has an older version of the document than the receiver reports."""
 
     version: int
 
 
-class Chosen(Part, tag="c"):
+class ChosenDocument(ArrayStruct, tag="c"):
+    """A document that is known to be chosen."""
+
     document: bytes
 
 
-# The policy in force: who may act under it, and its texts
+# The policy in force: leases on it, changes, and texts
 
 
-class Hold(Part, tag="h"):
-    """I work under this version, or will: a lease on it. ready: for this change; refuses: it, and why."""
+class LeaseRequest(ArrayStruct, tag="h"):
+    """The sender works under this version, or is about to, and asks for a lease on it."""
 
-    life: int
+    generation: int
     seq: int
     version: int
-    last: bool  # alone, it goes on under the last version
-    ready: str = ""
-    refuses: str = ""
+    continues_alone: bool  # without the voters it goes on under the last version
+    ready_for: str = ""  # the change that the member is ready for
+    refusal: str = ""  # the change that it refuses, and why
 
 
-class Given(Part, tag="g"):
-    """roster: who votes, as the voter knows it. life, seq: of the Hold that it answers."""
+class LeaseGrant(ArrayStruct, tag="g"):
+    """A lease; generation and seq are those of the request that it answers."""
 
     seq: int
     version: int
-    roster: int
-    life: int = 0
+    voter_set_version: int  # as the voter knows it
+    generation: int = 0
+
 
+class LeaseDenial(ArrayStruct, tag="x"):
+    """No lease, and why."""
 
-class NotGiven(Part, tag="x"):
     seq: int
     why: str
 
 
-class Stopped(Part, tag="r"):
-    """I have stopped for the closing at this epoch, and begin nothing before I know a later one."""
+class WorkStopped(ArrayStruct, tag="r"):
+    """The sender has stopped for the closing at this epoch, and begins nothing until it knows a later one."""
 
     epoch: int
 
 
-class IsClear(Part, tag="C"):
-    """At this epoch: whom does the change wait for?"""
+class DrainQuery(ArrayStruct, tag="C"):
+    """Which members does the change wait for at this epoch?"""
 
     epoch: int
 
 
-class Clear(Part, tag="d"):
-    """clear: for nobody that this voter has given a lease. waits: some of them, and why."""
+class DrainReply(ArrayStruct, tag="d"):
+    """Whether the change still waits for members that this voter has granted a lease."""
 
     epoch: int
-    roster: int
-    clear: bool
-    waits: tuple[tuple[str, str], ...] = ()
-    refused: str = ""
+    voter_set_version: int
+    is_drained: bool  # no member is pending
+    pending: tuple[tuple[str, str], ...] = ()  # (member, reason) of some of them
+    refused: str = ""  # a member and its reason to refuse the change
 
 
-class Sums(Part):
-    """What a courier has counted: worth of the messages that ended, and earned by them; calls that ended,
-    refused as full, and failed otherwise."""
+class OutcomeTotals(ArrayStruct):
+    """What a courier has counted."""
 
-    worth: float = 0.0
-    earned: float = 0.0
-    calls: float = 0.0
-    refused: float = 0.0
-    failed: float = 0.0
+    worth: float = 0.0  # of the messages that ended
+    earned: float = 0.0  # by them
+    calls: float = 0.0  # that ended
+    refused: float = 0.0  # calls refused as full
+    failed: float = 0.0  # calls that failed otherwise
 
 
-class WantSums(Part, tag="S"):
-    """Of this stage, which is watched for so long."""
+class TotalsRequest(ArrayStruct, tag="S"):
+    """Asks for the totals around the start of a canary stage, which is watched for so long."""
 
-    stage: str
+    stage_id: str
     watch_ms: int
 
 
-class Counted(Part, tag="T"):
-    stage: str
+class TotalsReply(ArrayStruct, tag="T"):
+    """Totals of as long before the stage as it lasts, and since."""
+
+    stage_id: str
     version: int  # that the sender works under
-    before: Sums
-    after: Sums
+    before: OutcomeTotals
+    after: OutcomeTotals
 
 
-class WantText(Part, tag="t"):
-    """So many pieces of it, from this byte on."""
+class TextRequest(ArrayStruct, tag="t"):
+    """Asks for some pieces of a text, from this byte on."""
 
     digest: bytes
-    at: int
+    offset: int
 
 
-class Piece(Part, tag="u"):
+class TextPiece(ArrayStruct, tag="u"):
+    """A piece of a text."""
+
     digest: bytes
-    at: int
-    size: int  # of the whole
+    offset: int
+    total_bytes: int  # of the text
     data: bytes
 
 
 Body = (
     Ping
     | Ack
-    | PingFor
-    | Unheard
-    | Ask
-    | Known
+    | IndirectPing
+    | ProbeFailed
+    | RecoveryRequest
+    | RecoveryReply
     | Prepare
     | Promise
     | Accept
     | Accepted
-    | Refused
-    | Fetch
-    | Chosen
-    | Hold
-    | Given
-    | NotGiven
-    | Stopped
-    | IsClear
-    | Clear
-    | WantSums
-    | Counted
-    | WantText
-    | Piece
+    | BallotRejected
+    | DocumentRequest
+    | ChosenDocument
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseDenial
+    | WorkStopped
+    | DrainQuery
+    | DrainReply
+    | TotalsRequest
+    | TotalsReply
+    | TextRequest
+    | TextPiece
 )
 
 
-class Frame(Part):
-    """A datagram. What a later format adds goes behind."""
+class Frame(ArrayStruct):
+    """A datagram. A later format adds its fields at the end."""
 
     format: int
     fleet: str
@@ -237,45 +254,49 @@
     incarnation: int
     version: int  # of the newest document that the sender knows to be chosen
     body: msgspec.Raw
-    news: tuple[msgspec.Raw, ...] = ()
+    updates: tuple[msgspec.Raw, ...] = ()
 
 
-class Unreadable(ValueError):
+class UnreadableDatagramError(ValueError):
     """A datagram that is dropped; the text is the reason that it is counted under."""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_frame = msgspec.msgpack.Decoder(Frame)
-_body = msgspec.msgpack.Decoder(Body)
-_news = msgspec.msgpack.Decoder(News)
+_frame_decoder = msgspec.msgpack.Decoder(Frame)
+_body_decoder = msgspec.msgpack.Decoder(Body)
+_update_decoder = msgspec.msgpack.Decoder(MemberUpdate)
 encode = _encoder.encode
 
 
-def read(data: bytes, fleet: str) -> tuple[Frame, Body, list[News]]:
-    """Unreadable: the reason in a word."""
-    if len(data) > MOST_BYTES:
-        raise Unreadable("long")
+def read(data: bytes, fleet: str) -> tuple[Frame, Body, list[MemberUpdate]]:
+    """Decode a datagram. Raises UnreadableDatagramError with the reason in one word."""
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise UnreadableDatagramError("long")
     try:
-        frame = _frame.decode(data)
+        frame = _frame_decoder.decode(data)
         if frame.format != FORMAT:
-            raise Unreadable("format")
+            raise UnreadableDatagramError("format")
         if frame.fleet != fleet:
-            raise Unreadable("fleet")
-        return frame, _body.decode(frame.body), [_news.decode(n) for n in frame.news]
+            raise UnreadableDatagramError("fleet")
+        return frame, _body_decoder.decode(frame.body), [_update_decoder.decode(n) for n in frame.updates]
     except (msgspec.DecodeError, RecursionError):
-        raise Unreadable("unreadable") from None
+        raise UnreadableDatagramError("unreadable") from None
+
 
+def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, updates: list[bytes]) -> bytes:
+    """Encode a datagram with as many of the updates as fit, in their order.
 
-def write(fleet: str, sender: str, incarnation: int, version: int, body: Body, news: list[bytes]) -> bytes:
-    """As much of the news as fits, the first first. ValueError if the body alone does not."""
+    Raises ValueError if the body alone does not fit.
+    """
     head = Frame(FORMAT, fleet, sender, incarnation, version, msgspec.Raw(encode(body)))
-    room = MOST_BYTES - len(encode(head)) - 4  # the array's own length grows with what is in it
-    if room < 0:
-        raise ValueError("the body does not fit a datagram")
-    taken = []
-    for each in news:
-        room -= len(each)
-        if room < 0:
+    # The length prefix of the array of updates grows with its content.
+    room_bytes = MAX_DATAGRAM_BYTES - len(encode(head)) - 4
+    if room_bytes < 0:
+        raise ValueError(f"the message does not fit a datagram of {MAX_DATAGRAM_BYTES} bytes")
+    fitting = []
+    for update in updates:
+        room_bytes -= len(update)
+        if room_bytes < 0:
             break
-        taken.append(msgspec.Raw(each))
-    return encode(msgspec.structs.replace(head, news=tuple(taken)))
+        fitting.append(msgspec.Raw(update))
+    return encode(msgspec.structs.replace(head, updates=tuple(fitting)))
