--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -15,7 +15,7 @@
 from hopmill.interface import Result
 from hopmill.net.config import Address
 from hopmill.net.http import LOCAL_ERRORS, Exchange
-from hopmill.net.pool import GIVEN_UP, Left, Link, Loan, Pool, carry_link
+from hopmill.net.pool import GIVEN_UP, EndpointUnavailableError, PooledConnection, Checkout, Pool, carry_link
 from hopmill.net.upgrade import Cargo
 
 TAIL_S = 1.0  # how long the rest of an answer whose status line has come is waited for
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Item:
+class CallItem:
     """One message's part in a call."""
 
     number: int
@@ -56,12 +56,14 @@
 
 
 @dataclass
-class Hooks:
+class CallHooks:
     """What the calls ask of and tell the host."""
 
     may_write: Callable[[int], bool]  # the endpoint neither drains nor is there a wait
-    begin: Callable[[int, list[Item]], list[Item]]  # endpoint: which of these may be written there, now
-    ended: Callable[[Item, int, Outcome, int], None]  # item, endpoint, outcome, latency in us
+    begin: Callable[
+        [int, list[CallItem]], list[CallItem]
+    ]  # endpoint: which of these may be written there, now
+    ended: Callable[[CallItem, int, Outcome, int], None]  # item, endpoint, outcome, latency in us
     told_wait: Callable[[int, int], None]  # endpoint, us: at once, before any outcome
     probed: Callable[[int, Result, int], None]
 
@@ -112,13 +114,13 @@
 class Call(Exchange):
     """One call in flight, until each of its items has ended."""
 
-    def __init__(self, calls: Calls, endpoint: int, items: list[Item], path: str = "") -> None:
+    def __init__(self, calls: Calls, endpoint: int, items: list[CallItem], path: str = "") -> None:
         self.calls, self.endpoint, self.items = calls, endpoint, items
         self.path = path  # of a probe
         self.started = calls.loop.time()
         self.status, self.headers, self.body, self.received = 0, {}, bytearray(), 0
-        self.connection: Link | None = None
-        self.loan: Loan | None = None
+        self.connection: PooledConnection | None = None
+        self.loan: Checkout | None = None
         self.timers: list[asyncio.TimerHandle] = []
 
     @property
@@ -205,7 +207,7 @@
         for item in self.items:
             self.finish(item, outcome)
 
-    def finish(self, item: Item, outcome: Outcome) -> None:
+    def finish(self, item: CallItem, outcome: Outcome) -> None:
         if not item.ended:
             item.ended = True
             self.calls.hooks.ended(item, self.endpoint, outcome, self.latency_us)
@@ -214,12 +216,12 @@
 class Calls:
     """The calls out."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, hooks: Hooks, pool: Pool) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, hooks: CallHooks, pool: Pool) -> None:
         self.loop, self.hooks, self.pool = loop, hooks, pool
-        self.out: set[Call] = set()
+        self.in_flight: set[Call] = set()
 
     def close(self) -> None:
-        for call in list(self.out):
+        for call in list(self.in_flight):
             call.abandon()
 
     # Upgrades
@@ -227,7 +229,7 @@
     def carry(self, cargo: Cargo) -> list[list[Any]]:
         """The calls out whose request is written; all others have not run, and their connections close."""
         rows = []
-        for call in self.out:
+        for call in self.in_flight:
             connection = call.connection
             if call.path or not call.open or connection is None or connection.exchange is not call:
                 continue
@@ -251,7 +253,7 @@
         """Messages whose newest attempt has begun and can't have run, for its last byte is not written."""
         return [
             i.number
-            for call in self.out
+            for call in self.in_flight
             if call.connection and not call.connection.written
             for i in call.items
             if i.begun and not i.ended
@@ -264,20 +266,20 @@
         sock: socket.socket,
         born: float,
         started: float,
-        items: list[Item],
+        items: list[CallItem],
         received: bytes,
     ) -> None:
         """Go on with a call of the process before this one."""
         call = Call(self, endpoint, items)
         call.started = started
         call.connection = self.pool.resume(endpoint, address, sock, born)
-        self.out.add(call)
+        self.in_flight.add(call)
         call.timer(call.deadline - self.loop.time(), call.timed_out)
         call.connection.resume(call, received)
 
     # Starting
 
-    def send(self, endpoint: int, items: list[Item]) -> None:
+    def send(self, endpoint: int, items: list[CallItem]) -> None:
         """One call with these messages; each item's end is told once."""
         call = Call(self, endpoint, items)
         call.timer(call.deadline - call.started, call.timed_out)
@@ -290,39 +292,39 @@
 
     def cancel(self, number: int, attempt: int) -> None:
         """Stop waiting for a single call; one in a bundle goes on with it."""
-        for call in list(self.out):
+        for call in list(self.in_flight):
             item = call.items[0] if len(call.items) == 1 else None
             if item and item.number == number and item.attempt == attempt and not item.ended:
                 call.abandon()
                 call.finish(item, Outcome(Result.CANCELLED if item.begun else Result.MOOT))
 
     def _start(self, call: Call) -> None:
-        self.out.add(call)
-        loan = self.pool.lend(call.endpoint, lambda link, error: self._lent(call, link, error))
-        call.loan = loan if call in self.out else None  # it may have ended at once
+        self.in_flight.add(call)
+        loan = self.pool.check_out(call.endpoint, lambda link, error: self._lent(call, link, error))
+        call.loan = loan if call in self.in_flight else None  # it may have ended at once
 
-    def _lent(self, call: Call, link: Link | None, error: OSError | None) -> None:
+    def _lent(self, call: Call, link: PooledConnection | None, error: OSError | None) -> None:
         if link is not None:
             for item in call.items:
                 item.idle_us = link.idle_us
             self._write(call, link)
-        elif isinstance(error, Left) or error is not None and error.errno in LOCAL_ERRORS:
+        elif isinstance(error, EndpointUnavailableError) or error is not None and error.errno in LOCAL_ERRORS:
             self._unsent(call, Result.MOOT)
         else:
             self._unsent(call, Result.CONNECT_FAILED)
 
-    def _write(self, call: Call, connection: Link) -> None:
+    def _write(self, call: Call, connection: PooledConnection) -> None:
         call.connection = connection
         items = [i for i in call.items if not i.ended]
         call.items = items
         if not items and not call.path or not self.hooks.may_write(call.endpoint):
             self._unsent(call, Result.MOOT)
-            self.pool.take_back(connection)
+            self.pool.check_in(connection)
             return
         begun = self.hooks.begin(call.endpoint, items) if items else []
         if items and not begun:
             self._unsent(call, Result.MOOT)
-            self.pool.take_back(connection)
+            self.pool.check_in(connection)
             return
         for item in items:
             item.begun = item in begun
@@ -342,14 +344,14 @@
         left = max(1, int((call.deadline - self.loop.time()) * 1e3))
         return "X-Timeout-Ms", str(left)
 
-    def _headers(self, call: Call, item: Item) -> list[tuple[str, str]]:
+    def _headers(self, call: Call, item: CallItem) -> list[tuple[str, str]]:
         headers = [("X-Request-ID", item.id), self._patience(call)]
         if item.key:
             headers.append(("Idempotency-Key", item.key))
         return headers
 
     @staticmethod
-    def _row(item: Item) -> dict[str, Any]:
+    def _row(item: CallItem) -> dict[str, Any]:
         row = {"id": item.id, "body": base64.b64encode(item.body).decode()}
         if item.key:
             row["key"] = item.key
@@ -369,7 +371,7 @@
             self.hooks.probed(call.endpoint, result, latency)
 
     def _drop(self, call: Call) -> None:
-        self.out.discard(call)
+        self.in_flight.discard(call)
         for timer in call.timers:
             timer.cancel()
         if call.loan and call.connection is None:
@@ -377,8 +379,8 @@
 
     def release(self, call: Call) -> None:
         """The call is over; its connection, if still good, goes back."""
-        if call not in self.out:
+        if call not in self.in_flight:
             return
         self._drop(call)
         if call.connection is not None:
-            self.pool.take_back(call.connection)
+            self.pool.check_in(call.connection)
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -115,7 +115,7 @@
     return True
 
 
-class Watch(Link, Exchange):
+class DiscoveryWatch(Link, Exchange):
     """Follows the list of endpoints from the last version on."""
 
     def __init__(
@@ -185,7 +185,7 @@
             self.retry()
 
 
-class Notices(Link, Exchange):
+class NoticeSender(Link, Exchange):
     """Sends finals in batches, again and again until each batch is answered 204."""
 
     def __init__(
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -14,7 +14,7 @@
 
 from hopmill import interface as i
 from hopmill import logs
-from hopmill.net.calls import Item
+from hopmill.net.calls import CallItem
 from hopmill.net.upgrade import Cargo, Link, NotHandedOver, Owner, hand_over
 
 if TYPE_CHECKING:
@@ -72,7 +72,10 @@
     async def _hand_over(self, sock: socket.socket) -> None:
         host = self.host
         began = host.loop.time()
-        acceptors = [*host.door.acceptors, *([host.clients.acceptor] if host.clients.listening else [])]
+        acceptors = [
+            *host.operator_server.acceptors,
+            *([host.clients.acceptor] if host.clients.listening else []),
+        ]
         for acceptor in acceptors:
             acceptor.stop()
         try:
@@ -88,8 +91,8 @@
         except Exception:  # whatever it was, this process is still the owner
             log.exception("upgrade.not_handed_over")
         sock.close()
-        if host.peers:
-            host.peers.thaw()
+        if host.member_transport:
+            host.member_transport.thaw()
         self.handing_over, self.no_upgrade_until = None, host.loop.time() + AGAIN_S
         log.warning("upgrade.stood_still", seconds=round(host.loop.time() - began, 3))
         for acceptor in acceptors:
@@ -102,20 +105,22 @@
         room = host.config.sockets - len(os.listdir("/proc/self/fd")) - SPARE_FDS
         cargo = Cargo({"format": FORMAT})
         cargo.values.update(
-            uids=host.roster.uids,
-            known={"rev": host.watch.rev, "targets": list(host.roster.targets.values())},
-            waits=[[*key, until] for key, until in host.roster.waits.items()],
+            uids=host.registry.uids,
+            known={"rev": host.watch.rev, "targets": list(host.registry.targets.values())},
+            waits=[[*key, until] for key, until in host.registry.retry_after_until.items()],
             learned=host.courier.carry(),
             returning=self._zones_returning(),
             calls=host.calls.carry(cargo),
             unwritten=host.calls.unwritten(),
-            door=host.door.carry(cargo),
+            door=host.operator_server.carry(cargo),
             moved=host.moved_to,
         )
-        if host.in_force:
-            host.in_force.turn_all_away()
-        if host.peers:
-            cargo.values["fleet"] = host.peers.freeze() | {"socket": cargo.place(host.peers.sock.fileno())}
+        if host.active_policy:
+            host.active_policy.refuse_waiting()
+        if host.member_transport:
+            cargo.values["fleet"] = host.member_transport.freeze() | {
+                "socket": cargo.place(host.member_transport.sock.fileno())
+            }
         cargo.values["clients"] = host.clients.carry(cargo, max(1, room - len(cargo.fds)))
         cargo.values["idle"] = host.pool.carry_idle(cargo, room - len(cargo.fds))
         return cargo
@@ -124,7 +129,7 @@
         """The first turn after an upgrade: the module hears what was learned and which calls are out. What it
         sends then may go over the idle connections, so these have their owner before."""
         carried, host = self.carried, self.host
-        host.roster.waits = {(dest, route): until for dest, route, until in carried["waits"]}
+        host.registry.retry_after_until = {(dest, route): until for dest, route, until in carried["waits"]}
         host.pool.resume_idle(
             [
                 (endpoint, tuple(address), self.sock(place), since, self._born(place, since))
@@ -132,7 +137,7 @@
             ]
         )
         host.events += [
-            i.ZoneCarried(host.roster.zone(name), since, until)
+            i.ZoneCarried(host.registry.zone(name), since, until)
             for name, since, until in carried.get("returning", ())
         ]
         host.events += [i.Carried(endpoint, figures) for endpoint, figures in carried["learned"]]
@@ -168,16 +173,18 @@
             host.clients.resume(sock(place), *rest)
         door = carried["door"]
         if door["listening"] is not None:
-            host.door.resume(sock(door["listening"]), [(sock(p), heard) for p, heard in door["callers"]])
+            host.operator_server.resume(
+                sock(door["listening"]), [(sock(p), heard) for p, heard in door["callers"]]
+            )
         self.cargo = Cargo()
 
-    def _carried_item(self, number: int, timeout_us: int, ended: bool) -> Item:
+    def _carried_item(self, number: int, timeout_us: int, ended: bool) -> CallItem:
         m = self.host.journal.held.get(number)
         if m is None:
-            return Item(number, -1, "", "", b"", timeout_us, True, ended)
-        return Item(number, m.tries - 1, m.id, m.key, m.body, timeout_us, True, ended)
+            return CallItem(number, -1, "", "", b"", timeout_us, True, ended)
+        return CallItem(number, m.tries - 1, m.id, m.key, m.body, timeout_us, True, ended)
 
     def _zones_returning(self) -> list[tuple[str, int, int]]:
         """By name: the next process may number them otherwise."""
-        names = {number: name for name, number in self.host.roster.zones.items()}
+        names = {number: name for name, number in self.host.registry.zones.items()}
         return [(names[zone], *span) for zone, span in self.host.courier.zones.back.items()]
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -14,19 +14,19 @@
 from hopmill.policy.courier import Courier
 from hopmill.net import joining
 from hopmill.net.accept import listening_socket
-from hopmill.net.calls import Calls, Hooks, Item, Outcome
+from hopmill.net.calls import Calls, CallHooks, CallItem, Outcome
 from hopmill.net.clients import BACKLOG, ClientServer, Reply
 from hopmill.net.config import Address, Config, Options
-from hopmill.net.discovery import Notices, Watch
+from hopmill.net.discovery import NoticeSender, DiscoveryWatch
 from hopmill.net.handover import HandOver
 from hopmill.net.intake import Intake, refusal
 from hopmill.net.observer import Observer
-from hopmill.net.operator import Door
+from hopmill.net.operator import OperatorServer
 from hopmill.net.pool import ASKED, Pool
 from hopmill.net.resp import MAX_REQUEST
 from hopmill.net.restart import Restart
-from hopmill.net.roster import Roster
-from hopmill.net.staff import Staff
+from hopmill.net.roster import EndpointRegistry
+from hopmill.net.staff import OperatorActions
 from hopmill.net.state import Held, Journal
 from hopmill.net.upgrade import Cargo, Owner
 
@@ -49,14 +49,14 @@
         self.loop, self.config, self.s = loop, config, config.settings
         self.upgrade = HandOver(self, owner, cargo)
         self.courier = Courier(self.s, config.seed)
-        self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
-        self.in_force: Any = None  # hopmill/net/in_force.py, where something may differ from the file
+        self.member_transport: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
+        self.active_policy: Any = None  # hopmill/net/in_force.py, where something may differ from the file
         self.journal = Journal(
             owner.folder,
             config.disk_bytes - joining.fleet_bytes(config),
             max(c.key_window_us for c in self.s.classes) / 1e6,
         )
-        self.roster = Roster(self.s, config.zones, self.courier.may_serve)
+        self.registry = EndpointRegistry(self.s, config.zones, self.courier.may_serve)
         self.events: list[i.Event] = []
         self.intake = Intake(self)
         self.guards: dict[int, asyncio.TimerHandle] = {}
@@ -64,11 +64,11 @@
         self.scheduled = False
         self.last_turn = -self.s.tick_us
         self.restart = Restart(self)
-        hooks = Hooks(
-            lambda endpoint: self.roster.may_write(endpoint, self.clock()),
+        hooks = CallHooks(
+            lambda endpoint: self.registry.may_write(endpoint, self.clock()),
             self._begin,
             self._ended,
-            lambda endpoint, wait_us: self.roster.told_wait(endpoint, self.clock() + wait_us),
+            lambda endpoint, wait_us: self.registry.set_retry_after(endpoint, self.clock() + wait_us),
             self._probed,
         )
         self.pool = Pool(
@@ -76,42 +76,42 @@
             self.s.connection_idle_us,
             self.s.connect_timeout_us,
             int(config.sockets * IDLE_SHARE),
-            self.roster.wanted,
+            self.registry.is_usable,
         )
         self.calls = Calls(loop, hooks, self.pool)
         places = min(config.sockets * CLIENT_SHARE, config.memory_bytes * MEMORY_SHARE / MAX_REQUEST)
         self.clients = ClientServer(self.intake.put, max(8, int(places)))
-        self.notices = Notices(loop, config.discovery, self._accepted)
-        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.couriers)
+        self.notices = NoticeSender(loop, config.discovery, self._accepted)
+        self.watch = DiscoveryWatch(loop, config.discovery, config.known["rev"], self.listed, self.s.couriers)
         self.options = Options()
         self.observer = Observer(self.s)
         self.metrics: Any = None  # counted only while the operators' door is open
         self.due = 0  # when the next turn was to begin, in us of the monotonic clock
         self.moved_to: Address | None = None  # where discovery went with a changed configuration
-        self.staff = Staff(
+        self.operator_actions = OperatorActions(
             self.courier,
             self.journal,
-            self.roster,
+            self.registry,
             self.pool,
             self.clients,
             self.clock,
             self.act,
             lambda: self.clients.listening and not self.restart.closing_at,
         )
-        self.door = Door(self.staff.routes(), config.sockets)
+        self.operator_server = OperatorServer(self.operator_actions.routes(), config.sockets)
 
     def start(self) -> int:
         """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port."""
         carried = self.upgrade.carried
-        self.roster.uids.update(carried.get("uids", {}))
+        self.registry.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
         self.listed({"all": True, "targets": known["targets"]}, i.ListForm.CACHED)
-        number, zone = self.roster.number, self.roster.zone
+        number, zone = self.registry.number, self.registry.zone
         self.events += [i.SetByHand(number(uid), True) for uid in sorted(self.journal.out_by_hand)]
         self.events += [i.SetZoneByHand(zone(name), True) for name in sorted(self.journal.zones_out)]
         self.watch.rev = known["rev"]
         self.set_options(self.config.options)
-        joining.go_by_policy(self)
+        joining.apply_policy(self)
         if carried:
             self.upgrade.resume()
         else:
@@ -123,7 +123,7 @@
         port = self.clients.listen(self._listening_socket())
         if self.config.operator:
             self._count()
-            self.door.listen(self.config.operator)
+            self.operator_server.listen(self.config.operator)
         if carried:
             self.upgrade.resume_connections()
         if self.config.listen_fd is not None:
@@ -163,7 +163,7 @@
             m.resubmitted,
             m.tries,
             self._mono(ran) if ran else -1,
-            self.roster.zones.get(zone, -1),
+            self.registry.zones.get(zone, -1),
             out,
             restored,
         )
@@ -191,7 +191,7 @@
         self.scheduled = False
         self.last_turn = now = self.clock()
         late, self.due = now - (self.due or now), 0
-        events: list[i.Event] = [i.Connections(*news) for news in self.pool.news()]
+        events: list[i.Event] = [i.Connections(*news) for news in self.pool.take_idle_changes()]
         events += self.events
         self.events = []
         arrived = self.intake.turn()
@@ -219,7 +219,7 @@
                     reply.send(refusal(a.retry_after_us) if isinstance(a, i.Refuse) else b"-ERR failed\r\n")
         for m, replies in arrived.values():
             self.intake.take(m, replies)
-        bundles: dict[int, list[Item]] = {}
+        bundles: dict[int, list[CallItem]] = {}
         for a in actions:
             if isinstance(a, i.Send):
                 self._send(a, bundles)
@@ -230,9 +230,9 @@
             elif isinstance(a, i.CloseIdle):
                 self.pool.close_idle(a.endpoint, ASKED)
             elif isinstance(a, i.Keep):
-                self.pool.keep(a.endpoint, a.most)
+                self.pool.set_max_idle(a.endpoint, a.most)
             elif isinstance(a, i.OpenIdle):
-                self.pool.warm(a.endpoint)
+                self.pool.open_spare(a.endpoint)
             elif isinstance(a, i.Cancel):
                 self.calls.cancel(a.message, a.attempt)
             elif isinstance(a, i.Probe):
@@ -240,7 +240,7 @@
             elif isinstance(a, i.Log):
                 policy_log.info("policy", text=a.text)
         for endpoint, items in bundles.items():
-            most = self.roster.batch(endpoint)
+            most = self.registry.batch(endpoint)
             for at in range(0, len(items), most):
                 self._call(endpoint, items[at : at + most])
 
@@ -275,7 +275,7 @@
             self.journal.settle(m, status, again_ms)
         self._unguard(m.number)
         self.attempts.pop(m.number, None)
-        self.observer.over(m, status, again_ms)
+        self.observer.completed(m, status, again_ms)
         self.notices.add(m.number, m.id, status, again_ms)
 
     def _unguard(self, number: int) -> None:
@@ -285,7 +285,7 @@
     def _accepted(self, numbers: list[int]) -> None:
         if messages_log.debugs:
             for m in (self.journal.held[n] for n in numbers if n in self.journal.held):
-                self.observer.told(m)
+                self.observer.notice_accepted(m)
         self.note(self.journal.told, numbers)
         self.restart.maybe_exit()
 
@@ -298,43 +298,45 @@
 
     # Calls
 
-    def _send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
+    def _send(self, a: i.Send, bundles: dict[int, list[CallItem]]) -> None:
         m = self.journal.held.get(a.message)
         attempt = self.attempts.get(a.message, m.tries if m else 0)
         self.attempts[a.message] = attempt + 1
         if m is None or m.status:
             self.tell(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
             return
-        item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
+        item = CallItem(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
         if messages_log.debugs:
-            self.observer.sent(m, attempt, self.roster.uid(a.endpoint), a.timeout_us)
-        if self.roster.batch(a.endpoint) > 1:
+            self.observer.attempt_sent(m, attempt, self.registry.uid(a.endpoint), a.timeout_us)
+        if self.registry.batch(a.endpoint) > 1:
             bundles.setdefault(a.endpoint, []).append(item)
         else:
             self._call(a.endpoint, [item])
 
-    def _call(self, endpoint: int, items: list[Item]) -> None:
+    def _call(self, endpoint: int, items: list[CallItem]) -> None:
         try:
             self.calls.send(endpoint, items)
         except Exception:  # its slots and messages must not hang on it
-            log.exception("call.failed", endpoint=self.roster.uid(endpoint))
+            log.exception("call.failed", endpoint=self.registry.uid(endpoint))
             for item in items:
                 if not item.ended:
                     item.ended = True
                     result = i.Result.RESET if item.begun else i.Result.MOOT
                     self._ended(item, endpoint, Outcome(result), 0)
 
-    def _begin(self, endpoint: int, items: list[Item]) -> list[Item]:
+    def _begin(self, endpoint: int, items: list[CallItem]) -> list[CallItem]:
         now = self.journal.scale.now()
         items = [x for x in items if (m := self.journal.held.get(x.number)) and self._repeats(m, now)]
         if not items:
             return items
         try:
-            self.journal.attempt([n.number for n in items], now, self.roster.zone_of(endpoint))
+            self.journal.attempt([n.number for n in items], now, self.registry.zone_of(endpoint))
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
-        if self.in_force and not self.in_force.may_act():  # the last thing before the call is written
+        if (
+            self.active_policy and not self.active_policy.may_act()
+        ):  # the last thing before the call is written
             for item in items:
                 self.note(self.journal.missed, item.number)
             return []
@@ -349,16 +351,16 @@
         window = cls.key_window_us if cls.effect is i.Effect.KEYED else 0
         return now < ran_at + (window - 3 * self.s.tick_us) / 1e6
 
-    def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
+    def _ended(self, item: CallItem, endpoint: int, outcome: Outcome, latency: int) -> None:
         m = self.journal.held.get(item.number)
         over = outcome.over or m is None
-        if m and (self.metrics or self.observer.counting or messages_log.debugs):
-            self.observer.ended(
-                m, item.attempt, self.roster.uid(endpoint), outcome.result, latency, outcome.wait_us
+        if m and (self.metrics or self.observer.is_counting or messages_log.debugs):
+            self.observer.attempt_ended(
+                m, item.attempt, self.registry.uid(endpoint), outcome.result, latency, outcome.wait_us
             )
         if outcome.over and m:
             if not m.status:
-                self.observer.over(m, "delivered" if outcome.result is i.Result.OK else "withdrawn")
+                self.observer.completed(m, "delivered" if outcome.result is i.Result.OK else "withdrawn")
             self.note(self.journal.done, m.number)
             self._unguard(m.number)
         elif m and item.begun and outcome.result in UNRUN:
@@ -388,7 +390,7 @@
     # News
 
     def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> None:
-        self.tell(self.roster.listed(change, form, self.pool))
+        self.tell(self.registry.listed(change, form, self.pool))
 
     def act(self, event: i.Event) -> None:
         """An operator's word holds from the answer on: its turn comes before that."""
@@ -400,7 +402,7 @@
         from hopmill.net.metrics import HostState, Metrics
 
         self.metrics = Metrics(tuple(c.name for c in self.s.classes), HostState(self))
-        self.observer.meters = self.staff.metrics = self.metrics
+        self.observer.meters = self.operator_actions.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
         """Only what changes is told: while a part is off the module never hears of it."""
@@ -417,13 +419,13 @@
 
     def close(self) -> None:
         """Let go of everything at once; the journal already holds what is open."""
-        if self.peers:
-            self.peers.close()
+        if self.member_transport:
+            self.member_transport.close()
         self.watch.stop()
         self.notices.stop()
         self.calls.close()
         self.pool.close()
         self.clients.stop_listening()
-        self.door.close()
+        self.operator_server.close()
         self.journal.close()
         self.upgrade.close()
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -18,7 +18,7 @@
 from hopmill.net.clients import Reply
 from hopmill.net.put import Put
 from hopmill.net.intake import refusal
-from hopmill.net.peers import Peers, elapsed_us
+from hopmill.net.peers import MemberTransport, elapsed_us
 from hopmill.net.resp import MAX_REQUEST
 
 if TYPE_CHECKING:
@@ -30,19 +30,19 @@
 log = logs.part("fleet")
 
 
-class InForce:
+class ActivePolicy:
     """One owner of what is in force here."""
 
     def __init__(self, host: Host, document: Document) -> None:
         self.host, self.document = host, document
-        self.peers: Peers | None = None
+        self.member_transport: MemberTransport | None = None
         self.governed = bool(host.config.members and host.config.members.policy)
         self.own = host.s  # as this courier's file has them
         self.book = books.Book()
-        self.applied = -1  # the version that the module goes by
+        self.applied_version = -1  # the version that the module goes by
         self.left_out: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
         self.trouble = ""  # why the version in force can't be taken here
-        self.holding = self.governed
+        self.is_holding = self.governed
         self.held_at = host.loop.time()
         self.waiting: list[tuple[Put, Reply, float]] = []
 
@@ -52,18 +52,18 @@
         """To be asked as near to the act as can be."""
         if not self.governed:
             return True
-        govern = self.peers and self.peers.node.govern
+        govern = self.member_transport and self.member_transport.node.govern
         return (
             bool(govern)
-            and self.applied == govern.standing.version
+            and self.applied_version == govern.standing.version
             and govern.standing.held(elapsed_us()) >= 0
         )
 
-    def wait(self, put: Put, reply: Reply) -> None:
+    def queue(self, put: Put, reply: Reply) -> None:
         """A message that came while nothing may be taken on."""
         now = self.host.loop.time()
-        if not self.holding:  # found out by the message itself
-            self._hold(True)
+        if not self.is_holding:  # found out by the message itself
+            self._set_holding(True)
         if now - self.held_at >= WAIT_S or len(self.waiting) >= self.host.s.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
             return
@@ -73,24 +73,24 @@
 
     def _turn_away(self) -> None:
         due = self.host.loop.time() - WAIT_S
-        while self.waiting and (self.waiting[0][2] <= due or not self.holding):
+        while self.waiting and (self.waiting[0][2] <= due or not self.is_holding):
             self.waiting.pop(0)[1].send(refusal(self.host.courier.come_back_us()))
         if self.waiting:
             self.host.loop.call_later(max(0.001, self.waiting[0][2] - due), self._turn_away)
 
-    def turn_all_away(self) -> None:
+    def refuse_waiting(self) -> None:
         """This process hands over."""
         for _, reply, _ in self.waiting:
             reply.send(refusal(self.host.courier.come_back_us()))
         self.waiting.clear()
 
-    def _hold(self, on: bool) -> None:
-        if on is self.holding:
+    def _set_holding(self, on: bool) -> None:
+        if on is self.is_holding:
             return
-        self.holding = on
+        self.is_holding = on
         if on:
             self.held_at = self.host.loop.time()
-        log.info("fleet.standing", may_act=not on, version=self.applied)
+        log.info("fleet.standing", may_act=not on, version=self.applied_version)
         self.host.act(i.Hold(on))
         if not on:
             waiting, self.waiting, now = self.waiting, [], self.host.loop.time()
@@ -109,36 +109,36 @@
             events.append(self._event(self.document))
         return events
 
-    def join(self, peers: Peers) -> None:
-        self.peers = peers
+    def join(self, peers: MemberTransport) -> None:
+        self.member_transport = peers
         if self.governed:
             peers.look = self.look
             govern = peers.node.govern
             assert govern is not None
             govern.watch.counts = lambda: Sums(*self.host.observer.sums)
-            self.host.observer.counting = True
+            self.host.observer.is_counting = True
             self.look()
 
     def look(self) -> None:
         """Something may have changed: the version in force, a change to check, the lease."""
-        govern = self.peers and self.peers.node.govern
+        govern = self.member_transport and self.member_transport.node.govern
         if not govern:
             return
         p, held, me = govern.register.document.policy, govern.texts.held, govern.me
         change, version, digest = p.change, p.version_for(me), p.digest_for(me)
-        if version != self.applied and (not digest or digest in held):
-            self._take(version, held.get(digest, NOTHING))
-            if self.applied == version:
+        if version != self.applied_version and (not digest or digest in held):
+            self._apply(version, held.get(digest, NOTHING))
+            if self.applied_version == version:
                 govern.standing.set_up_for(version)
-                self.peers._pump()
+                self.member_transport._pump()
                 return
         if change and change.id != govern.standing.ready and (not change.digest or change.digest in held):
             why = self.against(held.get(change.digest, NOTHING))
             log.info("fleet.policy_checked", change=change.id, by=change.by, why=why or None)
             govern.standing.judged(change.id, why)
-            self.peers._pump()
+            self.member_transport._pump()
             return
-        self._hold(not self.may_act())
+        self._set_holding(not self.may_act())
 
     def against(self, text: bytes) -> str:
         """Why this courier can't go by it, "" if it can."""
@@ -155,10 +155,10 @@
         if document.held > self.document.held and need > room:
             raise ConfigError(f"held: {document.held} messages may take {need >> 20} MiB, room {room >> 20}")
         for zone in document.left_out.zones:
-            self.host.roster.zone(zone)
+            self.host.registry.zone(zone)
         return book, document
 
-    def _take(self, version: int, text: bytes) -> None:
+    def _apply(self, version: int, text: bytes) -> None:
         """All of it reaches the module as one event."""
         try:
             book, document = self._read(text)
@@ -172,10 +172,10 @@
             for path in {*self.book.values, *book.values}
             if self.book.values.get(path) != book.values.get(path)
         )
-        self.trouble, self.book, self.applied = "", book, version
+        self.trouble, self.book, self.applied_version = "", book, version
         self.host.act(self._event(document))
         log.info("fleet.policy", version=version, fields=len(book.values), changed=changes)
-        self.reloaded(self.document)
+        self.on_file_reloaded(self.document)
 
     def _event(self, document: Document) -> i.PolicySet:
         before, after = self.document.settings(), document.settings()
@@ -186,7 +186,7 @@
         }
         host = self.host
         settings = dataclasses.replace(self.own, **changed) if changed else self.own
-        host.s = host.roster.s = host.observer.s = settings
+        host.s = host.registry.s = host.observer.s = settings
         self.left_out = frozenset(document.left_out.endpoints), frozenset(document.left_out.zones)
         endpoints, zones = (
             {*self.left_out[0], *host.journal.out_by_hand},
@@ -194,19 +194,19 @@
         )
         return i.PolicySet(
             settings,
-            frozenset(map(host.roster.number, sorted(endpoints))),
-            frozenset(map(host.roster.zone, sorted(zones))),
+            frozenset(map(host.registry.number, sorted(endpoints))),
+            frozenset(map(host.registry.zone, sorted(zones))),
             {c.partner: (c.window, c.rate_per_s) for c in document.ceilings},
         )
 
-    def reloaded(self, document: Document) -> None:
+    def on_file_reloaded(self, document: Document) -> None:
         """What the file on this machine says otherwise does not hold."""
         if paths := [*overlay.disagreements(document, self.book.values)]:
             log.warning("fleet.policy_prevails", paths=",".join(paths))
 
     def status(self) -> dict[str, Any]:
         return {
-            "applied": self.applied,
+            "applied": self.applied_version,
             "may_act": self.may_act(),
             "trouble": self.trouble,
             "values": self.book.values,
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -54,8 +54,8 @@
         if self._known(put.id):
             reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
             return
-        if host.in_force and not host.in_force.may_act():
-            host.in_force.wait(put, reply)
+        if host.active_policy and not host.active_policy.may_act():
+            host.active_policy.queue(put, reply)
             return
         if host.journal.open + len(self.arrived) >= host.s.max_held:
             reply.send(refusal(host.courier.come_back_us()))
@@ -78,7 +78,7 @@
         self._replace(m)
         self.arrived[m.number] = (m, [reply])
         self.arriving[m.id] = m.number
-        host.observer.put(m, put.life_ms)
+        host.observer.received(m, put.life_ms)
         host.tell(host.arrival(m))
 
     def _known(self, ident: str) -> bool:
@@ -103,7 +103,7 @@
     def take(self, m: Held, replies: list[Reply]) -> None:
         """The module has let it in: it is recorded, then answered."""
         host, text = self.host, b"+OK\r\n"
-        if host.in_force and not host.in_force.may_act():
+        if host.active_policy and not host.active_policy.may_act():
             host.tell(i.MessageGone(m.number))  # the lease ended between the turn's two halves
             for reply in replies:
                 reply.send(refusal(host.courier.come_back_us()))
@@ -119,7 +119,7 @@
             host.tell(i.MessageGone(m.number))
         else:
             host.guard(m)
-            host.observer.taken(m)
+            host.observer.accepted(m)
         for reply in replies:
             reply.send(text)
 
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -21,29 +21,29 @@
     return FLEET_BYTES + (TEXTS_BYTES if config.members.policy else 0)
 
 
-def go_by_policy(host: Host) -> None:
+def apply_policy(host: Host) -> None:
     """Where something may differ from the settings of the start: by the fleet's policy, or by what the file
     leaves out or bounds."""
     d, members = host.config.document, host.config.members
     bounded = d is not None and (d.ceilings or d.left_out.endpoints or d.left_out.zones)
     if d is None or not (bounded or members and members.policy):
         return
-    from hopmill.net.in_force import InForce
+    from hopmill.net.in_force import ActivePolicy
 
-    host.in_force = host.staff.in_force = InForce(host, d)
-    host.events += host.in_force.first()
+    host.active_policy = host.operator_actions.active_policy = ActivePolicy(host, d)
+    host.events += host.active_policy.first()
 
 
 def join_fleet(host: Host) -> None:
     """The fleet's files lie beside the journal."""
     if not host.config.members:
         return
-    from hopmill.net.peers import Peers
+    from hopmill.net.peers import MemberTransport
 
     carried = host.upgrade.carried.get("fleet")
     sock = host.upgrade.sock(carried["socket"]) if carried else None
-    host.peers = host.staff.peers = Peers(
+    host.member_transport = host.operator_actions.member_transport = MemberTransport(
         host.loop, host.config.members, host.upgrade.owner.folder, carried, sock
     )
-    if host.in_force:
-        host.in_force.join(host.peers)
+    if host.active_policy:
+        host.active_policy.join(host.member_transport)
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -19,16 +19,16 @@
     from hopmill.net.host import Host
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-MOST_NAMES = 256
+MAX_LABEL_VALUES = 256
 LATENCY_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60)
 TURN_S = (0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1)
 OTHER = "other"
 
 
-class Names:
+class LabelValues:
     """At most so many label values; each one after them is the same."""
 
-    def __init__(self, most: int = MOST_NAMES) -> None:
+    def __init__(self, most: int = MAX_LABEL_VALUES) -> None:
         self.most, self.known = most, set[int]()
 
     def label(self, number: int) -> str:
@@ -45,7 +45,7 @@
     def __init__(self, classes: tuple[str, ...], state: Collector | None = None) -> None:
         """classes: their names, in the settings' order. state: a collector of what only has a present."""
         self.registry = registry = CollectorRegistry(auto_describe=False)
-        self.classes, self.partners = classes, Names()
+        self.classes, self.partners = classes, LabelValues()
         self.messages = Counter(
             "hopmill_messages",
             "Messages by class and what became of them.",
@@ -130,8 +130,8 @@
         yield from self._by("hopmill_circuits", "Circuits by state.", "state", observe.circuits(host.courier))
         yield from self._zones()
         yield from self._connections()
-        if host.peers:
-            yield from self._fleet(host.peers.status())
+        if host.member_transport:
+            yield from self._fleet(host.member_transport.status())
 
     @staticmethod
     def _fleet(status: dict[str, Any]) -> Iterator[Metric]:
@@ -184,9 +184,9 @@
             )
         ]
         for count, row in enumerate(observe.lanes(host.courier, host.clock())):
-            if count >= MOST_NAMES:
+            if count >= MAX_LABEL_VALUES:
                 break
-            route = "" if row.endpoint is None else host.roster.uid(row.endpoint)
+            route = "" if row.endpoint is None else host.registry.uid(row.endpoint)
             for family, value in columns:
                 family.add_metric([str(row.partner), route], value(row))
         for family, _ in columns:
@@ -196,7 +196,7 @@
         share = GaugeMetricFamily(
             "hopmill_zone_share", "Share of the traffic that a zone may get.", labels=["zone", "state"]
         )
-        for row in self.host.staff.zone_rows():
+        for row in self.host.operator_actions.zone_rows():
             share.add_metric([row["zone"], row["state"]], row["share"])
         yield share
 
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -31,13 +31,13 @@
         self.meters: Meters | None = None
         # Of messages and calls that ended: worth, earned, calls, refused as full, failed otherwise; counted
         # where a change of the fleet's policy is watched by them.
-        self.counting, self.sums = False, [0.0] * 5
+        self.is_counting, self.sums = False, [0.0] * 5
         self.taken_at: dict[int, float] = {}  # by number, while it is open and counted
 
     def _cls(self, m: Held) -> str:
         return self.s.classes[m.cls].name
 
-    def put(self, m: Held, life_ms: int) -> None:
+    def received(self, m: Held, life_ms: int) -> None:
         if log.debugs:
             tenant = self.s.tenants[m.tenant].name if self.s.tenants else None
             log.debug(
@@ -59,13 +59,13 @@
         if self.meters:
             self.meters.message(m.cls, "refused")
 
-    def taken(self, m: Held) -> None:
+    def accepted(self, m: Held) -> None:
         log.debug("message.taken", message=m.id)
         if self.meters:
             self.taken_at[m.number] = time.monotonic()
             self.meters.message(m.cls, "taken")
 
-    def sent(self, m: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
+    def attempt_sent(self, m: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
         if log.debugs:
             log.debug(
                 "attempt.sent",
@@ -75,7 +75,7 @@
                 timeout_ms=timeout_us // 1000,
             )
 
-    def ended(
+    def attempt_ended(
         self, m: Held, attempt: int, endpoint: str, result: i.Result, latency_us: int, wait_us: int
     ) -> None:
         if log.debugs:
@@ -88,14 +88,14 @@
                 latency_ms=round(latency_us / 1e3, 1),
                 wait_ms=wait_us // 1000 or None,
             )
-        if self.counting:
+        if self.is_counting:
             self.sums[2] += 1
             self.sums[3] += result is i.Result.FULL
             self.sums[4] += result not in (i.Result.OK, i.Result.FULL, i.Result.MOOT)
         if self.meters:
             self.meters.call(m.dest, result.value, latency_us / 1e6)
 
-    def over(self, m: Held, status: str, again_ms: int = 0) -> None:
+    def completed(self, m: Held, status: str, again_ms: int = 0) -> None:
         """status: delivered (or withdrawn by its endpoint), deferred or undeliverable."""
         if log.debugs:
             log.debug("message.over", message=m.id, status=status, again_ms=again_ms or None)
@@ -105,11 +105,11 @@
             self.meters.message(m.cls, status, None if since is None else time.monotonic() - since)
 
     def _earned(self, m: Held, delivered: bool) -> None:
-        if self.counting:
+        if self.is_counting:
             worth = self.s.classes[m.cls].worth
             self.sums[0] += worth
             self.sums[1] += worth * delivered
 
-    def told(self, m: Held) -> None:
+    def notice_accepted(self, m: Held) -> None:
         """The platform has accepted its notice."""
         log.debug("notice.accepted", message=m.id, status=m.status)
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -84,7 +84,7 @@
 class Caller(asyncio.Protocol):
     """One caller's connection."""
 
-    def __init__(self, door: Door, heard: bytes = b"") -> None:
+    def __init__(self, door: OperatorServer, heard: bytes = b"") -> None:
         """heard: what the process before this one has read of the call."""
         self.door = door
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_CALL)
@@ -189,7 +189,7 @@
         return self.request is not None and self.request.method == b"HEAD"
 
 
-class Door:
+class OperatorServer:
     """Listens at the operators' address."""
 
     def __init__(self, routes: Routes, sockets: int) -> None:
--- a/hopmill/net/peers.py
+++ b/hopmill/net/peers.py
@@ -33,7 +33,7 @@
 log = logs.part("fleet")
 
 
-class Stopped(OSError):
+class FreezeTimeoutError(OSError):
     """A write was under way for too long; the upgrade is tried again."""
 
 
@@ -154,7 +154,7 @@
         self.count += 1
 
 
-class Peers:
+class MemberTransport:
     """One member in this process."""
 
     def __init__(
@@ -374,7 +374,7 @@
                 self.writing.exception(FREEZE_S)
             except TimeoutError:
                 self.thaw()
-                raise Stopped("a write of the fleet's state is under way") from None
+                raise FreezeTimeoutError("a write of the fleet's state is under way") from None
             self.writing = None
         return self.node.carry()
 
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -31,14 +31,14 @@
 NEVER_UP = "never came up"
 LEFT, RESTARTED, DOUBTED, ASKED = "left or moved", "endpoint restarted", "not trusted", "asked by the module"
 
-Done = Callable[["Link | None", OSError | None], None]
+Done = Callable[["PooledConnection | None", OSError | None], None]
 
 
-class Left(OSError):
+class EndpointUnavailableError(OSError):
     """The endpoint may get no calls any more: it drains, is gone, or is out by hand."""
 
 
-class Link(Connection):
+class PooledConnection(Connection):
     """A connection with its place in the pool."""
 
     def __init__(
@@ -60,25 +60,27 @@
 
 
 @dataclass
-class Place:
+class EndpointConnections:
     """One endpoint's connections."""
 
     address: Address
     boot: float = 0.0  # when it last started, wall clock, 0 for long ago
     most: int = 1  # idle ones kept
-    idle: OrderedDict[Link, None] = field(default_factory=OrderedDict)  # the most recently used last
-    links: set[Link] = field(default_factory=set)  # all, in any state
-    canary: Link | None = None  # lent after a silence, and not heard from yet
+    idle: OrderedDict[PooledConnection, None] = field(
+        default_factory=OrderedDict
+    )  # the most recently used last
+    connections: set[PooledConnection] = field(default_factory=set)  # all, in any state
+    canary: PooledConnection | None = None  # lent after a silence, and not heard from yet
     heard_at: float = -math.inf  # when an answer last came,
     heard_born: float = math.inf  # on a connection this old
     opened: int = 0
     reused: int = 0
     closed: Counter[str] = field(default_factory=Counter)
 
-    def figures(self) -> dict[str, Any]:
-        states = Counter(link.state for link in self.links)
+    def status(self) -> dict[str, Any]:
+        states = Counter(link.state for link in self.connections)
         return {
-            "open": len(self.links),
+            "open": len(self.connections),
             "lent": states["lent"],
             "opening": states["opening"],
             "idle": len(self.idle),
@@ -90,22 +92,22 @@
 
 
 @dataclass(eq=False)
-class Loan:
+class Checkout:
     """What a call asks for: a connection that is up. Ends with one call of `done`, or is cancelled."""
 
     endpoint: int
     done: Done
-    link: Link | None = None
+    link: PooledConnection | None = None
     timer: asyncio.TimerHandle | None = None
 
-    def answer(self, link: Link | None, error: OSError | None) -> None:
+    def answer(self, link: PooledConnection | None, error: OSError | None) -> None:
         if self.timer:
             self.timer.cancel()
         self.link = link
         self.done(link, error)
 
 
-def carry_link(cargo: Cargo, link: Link) -> int:
+def carry_link(cargo: Cargo, link: PooledConnection) -> int:
     """Its place in the cargo. When it was opened goes beside the rows, whose length older versions know."""
     place = cargo.place(link.sock.fileno())
     cargo.values.setdefault("born", {})[place] = link.born
@@ -121,18 +123,20 @@
         idle_us: int,
         connect_us: int,
         max_idle: int,
-        wanted: Callable[[int], bool] = lambda endpoint: True,
+        is_usable: Callable[[int], bool] = lambda endpoint: True,
     ) -> None:
         """wanted: whether an endpoint may get calls at all; nothing is kept for one that may not."""
-        self.loop, self.wanted = loop, wanted
+        self.loop, self.is_usable = loop, is_usable
         # The endpoint counts from when it wrote its answer, and the next request takes a while to reach it. A
         # connect, which is a round trip, has connect_us: what is closed so much sooner crosses nothing.
         self.idle_s = max(idle_us / 2, idle_us - connect_us) / 1e6
         self.connect_s, self.max_idle = connect_us / 1e6, max_idle
-        self.places: dict[int, Place] = {}
-        self.idle: OrderedDict[Link, None] = OrderedDict()  # of all endpoints, the longest idle first
-        self.leaving: set[Link] = set()  # lent ones of endpoints that have gone
-        self.waiting: deque[Loan] = deque()  # for a descriptor
+        self.endpoints: dict[int, EndpointConnections] = {}
+        self.idle: OrderedDict[PooledConnection, None] = (
+            OrderedDict()
+        )  # of all endpoints, the longest idle first
+        self.leaving: set[PooledConnection] = set()  # lent ones of endpoints that have gone
+        self.waiting: deque[Checkout] = deque()  # for a descriptor
         self.changed: set[int] = set()  # endpoints whose idle ones the module has not heard of yet
         self.gone: Counter[str] = Counter()  # figures of endpoints that have gone
         self.aging: asyncio.TimerHandle | None = None
@@ -140,24 +144,24 @@
 
     # The list of endpoints
 
-    def place(self, endpoint: int, address: Address, boot_ms: float = 0.0) -> None:
+    def set_endpoint(self, endpoint: int, address: Address, boot_ms: float = 0.0) -> None:
         """Where the endpoint is and since when it runs: what was opened before reaches nobody."""
-        place = self.places.get(endpoint)
+        place = self.endpoints.get(endpoint)
         if place is not None and place.address != address:
             self.forget(endpoint)
             place = None
         if place is None:
-            place = self.places[endpoint] = Place(address)
+            place = self.endpoints[endpoint] = EndpointConnections(address)
             self.changed.add(endpoint)
         place.boot = boot_ms / 1e3
         for link in [k for k in place.idle if k.born < place.boot]:
             self.drop(link, RESTARTED)
 
     def forget(self, endpoint: int) -> None:
-        place = self.places.pop(endpoint, None)
+        place = self.endpoints.pop(endpoint, None)
         if place is None:
             return
-        for link in list(place.links):
+        for link in list(place.connections):
             if link.state == "idle":
                 self.drop(link, LEFT)
             else:  # its call goes on, and the connection ends with it
@@ -167,13 +171,13 @@
         self.gone.update(place.closed)
 
     def close_idle(self, endpoint: int, why: str = LEFT) -> None:
-        if place := self.places.get(endpoint):
+        if place := self.endpoints.get(endpoint):
             for link in list(place.idle):
                 self.drop(link, why)
 
-    def keep(self, endpoint: int, most: int) -> None:
+    def set_max_idle(self, endpoint: int, most: int) -> None:
         """How many idle ones are kept from now on."""
-        if place := self.places.get(endpoint):
+        if place := self.endpoints.get(endpoint):
             place.most = most
             self._trim(place)
 
@@ -182,24 +186,24 @@
             if timer:
                 timer.cancel()
         self.waiting.clear()
-        for place in self.places.values():
-            for link in list(place.links):
+        for place in self.endpoints.values():
+            for link in list(place.connections):
                 self.drop(link, LEFT)
         for link in list(self.leaving):
             self.drop(link, LEFT)
 
     # Lending
 
-    def lend(self, endpoint: int, done: Done) -> Loan:
+    def check_out(self, endpoint: int, done: Done) -> Checkout:
         """The most recently used idle one, so that surplus ones age; else a new one."""
-        loan, place = Loan(endpoint, done), self.places.get(endpoint)
+        loan, place = Checkout(endpoint, done), self.endpoints.get(endpoint)
         if place and (link := self._idle_one(place)):
             loan.answer(link, None)
         else:
             self._open(loan)
         return loan
 
-    def cancel(self, loan: Loan) -> None:
+    def cancel(self, loan: Checkout) -> None:
         """The call no longer wants it; what is being opened for it is closed."""
         if loan.timer:
             loan.timer.cancel()
@@ -208,14 +212,14 @@
         elif loan.link is not None and loan.link.state == "opening":
             self.drop(loan.link, GIVEN_UP)
 
-    def warm(self, endpoint: int) -> None:
+    def open_spare(self, endpoint: int) -> None:
         """Open one before a message needs it. What comes of it says nothing to the module: it is no probe."""
-        place = self.places.get(endpoint)
-        room = place and sum(link.state != "lent" for link in place.links) < place.most
+        place = self.endpoints.get(endpoint)
+        room = place and sum(link.state != "lent" for link in place.connections) < place.most
         if room and not self.waiting and len(self.idle) < self.max_idle:
-            self._open(Loan(endpoint, lambda link, error: self.take_back(link) if link else None))
+            self._open(Checkout(endpoint, lambda link, error: self.check_in(link) if link else None))
 
-    def _idle_one(self, place: Place) -> Link | None:
+    def _idle_one(self, place: EndpointConnections) -> PooledConnection | None:
         while place.idle:
             link = next(reversed(place.idle))
             trusted = self._trusted(place, link)
@@ -232,31 +236,31 @@
             return link
         return None
 
-    def _trusted(self, place: Place, link: Link) -> bool:
+    def _trusted(self, place: EndpointConnections, link: PooledConnection) -> bool:
         """Heard from within the time that a connect may take, over a connection that is as old as this one's
         rest: the machine has neither vanished nor restarted since."""
         rested = time.time() - (self.loop.time() - link.idle_at)
         return self.loop.time() - place.heard_at <= self.connect_s and place.heard_born <= rested
 
-    def _open(self, loan: Loan) -> None:
+    def _open(self, loan: Checkout) -> None:
         try:
             place, link = self._new(loan.endpoint)
-        except Left as error:
+        except EndpointUnavailableError as error:
             loan.answer(None, error)
         except OSError as error:
             self._no_room(loan, error)
         else:
             self._connect(loan, place, link)
 
-    def _new(self, endpoint: int) -> tuple[Place, Link]:
-        place = self.places.get(endpoint)
-        if place is None or not self.wanted(endpoint):
-            raise Left(errno.ENETUNREACH, "the endpoint gets no calls any more")
-        return place, Link(self.loop, endpoint, place.address, time.time())
+    def _new(self, endpoint: int) -> tuple[EndpointConnections, PooledConnection]:
+        place = self.endpoints.get(endpoint)
+        if place is None or not self.is_usable(endpoint):
+            raise EndpointUnavailableError(errno.ENETUNREACH, "the endpoint gets no calls any more")
+        return place, PooledConnection(self.loop, endpoint, place.address, time.time())
 
-    def _connect(self, loan: Loan, place: Place, link: Link) -> None:
+    def _connect(self, loan: Checkout, place: EndpointConnections, link: PooledConnection) -> None:
         link.on_close = lambda: self._closed(link, place)
-        place.links.add(link)
+        place.connections.add(link)
         place.opened += 1
         loan.link = link
         link.timer = self.loop.call_later(self.connect_s, self._never_up, loan, link, place)
@@ -266,7 +270,7 @@
             self.drop(link, NEVER_UP)
             loan.answer(None, error)
 
-    def _up(self, loan: Loan, link: Link, error: OSError | None) -> None:
+    def _up(self, loan: Checkout, link: PooledConnection, error: OSError | None) -> None:
         if link.timer:
             link.timer.cancel()
         if error is not None:
@@ -275,7 +279,7 @@
         link.state, link.lent_at = "lent", self.loop.time()
         loan.answer(link, None)
 
-    def _never_up(self, loan: Loan, link: Link, place: Place) -> None:
+    def _never_up(self, loan: Checkout, link: PooledConnection, place: EndpointConnections) -> None:
         """Silence. An endpoint that has answered others meanwhile has its table full; else its machine may
         have vanished, and idle ones would lose a call each to that."""
         self.drop(link, NEVER_UP)
@@ -284,7 +288,7 @@
 
     # No descriptor left
 
-    def _no_room(self, loan: Loan, error: OSError) -> None:
+    def _no_room(self, loan: Checkout, error: OSError) -> None:
         if error.errno not in LOCAL_ERRORS:
             loan.answer(None, error)
         elif self.idle:  # the longest idle of any endpoint makes room
@@ -297,7 +301,7 @@
             self.waiting.append(loan)
             self._retry_in(AGAIN_S)
 
-    def _waited(self, loan: Loan, error: OSError) -> None:
+    def _waited(self, loan: Checkout, error: OSError) -> None:
         self.waiting.remove(loan)
         loan.answer(None, error)
 
@@ -312,7 +316,7 @@
             loan = self.waiting[0]
             try:
                 place, link = self._new(loan.endpoint)
-            except Left as error:
+            except EndpointUnavailableError as error:
                 self.waiting.popleft()
                 loan.answer(None, error)
             except OSError:
@@ -324,12 +328,12 @@
 
     # Taking back
 
-    def take_back(self, link: Link) -> None:
+    def check_in(self, link: PooledConnection) -> None:
         """A call is over and its connection is still good: it becomes idle, or is closed."""
-        place = self.places.get(link.endpoint)
+        place = self.endpoints.get(link.endpoint)
         if link.closed or link.state != "lent":
             return
-        if place is None or link not in place.links or not self.wanted(link.endpoint):
+        if place is None or link not in place.connections or not self.is_usable(link.endpoint):
             self.drop(link, LEFT)
         elif link.born < place.boot:
             self.drop(link, RESTARTED)
@@ -338,7 +342,7 @@
         else:
             self._rest(link, place, self.loop.time())
 
-    def _rest(self, link: Link, place: Place, since: float) -> None:
+    def _rest(self, link: PooledConnection, place: EndpointConnections, since: float) -> None:
         if place.canary is link:
             place.canary = None
         link.state, link.idle_at = "idle", since
@@ -349,7 +353,7 @@
             self.drop(next(iter(self.idle)), ROOM)
         self._age_later()
 
-    def _trim(self, place: Place) -> None:
+    def _trim(self, place: EndpointConnections) -> None:
         while len(place.idle) > place.most:
             self.drop(next(iter(place.idle)), SURPLUS)
 
@@ -365,10 +369,10 @@
 
     # What calls show
 
-    def heard(self, link: Link) -> None:
+    def heard(self, link: PooledConnection) -> None:
         """An answer came: whatever was idle while this connection was open is alive as well."""
-        place = self.places.get(link.endpoint)
-        if place is None or link not in place.links:
+        place = self.endpoints.get(link.endpoint)
+        if place is None or link not in place.connections:
             return
         now = self.loop.time()
         if link.born <= place.heard_born or now - place.heard_at > self.connect_s:
@@ -376,13 +380,13 @@
         if place.canary is link:
             place.canary = None
 
-    def failed(self, link: Link) -> None:
+    def failed(self, link: PooledConnection) -> None:
         """A call on it broke or was not answered in its time."""
-        place = self.places.get(link.endpoint)
+        place = self.endpoints.get(link.endpoint)
         if place is not None and link.address == place.address:
             self._doubt(place, link.lent_at)
 
-    def _doubt(self, place: Place, since: float) -> None:
+    def _doubt(self, place: EndpointConnections, since: float) -> None:
         """Those idle since before then are not trusted, unless the endpoint was heard from after it."""
         if place.heard_at >= since:
             return
@@ -391,11 +395,11 @@
 
     # Closing
 
-    def drop(self, link: Link, why: str) -> None:
+    def drop(self, link: PooledConnection, why: str) -> None:
         link.why = link.why or why
         link.close()
 
-    def _leave_idle(self, link: Link, place: Place) -> None:
+    def _leave_idle(self, link: PooledConnection, place: EndpointConnections) -> None:
         place.idle.pop(link, None)
         self.idle.pop(link, None)
         self.changed.add(link.endpoint)
@@ -403,12 +407,12 @@
             self.aging.cancel()
             self.aging = None
 
-    def _closed(self, link: Link, place: Place) -> None:
+    def _closed(self, link: PooledConnection, place: EndpointConnections) -> None:
         """The one place that a connection leaves by."""
         self.leaving.discard(link)
-        if link not in place.links:
+        if link not in place.connections:
             return
-        place.links.discard(link)
+        place.connections.discard(link)
         if link.timer:
             link.timer.cancel()
         if link.state == "idle":
@@ -417,7 +421,7 @@
             place.canary = None
         if not link.why:
             link.why = NEVER_UP if link.state == "opening" else BROKE if link.broke else ENDED
-        closed = place.closed if self.places.get(link.endpoint) is place else self.gone
+        closed = place.closed if self.endpoints.get(link.endpoint) is place else self.gone
         closed[link.why] += 1
         link.state = "closed"
         if self.waiting:
@@ -425,29 +429,29 @@
 
     # The accounts
 
-    def news(self) -> list[tuple[int, tuple[int, ...]]]:
+    def take_idle_changes(self) -> list[tuple[int, tuple[int, ...]]]:
         """Endpoints whose idle connections changed since the last time: when each came free, oldest first."""
         changed, self.changed = self.changed, set()
         return [
             (endpoint, tuple(int(link.idle_at * 1e6) for link in place.idle))
             for endpoint in sorted(changed)
-            if (place := self.places.get(endpoint))
+            if (place := self.endpoints.get(endpoint))
         ]
 
     def totals(self) -> Counter[str]:
         """Over all endpoints, those that have gone too."""
         total = Counter(self.gone)
-        for place in self.places.values():
+        for place in self.endpoints.values():
             total.update({"opened": place.opened, "reused": place.reused})
             total.update(place.closed)
         return total
 
-    def figures(self, name: Callable[[int], str]) -> dict[str, Any]:
+    def status(self, name: Callable[[int], str]) -> dict[str, Any]:
         """For staff: those with the most connections first, in bounded size."""
-        rows = sorted(self.places.items(), key=lambda row: -len(row[1].links))
-        shown = [{"endpoint": name(endpoint), **place.figures()} for endpoint, place in rows[:MOST_ROWS]]
+        rows = sorted(self.endpoints.items(), key=lambda row: -len(row[1].connections))
+        shown = [{"endpoint": name(endpoint), **place.status()} for endpoint, place in rows[:MOST_ROWS]]
         return {
-            "open": sum(len(p.links) for p in self.places.values()) + len(self.leaving),
+            "open": sum(len(p.connections) for p in self.endpoints.values()) + len(self.leaving),
             "idle": len(self.idle),
             "idle_at_most": self.max_idle,
             "waiting": len(self.waiting),
@@ -463,14 +467,14 @@
         idle = [link for link in reversed(self.idle) if not link.stale()]
         return [[k.endpoint, list(k.address), carry_link(cargo, k), k.idle_at] for k in idle[: max(0, most)]]
 
-    def resume(self, endpoint: int, address: Address, sock: socket.socket, born: float) -> Link:
+    def resume(self, endpoint: int, address: Address, sock: socket.socket, born: float) -> PooledConnection:
         """A lent connection of the process before; its endpoint may have left the list since."""
-        link = Link(self.loop, endpoint, address, born, sock)
-        place = self.places.get(endpoint)
+        link = PooledConnection(self.loop, endpoint, address, born, sock)
+        place = self.endpoints.get(endpoint)
         if place is None or place.address != address:
-            place = Place(address)
+            place = EndpointConnections(address)
             self.leaving.add(link)
-        place.links.add(link)
+        place.connections.add(link)
         link.on_close = lambda: self._closed(link, place)
         link.state, link.lent_at, link.idle_us = "lent", self.loop.time(), 0
         return link
@@ -479,8 +483,13 @@
         """Idle ones of the process before: endpoint, address, socket, idle since, born."""
         for endpoint, address, sock, since, born in sorted(rows, key=lambda row: row[3]):
             link = self.resume(endpoint, address, sock, born)
-            place = self.places.get(endpoint)
-            if place is None or link not in place.links or born < place.boot or not self.wanted(endpoint):
+            place = self.endpoints.get(endpoint)
+            if (
+                place is None
+                or link not in place.connections
+                or born < place.boot
+                or not self.is_usable(endpoint)
+            ):
                 self.drop(link, LEFT)
             else:
                 place.most = max(place.most, len(place.idle) + 1)  # until the module says how many
--- a/hopmill/net/restart.py
+++ b/hopmill/net/restart.py
@@ -28,8 +28,8 @@
             return
         now = host.loop.time()
         self.closing_at = now + EXIT_S
-        if host.peers:
-            host.peers.leave()
+        if host.member_transport:
+            host.member_transport.leave()
         host.tell(i.Closing(host.clock() + int(CALLS_S * 1e6)))
         host.loop.call_later(LISTEN_S, self._stop_clients)
         host.loop.call_later(LAST_S, self._last_answers)
@@ -52,7 +52,9 @@
     def maybe_exit(self) -> None:
         host = self.host
         # What still waits for its turn may be sent until the last call must have begun.
-        done = not host.calls.out and not host.journal.held and not host.events and not host.intake.arrived
+        done = (
+            not host.calls.in_flight and not host.journal.held and not host.events and not host.intake.arrived
+        )
         if self.closing_at and done and host.clients.empty and not host.clients.listening:
             self._exit()
 
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -21,7 +21,7 @@
 log = logs.part("courier")
 
 
-class Roster:
+class EndpointRegistry:
     """One owner of what discovery said. The module hears of it as events, the pool as places."""
 
     def __init__(
@@ -34,7 +34,9 @@
         self.uids: dict[str, int] = {}
         self.entries: dict[int, i.ListEntry] = {}
         self.targets: dict[int, dict[str, Any]] = {}  # the same as discovery told them
-        self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end, us
+        self.retry_after_until: dict[
+            tuple[int, int], int
+        ] = {}  # told waits, by destination or route: when they end, us
 
     def listed(self, change: dict[str, Any], form: i.ListForm | None, pool: Pool) -> i.EndpointsListed:
         """Take it over; what can't be read of it is left out."""
@@ -48,7 +50,7 @@
                 continue
             entries.append(entry)
             self.entries[entry.endpoint], self.targets[entry.endpoint] = entry, target
-            pool.place(entry.endpoint, address, boot_ms)
+            pool.set_endpoint(entry.endpoint, address, boot_ms)
         if form is not i.ListForm.DELTA:
             named = {e.endpoint for e in entries}
             for number in [n for n in self.entries if n not in named]:
@@ -115,11 +117,11 @@
             return (-1, endpoint)
         return (entry.destination, endpoint if self._kind(entry).routes_apart else -1)
 
-    def told_wait(self, endpoint: int, until_us: int) -> None:
+    def set_retry_after(self, endpoint: int, until_us: int) -> None:
         key = self._wait_key(endpoint)
-        self.waits[key] = max(self.waits.get(key, 0), until_us)
+        self.retry_after_until[key] = max(self.retry_after_until.get(key, 0), until_us)
 
-    def wanted(self, endpoint: int) -> bool:
+    def is_usable(self, endpoint: int) -> bool:
         """Neither draining, nor gone, nor out by hand: it may get calls, and connections for them."""
         entry = self.entries.get(endpoint)
         ready = entry is not None and entry.state is i.EndpointState.READY
@@ -127,4 +129,4 @@
 
     def may_write(self, endpoint: int, now_us: int) -> bool:
         """News that came while a connection was being made holds for the call that waits for it."""
-        return self.wanted(endpoint) and self.waits.get(self._wait_key(endpoint), 0) <= now_us
+        return self.is_usable(endpoint) and self.retry_after_until.get(self._wait_key(endpoint), 0) <= now_us
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -11,21 +11,21 @@
 from hopmill.net.staff_fleet import fleet_routes
 from hopmill.net.operator import Page, Routes
 from hopmill.net.pool import MOST_ROWS, Pool
-from hopmill.net.roster import Roster
+from hopmill.net.roster import EndpointRegistry
 from hopmill.net.state import Journal
 from hopmill.policy.courier import Courier
 
 Answer = tuple[int, dict[str, Any]]
 
 
-class Staff:
+class OperatorActions:
     """The calls of operators, on the parts that they concern."""
 
     def __init__(
         self,
         courier: Courier,
         journal: Journal,
-        roster: Roster,
+        registry: EndpointRegistry,
         pool: Pool,
         clients: ClientServer,
         clock: Callable[[], int],
@@ -33,11 +33,11 @@
         taking: Callable[[], bool],
     ) -> None:
         """act: tell the module in a turn taken at once. taking: whether new clients are taken."""
-        self.courier, self.journal, self.roster = courier, journal, roster
+        self.courier, self.journal, self.registry = courier, journal, registry
         self.pool, self.clients, self.clock, self.act, self.taking = pool, clients, clock, act, taking
         self.metrics: Any = None  # hopmill/net/metrics.py, while the door is open
-        self.in_force: Any = None  # hopmill/net/in_force.py, where something may differ from the file
-        self.peers: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
+        self.active_policy: Any = None  # hopmill/net/in_force.py, where something may differ from the file
+        self.member_transport: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
 
     def routes(self) -> Routes:
         return Routes(
@@ -47,9 +47,9 @@
             ("GET", "/metrics", self._metrics),
             ("GET", "/endpoints", self._endpoints),
             ("GET", "/lanes", self._lanes),
-            ("GET", "/connections", lambda: (200, self.pool.figures(self.roster.uid))),
+            ("GET", "/connections", lambda: (200, self.pool.status(self.registry.uid))),
             ("GET", "/connections/*", self._connections),
-            *fleet_routes(lambda: self.peers, lambda: self.in_force),
+            *fleet_routes(lambda: self.member_transport, lambda: self.active_policy),
             ("GET", "/zones", lambda: (200, {"zones": self.zone_rows()})),
             ("POST", "/zones/*/maint", lambda name: self._set_zone_by_hand(name, True)),
             ("POST", "/zones/*/ready", lambda name: self._set_zone_by_hand(name, False)),
@@ -76,8 +76,8 @@
         return 200, Page(CONTENT_TYPE, self.metrics.text())
 
     def _endpoints(self) -> Answer:
-        names = {number: name for name, number in self.roster.zones.items()}
-        rows = observe.endpoint_rows(self.courier, self.roster.uid)
+        names = {number: name for name, number in self.registry.zones.items()}
+        rows = observe.endpoint_rows(self.courier, self.registry.uid)
         return 200, {
             "endpoints": [row | {"zone": names.get(row["zone"])} for row in rows[:MOST_ROWS]],
             "not_shown": max(0, len(rows) - MOST_ROWS),
@@ -89,7 +89,7 @@
             "lanes": [
                 {
                     "partner": row.partner,
-                    "endpoint": None if row.endpoint is None else self.roster.uid(row.endpoint),
+                    "endpoint": None if row.endpoint is None else self.registry.uid(row.endpoint),
                     "queued": row.queued,
                     "out": row.out,
                     "window": round(row.window, 2),
@@ -104,16 +104,16 @@
         }
 
     def _connections(self, uid: str) -> Answer:
-        place = self.pool.places.get(self.roster.uids.get(uid, -1))
+        place = self.pool.endpoints.get(self.registry.uids.get(uid, -1))
         if place is None:
             return 404, {"error": "no such endpoint is listed"}
-        return 200, {"endpoint": uid, **place.figures()}
+        return 200, {"endpoint": uid, **place.status()}
 
     def zone_rows(self) -> list[dict[str, Any]]:
         """Each zone ever named, with its state, share, reason and endpoints."""
-        now, listed = self.clock(), [entry.zone for entry in self.roster.entries.values()]
+        now, listed = self.clock(), [entry.zone for entry in self.registry.entries.values()]
         rows = []
-        for name, number in self.roster.zones.items():
+        for name, number in self.registry.zones.items():
             state, share, why = self.courier.zones.state(number, now)
             rows.append(
                 {
@@ -137,20 +137,20 @@
 
     def _set_by_hand(self, uid: str, out: bool) -> Answer:
         """Nothing new starts there after the yes."""
-        if uid not in self.roster.uids:
+        if uid not in self.registry.uids:
             return 404, {"error": "no such endpoint was ever listed"}
         if out is not (uid in self.journal.out_by_hand):
             self.journal.set_by_hand(uid, out)
-            if not (self.in_force and uid in self.in_force.left_out[0]):  # the policy in force does
-                self.act(i.SetByHand(self.roster.uids[uid], out))
+            if not (self.active_policy and uid in self.active_policy.left_out[0]):  # the policy in force does
+                self.act(i.SetByHand(self.registry.uids[uid], out))
         return 200, {"endpoint": uid, "out_by_hand": out}
 
     def _set_zone_by_hand(self, name: str, out: bool) -> Answer:
         """Nothing new starts there after the yes."""
-        if name not in self.roster.zones:
+        if name not in self.registry.zones:
             return 404, {"error": "no such zone was ever named"}
         if out is not (name in self.journal.zones_out):
             self.journal.set_zone_by_hand(name, out)
-            if not (self.in_force and name in self.in_force.left_out[1]):
-                self.act(i.SetZoneByHand(self.roster.zones[name], out))
+            if not (self.active_policy and name in self.active_policy.left_out[1]):
+                self.act(i.SetZoneByHand(self.registry.zones[name], out))
         return 200, {"zone": name, "out_by_hand": out}
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -54,7 +54,7 @@
         p = govern.register.document.policy
         rows = [{**msgspec.to_builtins(e), "outcome": "in force"} for e in self.in_force().book.entries]
         rows += [{"id": e.id, "outcome": "in force nowhere", "why": e.why} for e in p.ended if not e.version]
-        return 200, {"version": p.version, "applied": self.in_force().applied, "changes": rows}
+        return 200, {"version": p.version, "applied": self.in_force().applied_version, "changes": rows}
 
     def propose(self, body: bytes) -> Answer:
         if (govern := self._govern()) is None:
@@ -72,7 +72,7 @@
             return self.outcome(ask.id)
         if p.stage:
             return 409, {"error": f"change {p.stage.id} of {p.stage.by} is staged"}
-        if in_force.applied != p.version:
+        if in_force.applied_version != p.version:
             return 409, {"error": f"version {p.version} is in force, and not known here yet"}
         if ask.if_version not in (None, p.version):
             return 409, {"error": f"version {p.version} is in force, not {ask.if_version}"}
--- a/hopmill/serve.py
+++ b/hopmill/serve.py
@@ -49,8 +49,8 @@
         self.document = document
         configure_logs(document.log)
         self.host.set_options(options(document))
-        if self.host.in_force:
-            self.host.in_force.reloaded(document)
+        if self.host.active_policy:
+            self.host.active_policy.on_file_reloaded(document)
 
 
 def configure_logs(log: doc.Log) -> None:
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -39,44 +39,44 @@
     import json
 
     from hopmill.net.host import Host
-    from hopmill.net.in_force import InForce
+    from hopmill.net.in_force import ActivePolicy
     from hopmill.net.intake import Intake
     from hopmill.net.peers import elapsed_us
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     looked = [0]
     may_act, begin, take, set_up, hold = (
-        InForce.may_act,
+        ActivePolicy.may_act,
         Host._begin,
         Intake.take,
-        InForce._take,
-        InForce._hold,
+        ActivePolicy._apply,
+        ActivePolicy._set_holding,
     )
 
     def say(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
             os.write(fd, json.dumps({"what": what, "at_us": elapsed_us(), **more}).encode() + b"\n")
 
-    def looks(self: InForce) -> bool:
+    def looks(self: ActivePolicy) -> bool:
         looked[0] = elapsed_us()
         return may_act(self)
 
     def begins(self: Host, items: Any) -> bool:
         ids = [item.id for item in items]
         yes = begin(self, items)
-        if yes and self.in_force:
-            say("began", looked_us=looked[0], version=self.in_force.applied, messages=ids)
+        if yes and self.active_policy:
+            say("began", looked_us=looked[0], version=self.active_policy.applied_version, messages=ids)
         return yes
 
     def takes(self: Intake, m: Any, replies: Any) -> None:
         take(self, m, replies)
-        if self.host.in_force and m.number in self.host.journal.held:
-            say("took", looked_us=looked[0], version=self.host.in_force.applied, messages=[m.id])
+        if self.host.active_policy and m.number in self.host.journal.held:
+            say("took", looked_us=looked[0], version=self.host.active_policy.applied_version, messages=[m.id])
 
-    def sets_up(self: InForce, version: int, text: bytes) -> None:
+    def sets_up(self: ActivePolicy, version: int, text: bytes) -> None:
         set_up(self, version, text)
-        if self.applied == version:
-            stage = self.peers.node.register.document.policy.stage
+        if self.applied_version == version:
+            stage = self.member_transport.node.register.document.policy.stage
             say(
                 "policy",
                 version=version,
@@ -85,13 +85,13 @@
                 staged=bool(stage and stage.version == version),
             )
 
-    def holds(self: InForce, on: bool) -> None:
-        if on is not self.holding:
-            say("holds", on=on, version=self.applied)
+    def holds(self: ActivePolicy, on: bool) -> None:
+        if on is not self.is_holding:
+            say("holds", on=on, version=self.applied_version)
         hold(self, on)
 
-    InForce.may_act, Host._begin, Intake.take = looks, begins, takes  # type: ignore[method-assign]
-    InForce._take, InForce._hold = sets_up, holds  # type: ignore[method-assign]
+    ActivePolicy.may_act, Host._begin, Intake.take = looks, begins, takes  # type: ignore[method-assign]
+    ActivePolicy._apply, ActivePolicy._set_holding = sets_up, holds  # type: ignore[method-assign]
 
 
 def main() -> int:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -19,7 +19,7 @@
     def __init__(self, **changes):
         self.ended, self.waits, self.probes, self.begun = asyncio.Queue(), [], asyncio.Queue(), []
         self.allowed = self.wanted = True
-        hooks = c.Hooks(
+        hooks = c.CallHooks(
             lambda e: self.allowed,
             self.begin,
             self.end,
@@ -28,7 +28,7 @@
         )
         given = {"idle_us": 10_000_000, "connect_us": 1_000_000, "max_idle": 20, **changes}
         loop = asyncio.get_running_loop()
-        self.pool = Pool(loop, wanted=lambda e: self.wanted, **given)
+        self.pool = Pool(loop, is_usable=lambda e: self.wanted, **given)
         self.calls = c.Calls(loop, hooks, self.pool)
 
     def begin(self, endpoint, items):
@@ -40,9 +40,11 @@
 
     async def send(self, port, *ids, timeout_us=5_000_000, body=b"x"):
         """timeout_us: of all, or one for each."""
-        self.pool.place(1, ("127.0.0.1", port))
+        self.pool.set_endpoint(1, ("127.0.0.1", port))
         times = timeout_us if isinstance(timeout_us, tuple) else (timeout_us,) * len(ids)
-        items = [c.Item(n, 0, i, "k" + i, body, t) for n, (i, t) in enumerate(zip(ids, times, strict=True))]
+        items = [
+            c.CallItem(n, 0, i, "k" + i, body, t) for n, (i, t) in enumerate(zip(ids, times, strict=True))
+        ]
         self.calls.send(1, items)
         return [await bounded(self.ended.get()) for _ in ids]
 
@@ -135,7 +137,7 @@
         o = Outcomes()
         assert await o.send(endpoint.port, *ids, timeout_us=1_000_000_000) == [(i, outcome) for i in ids]
         await bounded(endpoint.ended.get())  # the connection was closed, and not because of a time-out
-        assert not o.calls.out
+        assert not o.calls.in_flight
         await endpoint.stop()
 
     asyncio.run(run())
@@ -146,9 +148,9 @@
         endpoint = await Endpoint(b"HTTP/1.1 200 OK\r\nX-Pad: ").start()
         o = Outcomes()
         sending = asyncio.ensure_future(o.send(endpoint.port, "a", timeout_us=1_000_000_000))
-        while not any(call.connection and call.connection.status == 200 for call in o.calls.out):
+        while not any(call.connection and call.connection.status == 200 for call in o.calls.in_flight):
             await asyncio.sleep(0.01)
-        next(iter(o.calls.out)).timed_out()
+        next(iter(o.calls.in_flight)).timed_out()
         assert await sending == [("a", c.Outcome(Result.OK, over=True))]
         await endpoint.stop()
 
@@ -162,7 +164,7 @@
         o = Outcomes()
         ends = await o.send(endpoint.port, "a", "b")
         assert ends == [(i, c.Outcome(Result.ERROR)) for i in "ab"]  # it may have run
-        assert not o.calls.out
+        assert not o.calls.in_flight
         o.calls.close()
         await endpoint.stop()
 
@@ -311,7 +313,7 @@
         _, headers, _, _ = await endpoint.call()
         assert 0 < int(headers["x-timeout-ms"]) <= 300
         await bounded(endpoint.ended.get())  # the connection has ended: no answer can come any more
-        assert {end.result for end in ends.values()} == {Result.TIMEOUT} and not o.calls.out
+        assert {end.result for end in ends.values()} == {Result.TIMEOUT} and not o.calls.in_flight
         await endpoint.stop()
 
     asyncio.run(run())
@@ -335,7 +337,7 @@
     async def run():
         endpoint = await Endpoint(answer(200), answer(503), "reset").start()
         o = Outcomes()
-        o.pool.place(1, ("127.0.0.1", endpoint.port))
+        o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
         for wanted in (Result.OK, Result.FULL, Result.RESET):
             o.calls.probe(1)
             assert await bounded(o.probes.get()) is wanted
@@ -369,7 +371,7 @@
         end.set()
         ended.wait(10)  # holds the loop: nothing tells it of the end
         assert (await o.send(port, "b"))[0][1].result is Result.OK
-        assert o.pool.places[1].opened == 2
+        assert o.pool.endpoints[1].opened == 2
         o.calls.close()
         thread.join()
         listener.close()
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -66,9 +66,9 @@
     while a.calls.qsize() + b.calls.qsize() < 12:
         await asyncio.sleep(0.01)
     assert a.calls.qsize() == before
-    assert not fleet.host.pool.places[fleet.host.roster.uids["a"]].idle
+    assert not fleet.host.pool.endpoints[fleet.host.registry.uids["a"]].idle
     fleet.discovery.change("b", state="terminated")
-    while fleet.host.roster.uids["b"] in fleet.host.roster.entries:
+    while fleet.host.registry.uids["b"] in fleet.host.registry.entries:
         await asyncio.sleep(0.01)
 
 
@@ -179,8 +179,8 @@
             await fleet.inside()
             good = dict(fleet.discovery.target("b", 80, 8))
             fleet.host.listed({"all": False, "targets": [{**good, "uid": "c", **bad}, good, None, 5]})
-            uids = fleet.host.roster.uids
-            entries = fleet.host.roster.entries
+            uids = fleet.host.registry.uids
+            entries = fleet.host.registry.entries
             assert [n for n in ("a", "b", "c", "None") if uids.get(n) in entries] == ["a", "b"]
 
     asyncio.run(run())
@@ -504,10 +504,10 @@
         async with Fleet(tmp_path) as fleet:
             e = await fleet.endpoint("a", "reset")
             client = await fleet.inside()
-            lend, asked = fleet.host.pool.lend, asyncio.Queue()
+            lend, asked = fleet.host.pool.check_out, asyncio.Queue()
             await client.put("m", kind=kind, key="k", life=60_000)
             await e.call()
-            monkeypatch.setattr(fleet.host.pool, "lend", lambda *loan: asked.put_nowait(loan))
+            monkeypatch.setattr(fleet.host.pool, "check_out", lambda *loan: asked.put_nowait(loan))
             loan = await bounded(asked.get())
             scale, ran_at = fleet.host.journal.scale, fleet.host.journal.held[1].may_have_run_at
             at = max(scale.now(), ran_at + wall) - scale.ahead
@@ -530,11 +530,11 @@
             e = await fleet.endpoint("a")
             client = await fleet.inside()
             host = fleet.host
-            number = host.roster.uids["a"]
+            number = host.registry.uids["a"]
             if news == "wait":
-                host.roster.told_wait(number, host.clock() + 60_000_000)
+                host.registry.set_retry_after(number, host.clock() + 60_000_000)
             else:
-                entries = host.roster.entries
+                entries = host.registry.entries
                 entries[number] = replace(entries[number], state=EndpointState.DRAINING)
             assert await client.put("m", kind="unsafe") == "+OK"
             assert (await fleet.discovery.final())["status"] == "deferred"  # it never ran
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from hopmill.interface import Result
 from hopmill.net import calls as c
 from hopmill.net.accept import Acceptor, listening_socket
-from hopmill.net.discovery import Notices, Watch
+from hopmill.net.discovery import NoticeSender, DiscoveryWatch
 from hopmill.net.state import NAME, Held, Journal, JournalFull, frame, parse
 
 FLOOD = b"nonsense\r\n" * 100_000  # far more than the kernel holds of it
@@ -319,7 +319,7 @@
                 else [{Result.RESET}]
             )
             assert results in allowed, cut
-            assert not o.calls.out or cut < len(whole)
+            assert not o.calls.in_flight or cut < len(whole)
             o.calls.close()
             o.pool.close()
             endpoint.close()
@@ -348,7 +348,7 @@
         loop = asyncio.get_running_loop()
         endpoint.open[0].setblocking(False)
         assert await bounded(loop.sock_recv(endpoint.open[0], 1)) == b""  # the courier has ended it
-        assert not o.calls.out and not o.pool.idle
+        assert not o.calls.in_flight and not o.pool.idle
         o.calls.close()
         endpoint.close()
 
@@ -360,15 +360,15 @@
     async def run():
         endpoint = await Endpoint().start()
         o = Outcomes()
-        o.pool.place(1, ("127.0.0.1", endpoint.port))
+        o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
         held = []
-        connected = c.Link._connected
+        connected = c.PooledConnection._connected
         monkeypatch.setattr(
-            c.Link,
+            c.PooledConnection,
             "_connected",
             lambda link, *a: held.append((link, a)) or (link.loop.remove_writer(link.sock)),
         )
-        o.calls.send(1, [c.Item(0, 0, "a", "", b"x", 100_000 if given_up == "timed out" else 60_000_000)])
+        o.calls.send(1, [c.CallItem(0, 0, "a", "", b"x", 100_000 if given_up == "timed out" else 60_000_000)])
         await until(lambda: held)
         if given_up == "cancelled":
             o.calls.cancel(0, 0)
@@ -380,8 +380,8 @@
         for link, args in held:  # now it is up
             connected(link, *args)
         await asyncio.sleep(0)
-        assert endpoint.calls.empty() and not o.begun and not o.calls.out
-        assert not any(place.links for place in o.pool.places.values())
+        assert endpoint.calls.empty() and not o.begun and not o.calls.in_flight
+        assert not any(place.connections for place in o.pool.endpoints.values())
         await endpoint.stop()
 
     asyncio.run(run())
@@ -430,7 +430,7 @@
     async def run():
         lists, told = Lists(), []
         port = await lists.start()
-        watch = Watch(asyncio.get_running_loop(), ("127.0.0.1", port), 3, told.append, couriers=200)
+        watch = DiscoveryWatch(asyncio.get_running_loop(), ("127.0.0.1", port), 3, told.append, couriers=200)
         watch.open()
         assert (await bounded(lists.asked.get())).endswith("from=3")
         lists.say(line(4))
@@ -455,7 +455,7 @@
     async def run():
         lists, told = Lists(), []
         port = await lists.start()
-        watch = Watch(asyncio.get_running_loop(), ("127.0.0.1", port), 3, told.append)
+        watch = DiscoveryWatch(asyncio.get_running_loop(), ("127.0.0.1", port), 3, told.append)
         watch.open()
         await bounded(lists.asked.get())
         odd = json.dumps({"rev": 5, "all": False, "targets": [{"uid": "s-{{"}]}).encode() + b"\n"
@@ -504,7 +504,7 @@
 
         told = []
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        notices = Notices(asyncio.get_running_loop(), server.sockets[0].getsockname(), told.extend)
+        notices = NoticeSender(asyncio.get_running_loop(), server.sockets[0].getsockname(), told.extend)
         notices.add(1, "m", "deferred", 500)
         first = await bounded(got.get())
         told.append("silent")
@@ -601,15 +601,15 @@
     listener = socket.create_server(("127.0.0.1", 0))
     fleet.discovery.target("a", listener.getsockname()[1], 7)
     client = await fleet.inside()
-    host, written = fleet.host, c.Link.written
+    host, written = fleet.host, c.PooledConnection.written
     try:
-        c.Link.written = property(lambda link: False)  # its endpoint's window is full
+        c.PooledConnection.written = property(lambda link: False)  # its endpoint's window is full
         await client.put("m", kind="unsafe")
-        await until(lambda: host.calls.out and host.journal.held[1].trying_at)
+        await until(lambda: host.calls.in_flight and host.journal.held[1].trying_at)
         assert host.calls.unwritten() == [1]
         host.restart._exit()
     finally:
-        c.Link.written = written
+        c.PooledConnection.written = written
     assert host.journal.held[1].may_have_run_at == 0
     listener.close()
 
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -22,7 +22,7 @@
 from hopmill.cli import door, journal
 from hopmill.cli import top as top_
 from hopmill.net import state
-from hopmill.net.metrics import MOST_NAMES, OTHER, Metrics, Names
+from hopmill.net.metrics import MAX_LABEL_VALUES, OTHER, Metrics, LabelValues
 from hopmill.standin.ledger import Entry, Ledger
 
 EXAMPLE = ROOT / "deploy" / "courier.example.toml"
@@ -147,28 +147,28 @@
 async def test_a_reader_of_metrics_that_never_reads_holds_nothing(fleet):
     await fleet.inside()
     metrics = fleet.host.metrics
-    for partner in range(MOST_NAMES + 50):
+    for partner in range(MAX_LABEL_VALUES + 50):
         metrics.call(partner, "ok", 0.1)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, (DOOR, fleet.door))
     await asyncio.get_running_loop().sock_sendall(sock, b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
-    await until(lambda: fleet.host.door.callers)
+    await until(lambda: fleet.host.operator_server.callers)
     assert len(metrics.text()) > 200_000  # over what both kernels' buffers hold of a small window
-    await until(lambda: not fleet.host.door.callers)
+    await until(lambda: not fleet.host.operator_server.callers)
     assert (await ask(fleet, "/healthcheck"))[0] == 200
     sock.close()
 
 
 def test_labels_stay_bounded_under_a_churn_of_names():
-    names = Names(most=3)
+    names = LabelValues(most=3)
     assert [names.label(n) for n in (1, 2, 3, 4, 5, 1)] == ["1", "2", "3", OTHER, OTHER, "1"]
     metrics = Metrics(("safe",))
-    for partner in range(MOST_NAMES * 3):
+    for partner in range(MAX_LABEL_VALUES * 3):
         metrics.call(partner, "ok", 0.01)
     rows = [line for line in metrics.text().splitlines() if line.startswith(b"hopmill_attempts_total")]
-    assert len(rows) == MOST_NAMES + 1 and b'partner="other"' in rows[-1]
+    assert len(rows) == MAX_LABEL_VALUES + 1 and b'partner="other"' in rows[-1]
 
 
 @courier
@@ -178,7 +178,7 @@
     client = await fleet.inside()
     assert await client.put("m") == "+OK"
     assert fleet.host.metrics is None and fleet.host.observer.meters is None
-    assert not fleet.host.observer.taken_at and not fleet.host.door.acceptors
+    assert not fleet.host.observer.taken_at and not fleet.host.operator_server.acceptors
 
 
 @courier
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -71,7 +71,7 @@
     for _, writer in slow:
         writer.write(b"GET /healthch")
     assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200
-    assert len(fleet.host.door.callers) <= 10
+    assert len(fleet.host.operator_server.callers) <= 10
     answers = [await bounded(reader.read()) for reader, _ in slow[-3:]]
     assert all(a.startswith(b"HTTP/1.1 408") for a in answers)  # and none keeps its descriptor
     for _, writer in slow:
@@ -82,7 +82,7 @@
 async def test_no_address_no_door(fleet):
     fleet.door = 0
     await fleet.inside()
-    assert fleet.host.door.acceptor is None
+    assert fleet.host.operator_server.acceptor is None
     assert await (await Client().open(fleet.port)).send(Client.command(b"PING")) == "+PONG"
 
 
@@ -159,7 +159,7 @@
     assert await out(fleet, "nobody") == 404 and await out(fleet, "nobody", "ready") == 404
     assert (await call(fleet.door, "GET", "/endpoints/a/maint"))[0] == 405
     assert (await call(fleet.door, "GET", "/healthcheck"))[1]["out_by_hand"] == ["a"]
-    assert not fleet.host.pool.places[fleet.host.roster.uids["a"]].idle
+    assert not fleet.host.pool.endpoints[fleet.host.registry.uids["a"]].idle
     before = a.calls.qsize()
     for state in ("terminated", "in_service"):  # it goes and is listed again
         fleet.discovery.change("a", state=state)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -199,19 +199,19 @@
     with_members(fleet)
     client = await fleet.inside()
     await bounded(_holds(fleet))
-    real = fleet.host.peers.storage.write
+    real = fleet.host.member_transport.storage.write
 
     def full(state):
         raise OSError(28, "No space left on device")
 
-    fleet.host.peers.storage.write = full
+    fleet.host.member_transport.storage.write = full
     begun = asyncio.create_task(changed(fleet, "/fleet/words/w/x"))
-    await until(lambda: fleet.host.peers.failing)
+    await until(lambda: fleet.host.member_transport.failing)
     assert (await status(fleet))["disk"] == "failing" and await client.put("m") == "+OK"
     await e.call()
     await asyncio.sleep(0.3)
     assert not begun.done()
-    fleet.host.peers.storage.write = real
+    fleet.host.member_transport.storage.write = real
     assert (await bounded(begun))["state"] == "done" and (await status(fleet))["disk"] == "well"
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -694,7 +694,7 @@
         assert await client.put(f"m{n}") == "+OK"
     for _ in range(4):
         await b.call()
-    assert a.calls.empty() and fleet.host.in_force.may_act()
+    assert a.calls.empty() and fleet.host.active_policy.may_act()
     client.close()
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -40,23 +40,23 @@
 async def lent(o, endpoint):
     """A connection that the pool lends; the endpoint is asked nothing."""
     got = asyncio.get_running_loop().create_future()
-    o.pool.place(1, ("127.0.0.1", endpoint.port))
-    o.pool.lend(1, lambda link, error: got.set_result(link or error))
+    o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
+    o.pool.check_out(1, lambda link, error: got.set_result(link or error))
     return await bounded(got)
 
 
 async def idle(o, endpoint, count):
     """So many idle ones, the first the longest idle."""
     links = [await lent(o, endpoint) for _ in range(count)]
-    o.pool.keep(1, count)
+    o.pool.set_max_idle(1, count)
     for link in links:
-        o.pool.take_back(link)
+        o.pool.check_in(link)
     return links
 
 
 def silent(o):
     """Nothing was heard of the endpoint for longer than a connect may take."""
-    o.pool.places[1].heard_at -= o.pool.connect_s + 1
+    o.pool.endpoints[1].heard_at -= o.pool.connect_s + 1
 
 
 @run
@@ -65,7 +65,7 @@
     for _ in range(4):
         link = await lent(o, endpoint)
         assert link is links[-1]
-        o.pool.take_back(link)
+        o.pool.check_in(link)
     assert list(o.pool.idle) == links
 
 
@@ -75,12 +75,12 @@
         endpoints = [await Endpoint().start() for _ in range(3)]
         o = Outcomes(max_idle=2)
         for n, e in enumerate(endpoints):
-            o.pool.place(n, ("127.0.0.1", e.port))
+            o.pool.set_endpoint(n, ("127.0.0.1", e.port))
             got = asyncio.get_running_loop().create_future()
-            o.pool.lend(n, lambda link, error, got=got: got.set_result(link))
-            o.pool.take_back(await bounded(got))
-        assert [len(o.pool.places[n].idle) for n in range(3)] == [0, 1, 1]
-        assert o.pool.places[0].closed == {p.ROOM: 1}
+            o.pool.check_out(n, lambda link, error, got=got: got.set_result(link))
+            o.pool.check_in(await bounded(got))
+        assert [len(o.pool.endpoints[n].idle) for n in range(3)] == [0, 1, 1]
+        assert o.pool.endpoints[0].closed == {p.ROOM: 1}
         o.pool.close()
         for e in endpoints:
             await e.stop()
@@ -91,12 +91,12 @@
 @run
 async def test_over_the_endpoints_number_the_longest_idle_closes(endpoint, o):
     links = await idle(o, endpoint, 4)
-    o.pool.keep(1, 2)
-    assert list(o.pool.places[1].idle) == links[2:]
-    o.pool.keep(1, 0)
-    assert not o.pool.idle and o.pool.places[1].closed == {p.SURPLUS: 4}
+    o.pool.set_max_idle(1, 2)
+    assert list(o.pool.endpoints[1].idle) == links[2:]
+    o.pool.set_max_idle(1, 0)
+    assert not o.pool.idle and o.pool.endpoints[1].closed == {p.SURPLUS: 4}
     link = await lent(o, endpoint)
-    o.pool.take_back(link)
+    o.pool.check_in(link)
     assert link.closed  # none is kept where the table is full
 
 
@@ -105,7 +105,7 @@
         endpoint, o = await Endpoint().start(), Outcomes(idle_us=200_000)
         links = await idle(o, endpoint, 2)
         await until(lambda: links[0].closed and links[1].closed)
-        assert o.pool.places[1].closed == {p.AGED: 2} and o.pool.aging is None
+        assert o.pool.endpoints[1].closed == {p.AGED: 2} and o.pool.aging is None
         await endpoint.stop()
 
     asyncio.run(go())
@@ -131,7 +131,7 @@
     assert not {second, third} & set(links)  # while the first is not answered the others go over new ones
     o.pool.failed(first)
     first.close()
-    assert all(link.closed for link in links) and o.pool.places[1].closed[p.DOUBTED] == 2
+    assert all(link.closed for link in links) and o.pool.endpoints[1].closed[p.DOUBTED] == 2
 
 
 @run
@@ -161,16 +161,16 @@
 @run
 async def test_a_call_lost_on_a_dead_connection_takes_the_older_ones_along(endpoint, o):
     endpoint.script += [answer(200)] * 2 + ["hang"]
-    o.pool.keep(1, 4)
+    o.pool.set_max_idle(1, 4)
     gate = endpoint.release = asyncio.Event()
     sends = [asyncio.ensure_future(o.send(endpoint.port, i)) for i in "ab"]
     await until(lambda: endpoint.calls.qsize() == 2)
-    o.pool.keep(1, 4)
+    o.pool.set_max_idle(1, 4)
     gate.set()
     await bounded(asyncio.gather(*sends))
     assert len(o.pool.idle) == 2
     assert (await o.send(endpoint.port, "c", timeout_us=100_000))[0][1].result is Result.TIMEOUT
-    assert not o.pool.idle and o.pool.places[1].closed == {p.GIVEN_UP: 1, p.DOUBTED: 1}
+    assert not o.pool.idle and o.pool.endpoints[1].closed == {p.GIVEN_UP: 1, p.DOUBTED: 1}
     assert (await o.send(endpoint.port, "d"))[0][1].result is Result.OK and endpoint.accepted == 3
 
 
@@ -178,11 +178,11 @@
 async def test_those_from_before_the_endpoint_started_again_are_dropped(endpoint, o):
     links = await idle(o, endpoint, 2)
     busy = await lent(o, endpoint)
-    o.pool.place(1, ("127.0.0.1", endpoint.port), (time.time() - 60) * 1e3)
+    o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() - 60) * 1e3)
     assert not links[0].closed  # it started long before
-    o.pool.place(1, ("127.0.0.1", endpoint.port), (time.time() + 1) * 1e3)
-    assert links[0].closed and o.pool.places[1].closed == {p.RESTARTED: 1}
-    o.pool.take_back(busy)
+    o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() + 1) * 1e3)
+    assert links[0].closed and o.pool.endpoints[1].closed == {p.RESTARTED: 1}
+    o.pool.check_in(busy)
     assert busy.closed
 
 
@@ -199,18 +199,18 @@
     assert (await sending)[0][1].result is Result.MOOT
     assert not o.pool.idle and waiting[0][1].closed and endpoint.calls.empty()
     assert (await o.send(endpoint.port, "b"))[0][1].result is Result.MOOT  # and none is opened any more
-    assert o.pool.places[1].opened == 1
+    assert o.pool.endpoints[1].opened == 1
 
 
 @run
 async def test_an_endpoint_that_moved_or_left_ends_with_its_calls(endpoint, o):
     links = await idle(o, endpoint, 2)
     busy = await lent(o, endpoint)
-    o.pool.news()
-    o.pool.place(1, ("127.0.0.1", free_port()))
-    assert links[0].closed and not busy.closed and o.pool.news() == [(1, ())]
-    assert o.pool.figures(str)["open"] == 1  # it is still counted, and would be closed with the pool
-    o.pool.take_back(busy)
+    o.pool.take_idle_changes()
+    o.pool.set_endpoint(1, ("127.0.0.1", free_port()))
+    assert links[0].closed and not busy.closed and o.pool.take_idle_changes() == [(1, ())]
+    assert o.pool.status(str)["open"] == 1  # it is still counted, and would be closed with the pool
+    o.pool.check_in(busy)
     assert busy.closed and not o.pool.leaving
     assert o.pool.totals() == {"opened": 2, "reused": 1, p.LEFT: 2}
 
@@ -230,7 +230,7 @@
         endpoint, o = await Late().start(), Outcomes()
         for ident in "ab":
             assert (await o.send(endpoint.port, ident))[0][1].result is Result.OK
-        assert endpoint.accepted == 2 and o.pool.places[1].reused == 0
+        assert endpoint.accepted == 2 and o.pool.endpoints[1].reused == 0
         await endpoint.stop()
 
     asyncio.run(go())
@@ -268,7 +268,7 @@
         port = listener.getsockname()[1]
         assert (await o.send(port, "a"))[0][1].result is Result.OK
         assert (await o.send(port, "b", body=b"x" * size))[0][1].result is result
-        assert o.pool.places[1].reused == 1 and o.pool.places[1].closed == {p.BROKE: 1}
+        assert o.pool.endpoints[1].reused == 1 and o.pool.endpoints[1].closed == {p.BROKE: 1}
         thread.join()
         listener.close()
 
@@ -280,7 +280,7 @@
 
     def __init__(self, monkeypatch):
         self.room, self.asked = 0, 0
-        real = p.Link.__init__
+        real = p.PooledConnection.__init__
 
         def init(link, *args, **more):
             self.asked += 1
@@ -289,7 +289,7 @@
             self.room -= 1
             real(link, *args, **more)
 
-        monkeypatch.setattr(p.Link, "__init__", init)
+        monkeypatch.setattr(p.PooledConnection, "__init__", init)
 
 
 def test_without_a_descriptor_an_idle_one_makes_room_and_calls_wait_a_bounded_time(monkeypatch):
@@ -297,20 +297,20 @@
         a, b = await Endpoint().start(), await Endpoint().start()
         o = Outcomes(connect_us=300_000)
         await idle(o, a, 1)
-        o.pool.place(2, ("127.0.0.1", b.port))
+        o.pool.set_endpoint(2, ("127.0.0.1", b.port))
         files = Full(monkeypatch)
         real = o.pool.drop
         o.pool.drop = lambda link, why: (real(link, why), setattr(files, "room", files.room + 1))
         got = []
-        o.pool.lend(2, lambda link, error: got.append(link))
+        o.pool.check_out(2, lambda link, error: got.append(link))
         await until(lambda: got)
-        assert got[0].endpoint == 2 and o.pool.places[1].closed == {p.ROOM: 1}
+        assert got[0].endpoint == 2 and o.pool.endpoints[1].closed == {p.ROOM: 1}
         assert [r.result for _, r in await o.send(a.port, "x")] == [Result.MOOT]  # none came free in its time
         sending = asyncio.ensure_future(o.send(a.port, "y"))
         await until(lambda: o.pool.waiting)
         o.pool.drop(got[0], p.ASKED)  # one does now
         assert [r.result for _, r in await sending] == [Result.OK]
-        assert not o.pool.waiting and not o.calls.out and files.asked < 50
+        assert not o.pool.waiting and not o.calls.in_flight and files.asked < 50
         for e in (a, b):
             await e.stop()
 
@@ -327,11 +327,11 @@
                 f.setblocking(False)
                 f.connect_ex(s.getsockname())
             o, before = Outcomes(connect_us=200_000), open_files()
-            o.pool.place(1, s.getsockname())
+            o.pool.set_endpoint(1, s.getsockname())
             ends = await asyncio.gather(*(o.send(s.getsockname()[1], str(n)) for n in range(30)))
             assert {outcome.result for ((_, outcome),) in ends} == {Result.CONNECT_FAILED}
-            assert open_files() == before and not o.pool.places[1].links
-            assert o.pool.places[1].closed == {p.NEVER_UP: 30}
+            assert open_files() == before and not o.pool.endpoints[1].connections
+            assert o.pool.endpoints[1].closed == {p.NEVER_UP: 30}
             for f in fill:
                 f.close()
 
@@ -340,33 +340,33 @@
 
 @run
 async def test_warm_up_stays_within_the_bounds_and_writes_nothing(endpoint, o):
-    o.pool.place(1, ("127.0.0.1", endpoint.port))
-    o.pool.keep(1, 2)
+    o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
+    o.pool.set_max_idle(1, 2)
     for _ in range(5):
-        o.pool.warm(1)
+        o.pool.open_spare(1)
     await until(lambda: len(o.pool.idle) == 2)
-    assert o.pool.places[1].opened == 2 and endpoint.calls.empty() and o.ended.empty()
+    assert o.pool.endpoints[1].opened == 2 and endpoint.calls.empty() and o.ended.empty()
     o.wanted = False
     o.pool.close_idle(1)
-    o.pool.warm(1)
-    assert not o.pool.places[1].links
+    o.pool.open_spare(1)
+    assert not o.pool.endpoints[1].connections
 
 
 @run
 async def test_thousands_of_churned_endpoints_leave_no_descriptor(endpoint, o):
     before = open_files()
     for n in range(2000):
-        o.pool.place(n, ("127.0.0.1", endpoint.port))
+        o.pool.set_endpoint(n, ("127.0.0.1", endpoint.port))
         done = asyncio.get_running_loop().create_future()
-        o.pool.lend(n, lambda link, error, done=done: done.set_result(link))
+        o.pool.check_out(n, lambda link, error, done=done: done.set_result(link))
         link = await bounded(done)
         if n % 3:
-            o.pool.take_back(link)
+            o.pool.check_in(link)
         o.pool.forget(n)
         if not n % 3:
-            o.pool.take_back(link)
+            o.pool.check_in(link)
     await until(lambda: not endpoint.writers)
-    assert open_files() == before and not o.pool.places and not o.pool.leaving and not o.pool.changed
+    assert open_files() == before and not o.pool.endpoints and not o.pool.leaving and not o.pool.changed
     assert o.pool.totals() == {"opened": 2000, "reused": 0, p.LEFT: 2000}
 
 
@@ -378,14 +378,14 @@
     assert [len(row) for row in rows] == [4, 4]  # as the version before knows them
     assert cargo.values["born"] == {0: links[1].born, 1: links[0].born}
     other = Outcomes()
-    other.pool.place(1, ("127.0.0.1", endpoint.port))
+    other.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
     other.pool.resume_idle(
         [
             (e, tuple(a), socket.socket(fileno=os.dup(cargo.fds[place])), since, cargo.values["born"][place])
             for e, a, place, since in rows
         ]
     )
-    assert [k.idle_at for k in other.pool.places[1].idle] == [k.idle_at for k in links]
+    assert [k.idle_at for k in other.pool.endpoints[1].idle] == [k.idle_at for k in links]
     other.pool.close()
 
 
@@ -404,7 +404,7 @@
     values["idle"] = [[*row, "later field"] for row in values["idle"]]
     born = host.upgrade._born(0, host.loop.time() - 5)
     host.upgrade.cargo = Cargo(values, [os.dup(fd) for fd in cargo.fds])
-    host.pool.close_idle(host.roster.uids["a"])
+    host.pool.close_idle(host.registry.uids["a"])
     host.upgrade.resume()
     assert len(host.pool.idle) == 1 and abs(time.time() - 5 - born) < 1
     del values["idle"]
@@ -419,17 +419,17 @@
     e = await fleet.endpoint("a", answer(200, Connection="close"), answer(200), answer(200))
     client = await fleet.inside()
     host = fleet.host
-    number = host.roster.uids["a"]
+    number = host.registry.uids["a"]
 
     def agree():
         host.turn()
         known = host.courier.book.endpoints[number].links.idle
-        return known == [int(k.idle_at * 1e6) for k in host.pool.places[number].idle]
+        return known == [int(k.idle_at * 1e6) for k in host.pool.endpoints[number].idle]
 
     for n in range(3):
         assert await client.put(f"m{n}") == "+OK"
         await e.call()
-        await until(lambda: not host.calls.out)
+        await until(lambda: not host.calls.in_flight)
         assert agree() and len(host.pool.idle) == (n > 0)
     host.pool.close_idle(number)
     assert agree() and not host.pool.idle
@@ -445,7 +445,7 @@
     for n in range(3):
         assert await client.put(f"m{n}") == "+OK"
         await e.call()
-        await until(lambda: not fleet.host.calls.out)
+        await until(lambda: not fleet.host.calls.in_flight)
     status, said = await at_door(fleet.door, "GET", "/connections")
     assert status == 200 and said["open"] == said["idle"] == 1 and said["not_shown"] == 0
     (row,) = said["endpoints"]
@@ -463,9 +463,9 @@
     assert await at_door(fleet.door, "GET", "/connections/a") == (200, row)
     assert (await at_door(fleet.door, "GET", "/connections/b"))[0] == 404
     assert (await at_door(fleet.door, "POST", "/connections"))[0] == 405
-    places = fleet.host.pool.places
+    places = fleet.host.pool.endpoints
     for n in range(1000, 5000):  # bounded, however many there are
-        places[n] = p.Place(("127.0.0.1", 1))
+        places[n] = p.EndpointConnections(("127.0.0.1", 1))
     status, said = await at_door(fleet.door, "GET", "/connections")
     assert len(said["endpoints"]) == p.MOST_ROWS and said["not_shown"] == 4001 - p.MOST_ROWS
 
@@ -487,7 +487,7 @@
                 await until(lambda: host.watch.rev == fleet.discovery.rev)
                 assert await client.put(f"m{n}") == "+OK"
                 await e.call()
-                await until(lambda: not host.calls.out)
+                await until(lambda: not host.calls.in_flight)
                 host.move_discovery(("127.0.0.1", fleet.discovery.port))
                 await until(lambda: len(fleet.discovery.watchers) == 1)
                 if n == 9:
@@ -499,7 +499,7 @@
             await bounded(host.restart.closed)
             host.close()
             fleet.host = None
-            assert not host.pool.places or not any(x.links for x in host.pool.places.values())
+            assert not host.pool.endpoints or not any(x.connections for x in host.pool.endpoints.values())
 
     asyncio.run(go())
 
@@ -511,11 +511,11 @@
             client = await fleet.inside()
             for ident, kind in (("first", "safe"), ("pay", "unsafe"), ("next", "safe"), ("again", "safe")):
                 assert await client.put(ident, kind=kind) == "+OK"
-                await until(lambda: not fleet.host.calls.out and not fleet.host.events)
+                await until(lambda: not fleet.host.calls.in_flight and not fleet.host.events)
             assert (await fleet.discovery.final()) == {"id": "pay", "status": "undeliverable"}
             ids = [(await e.call())[1]["x-request-id"] for _ in range(5)]
             assert ids == ["first", "pay", "next", "again", "again"]
-            place = fleet.host.pool.places[1]
+            place = fleet.host.pool.endpoints[1]
             assert (place.opened, place.reused) == (3, 2)  # both were lost on one that had been used before
             await until(lambda: not fleet.host.journal.held)
             assert e.calls.empty()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -161,8 +161,8 @@
 async def test_a_courier_whose_former_door_has_closed_hands_over_again(fleet):
     await fleet.inside()
     former = socket.create_server(("127.0.0.1", 0))
-    fleet.host.door.resume(former, [])
-    fleet.host.door.former.close()
+    fleet.host.operator_server.resume(former, [])
+    fleet.host.operator_server.former.close()
     left = asyncio.Event()
     fleet.host.upgrade.leave = left.set
     link = Link(fleet.folder / "state")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -342,4 +342,4 @@
         target = {**fleet.discovery.targets["a"], "uid": f"u{n}", "az": f"z{n}"}
         host.listed({"all": False, "targets": [target]})
     await until(lambda: not host.events)
-    assert len(host.roster.zones) == 256
+    assert len(host.registry.zones) == 256
