--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -15,12 +15,21 @@
 from hopmill.interface import Result
 from hopmill.net.config import Address
 from hopmill.net.http import LOCAL_ERRORS, Exchange
-from hopmill.net.pool import GIVEN_UP, EndpointUnavailableError, PooledConnection, Checkout, Pool, carry_link
+from hopmill.net.pool import (
+    CALL_ABANDONED,
+    EndpointUnavailableError,
+    PooledConnection,
+    Checkout,
+    Pool,
+    carry_connection,
+)
 from hopmill.net.upgrade import Cargo
 
-TAIL_S = 1.0  # how long the rest of an answer whose status line has come is waited for
-MAX_ANSWER = 64 * 1024  # bytes of an answer's body: what is longer is no answer, and is not waited for
-STATES = {
+RESPONSE_TAIL_S = 1.0  # how long the rest of an answer whose status line has come is waited for
+MAX_RESPONSE_BYTES = (
+    64 * 1024
+)  # bytes of an answer's body: what is longer is no answer, and is not waited for
+BATCH_RESULTS = {
     "done": Result.OK,
     "failed": Result.ERROR,
     "busy": Result.FULL,
@@ -51,7 +60,7 @@
 
     result: Result
     over: bool = False  # nothing more is owed for the message
-    wait_us: int = 0  # a told wait
+    retry_after_us: int = 0  # a told wait
     report: tuple[tuple[str, float], ...] = ()  # the endpoint's figures, by name
 
 
@@ -64,7 +73,7 @@
         [int, list[CallItem]], list[CallItem]
     ]  # endpoint: which of these may be written there, now
     ended: Callable[[CallItem, int, Outcome, int], None]  # item, endpoint, outcome, latency in us
-    told_wait: Callable[[int, int], None]  # endpoint, us: at once, before any outcome
+    retry_after: Callable[[int, int], None]  # endpoint, us: at once, before any outcome
     probed: Callable[[int, Result, int], None]
 
 
@@ -79,10 +88,10 @@
         result, over = Result.MOOT, True
     elif status in (400, 413, 504):  # not sent
         result = Result.MOOT
-    return Outcome(result, over, told_wait(headers), load_report(headers))
+    return Outcome(result, over, parse_retry_after_us(headers), parse_load_report(headers))
 
 
-def load_report(headers: dict[str, str]) -> tuple[tuple[str, float], ...]:
+def parse_load_report(headers: dict[str, str]) -> tuple[tuple[str, float], ...]:
     """'x0=0.4,x1=25'. One figure that can't be read makes all of it worth nothing."""
     try:
         pairs = [part.partition("=") for part in headers.get("x-server-load", "").split(",") if part]
@@ -92,19 +101,19 @@
     return report if all(math.isfinite(value) for _, value in report) else ()
 
 
-def told_wait(headers: dict[str, str]) -> int:
+def parse_retry_after_us(headers: dict[str, str]) -> int:
     try:
         return max(0, int(float(headers.get("retry-after", "0")) * 1e6))
     except (ValueError, OverflowError):
         return 0
 
 
-def bundle_outcomes(body: bytes, headers: dict[str, str]) -> dict[str, Outcome]:
+def batch_outcomes(body: bytes, headers: dict[str, str]) -> dict[str, Outcome]:
     """Each one's end in a bundle's answer; unreadable ones lack."""
-    wait, report = told_wait(headers), load_report(headers)
+    wait, report = parse_retry_after_us(headers), parse_load_report(headers)
     try:
         rows = json.loads(body)
-        states = {str(row["id"]): STATES[row["state"]] for row in rows}
+        states = {str(row["id"]): BATCH_RESULTS[row["state"]] for row in rows}
         voids = {str(row["id"]) for row in rows if row["state"] in ("done", "void")}
     except (ValueError, KeyError, TypeError, RecursionError):  # the last one: nested too deep
         return {}
@@ -118,9 +127,9 @@
         self.calls, self.endpoint, self.items = calls, endpoint, items
         self.path = path  # of a probe
         self.started = calls.loop.time()
-        self.status, self.headers, self.body, self.received = 0, {}, bytearray(), 0
+        self.status, self.headers, self.body, self.body_bytes = 0, {}, bytearray(), 0
         self.connection: PooledConnection | None = None
-        self.loan: Checkout | None = None
+        self.checkout: Checkout | None = None
         self.timers: list[asyncio.TimerHandle] = []
 
     @property
@@ -128,7 +137,7 @@
         return int((self.calls.loop.time() - self.started) * 1e6)
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return any(not i.ended for i in self.items)
 
     @property
@@ -140,40 +149,40 @@
     def timer(self, delay: float, action: Callable[[], None]) -> None:
         self.timers.append(self.calls.loop.call_later(max(0.0, delay), action))
 
-    def end(self) -> None:
+    def response_complete(self) -> None:
         if self.path:
             self.calls.probe_ended(self, Result.OK if self.status == 200 else Result.FULL)
         elif self.status == 200 and len(self.items) > 1:
-            ends = bundle_outcomes(bytes(self.body), self.headers)
+            ends = batch_outcomes(bytes(self.body), self.headers)
             for item in self.items:
                 # One that the answer leaves out may have run.
                 self.finish(item, ends.get(item.id, Outcome(Result.ERROR)))
         self.calls.release(self)
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status, self.headers = status, headers
         if self.connection is not None:
-            self.calls.pool.heard(self.connection)
-        if wait := told_wait(headers):
-            self.calls.hooks.told_wait(self.endpoint, wait)
+            self.calls.pool.response_received(self.connection)
+        if wait := parse_retry_after_us(headers):
+            self.calls.hooks.retry_after(self.endpoint, wait)
         if self.path or status == 200 and len(self.items) > 1:  # a bundle's counts once it is whole
             return
         for item in self.items:
             self.finish(item, single_outcome(status, headers))
-        self.timer(TAIL_S, self.abandon)
+        self.timer(RESPONSE_TAIL_S, self.abandon)
 
-    def data(self, data: bytes) -> None:
-        self.received += len(data)
-        if self.received > MAX_ANSWER:
-            log.warning("answer.too_long", endpoint_number=self.endpoint, most=MAX_ANSWER)
+    def body_received(self, data: bytes) -> None:
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_RESPONSE_BYTES:
+            log.warning("answer.too_long", endpoint_number=self.endpoint, most=MAX_RESPONSE_BYTES)
             self.abandon()
-            self.finish_all(Outcome(Result.ERROR, wait_us=told_wait(self.headers)))
+            self.finish_all(Outcome(Result.ERROR, retry_after_us=parse_retry_after_us(self.headers)))
         elif len(self.items) > 1:  # a single call's body means nothing
             self.body += data
 
-    def lost(self, written: bool) -> None:
+    def connection_lost(self, written: bool) -> None:
         if self.connection is not None:
-            self.calls.pool.failed(self.connection)
+            self.calls.pool.call_failed(self.connection)
         if self.path:
             self.calls.probe_ended(self, Result.RESET)
         self.finish_all(self.unread_outcome(Result.RESET if written else Result.CONNECT_FAILED))
@@ -187,11 +196,11 @@
 
     def timed_out(self) -> None:
         """The courier stops waiting: the connection goes too, or a late answer would meet the next call."""
-        if not self.open and not self.path:  # only the rest of an answer whose head has come is missing
+        if not self.is_open and not self.path:  # only the rest of an answer whose head has come is missing
             return
         sent = self.connection is not None and self.connection.exchange is self and self.connection.written
         if self.connection is not None:
-            self.calls.pool.failed(self.connection)
+            self.calls.pool.call_failed(self.connection)
         if self.path:
             self.calls.probe_ended(self, Result.TIMEOUT)
         outcome = self.unread_outcome(Result.TIMEOUT) if sent else Outcome(Result.CONNECT_FAILED)
@@ -200,7 +209,7 @@
 
     def abandon(self) -> None:
         if self.connection is not None:
-            self.calls.pool.drop(self.connection, GIVEN_UP)
+            self.calls.pool.drop(self.connection, CALL_ABANDONED)
         self.calls.release(self)
 
     def finish_all(self, outcome: Outcome) -> None:
@@ -231,7 +240,7 @@
         rows = []
         for call in self.in_flight:
             connection = call.connection
-            if call.path or not call.open or connection is None or connection.exchange is not call:
+            if call.path or not call.is_open or connection is None or connection.exchange is not call:
                 continue
             received = connection.received if connection.written else None
             if received is not None:
@@ -240,7 +249,7 @@
                     [
                         call.endpoint,
                         list(connection.address),
-                        carry_link(cargo, connection),
+                        carry_connection(cargo, connection),
                         call.started,
                         items,
                         received,
@@ -300,30 +309,32 @@
 
     def _start(self, call: Call) -> None:
         self.in_flight.add(call)
-        loan = self.pool.check_out(call.endpoint, lambda link, error: self._lent(call, link, error))
-        call.loan = loan if call in self.in_flight else None  # it may have ended at once
+        checkout = self.pool.check_out(
+            call.endpoint, lambda connection, error: self._checked_out(call, connection, error)
+        )
+        call.checkout = checkout if call in self.in_flight else None  # it may have ended at once
 
-    def _lent(self, call: Call, link: PooledConnection | None, error: OSError | None) -> None:
-        if link is not None:
+    def _checked_out(self, call: Call, connection: PooledConnection | None, error: OSError | None) -> None:
+        if connection is not None:
             for item in call.items:
-                item.idle_us = link.idle_us
-            self._write(call, link)
+                item.idle_us = connection.idle_us
+            self._write(call, connection)
         elif isinstance(error, EndpointUnavailableError) or error is not None and error.errno in LOCAL_ERRORS:
-            self._unsent(call, Result.MOOT)
+            self._end_unsent(call, Result.MOOT)
         else:
-            self._unsent(call, Result.CONNECT_FAILED)
+            self._end_unsent(call, Result.CONNECT_FAILED)
 
     def _write(self, call: Call, connection: PooledConnection) -> None:
         call.connection = connection
         items = [i for i in call.items if not i.ended]
         call.items = items
         if not items and not call.path or not self.hooks.may_write(call.endpoint):
-            self._unsent(call, Result.MOOT)
+            self._end_unsent(call, Result.MOOT)
             self.pool.check_in(connection)
             return
         begun = self.hooks.begin(call.endpoint, items) if items else []
         if items and not begun:
-            self._unsent(call, Result.MOOT)
+            self._end_unsent(call, Result.MOOT)
             self.pool.check_in(connection)
             return
         for item in items:
@@ -334,24 +345,24 @@
         if call.path:
             connection.request("GET", call.path, [], b"", call)
         elif len(items) == 1:
-            connection.request("POST", "/events", self._headers(call, items[0]), items[0].body, call)
+            connection.request("POST", "/events", self._message_headers(call, items[0]), items[0].body, call)
         else:
-            body = json.dumps([self._row(i) for i in items], separators=(",", ":")).encode()
-            headers = [self._patience(call), ("Content-Type", "application/json")]
+            body = json.dumps([self._batch_row(i) for i in items], separators=(",", ":")).encode()
+            headers = [self._timeout_header(call), ("Content-Type", "application/json")]
             connection.request("POST", "/events/bundle", headers, body, call)
 
-    def _patience(self, call: Call) -> tuple[str, str]:
+    def _timeout_header(self, call: Call) -> tuple[str, str]:
         left = max(1, int((call.deadline - self.loop.time()) * 1e3))
         return "X-Timeout-Ms", str(left)
 
-    def _headers(self, call: Call, item: CallItem) -> list[tuple[str, str]]:
-        headers = [("X-Request-ID", item.id), self._patience(call)]
+    def _message_headers(self, call: Call, item: CallItem) -> list[tuple[str, str]]:
+        headers = [("X-Request-ID", item.id), self._timeout_header(call)]
         if item.key:
             headers.append(("Idempotency-Key", item.key))
         return headers
 
     @staticmethod
-    def _row(item: CallItem) -> dict[str, Any]:
+    def _batch_row(item: CallItem) -> dict[str, Any]:
         row = {"id": item.id, "body": base64.b64encode(item.body).decode()}
         if item.key:
             row["key"] = item.key
@@ -359,8 +370,8 @@
 
     # Ending
 
-    def _unsent(self, call: Call, result: Result) -> None:
-        self._drop(call)
+    def _end_unsent(self, call: Call, result: Result) -> None:
+        self._forget(call)
         if call.path:
             self.probe_ended(call, result)
         call.finish_all(Outcome(result))
@@ -370,17 +381,17 @@
             call.path, latency = "", call.latency_us
             self.hooks.probed(call.endpoint, result, latency)
 
-    def _drop(self, call: Call) -> None:
+    def _forget(self, call: Call) -> None:
         self.in_flight.discard(call)
         for timer in call.timers:
             timer.cancel()
-        if call.loan and call.connection is None:
-            self.pool.cancel(call.loan)
+        if call.checkout and call.connection is None:
+            self.pool.cancel(call.checkout)
 
     def release(self, call: Call) -> None:
         """The call is over; its connection, if still good, goes back."""
         if call not in self.in_flight:
             return
-        self._drop(call)
+        self._forget(call)
         if call.connection is not None:
             self.pool.check_in(call.connection)
--- a/hopmill/net/config.py
+++ b/hopmill/net/config.py
@@ -68,8 +68,8 @@
     def discovery(self) -> Address:
         """Where the file alone says discovery is: after a SIGHUP the environment names the old place. Read
         apart: a mistake elsewhere in the platform's file must not keep a courier at an address that goes."""
-        told = self.read()[0].discovery if self.file else _read_json(self.env).get("discovery")
-        return parse_address(told, "discovery")
+        address = self.read()[0].discovery if self.file else _read_json(self.env).get("discovery")
+        return parse_address(address, "discovery")
 
 
 def parse_address(text: Any, field: str) -> Address:
@@ -83,7 +83,7 @@
 def load(env: Mapping[str, str], file: Path | None = None) -> Config:
     """The configuration; the environment wins where both give a value. ConfigError: one line."""
     document, settings, known = Source(env, file).read()
-    door = env.get("LB_OPERATOR") or document.operator
+    operator_address = env.get("LB_OPERATOR") or document.operator
     folder = env.get("LB_STATE") or document.state
     state = Path(folder)
     if not folder or not state.is_dir():
@@ -101,7 +101,7 @@
         known=known,
         settings=settings,
         zones=tuple(z.name for z in document.zones),
-        operator=parse_address(door, "LB_OPERATOR") if door else None,
+        operator=parse_address(operator_address, "LB_OPERATOR") if operator_address else None,
         listen_fd=_listen_fd(env.get("LB_LISTEN_FD", "")),
         options=options(document),
         log=document.log,
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -12,14 +12,19 @@
 from hopmill.net.config import Address
 from hopmill.net.http import Connection, Exchange
 
-SILENCE_S = 3.2  # an empty line comes every 2 s: after this the watch is taken for dead
-CONNECT_S = 1.0
-AGAIN_S = (0.1, 1.0)  # first and longest ceiling of the wait before the next try, for one courier alone
+SILENCE_TIMEOUT_S = 3.2  # an empty line comes every 2 s: after this the watch is taken for dead
+CONNECT_TIMEOUT_S = 1.0
+RETRY_CEILINGS_S = (
+    0.1,
+    1.0,
+)  # first and longest ceiling of the wait before the next try, for one courier alone
 # A watch that has worked for so long and is lost is opened again so soon: that says nothing of a busy server.
-WORKED_S, SOON_S = 1.0, (0.02, 0.3)
-MOST_LIST = 4 << 20  # bytes of a list that comes in several lines
-NOTICE_S = 0.3  # an agent on this machine answers a notice at once: after this it is sent again, elsewhere
-BATCH = 200  # notices in one request
+ESTABLISHED_S, REOPEN_DELAY_S = 1.0, (0.02, 0.3)
+MAX_LIST_BYTES = 4 << 20  # bytes of a list that comes in several lines
+NOTICE_TIMEOUT_S = (
+    0.3  # an agent on this machine answers a notice at once: after this it is sent again, elsewhere
+)
+MAX_BATCH = 200  # notices in one request
 log = logs.part("discovery")
 
 
@@ -29,35 +34,35 @@
     def __init__(self, couriers: int = 1) -> None:
         """couriers: how many ask the same server. All together come again as often as one alone would: a
         busy server lets calls wait until they are given up, and has then worked for none of them."""
-        self.first, self.longest = (s * couriers for s in AGAIN_S)
-        self.ceiling = self.first
+        self.first_ceiling, self.max_ceiling = (s * couriers for s in RETRY_CEILINGS_S)
+        self.ceiling = self.first_ceiling
 
     def next(self) -> float:
         wait = random.uniform(self.ceiling / 4, self.ceiling)
-        self.ceiling = min(self.longest, self.ceiling * 2)
+        self.ceiling = min(self.max_ceiling, self.ceiling * 2)
         return wait
 
     def reset(self) -> None:
-        self.ceiling = self.first
+        self.ceiling = self.first_ceiling
 
 
-class Link:
+class ReconnectingClient:
     """A connection to discovery that is opened anew when it is lost."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, backoff: Backoff) -> None:
         self.loop, self.address, self.backoff = loop, address, backoff
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.stopped = False
+        self.is_stopped = False
 
-    def after(self, delay: float, action: Callable[[], None]) -> None:
+    def set_timer(self, delay: float, action: Callable[[], None]) -> None:
         """The one timer: the newest replaces the one before."""
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(delay, action)
 
     def open(self) -> None:
-        if self.stopped:
+        if self.is_stopped:
             return
         if self.connection is not None:
             self.connection.close()
@@ -66,24 +71,24 @@
             self.connection.connect(self._connected)
         except OSError as error:
             log.warning("discovery.unreachable", error=error)
-            self.after(self.backoff.next(), self.open)
+            self.set_timer(self.backoff.next(), self.open)
             return
-        self.after(CONNECT_S, self.open)
+        self.set_timer(CONNECT_TIMEOUT_S, self.open)
 
     def _connected(self, error: OSError | None) -> None:
         if error is not None:
             self.retry()
         else:
-            self.ready()
+            self.connected()
 
-    def ready(self) -> None:
+    def connected(self) -> None:
         raise NotImplementedError
 
     def retry(self) -> None:
         if self.connection is not None:
             self.connection.close()
-        if not self.stopped:
-            self.after(self.backoff.next(), self.open)
+        if not self.is_stopped:
+            self.set_timer(self.backoff.next(), self.open)
 
     def move(self, address: Address) -> None:
         """Go on at another address; what the old one has not answered is asked of the new one again."""
@@ -91,23 +96,23 @@
         self.backoff.reset()
         if self.connection is not None:
             self.connection.close()
-        if self.wanted:
+        if self.has_work:
             self.open()
 
     @property
-    def wanted(self) -> bool:
+    def has_work(self) -> bool:
         """Whether there is anything to ask for just now."""
         return True
 
     def stop(self) -> None:
-        self.stopped = True
+        self.is_stopped = True
         if self.timer:
             self.timer.cancel()
         if self.connection is not None:
             self.connection.close()
 
 
-def _reads(text: bytes) -> bool:
+def _is_json(text: bytes) -> bool:
     try:
         json.loads(text)
     except (ValueError, RecursionError):
@@ -115,7 +120,7 @@
     return True
 
 
-class DiscoveryWatch(Link, Exchange):
+class DiscoveryWatch(ReconnectingClient, Exchange):
     """Follows the list of endpoints from the last version on."""
 
     def __init__(
@@ -123,42 +128,44 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         rev: int,
-        told: Callable[[dict[str, Any]], None],
+        on_change: Callable[[dict[str, Any]], None],
         couriers: int = 1,
     ) -> None:
         super().__init__(loop, address, Backoff(couriers))
-        self.rev, self.told = rev, told
-        self.tail, self.part, self.status, self.since = b"", b"", 0, 0.0
+        self.rev, self.on_change = rev, on_change
+        self.partial_line, self.partial_change, self.status, self.connected_at = b"", b"", 0, 0.0
 
-    def ready(self) -> None:
+    def connected(self) -> None:
         assert self.connection is not None
-        self.tail, self.part, self.status, self.since = b"", b"", 0, self.loop.time()
-        self.after(SILENCE_S, self.open)
+        self.partial_line, self.partial_change, self.status, self.connected_at = b"", b"", 0, self.loop.time()
+        self.set_timer(SILENCE_TIMEOUT_S, self.open)
         self.connection.request("GET", f"/discovery/hosts?watch=1&from={self.rev}", [], b"", self)
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
         if status != 200:
             log.warning("discovery.turned_down", status=status)
             self.retry()
 
-    def data(self, data: bytes) -> None:
-        self.after(SILENCE_S, self.open)
-        *lines, self.tail = (self.tail + data).split(b"\n")
+    def body_received(self, data: bytes) -> None:
+        self.set_timer(SILENCE_TIMEOUT_S, self.open)
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             if line.strip():
-                self._whole(line)
+                self._add_line(line)
 
-    def _whole(self, line: bytes) -> None:
+    def _add_line(self, line: bytes) -> None:
         """A list may come indented, over several lines: one is whole once it can be read."""
-        self.part += line + b"\n"
-        begun = len(self.part) <= MOST_LIST and self.part.count(b"{") > self.part.count(b"}")
-        if begun and not (line.rstrip().endswith(b"}") and _reads(self.part)):
+        self.partial_change += line + b"\n"
+        is_partial = len(self.partial_change) <= MAX_LIST_BYTES and self.partial_change.count(
+            b"{"
+        ) > self.partial_change.count(b"}")
+        if is_partial and not (line.rstrip().endswith(b"}") and _is_json(self.partial_change)):
             return
-        text, self.part = self.part, b""
-        self._line(text)
+        text, self.partial_change = self.partial_change, b""
+        self._apply_change(text)
 
-    def _line(self, line: bytes) -> None:
+    def _apply_change(self, line: bytes) -> None:
         try:
             change = json.loads(line)
             rev, targets = int(change["rev"]), change["targets"]
@@ -171,32 +178,32 @@
             return
         self.backoff.reset()
         self.rev = rev
-        self.told(change)
+        self.on_change(change)
 
-    def end(self) -> None:
-        self.lost(True)
+    def response_complete(self) -> None:
+        self.connection_lost(True)
 
-    def lost(self, written: bool) -> None:
+    def connection_lost(self, written: bool) -> None:
         """What it would have told counts as told all the same: one that worked is opened again soon."""
-        worked = self.status == 200 and self.loop.time() - self.since >= WORKED_S
-        if worked and not self.stopped:
-            self.after(random.uniform(*SOON_S), self.open)
+        was_established = self.status == 200 and self.loop.time() - self.connected_at >= ESTABLISHED_S
+        if was_established and not self.is_stopped:
+            self.set_timer(random.uniform(*REOPEN_DELAY_S), self.open)
         else:
             self.retry()
 
 
-class NoticeSender(Link, Exchange):
+class NoticeSender(ReconnectingClient, Exchange):
     """Sends finals in batches, again and again until each batch is answered 204."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: Address, accepted: Callable[[list[int]], None]
+        self, loop: asyncio.AbstractEventLoop, address: Address, on_accepted: Callable[[list[int]], None]
     ) -> None:
         super().__init__(loop, address, Backoff())  # its own machine's agent answers these
-        self.accepted = accepted
+        self.on_accepted = on_accepted
         self.waiting: dict[int, bytes] = {}
-        self.sent: list[int] = []
-        self.busy = False
-        self.most = BATCH
+        self.sent_numbers: list[int] = []
+        self.is_sending = False
+        self.batch_size = MAX_BATCH
         self.status = 0
 
     def add(self, number: int, ident: str, status: str, again_ms: int) -> None:
@@ -204,17 +211,17 @@
         if again_ms:
             line["again_ms"] = again_ms
         self.waiting[number] = json.dumps(line, separators=(",", ":")).encode() + b"\n"
-        if not self.busy:
-            self.busy = True
-            self.loop.call_soon(self._next)
+        if not self.is_sending:
+            self.is_sending = True
+            self.loop.call_soon(self._send_next)
 
     @property
-    def wanted(self) -> bool:
-        return self.busy
+    def has_work(self) -> bool:
+        return self.is_sending
 
-    def _next(self) -> None:
+    def _send_next(self) -> None:
         if not self.waiting:
-            self.busy = False
+            self.is_sending = False
             if self.timer:
                 self.timer.cancel()
             return
@@ -222,39 +229,39 @@
         if connection is None or connection.closed or connection.stale():
             self.open()
         else:
-            self.ready()
+            self.connected()
 
-    def ready(self) -> None:
+    def connected(self) -> None:
         assert self.connection is not None
-        self.sent = list(self.waiting)[: self.most]
-        body = b"".join(self.waiting[n] for n in self.sent)
+        self.sent_numbers = list(self.waiting)[: self.batch_size]
+        body = b"".join(self.waiting[n] for n in self.sent_numbers)
         self.status = 0
-        self.after(NOTICE_S, self.open)
+        self.set_timer(NOTICE_TIMEOUT_S, self.open)
         self.connection.request("POST", "/v2/finals", [("Content-Type", "application/x-ndjson")], body, self)
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
 
-    def end(self) -> None:
+    def response_complete(self) -> None:
         if self.status == 204:
             self.backoff.reset()
-            self._forget()
-            self.most = BATCH
-        elif self.status == 400 and len(self.sent) > 1:  # find the line that can't be read
-            self.most = len(self.sent) // 2
+            self._remove_sent()
+            self.batch_size = MAX_BATCH
+        elif self.status == 400 and len(self.sent_numbers) > 1:  # find the line that can't be read
+            self.batch_size = len(self.sent_numbers) // 2
         elif self.status == 400:
-            log.error("notice.turned_down", text=self.waiting[self.sent[0]])
-            self._forget()
+            log.error("notice.turned_down", text=self.waiting[self.sent_numbers[0]])
+            self._remove_sent()
         else:
             log.warning("notice.not_accepted", status=self.status)
             self.retry()
             return
-        self._next()
+        self._send_next()
 
-    def _forget(self) -> None:
-        for number in self.sent:
+    def _remove_sent(self) -> None:
+        for number in self.sent_numbers:
             self.waiting.pop(number, None)
-        self.accepted(self.sent)
+        self.on_accepted(self.sent_numbers)
 
-    def lost(self, written: bool) -> None:
+    def connection_lost(self, written: bool) -> None:
         self.retry()
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -22,7 +22,7 @@
 from hopmill.net.intake import Intake, refusal
 from hopmill.net.observer import Observer
 from hopmill.net.operator import OperatorServer
-from hopmill.net.pool import ASKED, Pool
+from hopmill.net.pool import REQUESTED_BY_POLICY, Pool
 from hopmill.net.resp import MAX_REQUEST
 from hopmill.net.restart import Restart
 from hopmill.net.roster import EndpointRegistry
@@ -208,7 +208,7 @@
                 for reply in replies:
                     reply.send(b"-ERR internal error\r\n")
         if self.metrics:
-            self.metrics.turn((self.clock() - now) / 1e6, late / 1e6)
+            self.metrics.observe_turn((self.clock() - now) / 1e6, late / 1e6)
 
     def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Reply]]]) -> None:
         for a in actions:
@@ -228,7 +228,7 @@
             elif isinstance(a, i.SetTimer):
                 self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerDue(a.token))
             elif isinstance(a, i.CloseIdle):
-                self.pool.close_idle(a.endpoint, ASKED)
+                self.pool.close_idle(a.endpoint, REQUESTED_BY_POLICY)
             elif isinstance(a, i.Keep):
                 self.pool.set_max_idle(a.endpoint, a.most)
             elif isinstance(a, i.OpenIdle):
@@ -240,7 +240,7 @@
             elif isinstance(a, i.Log):
                 policy_log.info("policy", text=a.text)
         for endpoint, items in bundles.items():
-            most = self.registry.batch(endpoint)
+            most = self.registry.max_batch(endpoint)
             for at in range(0, len(items), most):
                 self._call(endpoint, items[at : at + most])
 
@@ -308,7 +308,7 @@
         item = CallItem(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
         if messages_log.debugs:
             self.observer.attempt_sent(m, attempt, self.registry.uid(a.endpoint), a.timeout_us)
-        if self.registry.batch(a.endpoint) > 1:
+        if self.registry.max_batch(a.endpoint) > 1:
             bundles.setdefault(a.endpoint, []).append(item)
         else:
             self._call(a.endpoint, [item])
@@ -356,7 +356,7 @@
         over = outcome.over or m is None
         if m and (self.metrics or self.observer.is_counting or messages_log.debugs):
             self.observer.attempt_ended(
-                m, item.attempt, self.registry.uid(endpoint), outcome.result, latency, outcome.wait_us
+                m, item.attempt, self.registry.uid(endpoint), outcome.result, latency, outcome.retry_after_us
             )
         if outcome.over and m:
             if not m.status:
@@ -377,7 +377,7 @@
                 outcome.result,
                 max(1, latency),
                 over,
-                outcome.wait_us,
+                outcome.retry_after_us,
                 report,
                 item.idle_us,
             )
@@ -390,7 +390,7 @@
     # News
 
     def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> None:
-        self.tell(self.registry.listed(change, form, self.pool))
+        self.tell(self.registry.apply_list(change, form, self.pool))
 
     def act(self, event: i.Event) -> None:
         """An operator's word holds from the answer on: its turn comes before that."""
--- a/hopmill/net/http.py
+++ b/hopmill/net/http.py
@@ -22,23 +22,23 @@
 LOCAL_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
 READ_BYTES = 1 << 16
 STATUS_LINE = re.compile(rb"HTTP/\d\.\d (\d{3})(?: [^\n]*)?\r?\n")
-MAX_STATUS_LINE = 256
-MAX_KEPT = 96 * 1024  # bytes of an answer kept for an upgrade: over the longest that is not given up
+MAX_STATUS_LINE_BYTES = 256
+MAX_KEPT_BYTES = 96 * 1024  # bytes of an answer kept for an upgrade: over the longest that is not given up
 
 
 class Exchange:
     """What one request is told of its answer; the methods here ignore all."""
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: dict[str, str]) -> None:
         """The status line and the headers have come."""
 
-    def data(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """A part of the body has come."""
 
-    def end(self) -> None:
+    def response_complete(self) -> None:
         """The answer is whole."""
 
-    def lost(self, written: bool) -> None:
+    def connection_lost(self, written: bool) -> None:
         """The connection broke or ended first; written: the request's last byte had been written."""
 
 
@@ -53,8 +53,8 @@
         self.http = h11.Connection(h11.CLIENT)
         self.exchange: Exchange | None = None
         self.on_close: Callable[[], None] = lambda: None
-        self.closed = self.broke = False  # broke: with an exchange on it
-        self._out, self._sent, self._in = b"", 0, bytearray()
+        self.closed = self.broke_during_exchange = False  # broke: with an exchange on it
+        self._outgoing, self._sent_bytes, self._received = b"", 0, bytearray()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.sock = sock or socket.socket(family, socket.SOCK_STREAM)  # OSError: see LOCAL_ERRORS
         self.sock.setblocking(False)
@@ -64,7 +64,7 @@
     @property
     def received(self) -> bytes | None:
         """All that has come of the answer so far, None where it is too much to be kept."""
-        return bytes(self._in) if len(self._in) < MAX_KEPT else None
+        return bytes(self._received) if len(self._received) < MAX_KEPT_BYTES else None
 
     def resume(self, exchange: Exchange, received: bytes) -> None:
         """Wait for the answer to a request that the process before this one has written."""
@@ -72,16 +72,16 @@
         self.http.send(h11.Request(method="POST", target="/events", headers=[("Host", "x")]))
         self.http.send(h11.EndOfMessage())
         if received:
-            self._take(received)
+            self._process_received(received)
 
     @property
     def written(self) -> bool:
-        return self._sent == len(self._out)
+        return self._sent_bytes == len(self._outgoing)
 
     @property
     def status(self) -> int:
         """What the newest answer's first line says, 0 if not whole; it holds if the rest can't be read."""
-        line = STATUS_LINE.match(self._in[:MAX_STATUS_LINE])
+        line = STATUS_LINE.match(self._received[:MAX_STATUS_LINE_BYTES])
         return int(line[1]) if line else 0
 
     def connect(self, done: Callable[[OSError | None], None]) -> None:
@@ -126,16 +126,16 @@
         if body:
             parts.append(self.http.send(h11.Data(data=body)))
         parts.append(self.http.send(h11.EndOfMessage()))
-        self._out, self._sent, self._in = b"".join(p for p in parts if p), 0, bytearray()
+        self._outgoing, self._sent_bytes, self._received = b"".join(p for p in parts if p), 0, bytearray()
         self._write()
 
     def _write(self) -> None:
         try:
-            self._sent += self.sock.send(memoryview(self._out)[self._sent :])
+            self._sent_bytes += self.sock.send(memoryview(self._outgoing)[self._sent_bytes :])
         except BlockingIOError:
             pass
         except OSError:
-            self._lose()
+            self._fail()
             return
         if self.written:
             self.loop.remove_writer(self.sock)
@@ -152,18 +152,18 @@
         if self.exchange is None:  # an end, or bytes that nobody asked for
             self.close()
             return
-        self._take(data)
+        self._process_received(data)
 
-    def _take(self, data: bytes) -> None:
-        self._in += data[: MAX_KEPT - len(self._in)]
+    def _process_received(self, data: bytes) -> None:
+        self._received += data[: MAX_KEPT_BYTES - len(self._received)]
         try:
             self.http.receive_data(data)
             self._events()
         except h11.RemoteProtocolError:
-            self._lose()
+            self._fail()
             return
         if not data and not self.closed:
-            self._lose()
+            self._fail()
 
     def _events(self) -> None:
         while (exchange := self.exchange) is not None:
@@ -171,36 +171,36 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                exchange.head(
+                exchange.head_received(
                     event.status_code, {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
                 )
             elif isinstance(event, h11.Data):
-                exchange.data(bytes(event.data))
+                exchange.body_received(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._ended(exchange)
+                self._end_exchange(exchange)
             elif isinstance(event, h11.ConnectionClosed):
-                self._lose()
+                self._fail()
 
-    def _ended(self, exchange: Exchange) -> None:
+    def _end_exchange(self, exchange: Exchange) -> None:
         self.exchange = None
-        again = self.written and self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
-        if again and not self.http.trailing_data[0]:
+        is_reusable = self.written and self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
+        if is_reusable and not self.http.trailing_data[0]:
             self.http.start_next_cycle()
         else:
             self.close()
-        exchange.end()
+        exchange.response_complete()
 
-    def _lose(self) -> None:
+    def _fail(self) -> None:
         exchange, written = self.exchange, self.written
         self.close()
         if exchange is not None:
-            exchange.lost(written)
+            exchange.connection_lost(written)
 
     def close(self) -> None:
         """End the connection; its exchange hears no more."""
         if self.closed:
             return
-        self.closed, self.broke, self.exchange = True, self.exchange is not None, None
+        self.closed, self.broke_during_exchange, self.exchange = True, self.exchange is not None, None
         self.loop.remove_reader(self.sock)
         self.loop.remove_writer(self.sock)
         self.sock.close()
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from hopmill import book as books
-from hopmill import interface as i
+from hopmill import interface
 from hopmill import logs, overlay
 from hopmill.document import Document
 from hopmill.fields import ConfigError
@@ -24,9 +24,11 @@
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-WAIT_S = 0.5  # clients wait so long for a change to be over; from then on they are told to come again
-HELD_SHARE = 1 / 2  # of the memory, for messages that are held, each as long as the longest
-NOTHING = books.Book().encode()  # the policy of a fleet that has made no change
+MAX_CHANGE_WAIT_S = (
+    0.5  # clients wait so long for a change to be over; from then on they are told to come again
+)
+HELD_MEMORY_SHARE = 1 / 2  # of the memory, for messages that are held, each as long as the longest
+EMPTY_POLICY = books.Book().encode()  # the policy of a fleet that has made no change
 log = logs.part("fleet")
 
 
@@ -36,27 +38,27 @@
     def __init__(self, host: Host, document: Document) -> None:
         self.host, self.document = host, document
         self.member_transport: MemberTransport | None = None
-        self.governed = bool(host.config.members and host.config.members.policy)
-        self.own = host.s  # as this courier's file has them
+        self.has_policy = bool(host.config.members and host.config.members.policy)
+        self.file_settings = host.s  # as this courier's file has them
         self.book = books.Book()
         self.applied_version = -1  # the version that the module goes by
-        self.left_out: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
-        self.trouble = ""  # why the version in force can't be taken here
-        self.is_holding = self.governed
-        self.held_at = host.loop.time()
+        self.excluded: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
+        self.rejection = ""  # why the version in force can't be taken here
+        self.is_holding = self.has_policy
+        self.holding_since = host.loop.time()
         self.waiting: list[tuple[Put, Reply, float]] = []
 
     # Whether this courier may act
 
     def may_act(self) -> bool:
         """To be asked as near to the act as can be."""
-        if not self.governed:
+        if not self.has_policy:
             return True
-        govern = self.member_transport and self.member_transport.node.govern
+        policy_member = self.member_transport and self.member_transport.node.govern
         return (
-            bool(govern)
-            and self.applied_version == govern.standing.version
-            and govern.standing.held(elapsed_us()) >= 0
+            bool(policy_member)
+            and self.applied_version == policy_member.standing.version
+            and policy_member.standing.held(elapsed_us()) >= 0
         )
 
     def queue(self, put: Put, reply: Reply) -> None:
@@ -64,19 +66,21 @@
         now = self.host.loop.time()
         if not self.is_holding:  # found out by the message itself
             self._set_holding(True)
-        if now - self.held_at >= WAIT_S or len(self.waiting) >= self.host.s.max_held:
+        if now - self.holding_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.s.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
             return
         if not self.waiting:
-            self.host.loop.call_later(WAIT_S, self._turn_away)
+            self.host.loop.call_later(MAX_CHANGE_WAIT_S, self._refuse_expired)
         self.waiting.append((put, reply, now))
 
-    def _turn_away(self) -> None:
-        due = self.host.loop.time() - WAIT_S
-        while self.waiting and (self.waiting[0][2] <= due or not self.is_holding):
+    def _refuse_expired(self) -> None:
+        wait_began_before = self.host.loop.time() - MAX_CHANGE_WAIT_S
+        while self.waiting and (self.waiting[0][2] <= wait_began_before or not self.is_holding):
             self.waiting.pop(0)[1].send(refusal(self.host.courier.come_back_us()))
         if self.waiting:
-            self.host.loop.call_later(max(0.001, self.waiting[0][2] - due), self._turn_away)
+            self.host.loop.call_later(
+                max(0.001, self.waiting[0][2] - wait_began_before), self._refuse_expired
+            )
 
     def refuse_waiting(self) -> None:
         """This process hands over."""
@@ -84,74 +88,78 @@
             reply.send(refusal(self.host.courier.come_back_us()))
         self.waiting.clear()
 
-    def _set_holding(self, on: bool) -> None:
-        if on is self.is_holding:
+    def _set_holding(self, is_holding: bool) -> None:
+        if is_holding is self.is_holding:
             return
-        self.is_holding = on
-        if on:
-            self.held_at = self.host.loop.time()
-        log.info("fleet.standing", may_act=not on, version=self.applied_version)
-        self.host.act(i.Hold(on))
-        if not on:
+        self.is_holding = is_holding
+        if is_holding:
+            self.holding_since = self.host.loop.time()
+        log.info("fleet.standing", may_act=not is_holding, version=self.applied_version)
+        self.host.act(interface.Hold(is_holding))
+        if not is_holding:
             waiting, self.waiting, now = self.waiting, [], self.host.loop.time()
             for put, reply, at in waiting:
                 if reply.wanted:
-                    left = max(1, put.life_ms - round((now - at) * 1e3))
-                    self.host.intake.put(dataclasses.replace(put, life_ms=left), reply)
+                    remaining_ms = max(1, put.life_ms - round((now - at) * 1e3))
+                    self.host.intake.put(dataclasses.replace(put, life_ms=remaining_ms), reply)
 
     # What is in force
 
-    def first(self) -> list[i.Event]:
+    def initial_events(self) -> list[interface.Event]:
         """For the first turn: the file's own, and nothing begun before the fleet has been heard."""
         blank = Document(classes=self.document.classes)
-        events: list[i.Event] = [i.Hold(True)] if self.governed else []
+        events: list[interface.Event] = [interface.Hold(True)] if self.has_policy else []
         if (self.document.left_out, self.document.ceilings) != (blank.left_out, blank.ceilings):
-            events.append(self._event(self.document))
+            events.append(self._policy_event(self.document))
         return events
 
-    def join(self, peers: MemberTransport) -> None:
-        self.member_transport = peers
-        if self.governed:
-            peers.look = self.look
-            govern = peers.node.govern
-            assert govern is not None
-            govern.watch.counts = lambda: Sums(*self.host.observer.sums)
+    def join(self, transport: MemberTransport) -> None:
+        self.member_transport = transport
+        if self.has_policy:
+            transport.on_change = self.on_member_change
+            policy_member = transport.node.govern
+            assert policy_member is not None
+            policy_member.watch.counts = lambda: Sums(*self.host.observer.totals)
             self.host.observer.is_counting = True
-            self.look()
+            self.on_member_change()
 
-    def look(self) -> None:
+    def on_member_change(self) -> None:
         """Something may have changed: the version in force, a change to check, the lease."""
-        govern = self.member_transport and self.member_transport.node.govern
-        if not govern:
+        policy_member = self.member_transport and self.member_transport.node.govern
+        if not policy_member:
             return
-        p, held, me = govern.register.document.policy, govern.texts.held, govern.me
-        change, version, digest = p.change, p.version_for(me), p.digest_for(me)
+        policy, held, me = policy_member.register.document.policy, policy_member.texts.held, policy_member.me
+        change, version, digest = policy.change, policy.version_for(me), policy.digest_for(me)
         if version != self.applied_version and (not digest or digest in held):
-            self._apply(version, held.get(digest, NOTHING))
+            self._apply(version, held.get(digest, EMPTY_POLICY))
             if self.applied_version == version:
-                govern.standing.set_up_for(version)
-                self.member_transport._pump()
+                policy_member.standing.set_up_for(version)
+                self.member_transport.run_due_work()
                 return
-        if change and change.id != govern.standing.ready and (not change.digest or change.digest in held):
-            why = self.against(held.get(change.digest, NOTHING))
-            log.info("fleet.policy_checked", change=change.id, by=change.by, why=why or None)
-            govern.standing.judged(change.id, why)
-            self.member_transport._pump()
+        if (
+            change
+            and change.id != policy_member.standing.ready
+            and (not change.digest or change.digest in held)
+        ):
+            reason = self.reason_to_reject(held.get(change.digest, EMPTY_POLICY))
+            log.info("fleet.policy_checked", change=change.id, by=change.by, why=reason or None)
+            policy_member.standing.judged(change.id, reason)
+            self.member_transport.run_due_work()
             return
         self._set_holding(not self.may_act())
 
-    def against(self, text: bytes) -> str:
+    def reason_to_reject(self, text: bytes) -> str:
         """Why this courier can't go by it, "" if it can."""
         try:
-            self._read(text)
+            self._parse(text)
         except (ConfigError, books.Unreadable, ValueError) as error:
             return str(error) or "unreadable"
         return ""
 
-    def _read(self, text: bytes) -> tuple[books.Book, Document]:
+    def _parse(self, text: bytes) -> tuple[books.Book, Document]:
         book = books.read(text)
         document = overlay.apply(self.document, book.values)
-        need, room = document.held * MAX_REQUEST, int(self.host.config.memory_bytes * HELD_SHARE)
+        need, room = document.held * MAX_REQUEST, int(self.host.config.memory_bytes * HELD_MEMORY_SHARE)
         if document.held > self.document.held and need > room:
             raise ConfigError(f"held: {document.held} messages may take {need >> 20} MiB, room {room >> 20}")
         for zone in document.left_out.zones:
@@ -161,10 +169,10 @@
     def _apply(self, version: int, text: bytes) -> None:
         """All of it reaches the module as one event."""
         try:
-            book, document = self._read(text)
+            book, document = self._parse(text)
         except (ConfigError, books.Unreadable, ValueError) as error:
-            if self.trouble != str(error):
-                self.trouble = str(error)
+            if self.rejection != str(error):
+                self.rejection = str(error)
                 log.error("fleet.policy_not_taken", version=version, error=error)
             return
         changes = sum(
@@ -172,31 +180,31 @@
             for path in {*self.book.values, *book.values}
             if self.book.values.get(path) != book.values.get(path)
         )
-        self.trouble, self.book, self.applied_version = "", book, version
-        self.host.act(self._event(document))
+        self.rejection, self.book, self.applied_version = "", book, version
+        self.host.act(self._policy_event(document))
         log.info("fleet.policy", version=version, fields=len(book.values), changed=changes)
         self.on_file_reloaded(self.document)
 
-    def _event(self, document: Document) -> i.PolicySet:
+    def _policy_event(self, document: Document) -> interface.PolicySet:
         before, after = self.document.settings(), document.settings()
         changed = {
-            f.name: getattr(after, f.name)
-            for f in dataclasses.fields(after)
-            if getattr(after, f.name) != getattr(before, f.name)
+            setting.name: getattr(after, setting.name)
+            for setting in dataclasses.fields(after)
+            if getattr(after, setting.name) != getattr(before, setting.name)
         }
         host = self.host
-        settings = dataclasses.replace(self.own, **changed) if changed else self.own
-        host.s = host.registry.s = host.observer.s = settings
-        self.left_out = frozenset(document.left_out.endpoints), frozenset(document.left_out.zones)
+        settings = dataclasses.replace(self.file_settings, **changed) if changed else self.file_settings
+        host.s = host.registry.settings = host.observer.settings = settings
+        self.excluded = frozenset(document.left_out.endpoints), frozenset(document.left_out.zones)
         endpoints, zones = (
-            {*self.left_out[0], *host.journal.out_by_hand},
-            {*self.left_out[1], *host.journal.zones_out},
+            {*self.excluded[0], *host.journal.out_by_hand},
+            {*self.excluded[1], *host.journal.zones_out},
         )
-        return i.PolicySet(
+        return interface.PolicySet(
             settings,
             frozenset(map(host.registry.number, sorted(endpoints))),
             frozenset(map(host.registry.zone, sorted(zones))),
-            {c.partner: (c.window, c.rate_per_s) for c in document.ceilings},
+            {ceiling.partner: (ceiling.window, ceiling.rate_per_s) for ceiling in document.ceilings},
         )
 
     def on_file_reloaded(self, document: Document) -> None:
@@ -208,7 +216,7 @@
         return {
             "applied": self.applied_version,
             "may_act": self.may_act(),
-            "trouble": self.trouble,
+            "trouble": self.rejection,
             "values": self.book.values,
             "waiting_clients": len(self.waiting),
         }
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -24,14 +24,16 @@
 def apply_policy(host: Host) -> None:
     """Where something may differ from the settings of the start: by the fleet's policy, or by what the file
     leaves out or bounds."""
-    d, members = host.config.document, host.config.members
-    bounded = d is not None and (d.ceilings or d.left_out.endpoints or d.left_out.zones)
-    if d is None or not (bounded or members and members.policy):
+    document, members = host.config.document, host.config.members
+    bounded = document is not None and (
+        document.ceilings or document.left_out.endpoints or document.left_out.zones
+    )
+    if document is None or not (bounded or members and members.policy):
         return
     from hopmill.net.in_force import ActivePolicy
 
-    host.active_policy = host.operator_actions.active_policy = ActivePolicy(host, d)
-    host.events += host.active_policy.first()
+    host.active_policy = host.operator_actions.active_policy = ActivePolicy(host, document)
+    host.events += host.active_policy.initial_events()
 
 
 def join_fleet(host: Host) -> None:
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -20,20 +20,20 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 MAX_LABEL_VALUES = 256
-LATENCY_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60)
-TURN_S = (0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1)
+LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60)
+TURN_BUCKETS_S = (0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1)
 OTHER = "other"
 
 
 class LabelValues:
     """At most so many label values; each one after them is the same."""
 
-    def __init__(self, most: int = MAX_LABEL_VALUES) -> None:
-        self.most, self.known = most, set[int]()
+    def __init__(self, max_count: int = MAX_LABEL_VALUES) -> None:
+        self.max_count, self.known = max_count, set[int]()
 
     def label(self, number: int) -> str:
         if number not in self.known:
-            if len(self.known) >= self.most:
+            if len(self.known) >= self.max_count:
                 return OTHER
             self.known.add(number)
         return str(number)
@@ -42,7 +42,7 @@
 class Metrics:
     """Counts what the observer tells; the rest is read from the host when somebody asks."""
 
-    def __init__(self, classes: tuple[str, ...], state: Collector | None = None) -> None:
+    def __init__(self, classes: tuple[str, ...], state_collector: Collector | None = None) -> None:
         """classes: their names, in the settings' order. state: a collector of what only has a present."""
         self.registry = registry = CollectorRegistry(auto_describe=False)
         self.classes, self.partners = classes, LabelValues()
@@ -56,7 +56,7 @@
             "hopmill_message_seconds",
             "From taken on to its end.",
             ["cls", "end"],
-            buckets=LATENCY_S,
+            buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
         self.calls = Counter(
@@ -69,33 +69,33 @@
             "hopmill_attempt_seconds",
             "From an attempt's start to its end.",
             ["partner"],
-            buckets=LATENCY_S,
+            buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
         self.turn_s = Histogram(
             "hopmill_turn_seconds",
             "Time that a turn takes, its effects included.",
-            buckets=TURN_S,
+            buckets=TURN_BUCKETS_S,
             registry=registry,
         )
         self.lag_s = Histogram(
-            "hopmill_loop_lag_seconds", "How late turns begin.", buckets=TURN_S, registry=registry
+            "hopmill_loop_lag_seconds", "How late turns begin.", buckets=TURN_BUCKETS_S, registry=registry
         )
-        if state:
-            registry.register(state)
+        if state_collector:
+            registry.register(state_collector)
 
-    def message(self, cls: int, end: str, latency_s: float | None = None) -> None:
+    def count_message(self, cls: int, end: str, latency_s: float | None = None) -> None:
         name = self.classes[cls]
         self.messages.labels(name, end).inc()
         if latency_s is not None:
             self.message_s.labels(name, end).observe(latency_s)
 
-    def call(self, partner: int, result: str, latency_s: float) -> None:
+    def count_attempt(self, partner: int, result: str, latency_s: float) -> None:
         label = self.partners.label(partner)
         self.calls.labels(label, result).inc()
         self.call_s.labels(label).observe(latency_s)
 
-    def turn(self, seconds: float, late_s: float) -> None:
+    def observe_turn(self, seconds: float, late_s: float) -> None:
         self.turn_s.observe(seconds)
         self.lag_s.observe(max(0.0, late_s))
 
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -8,7 +8,7 @@
 import time
 from typing import Protocol
 
-from hopmill import interface as i
+from hopmill import interface
 from hopmill import logs
 from hopmill.net.state import Held
 
@@ -18,70 +18,76 @@
 class Meters(Protocol):
     """What is counted: hopmill/net/metrics.py, or nothing."""
 
-    def message(self, cls: int, end: str, latency_s: float | None = None) -> None: ...
-    def call(self, partner: int, result: str, latency_s: float) -> None: ...
-    def turn(self, seconds: float, late_s: float) -> None: ...
+    def count_message(self, cls: int, end: str, latency_s: float | None = None) -> None: ...
+    def count_attempt(self, partner: int, result: str, latency_s: float) -> None: ...
+    def observe_turn(self, seconds: float, late_s: float) -> None: ...
 
 
 class Observer:
     """Follows messages by their ids from put to end."""
 
-    def __init__(self, settings: i.Settings) -> None:
-        self.s = settings
+    def __init__(self, settings: interface.Settings) -> None:
+        self.settings = settings
         self.meters: Meters | None = None
         # Of messages and calls that ended: worth, earned, calls, refused as full, failed otherwise; counted
         # where a change of the fleet's policy is watched by them.
-        self.is_counting, self.sums = False, [0.0] * 5
-        self.taken_at: dict[int, float] = {}  # by number, while it is open and counted
+        self.is_counting, self.totals = False, [0.0] * 5
+        self.accepted_at: dict[int, float] = {}  # by number, while it is open and counted
 
-    def _cls(self, m: Held) -> str:
-        return self.s.classes[m.cls].name
+    def _cls(self, message: Held) -> str:
+        return self.settings.classes[message.cls].name
 
-    def received(self, m: Held, life_ms: int) -> None:
+    def received(self, message: Held, life_ms: int) -> None:
         if log.debugs:
-            tenant = self.s.tenants[m.tenant].name if self.s.tenants else None
+            tenant = self.settings.tenants[message.tenant].name if self.settings.tenants else None
             log.debug(
                 "message.put",
-                message=m.id,
-                cls=self._cls(m),
+                message=message.id,
+                cls=self._cls(message),
                 tenant=tenant,
-                partner=m.dest,
+                partner=message.dest,
                 life_ms=life_ms,
-                bytes=len(m.body),
-                resubmitted=m.resubmitted,
+                bytes=len(message.body),
+                resubmitted=message.resubmitted,
             )
 
-    def refused(self, m: Held, wait_us: int) -> None:
+    def refused(self, message: Held, wait_us: int) -> None:
         """Answered -BUSY or -ERR before it was taken on."""
         if log.debugs:
-            log.debug("message.refused", message=m.id, again_ms=-(-wait_us // 1000))
-        self._earned(m, False)
+            log.debug("message.refused", message=message.id, again_ms=-(-wait_us // 1000))
+        self._count_worth(message, False)
         if self.meters:
-            self.meters.message(m.cls, "refused")
+            self.meters.count_message(message.cls, "refused")
 
-    def accepted(self, m: Held) -> None:
-        log.debug("message.taken", message=m.id)
+    def accepted(self, message: Held) -> None:
+        log.debug("message.taken", message=message.id)
         if self.meters:
-            self.taken_at[m.number] = time.monotonic()
-            self.meters.message(m.cls, "taken")
+            self.accepted_at[message.number] = time.monotonic()
+            self.meters.count_message(message.cls, "taken")
 
-    def attempt_sent(self, m: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
+    def attempt_sent(self, message: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
         if log.debugs:
             log.debug(
                 "attempt.sent",
-                message=m.id,
+                message=message.id,
                 attempt=attempt,
                 endpoint=endpoint,
                 timeout_ms=timeout_us // 1000,
             )
 
     def attempt_ended(
-        self, m: Held, attempt: int, endpoint: str, result: i.Result, latency_us: int, wait_us: int
+        self,
+        message: Held,
+        attempt: int,
+        endpoint: str,
+        result: interface.Result,
+        latency_us: int,
+        wait_us: int,
     ) -> None:
         if log.debugs:
             log.debug(
                 "attempt.ended",
-                message=m.id,
+                message=message.id,
                 attempt=attempt,
                 endpoint=endpoint,
                 result=result.value,
@@ -89,27 +95,33 @@
                 wait_ms=wait_us // 1000 or None,
             )
         if self.is_counting:
-            self.sums[2] += 1
-            self.sums[3] += result is i.Result.FULL
-            self.sums[4] += result not in (i.Result.OK, i.Result.FULL, i.Result.MOOT)
+            self.totals[2] += 1
+            self.totals[3] += result is interface.Result.FULL
+            self.totals[4] += result not in (
+                interface.Result.OK,
+                interface.Result.FULL,
+                interface.Result.MOOT,
+            )
         if self.meters:
-            self.meters.call(m.dest, result.value, latency_us / 1e6)
+            self.meters.count_attempt(message.dest, result.value, latency_us / 1e6)
 
-    def completed(self, m: Held, status: str, again_ms: int = 0) -> None:
+    def completed(self, message: Held, status: str, again_ms: int = 0) -> None:
         """status: delivered (or withdrawn by its endpoint), deferred or undeliverable."""
         if log.debugs:
-            log.debug("message.over", message=m.id, status=status, again_ms=again_ms or None)
-        self._earned(m, status in ("delivered", "withdrawn"))
+            log.debug("message.over", message=message.id, status=status, again_ms=again_ms or None)
+        self._count_worth(message, status in ("delivered", "withdrawn"))
         if self.meters:
-            since = self.taken_at.pop(m.number, None)
-            self.meters.message(m.cls, status, None if since is None else time.monotonic() - since)
+            since = self.accepted_at.pop(message.number, None)
+            self.meters.count_message(
+                message.cls, status, None if since is None else time.monotonic() - since
+            )
 
-    def _earned(self, m: Held, delivered: bool) -> None:
+    def _count_worth(self, message: Held, delivered: bool) -> None:
         if self.is_counting:
-            worth = self.s.classes[m.cls].worth
-            self.sums[0] += worth
-            self.sums[1] += worth * delivered
+            worth = self.settings.classes[message.cls].worth
+            self.totals[0] += worth
+            self.totals[1] += worth * delivered
 
-    def notice_accepted(self, m: Held) -> None:
+    def notice_accepted(self, message: Held) -> None:
         """The platform has accepted its notice."""
-        log.debug("notice.accepted", message=m.id, status=m.status)
+        log.debug("notice.accepted", message=message.id, status=message.status)
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -18,12 +18,12 @@
 from hopmill.net.config import Address
 from hopmill.net.upgrade import Cargo
 
-CALL_S = 3.0  # for a whole call
+CALL_TIMEOUT_S = 3.0  # for a whole call
 LINGER_S = 0.5  # for the caller to read its answer and end; closing on unread bytes would take it away again
-MAX_CALL = 8192  # bytes of a call
-MAX_CALLS, SHARE = 32, 1 / 16  # connections at once, and their share of the descriptors
+MAX_CALL_BYTES = 8192  # bytes of a call
+MAX_CONNECTIONS, DESCRIPTOR_SHARE = 32, 1 / 16  # connections at once, and their share of the descriptors
 BACKLOG = 64
-FORMER_S = 5.0  # after an upgrade the former address is answered for so long
+FORMER_ADDRESS_S = 5.0  # after an upgrade the former address is answered for so long
 log = logs.part("door")
 
 
@@ -40,7 +40,7 @@
 Handler = Callable[..., tuple[int, Body]]
 
 
-class Refused(Exception):
+class CallRefusedError(Exception):
     """A call that gets a 4xx or 5xx, and no handler."""
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
@@ -68,50 +68,52 @@
         try:
             path = urlsplit(target).path
         except ValueError:
-            raise Refused(400, "the target can't be read") from None
+            raise CallRefusedError(400, "the target can't be read") from None
         found = [
             (m, match, handler) for m, pattern, handler in self.rows if (match := pattern.fullmatch(path))
         ]
         if not found:
-            raise Refused(404, "no such path")
-        for known, match, handler in found:
-            if known == method:
+            raise CallRefusedError(404, "no such path")
+        for allowed_method, match, handler in found:
+            if allowed_method == method:
                 words = [unquote(word) for word in match.groups()]
                 return handler.handler(body, *words) if isinstance(handler, WithBody) else handler(*words)
-        raise Refused(405, "wrong method", Allow=", ".join(known for known, _, _ in found))
+        raise CallRefusedError(
+            405, "wrong method", Allow=", ".join(allowed_method for allowed_method, _, _ in found)
+        )
 
 
-class Caller(asyncio.Protocol):
+class OperatorConnection(asyncio.Protocol):
     """One caller's connection."""
 
-    def __init__(self, door: OperatorServer, heard: bytes = b"") -> None:
+    def __init__(self, server: OperatorServer, received: bytes = b"") -> None:
         """heard: what the process before this one has read of the call."""
-        self.door = door
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_CALL)
+        self.server = server
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_CALL_BYTES)
         self.request: h11.Request | None = None
-        self.heard, self.answered, self.body = bytearray(), False, bytearray()
-        self.carried = heard
+        self.received, self.answered, self.body = bytearray(), False, bytearray()
+        self.carried = received
         self.transport: asyncio.Transport
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self._after(CALL_S, self._overdue)
-        self.door.joined(self)
+        self._set_timer(CALL_TIMEOUT_S, self._timed_out)
+        self.server.connection_made(self)
         if self.carried:
             self.data_received(self.carried)
 
     def connection_lost(self, error: Exception | None) -> None:
         if self.timer:
             self.timer.cancel()
-        self.door.callers.pop(self, None)
+        self.server.callers.pop(self, None)
 
-    def _after(self, delay: float, action: Callable[[], None]) -> None:
+    def _set_timer(self, delay: float, action: Callable[[], None]) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(delay, action)
 
-    def _overdue(self) -> None:
+    def _timed_out(self) -> None:
         self._answer(408, {"error": "no whole call in time"})
 
     def eof_received(self) -> bool:
@@ -123,9 +125,9 @@
     def data_received(self, data: bytes) -> None:
         if self.answered:
             return  # one call per connection
-        self.heard += data
-        if len(self.heard) > MAX_CALL:
-            self._answer(413, {"error": f"a call is at most {MAX_CALL} bytes"})
+        self.received += data
+        if len(self.received) > MAX_CALL_BYTES:
+            self._answer(413, {"error": f"a call is at most {MAX_CALL_BYTES} bytes"})
             return
         self._read(data)
 
@@ -138,22 +140,22 @@
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                 elif isinstance(event, h11.EndOfMessage) and self.request:
-                    self._call(self.request.method.decode(), self.request.target.decode("latin-1"))
+                    self._handle(self.request.method.decode(), self.request.target.decode("latin-1"))
                     return
                 elif isinstance(event, h11.ConnectionClosed):
                     self.transport.close()
                     return
             if self.http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self.transport.write(self.http.send(go_on) or b"")
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                self.transport.write(self.http.send(continue_response) or b"")
         except h11.RemoteProtocolError as error:
             self._answer(400, {"error": str(error)})
 
-    def _call(self, method: str, target: str) -> None:
+    def _handle(self, method: str, target: str) -> None:
         try:
-            status, body = self.door.routes.answer(method, target, bytes(self.body))
+            status, body = self.server.routes.answer(method, target, bytes(self.body))
             headers = {}
-        except Refused as error:
+        except CallRefusedError as error:
             status, body, headers = error.status, {"error": str(error)}, error.headers
         except OSError as error:  # what must last could not be recorded, so it is not done
             log.error("door.not_recorded", method=method, path=target[:200], error=error)
@@ -182,7 +184,7 @@
         self.transport.write(b"".join(part for part in parts if part))
         if not self.transport.is_closing():
             self.transport.write_eof()
-        self._after(LINGER_S, self.transport.abort)
+        self._set_timer(LINGER_S, self.transport.abort)
 
     @property
     def _is_head(self) -> bool:
@@ -194,20 +196,24 @@
 
     def __init__(self, routes: Routes, sockets: int) -> None:
         self.routes = routes
-        self.max_callers = max(4, min(MAX_CALLS, int(sockets * SHARE)))
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.max_callers = max(4, min(MAX_CONNECTIONS, int(sockets * DESCRIPTOR_SHARE)))
+        self.callers: dict[OperatorConnection, None] = {}  # the oldest first
         self.acceptor: Acceptor | None = None
         self.former: Acceptor | None = None  # at the address of the process before this one
 
     def listen(self, address: Address) -> None:
-        self.acceptor = Acceptor(listening_socket(address, BACKLOG), lambda: Caller(self), self.max_callers)
+        self.acceptor = Acceptor(
+            listening_socket(address, BACKLOG), lambda: OperatorConnection(self), self.max_callers
+        )
 
-    def joined(self, caller: Caller) -> None:
+    def connection_made(self, caller: OperatorConnection) -> None:
         self.callers[caller] = None
         if len(self.callers) > self.max_callers:  # one answered already, or the longest without a call
-            spare = next((c for c in self.callers if c.answered), next(iter(self.callers)))
-            self.callers.pop(spare)  # or the next to join in this turn of the loop would close the same again
-            spare.transport.abort()
+            evicted = next((c for c in self.callers if c.answered), next(iter(self.callers)))
+            self.callers.pop(
+                evicted
+            )  # or the next to join in this turn of the loop would close the same again
+            evicted.transport.abort()
 
     @property
     def acceptors(self) -> list[Acceptor]:
@@ -215,7 +221,7 @@
 
     def carry(self, cargo: Cargo) -> dict[str, Any]:
         callers = [
-            [cargo.place(c.transport.get_extra_info("socket").fileno()), bytes(c.heard)]
+            [cargo.place(c.transport.get_extra_info("socket").fileno()), bytes(c.received)]
             for c in self.callers
             if not c.answered and not c.transport.is_closing()
         ]
@@ -226,11 +232,11 @@
 
     def resume(self, sock: socket.socket, callers: list[tuple[socket.socket, bytes]]) -> None:
         """Answer at the former address for a while, and those who had begun a call there."""
-        self.former = Acceptor(sock, lambda: Caller(self), self.max_callers)
-        asyncio.get_running_loop().call_later(FORMER_S, self.former.close)
-        for connection, heard in callers:
+        self.former = Acceptor(sock, lambda: OperatorConnection(self), self.max_callers)
+        asyncio.get_running_loop().call_later(FORMER_ADDRESS_S, self.former.close)
+        for connection, received in callers:
             connection.setblocking(False)
-            self.former.join(connection, lambda heard=heard: Caller(self, heard))
+            self.former.join(connection, lambda received=received: OperatorConnection(self, received))
 
     def close(self) -> None:
         for acceptor in self.acceptors:
--- a/hopmill/net/peers.py
+++ b/hopmill/net/peers.py
@@ -23,13 +23,13 @@
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.settings import Members, warnings
 
-STATE, ANCHOR, TEXT = "fleet.state", "fleet.anchor", "fleet.text."
+STATE, ANCHOR, TEXT_PREFIX = "fleet.state", "fleet.anchor", "fleet.text."
 SLOT_BYTES = 4096
-HEAD = struct.Struct(">II")  # bytes of a slot's payload, their crc32
-FAILED_US = 1_000_000  # after a fault of the program
-AT_ONCE = 256  # datagrams read before the loop goes on
-BUFFER_BYTES = 1 << 18
-FREEZE_S = 0.4  # an upgrade waits so long for a write that is under way
+SLOT_HEADER = struct.Struct(">II")  # bytes of a slot's payload, their crc32
+ERROR_RETRY_US = 1_000_000  # after a fault of the program
+MAX_DATAGRAMS_PER_READ = 256  # datagrams read before the loop goes on
+RECEIVE_BUFFER_BYTES = 1 << 18
+FREEZE_TIMEOUT_S = 0.4  # an upgrade waits so long for a write that is under way
 log = logs.part("fleet")
 
 
@@ -57,11 +57,11 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.state, self.anchor = folder, folder / STATE, folder / ANCHOR
-        self.count = -1  # of the latest write; not known before the file is read
+        self.write_count = -1  # of the latest write; not known before the file is read
 
     def load(self) -> tuple[Stored, bool]:
         """(what is there, whether it is what was last written here). OSError: it can't be read."""
-        self.count = 0
+        self.write_count = 0
         try:
             data = self.state.read_bytes()
         except FileNotFoundError:
@@ -71,21 +71,21 @@
             log.error("fleet.storage_unreadable", path=self.state)
             return Stored(), False
         slot = max(slots, key=lambda s: s.count)
-        self.count = slot.count
+        self.write_count = slot.count
         try:
             stored = msgspec.msgpack.decode(slot.state, type=Stored)
         except msgspec.DecodeError:  # of a later version
             log.error("fleet.storage_unreadable", path=self.state)
             return Stored(), False
         try:
-            there = os.stat(self.anchor)
+            anchor = os.stat(self.anchor)
         except FileNotFoundError:
             return stored, False
-        return stored, (there.st_ino, there.st_ctime_ns) == (slot.inode, slot.changed_ns)
+        return stored, (anchor.st_ino, anchor.st_ctime_ns) == (slot.inode, slot.changed_ns)
 
     def _slot(self, data: bytes) -> Slot | None:
-        size, checksum = HEAD.unpack_from(data.ljust(HEAD.size, b"\0"))
-        payload = data[HEAD.size : HEAD.size + size]
+        size, checksum = SLOT_HEADER.unpack_from(data.ljust(SLOT_HEADER.size, b"\0"))
+        payload = data[SLOT_HEADER.size : SLOT_HEADER.size + size]
         if not size or len(payload) != size or zlib.crc32(payload) != checksum:
             return None
         try:
@@ -96,29 +96,29 @@
     def texts(self) -> dict[bytes, bytes]:
         """Those on disk, by digest; whether they fit it is the reader's affair. One half written goes."""
         found = {}
-        for path in self.folder.glob(TEXT + "*"):
+        for path in self.folder.glob(TEXT_PREFIX + "*"):
             try:
-                found[bytes.fromhex(path.name.removeprefix(TEXT))] = path.read_bytes()
+                found[bytes.fromhex(path.name.removeprefix(TEXT_PREFIX))] = path.read_bytes()
             except (OSError, ValueError):
                 path.unlink(missing_ok=True)
         return found
 
     def write_text(self, digest: bytes, text: bytes) -> None:
         """On disk, under its name, when it returns."""
-        half = self.folder / f"{TEXT}half"
-        fd = os.open(half, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        partial = self.folder / f"{TEXT_PREFIX}half"
+        fd = os.open(partial, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             if os.write(fd, text) != len(text):
                 raise OSError("no room for a text of the fleet")
             os.fdatasync(fd)
         finally:
             os.close(fd)
-        os.rename(half, self.folder / (TEXT + digest.hex()))
+        os.rename(partial, self.folder / (TEXT_PREFIX + digest.hex()))
         self._sync_folder()
 
     def drop_texts(self, digests: frozenset[bytes]) -> None:
         for digest in digests:
-            (self.folder / (TEXT + digest.hex())).unlink(missing_ok=True)
+            (self.folder / (TEXT_PREFIX + digest.hex())).unlink(missing_ok=True)
 
     def _sync_folder(self) -> None:
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
@@ -127,31 +127,36 @@
         finally:
             os.close(folder)
 
-    def settle(self, same: bool) -> None:
+    def ensure_anchor(self, is_same_folder: bool) -> None:
         """A new anchor where the old one does not hold."""
-        if not same:
+        if not is_same_folder:
             self.anchor.unlink(missing_ok=True)
             self.anchor.write_text(secrets.token_hex(16))
             self._sync_folder()
 
     def write(self, state: bytes) -> None:
         """On disk when it returns. OSError: the state before may still hold."""
-        if self.count < 0:  # after an upgrade: later than all that the process before wrote
+        if self.write_count < 0:  # after an upgrade: later than all that the process before wrote
             self.load()
-        there = os.stat(self.anchor)
-        payload = msgspec.msgpack.encode(self.Slot(self.count + 1, there.st_ino, there.st_ctime_ns, state))
-        data = HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+        anchor = os.stat(self.anchor)
+        payload = msgspec.msgpack.encode(
+            self.Slot(self.write_count + 1, anchor.st_ino, anchor.st_ctime_ns, state)
+        )
+        data = SLOT_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
         if len(data) > SLOT_BYTES:
             raise OSError("the fleet's state is over its bound")
         fd = os.open(self.state, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             # The whole slot each time: its place on disk is taken once, and later writes change no metadata.
-            if os.pwrite(fd, data.ljust(SLOT_BYTES, b"\0"), (self.count + 1) % 2 * SLOT_BYTES) != SLOT_BYTES:
+            if (
+                os.pwrite(fd, data.ljust(SLOT_BYTES, b"\0"), (self.write_count + 1) % 2 * SLOT_BYTES)
+                != SLOT_BYTES
+            ):
                 raise OSError("no room for the fleet's state")
             os.fdatasync(fd)
         finally:
             os.close(fd)
-        self.count += 1
+        self.write_count += 1
 
 
 class MemberTransport:
@@ -166,47 +171,49 @@
         sock: socket.socket | None = None,
     ) -> None:
         """carried, sock: from the process before, in an upgrade. OSError: no socket, or no folder."""
-        self.loop, self.s = loop, members
+        self.loop, self.settings = loop, members
         self.storage = Storage(folder)
         if carried:
-            stored, same = msgspec.msgpack.decode(carried["state"], type=Stored), True
+            stored, is_same_folder = msgspec.msgpack.decode(carried["state"], type=Stored), True
         else:
-            stored, same = self.storage.load()
-            self.storage.settle(same)
+            stored, is_same_folder = self.storage.load()
+            self.storage.ensure_anchor(is_same_folder)
         self.node = Node(
             members,
             stored,
-            same,
+            is_same_folder,
             secrets.randbits(64),
             carried,
             self.storage.texts() if members.policy else None,
         )
-        self.look: Callable[[], None] = lambda: None  # whoever goes by the fleet's policy looks what is new
+        self.on_change: Callable[[], None] = lambda: (
+            None
+        )  # whoever goes by the fleet's policy looks what is new
         self.sock = sock or self._bind()
         self.writer = ThreadPoolExecutor(1, "fleet-disk")
-        self.writing: Future[None] | None = None
-        self.waiting: list[Write] = []
+        self.current_write: Future[None] | None = None
+        self.pending_writes: list[Write] = []
         self.timer: asyncio.TimerHandle | None = None
-        self.failing = False
-        self.open = True
-        self.version, self.leases = -1, dict[str, int]()
+        self.is_failing = False
+        self.is_open = True
+        self.logged_version, self.logged_leases = -1, dict[str, int]()
         for text in warnings(members):
             log.warning("fleet.settings", text=text)
         log.info(
             "fleet.member",
             member=members.id,
             incarnation=self.node.swim.me.incarnation,
-            same_folder=same,
+            same_folder=is_same_folder,
             votes=members.id in members.voters,
         )
         loop.add_reader(self.sock, self._readable)
-        self._pump()
+        self.run_due_work()
 
     def _bind(self) -> socket.socket:
-        host, _, port = self.s.address.rpartition(":")
+        host, _, port = self.settings.address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             sock.bind((host, int(port)))
         except (OSError, OverflowError):
             sock.close()
@@ -216,8 +223,8 @@
     # In and out
 
     def _readable(self) -> None:
-        now, stirred = elapsed_us(), False
-        for _ in range(AT_ONCE):
+        now, needs_tick = elapsed_us(), False
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data = self.sock.recv(wire.MOST_BYTES + 1)
             except BlockingIOError:
@@ -225,47 +232,47 @@
             except OSError:  # an earlier datagram found nobody: that is what members find out by themselves
                 continue
             try:
-                stirred |= self.node.datagram(data, now)
+                needs_tick |= self.node.datagram(data, now)
             except Exception:
                 log.exception("fleet.failed")
-        if stirred or self.node.writes:
-            self._pump()
+        if needs_tick or self.node.writes:
+            self.run_due_work()
         else:  # most are: they cost little
-            self._act(now)
+            self._perform_actions(now)
 
-    def _pump(self) -> None:
+    def run_due_work(self) -> None:
         """Whatever goes wrong here must not end the courier, nor this member's timers."""
-        if not self.open:
+        if not self.is_open:
             return
         try:
-            wait_us = self._carry_out(elapsed_us())
+            wait_us = self._tick(elapsed_us())
         except Exception:
             log.exception("fleet.failed")
-            wait_us = FAILED_US
+            wait_us = ERROR_RETRY_US
         due = self.loop.time() + max(0.001, wait_us / 1e6)
         if self.timer:
             if self.loop.time() < self.timer.when() <= due:
                 return  # the one that is set comes first, and looks again
             self.timer.cancel()
-        self.timer = self.loop.call_at(due, self._pump)
+        self.timer = self.loop.call_at(due, self.run_due_work)
 
-    def _carry_out(self, now: int) -> int:
+    def _tick(self, now: int) -> int:
         """Returns when to be called again, from now."""
         due = self.node.tick(now)
-        self._act(now)
-        self._tell(now)
+        self._perform_actions(now)
+        self._log_changes(now)
         return due - now
 
-    def _act(self, now: int) -> None:
+    def _perform_actions(self, now: int) -> None:
         for action in self.node.take(now):
             if isinstance(action, Write):
-                self.waiting.append(action)
+                self.pending_writes.append(action)
             elif isinstance(action, WriteText):
                 done = self.writer.submit(self.storage.write_text, action.digest, action.text)
                 done.add_done_callback(
                     lambda done, digest=action.digest: (
                         self.loop.call_soon_threadsafe(self._text_written, digest, done)
-                        if self.open
+                        if self.is_open
                         else None
                     )
                 )
@@ -284,71 +291,76 @@
 
     def _write(self) -> None:
         """Off the loop, one at a time; the newest state covers those before it."""
-        if self.writing or not self.waiting:
+        if self.current_write or not self.pending_writes:
             return
-        batch, self.waiting = self.waiting, []
-        self.writing = self.writer.submit(self.storage.write, batch[-1].state)
-        self.writing.add_done_callback(
-            lambda done: self.loop.call_soon_threadsafe(self._written, batch, done) if self.open else None
+        batch, self.pending_writes = self.pending_writes, []
+        self.current_write = self.writer.submit(self.storage.write, batch[-1].state)
+        self.current_write.add_done_callback(
+            lambda done: self.loop.call_soon_threadsafe(self._written, batch, done) if self.is_open else None
         )
 
     def _written(self, batch: list[Write], done: Future[None]) -> None:
-        if self.writing is not done:
+        if self.current_write is not done:
             return  # a freeze has seen to it
-        self.writing = None
+        self.current_write = None
         error = done.exception()
-        if bool(error) is not self.failing:
-            self.failing = bool(error)
+        if bool(error) is not self.is_failing:
+            self.is_failing = bool(error)
             if error:
                 log.error("fleet.not_written", error=error)
             else:
                 log.info("fleet.written_again")
         for write in batch:
             self.node.written(write, error is None, elapsed_us())
-        self._pump()
+        self.run_due_work()
 
     def _text_written(self, digest: bytes, done: Future[None]) -> None:
         if error := done.exception():
             log.error("fleet.not_written", error=error)
         self.node.text_written(digest, error is None, elapsed_us())
-        self._pump()
+        self.run_due_work()
 
     # Logs
 
-    def _tell(self, now: int) -> None:
-        for c in self.node.changed():
+    def _log_changes(self, now: int) -> None:
+        for change in self.node.changed():
             log.info(
-                "fleet.changed", member=c.id, state=c.state, was=c.was, incarnation=c.incarnation, why=c.why
+                "fleet.changed",
+                member=change.id,
+                state=change.state,
+                was=change.was,
+                incarnation=change.incarnation,
+                why=change.why,
             )
         document = self.node.register.document
-        if document.version != self.version:
-            self.version = document.version
+        if document.version != self.logged_version:
+            self.logged_version = document.version
             log.info("fleet.document", version=document.version, voters=",".join(document.voters))
-        for name in self.s.leases:
-            fence = self.node.held(name, now)
-            if fence != self.leases.get(name, 0):
-                self.leases[name] = fence
-                log.info("fleet.lease", lease=name, held=bool(fence), fence=fence or None)
-        self.look()
+        for name in self.settings.leases:
+            fencing_token = self.node.held(name, now)
+            if fencing_token != self.logged_leases.get(name, 0):
+                self.logged_leases[name] = fencing_token
+                log.info("fleet.lease", lease=name, held=bool(fencing_token), fence=fencing_token or None)
+        self.on_change()
 
     # Staff
 
     def status(self) -> dict[str, Any]:
-        return self.node.status(elapsed_us()) | {"disk": "failing" if self.failing else "well"}
+        return self.node.status(elapsed_us()) | {"disk": "failing" if self.is_failing else "well"}
 
     def propose(
         self, change: Callable[[str, Document], Document | None], then: Callable[[Outcome], None]
     ) -> str:
-        ticket = self.node.propose(change, elapsed_us(), then)
-        self._pump()
-        return ticket
+        proposal_id = self.node.propose(change, elapsed_us(), then)
+        self.run_due_work()
+        return proposal_id
 
-    def govern(self, act: Callable[[Any, int], Any]) -> None:
+    def update_policy(self, act: Callable[[Any, int], Any]) -> None:
         """Do this with the member's part in the fleet's policy, and carry out what comes of it."""
         act(self.node.govern, elapsed_us())
-        self._pump()
+        self.run_due_work()
 
-    def held(self, lease: str) -> tuple[int, int]:
+    def fencing_token(self, lease: str) -> tuple[int, int]:
         """(the fencing number to act under, 0 if this courier may not act; when that was, in us elapsed)."""
         now = elapsed_us()
         return self.node.held(lease, now), now
@@ -357,40 +369,40 @@
 
     def leave(self) -> None:
         """A planned restart: the others need not find out by themselves."""
-        if self.open and self.node.started:
-            for keeper in self.node.register.keepers.values():
-                keeper.wanted = False  # handed on at once
+        if self.is_open and self.node.started:
+            for lease_holder in self.node.register.keepers.values():
+                lease_holder.wanted = False  # handed on at once
             self.node.swim.leave()
-            self._pump()
+            self.run_due_work()
 
     def freeze(self) -> dict[str, Any]:
         """Silent from here on, nothing half written; what the next process goes on with. Stopped: not now."""
         self.loop.remove_reader(self.sock)
         if self.timer:
             self.timer.cancel()
-        self.open = False
-        if self.writing:
+        self.is_open = False
+        if self.current_write:
             try:
-                self.writing.exception(FREEZE_S)
+                self.current_write.exception(FREEZE_TIMEOUT_S)
             except TimeoutError:
                 self.thaw()
                 raise FreezeTimeoutError("a write of the fleet's state is under way") from None
-            self.writing = None
+            self.current_write = None
         return self.node.carry()
 
     def thaw(self) -> None:
         """The upgrade failed: go on."""
-        if self.open:
+        if self.is_open:
             return
-        self.open = True
-        self.writing = None
+        self.is_open = True
+        self.current_write = None
         self.loop.add_reader(self.sock, self._readable)
-        self._pump()
+        self.run_due_work()
 
     def close(self) -> None:
-        if self.open:
+        if self.is_open:
             self.loop.remove_reader(self.sock)
-        self.open = False
+        self.is_open = False
         if self.timer:
             self.timer.cancel()
         self.sock.close()
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -21,17 +21,26 @@
 from hopmill.net.http import LOCAL_ERRORS, Connection
 from hopmill.net.upgrade import Cargo
 
-AGAIN_S = 0.05  # with no descriptor left, until the next try: others in this process free some too
-MOST_ROWS = 100  # endpoints that staff are shown in one answer
+DESCRIPTOR_RETRY_S = 0.05  # with no descriptor left, until the next try: others in this process free some too
+MAX_ROWS = 100  # endpoints that staff are shown in one answer
 log = logs.part("pool")
 
 # Why a connection was closed, as staff are told.
-AGED, SURPLUS, ROOM = "aged", "over the endpoint's number", "room for others"
-ENDED, BROKE, GIVEN_UP = "ended by the endpoint", "broke under a call", "call given up"
-NEVER_UP = "never came up"
-LEFT, RESTARTED, DOUBTED, ASKED = "left or moved", "endpoint restarted", "not trusted", "asked by the module"
-
-Done = Callable[["PooledConnection | None", OSError | None], None]
+IDLE_EXPIRED, OVER_LIMIT, EVICTED = "aged", "over the endpoint's number", "room for others"
+CLOSED_BY_ENDPOINT, BROKE_DURING_CALL, CALL_ABANDONED = (
+    "ended by the endpoint",
+    "broke under a call",
+    "call given up",
+)
+NEVER_CONNECTED = "never came up"
+ENDPOINT_REMOVED, ENDPOINT_RESTARTED, NOT_TRUSTED, REQUESTED_BY_POLICY = (
+    "left or moved",
+    "endpoint restarted",
+    "not trusted",
+    "asked by the module",
+)
+
+CheckoutCallback = Callable[["PooledConnection | None", OSError | None], None]
 
 
 class EndpointUnavailableError(OSError):
@@ -46,16 +55,16 @@
         loop: asyncio.AbstractEventLoop,
         endpoint: int,
         address: Address,
-        born: float,
+        opened_at: float,
         sock: socket.socket | None = None,
     ) -> None:
         super().__init__(loop, address, sock)
         self.endpoint = endpoint
-        self.born = born  # wall clock, as the list's boot times are
+        self.opened_at = opened_at  # wall clock, as the list's boot times are
         self.idle_at = 0.0  # since when nothing was asked of it
-        self.lent_at = 0.0
+        self.checked_out_at = 0.0
         self.idle_us = -1  # how long it had been idle before this loan, -1 for a new one
-        self.state, self.why = "opening", ""
+        self.state, self.reason = "opening", ""
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -64,27 +73,27 @@
     """One endpoint's connections."""
 
     address: Address
-    boot: float = 0.0  # when it last started, wall clock, 0 for long ago
-    most: int = 1  # idle ones kept
+    booted_at: float = 0.0  # when it last started, wall clock, 0 for long ago
+    max_idle: int = 1  # idle ones kept
     idle: OrderedDict[PooledConnection, None] = field(
         default_factory=OrderedDict
     )  # the most recently used last
     connections: set[PooledConnection] = field(default_factory=set)  # all, in any state
     canary: PooledConnection | None = None  # lent after a silence, and not heard from yet
-    heard_at: float = -math.inf  # when an answer last came,
-    heard_born: float = math.inf  # on a connection this old
+    last_response_at: float = -math.inf  # when an answer last came,
+    last_response_opened_at: float = math.inf  # on a connection this old
     opened: int = 0
     reused: int = 0
     closed: Counter[str] = field(default_factory=Counter)
 
     def status(self) -> dict[str, Any]:
-        states = Counter(link.state for link in self.connections)
+        states = Counter(connection.state for connection in self.connections)
         return {
             "open": len(self.connections),
             "lent": states["lent"],
             "opening": states["opening"],
             "idle": len(self.idle),
-            "kept_at_most": self.most,
+            "kept_at_most": self.max_idle,
             "opened": self.opened,
             "reused": self.reused,
             "closed": dict(self.closed),
@@ -96,21 +105,21 @@
     """What a call asks for: a connection that is up. Ends with one call of `done`, or is cancelled."""
 
     endpoint: int
-    done: Done
-    link: PooledConnection | None = None
+    done: CheckoutCallback
+    connection: PooledConnection | None = None
     timer: asyncio.TimerHandle | None = None
 
-    def answer(self, link: PooledConnection | None, error: OSError | None) -> None:
+    def complete(self, connection: PooledConnection | None, error: OSError | None) -> None:
         if self.timer:
             self.timer.cancel()
-        self.link = link
-        self.done(link, error)
+        self.connection = connection
+        self.done(connection, error)
 
 
-def carry_link(cargo: Cargo, link: PooledConnection) -> int:
+def carry_connection(cargo: Cargo, connection: PooledConnection) -> int:
     """Its place in the cargo. When it was opened goes beside the rows, whose length older versions know."""
-    place = cargo.place(link.sock.fileno())
-    cargo.values.setdefault("born", {})[place] = link.born
+    place = cargo.place(connection.sock.fileno())
+    cargo.values.setdefault("born", {})[place] = connection.opened_at
     return place
 
 
@@ -135,326 +144,354 @@
         self.idle: OrderedDict[PooledConnection, None] = (
             OrderedDict()
         )  # of all endpoints, the longest idle first
-        self.leaving: set[PooledConnection] = set()  # lent ones of endpoints that have gone
-        self.waiting: deque[Checkout] = deque()  # for a descriptor
-        self.changed: set[int] = set()  # endpoints whose idle ones the module has not heard of yet
-        self.gone: Counter[str] = Counter()  # figures of endpoints that have gone
-        self.aging: asyncio.TimerHandle | None = None
-        self.retrying: asyncio.TimerHandle | None = None
+        self.removed_endpoints: set[PooledConnection] = set()  # lent ones of endpoints that have gone
+        self.waiting_for_descriptor: deque[Checkout] = deque()  # for a descriptor
+        self.idle_changed: set[int] = set()  # endpoints whose idle ones the module has not heard of yet
+        self.removed_totals: Counter[str] = Counter()  # figures of endpoints that have gone
+        self.expiry_timer: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
 
     # The list of endpoints
 
     def set_endpoint(self, endpoint: int, address: Address, boot_ms: float = 0.0) -> None:
         """Where the endpoint is and since when it runs: what was opened before reaches nobody."""
-        place = self.endpoints.get(endpoint)
-        if place is not None and place.address != address:
+        entry = self.endpoints.get(endpoint)
+        if entry is not None and entry.address != address:
             self.forget(endpoint)
-            place = None
-        if place is None:
-            place = self.endpoints[endpoint] = EndpointConnections(address)
-            self.changed.add(endpoint)
-        place.boot = boot_ms / 1e3
-        for link in [k for k in place.idle if k.born < place.boot]:
-            self.drop(link, RESTARTED)
+            entry = None
+        if entry is None:
+            entry = self.endpoints[endpoint] = EndpointConnections(address)
+            self.idle_changed.add(endpoint)
+        entry.booted_at = boot_ms / 1e3
+        for connection in [k for k in entry.idle if k.opened_at < entry.booted_at]:
+            self.drop(connection, ENDPOINT_RESTARTED)
 
     def forget(self, endpoint: int) -> None:
-        place = self.endpoints.pop(endpoint, None)
-        if place is None:
+        entry = self.endpoints.pop(endpoint, None)
+        if entry is None:
             return
-        for link in list(place.connections):
-            if link.state == "idle":
-                self.drop(link, LEFT)
+        for connection in list(entry.connections):
+            if connection.state == "idle":
+                self.drop(connection, ENDPOINT_REMOVED)
             else:  # its call goes on, and the connection ends with it
-                self.leaving.add(link)
-        self.changed.discard(endpoint)
-        self.gone.update({"opened": place.opened, "reused": place.reused})
-        self.gone.update(place.closed)
+                self.removed_endpoints.add(connection)
+        self.idle_changed.discard(endpoint)
+        self.removed_totals.update({"opened": entry.opened, "reused": entry.reused})
+        self.removed_totals.update(entry.closed)
 
-    def close_idle(self, endpoint: int, why: str = LEFT) -> None:
-        if place := self.endpoints.get(endpoint):
-            for link in list(place.idle):
-                self.drop(link, why)
+    def close_idle(self, endpoint: int, reason: str = ENDPOINT_REMOVED) -> None:
+        if entry := self.endpoints.get(endpoint):
+            for connection in list(entry.idle):
+                self.drop(connection, reason)
 
-    def set_max_idle(self, endpoint: int, most: int) -> None:
+    def set_max_idle(self, endpoint: int, max_idle: int) -> None:
         """How many idle ones are kept from now on."""
-        if place := self.endpoints.get(endpoint):
-            place.most = most
-            self._trim(place)
+        if entry := self.endpoints.get(endpoint):
+            entry.max_idle = max_idle
+            self._trim(entry)
 
     def close(self) -> None:
-        for timer in (self.aging, self.retrying):
+        for timer in (self.expiry_timer, self.retry_timer):
             if timer:
                 timer.cancel()
-        self.waiting.clear()
-        for place in self.endpoints.values():
-            for link in list(place.connections):
-                self.drop(link, LEFT)
-        for link in list(self.leaving):
-            self.drop(link, LEFT)
+        self.waiting_for_descriptor.clear()
+        for entry in self.endpoints.values():
+            for connection in list(entry.connections):
+                self.drop(connection, ENDPOINT_REMOVED)
+        for connection in list(self.removed_endpoints):
+            self.drop(connection, ENDPOINT_REMOVED)
 
     # Lending
 
-    def check_out(self, endpoint: int, done: Done) -> Checkout:
+    def check_out(self, endpoint: int, done: CheckoutCallback) -> Checkout:
         """The most recently used idle one, so that surplus ones age; else a new one."""
-        loan, place = Checkout(endpoint, done), self.endpoints.get(endpoint)
-        if place and (link := self._idle_one(place)):
-            loan.answer(link, None)
+        checkout, entry = Checkout(endpoint, done), self.endpoints.get(endpoint)
+        if entry and (connection := self._take_idle(entry)):
+            checkout.complete(connection, None)
         else:
-            self._open(loan)
-        return loan
+            self._open(checkout)
+        return checkout
 
-    def cancel(self, loan: Checkout) -> None:
+    def cancel(self, checkout: Checkout) -> None:
         """The call no longer wants it; what is being opened for it is closed."""
-        if loan.timer:
-            loan.timer.cancel()
-        if loan in self.waiting:
-            self.waiting.remove(loan)
-        elif loan.link is not None and loan.link.state == "opening":
-            self.drop(loan.link, GIVEN_UP)
+        if checkout.timer:
+            checkout.timer.cancel()
+        if checkout in self.waiting_for_descriptor:
+            self.waiting_for_descriptor.remove(checkout)
+        elif checkout.connection is not None and checkout.connection.state == "opening":
+            self.drop(checkout.connection, CALL_ABANDONED)
 
     def open_spare(self, endpoint: int) -> None:
         """Open one before a message needs it. What comes of it says nothing to the module: it is no probe."""
-        place = self.endpoints.get(endpoint)
-        room = place and sum(link.state != "lent" for link in place.connections) < place.most
-        if room and not self.waiting and len(self.idle) < self.max_idle:
-            self._open(Checkout(endpoint, lambda link, error: self.check_in(link) if link else None))
-
-    def _idle_one(self, place: EndpointConnections) -> PooledConnection | None:
-        while place.idle:
-            link = next(reversed(place.idle))
-            trusted = self._trusted(place, link)
-            if not trusted and place.canary:
+        entry = self.endpoints.get(endpoint)
+        room = entry and sum(connection.state != "lent" for connection in entry.connections) < entry.max_idle
+        if room and not self.waiting_for_descriptor and len(self.idle) < self.max_idle:
+            self._open(
+                Checkout(
+                    endpoint, lambda connection, error: self.check_in(connection) if connection else None
+                )
+            )
+
+    def _take_idle(self, entry: EndpointConnections) -> PooledConnection | None:
+        while entry.idle:
+            connection = next(reversed(entry.idle))
+            is_trusted = self._is_trusted(entry, connection)
+            if not is_trusted and entry.canary:
                 return None  # if they are all dead, one call finds it out for all
-            if link.stale():
-                self.drop(link, ENDED)
+            if connection.stale():
+                self.drop(connection, CLOSED_BY_ENDPOINT)
                 continue
-            self._leave_idle(link, place)
+            self._remove_from_idle(connection, entry)
             now = self.loop.time()
-            link.state, link.lent_at, link.idle_us = "lent", now, int((now - link.idle_at) * 1e6)
-            place.canary = place.canary if trusted else link
-            place.reused += 1
-            return link
+            connection.state, connection.checked_out_at, connection.idle_us = (
+                "lent",
+                now,
+                int((now - connection.idle_at) * 1e6),
+            )
+            entry.canary = entry.canary if is_trusted else connection
+            entry.reused += 1
+            return connection
         return None
 
-    def _trusted(self, place: EndpointConnections, link: PooledConnection) -> bool:
+    def _is_trusted(self, entry: EndpointConnections, connection: PooledConnection) -> bool:
         """Heard from within the time that a connect may take, over a connection that is as old as this one's
         rest: the machine has neither vanished nor restarted since."""
-        rested = time.time() - (self.loop.time() - link.idle_at)
-        return self.loop.time() - place.heard_at <= self.connect_s and place.heard_born <= rested
+        idle_since = time.time() - (self.loop.time() - connection.idle_at)
+        return (
+            self.loop.time() - entry.last_response_at <= self.connect_s
+            and entry.last_response_opened_at <= idle_since
+        )
 
-    def _open(self, loan: Checkout) -> None:
+    def _open(self, checkout: Checkout) -> None:
         try:
-            place, link = self._new(loan.endpoint)
+            entry, connection = self._new_connection(checkout.endpoint)
         except EndpointUnavailableError as error:
-            loan.answer(None, error)
+            checkout.complete(None, error)
         except OSError as error:
-            self._no_room(loan, error)
+            self._wait_for_descriptor(checkout, error)
         else:
-            self._connect(loan, place, link)
+            self._connect(checkout, entry, connection)
 
-    def _new(self, endpoint: int) -> tuple[EndpointConnections, PooledConnection]:
-        place = self.endpoints.get(endpoint)
-        if place is None or not self.is_usable(endpoint):
+    def _new_connection(self, endpoint: int) -> tuple[EndpointConnections, PooledConnection]:
+        entry = self.endpoints.get(endpoint)
+        if entry is None or not self.is_usable(endpoint):
             raise EndpointUnavailableError(errno.ENETUNREACH, "the endpoint gets no calls any more")
-        return place, PooledConnection(self.loop, endpoint, place.address, time.time())
-
-    def _connect(self, loan: Checkout, place: EndpointConnections, link: PooledConnection) -> None:
-        link.on_close = lambda: self._closed(link, place)
-        place.connections.add(link)
-        place.opened += 1
-        loan.link = link
-        link.timer = self.loop.call_later(self.connect_s, self._never_up, loan, link, place)
+        return entry, PooledConnection(self.loop, endpoint, entry.address, time.time())
+
+    def _connect(self, checkout: Checkout, entry: EndpointConnections, connection: PooledConnection) -> None:
+        connection.on_close = lambda: self._connection_closed(connection, entry)
+        entry.connections.add(connection)
+        entry.opened += 1
+        checkout.connection = connection
+        connection.timer = self.loop.call_later(
+            self.connect_s, self._connect_timed_out, checkout, connection, entry
+        )
         try:
-            link.connect(lambda error: self._up(loan, link, error))
+            connection.connect(lambda error: self._connected(checkout, connection, error))
         except OSError as error:
-            self.drop(link, NEVER_UP)
-            loan.answer(None, error)
+            self.drop(connection, NEVER_CONNECTED)
+            checkout.complete(None, error)
 
-    def _up(self, loan: Checkout, link: PooledConnection, error: OSError | None) -> None:
-        if link.timer:
-            link.timer.cancel()
+    def _connected(self, checkout: Checkout, connection: PooledConnection, error: OSError | None) -> None:
+        if connection.timer:
+            connection.timer.cancel()
         if error is not None:
-            loan.answer(None, error)
+            checkout.complete(None, error)
             return
-        link.state, link.lent_at = "lent", self.loop.time()
-        loan.answer(link, None)
+        connection.state, connection.checked_out_at = "lent", self.loop.time()
+        checkout.complete(connection, None)
 
-    def _never_up(self, loan: Checkout, link: PooledConnection, place: EndpointConnections) -> None:
+    def _connect_timed_out(
+        self, checkout: Checkout, connection: PooledConnection, entry: EndpointConnections
+    ) -> None:
         """Silence. An endpoint that has answered others meanwhile has its table full; else its machine may
         have vanished, and idle ones would lose a call each to that."""
-        self.drop(link, NEVER_UP)
-        self._doubt(place, self.loop.time() - self.connect_s)
-        loan.answer(None, OSError(errno.ETIMEDOUT, "connect"))
+        self.drop(connection, NEVER_CONNECTED)
+        self._distrust_idle(entry, self.loop.time() - self.connect_s)
+        checkout.complete(None, OSError(errno.ETIMEDOUT, "connect"))
 
     # No descriptor left
 
-    def _no_room(self, loan: Checkout, error: OSError) -> None:
+    def _wait_for_descriptor(self, checkout: Checkout, error: OSError) -> None:
         if error.errno not in LOCAL_ERRORS:
-            loan.answer(None, error)
+            checkout.complete(None, error)
         elif self.idle:  # the longest idle of any endpoint makes room
-            self.drop(next(iter(self.idle)), ROOM)
-            self._open(loan)
+            self.drop(next(iter(self.idle)), EVICTED)
+            self._open(checkout)
         else:
-            if not self.waiting:
+            if not self.waiting_for_descriptor:
                 log.error("connection.no_descriptor", error=error)
-            loan.timer = self.loop.call_later(self.connect_s, self._waited, loan, error)
-            self.waiting.append(loan)
-            self._retry_in(AGAIN_S)
-
-    def _waited(self, loan: Checkout, error: OSError) -> None:
-        self.waiting.remove(loan)
-        loan.answer(None, error)
-
-    def _retry_in(self, delay: float) -> None:
-        if self.retrying:
-            self.retrying.cancel()
-        self.retrying = self.loop.call_later(delay, self._retry)
-
-    def _retry(self) -> None:
-        self.retrying = None
-        while self.waiting:
-            loan = self.waiting[0]
+            checkout.timer = self.loop.call_later(
+                self.connect_s, self._descriptor_wait_timed_out, checkout, error
+            )
+            self.waiting_for_descriptor.append(checkout)
+            self._schedule_retry(DESCRIPTOR_RETRY_S)
+
+    def _descriptor_wait_timed_out(self, checkout: Checkout, error: OSError) -> None:
+        self.waiting_for_descriptor.remove(checkout)
+        checkout.complete(None, error)
+
+    def _schedule_retry(self, delay: float) -> None:
+        if self.retry_timer:
+            self.retry_timer.cancel()
+        self.retry_timer = self.loop.call_later(delay, self._retry_waiting)
+
+    def _retry_waiting(self) -> None:
+        self.retry_timer = None
+        while self.waiting_for_descriptor:
+            checkout = self.waiting_for_descriptor[0]
             try:
-                place, link = self._new(loan.endpoint)
+                entry, connection = self._new_connection(checkout.endpoint)
             except EndpointUnavailableError as error:
-                self.waiting.popleft()
-                loan.answer(None, error)
+                self.waiting_for_descriptor.popleft()
+                checkout.complete(None, error)
             except OSError:
-                self._retry_in(AGAIN_S)
+                self._schedule_retry(DESCRIPTOR_RETRY_S)
                 return
             else:
-                self.waiting.popleft()
-                self._connect(loan, place, link)
+                self.waiting_for_descriptor.popleft()
+                self._connect(checkout, entry, connection)
 
     # Taking back
 
-    def check_in(self, link: PooledConnection) -> None:
+    def check_in(self, connection: PooledConnection) -> None:
         """A call is over and its connection is still good: it becomes idle, or is closed."""
-        place = self.endpoints.get(link.endpoint)
-        if link.closed or link.state != "lent":
+        entry = self.endpoints.get(connection.endpoint)
+        if connection.closed or connection.state != "lent":
             return
-        if place is None or link not in place.connections or not self.is_usable(link.endpoint):
-            self.drop(link, LEFT)
-        elif link.born < place.boot:
-            self.drop(link, RESTARTED)
+        if entry is None or connection not in entry.connections or not self.is_usable(connection.endpoint):
+            self.drop(connection, ENDPOINT_REMOVED)
+        elif connection.opened_at < entry.booted_at:
+            self.drop(connection, ENDPOINT_RESTARTED)
         elif self.idle_s <= 0:
-            self.drop(link, SURPLUS)
+            self.drop(connection, OVER_LIMIT)
         else:
-            self._rest(link, place, self.loop.time())
-
-    def _rest(self, link: PooledConnection, place: EndpointConnections, since: float) -> None:
-        if place.canary is link:
-            place.canary = None
-        link.state, link.idle_at = "idle", since
-        place.idle[link] = self.idle[link] = None
-        self.changed.add(link.endpoint)
-        self._trim(place)
+            self._make_idle(connection, entry, self.loop.time())
+
+    def _make_idle(self, connection: PooledConnection, entry: EndpointConnections, since: float) -> None:
+        if entry.canary is connection:
+            entry.canary = None
+        connection.state, connection.idle_at = "idle", since
+        entry.idle[connection] = self.idle[connection] = None
+        self.idle_changed.add(connection.endpoint)
+        self._trim(entry)
         while len(self.idle) > max(0, self.max_idle):
-            self.drop(next(iter(self.idle)), ROOM)
-        self._age_later()
+            self.drop(next(iter(self.idle)), EVICTED)
+        self._schedule_expiry()
 
-    def _trim(self, place: EndpointConnections) -> None:
-        while len(place.idle) > place.most:
-            self.drop(next(iter(place.idle)), SURPLUS)
+    def _trim(self, entry: EndpointConnections) -> None:
+        while len(entry.idle) > entry.max_idle:
+            self.drop(next(iter(entry.idle)), OVER_LIMIT)
 
-    def _age_later(self) -> None:
-        if self.aging is None and self.idle:
-            self.aging = self.loop.call_at(next(iter(self.idle)).idle_at + self.idle_s, self._age)
+    def _schedule_expiry(self) -> None:
+        if self.expiry_timer is None and self.idle:
+            self.expiry_timer = self.loop.call_at(
+                next(iter(self.idle)).idle_at + self.idle_s, self._expire_idle
+            )
 
-    def _age(self) -> None:
-        self.aging, now = None, self.loop.time()
-        while self.idle and (link := next(iter(self.idle))).idle_at + self.idle_s <= now:
-            self.drop(link, AGED)
-        self._age_later()
+    def _expire_idle(self) -> None:
+        self.expiry_timer, now = None, self.loop.time()
+        while self.idle and (connection := next(iter(self.idle))).idle_at + self.idle_s <= now:
+            self.drop(connection, IDLE_EXPIRED)
+        self._schedule_expiry()
 
     # What calls show
 
-    def heard(self, link: PooledConnection) -> None:
+    def response_received(self, connection: PooledConnection) -> None:
         """An answer came: whatever was idle while this connection was open is alive as well."""
-        place = self.endpoints.get(link.endpoint)
-        if place is None or link not in place.connections:
+        entry = self.endpoints.get(connection.endpoint)
+        if entry is None or connection not in entry.connections:
             return
         now = self.loop.time()
-        if link.born <= place.heard_born or now - place.heard_at > self.connect_s:
-            place.heard_at, place.heard_born = now, link.born
-        if place.canary is link:
-            place.canary = None
-
-    def failed(self, link: PooledConnection) -> None:
+        if (
+            connection.opened_at <= entry.last_response_opened_at
+            or now - entry.last_response_at > self.connect_s
+        ):
+            entry.last_response_at, entry.last_response_opened_at = now, connection.opened_at
+        if entry.canary is connection:
+            entry.canary = None
+
+    def call_failed(self, connection: PooledConnection) -> None:
         """A call on it broke or was not answered in its time."""
-        place = self.endpoints.get(link.endpoint)
-        if place is not None and link.address == place.address:
-            self._doubt(place, link.lent_at)
+        entry = self.endpoints.get(connection.endpoint)
+        if entry is not None and connection.address == entry.address:
+            self._distrust_idle(entry, connection.checked_out_at)
 
-    def _doubt(self, place: EndpointConnections, since: float) -> None:
+    def _distrust_idle(self, entry: EndpointConnections, since: float) -> None:
         """Those idle since before then are not trusted, unless the endpoint was heard from after it."""
-        if place.heard_at >= since:
+        if entry.last_response_at >= since:
             return
-        for link in [k for k in place.idle if k.idle_at <= since]:
-            self.drop(link, DOUBTED)
+        for connection in [k for k in entry.idle if k.idle_at <= since]:
+            self.drop(connection, NOT_TRUSTED)
 
     # Closing
 
-    def drop(self, link: PooledConnection, why: str) -> None:
-        link.why = link.why or why
-        link.close()
+    def drop(self, connection: PooledConnection, reason: str) -> None:
+        connection.reason = connection.reason or reason
+        connection.close()
 
-    def _leave_idle(self, link: PooledConnection, place: EndpointConnections) -> None:
-        place.idle.pop(link, None)
-        self.idle.pop(link, None)
-        self.changed.add(link.endpoint)
-        if self.aging and not self.idle:
-            self.aging.cancel()
-            self.aging = None
+    def _remove_from_idle(self, connection: PooledConnection, entry: EndpointConnections) -> None:
+        entry.idle.pop(connection, None)
+        self.idle.pop(connection, None)
+        self.idle_changed.add(connection.endpoint)
+        if self.expiry_timer and not self.idle:
+            self.expiry_timer.cancel()
+            self.expiry_timer = None
 
-    def _closed(self, link: PooledConnection, place: EndpointConnections) -> None:
+    def _connection_closed(self, connection: PooledConnection, entry: EndpointConnections) -> None:
         """The one place that a connection leaves by."""
-        self.leaving.discard(link)
-        if link not in place.connections:
+        self.removed_endpoints.discard(connection)
+        if connection not in entry.connections:
             return
-        place.connections.discard(link)
-        if link.timer:
-            link.timer.cancel()
-        if link.state == "idle":
-            self._leave_idle(link, place)
-        if place.canary is link:
-            place.canary = None
-        if not link.why:
-            link.why = NEVER_UP if link.state == "opening" else BROKE if link.broke else ENDED
-        closed = place.closed if self.endpoints.get(link.endpoint) is place else self.gone
-        closed[link.why] += 1
-        link.state = "closed"
-        if self.waiting:
-            self._retry_in(0)
+        entry.connections.discard(connection)
+        if connection.timer:
+            connection.timer.cancel()
+        if connection.state == "idle":
+            self._remove_from_idle(connection, entry)
+        if entry.canary is connection:
+            entry.canary = None
+        if not connection.reason:
+            connection.reason = (
+                NEVER_CONNECTED
+                if connection.state == "opening"
+                else BROKE_DURING_CALL
+                if connection.broke_during_exchange
+                else CLOSED_BY_ENDPOINT
+            )
+        closed = entry.closed if self.endpoints.get(connection.endpoint) is entry else self.removed_totals
+        closed[connection.reason] += 1
+        connection.state = "closed"
+        if self.waiting_for_descriptor:
+            self._schedule_retry(0)
 
     # The accounts
 
     def take_idle_changes(self) -> list[tuple[int, tuple[int, ...]]]:
         """Endpoints whose idle connections changed since the last time: when each came free, oldest first."""
-        changed, self.changed = self.changed, set()
+        endpoints, self.idle_changed = self.idle_changed, set()
         return [
-            (endpoint, tuple(int(link.idle_at * 1e6) for link in place.idle))
-            for endpoint in sorted(changed)
-            if (place := self.endpoints.get(endpoint))
+            (endpoint, tuple(int(connection.idle_at * 1e6) for connection in entry.idle))
+            for endpoint in sorted(endpoints)
+            if (entry := self.endpoints.get(endpoint))
         ]
 
     def totals(self) -> Counter[str]:
         """Over all endpoints, those that have gone too."""
-        total = Counter(self.gone)
-        for place in self.endpoints.values():
-            total.update({"opened": place.opened, "reused": place.reused})
-            total.update(place.closed)
+        total = Counter(self.removed_totals)
+        for entry in self.endpoints.values():
+            total.update({"opened": entry.opened, "reused": entry.reused})
+            total.update(entry.closed)
         return total
 
     def status(self, name: Callable[[int], str]) -> dict[str, Any]:
         """For staff: those with the most connections first, in bounded size."""
         rows = sorted(self.endpoints.items(), key=lambda row: -len(row[1].connections))
-        shown = [{"endpoint": name(endpoint), **place.status()} for endpoint, place in rows[:MOST_ROWS]]
+        shown = [{"endpoint": name(endpoint), **entry.status()} for endpoint, entry in rows[:MAX_ROWS]]
         return {
-            "open": sum(len(p.connections) for p in self.endpoints.values()) + len(self.leaving),
+            "open": sum(len(p.connections) for p in self.endpoints.values()) + len(self.removed_endpoints),
             "idle": len(self.idle),
             "idle_at_most": self.max_idle,
-            "waiting": len(self.waiting),
+            "waiting": len(self.waiting_for_descriptor),
             "total": dict(self.totals()),
             "endpoints": shown,
             "not_shown": len(rows) - len(shown),
@@ -462,35 +499,40 @@
 
     # Upgrades
 
-    def carry_idle(self, cargo: Cargo, most: int) -> list[list[Any]]:
+    def carry_idle(self, cargo: Cargo, max_count: int) -> list[list[Any]]:
         """The most recently used idle connections."""
-        idle = [link for link in reversed(self.idle) if not link.stale()]
-        return [[k.endpoint, list(k.address), carry_link(cargo, k), k.idle_at] for k in idle[: max(0, most)]]
+        idle = [connection for connection in reversed(self.idle) if not connection.stale()]
+        return [
+            [k.endpoint, list(k.address), carry_connection(cargo, k), k.idle_at]
+            for k in idle[: max(0, max_count)]
+        ]
 
-    def resume(self, endpoint: int, address: Address, sock: socket.socket, born: float) -> PooledConnection:
+    def resume(
+        self, endpoint: int, address: Address, sock: socket.socket, opened_at: float
+    ) -> PooledConnection:
         """A lent connection of the process before; its endpoint may have left the list since."""
-        link = PooledConnection(self.loop, endpoint, address, born, sock)
-        place = self.endpoints.get(endpoint)
-        if place is None or place.address != address:
-            place = EndpointConnections(address)
-            self.leaving.add(link)
-        place.connections.add(link)
-        link.on_close = lambda: self._closed(link, place)
-        link.state, link.lent_at, link.idle_us = "lent", self.loop.time(), 0
-        return link
+        connection = PooledConnection(self.loop, endpoint, address, opened_at, sock)
+        entry = self.endpoints.get(endpoint)
+        if entry is None or entry.address != address:
+            entry = EndpointConnections(address)
+            self.removed_endpoints.add(connection)
+        entry.connections.add(connection)
+        connection.on_close = lambda: self._connection_closed(connection, entry)
+        connection.state, connection.checked_out_at, connection.idle_us = "lent", self.loop.time(), 0
+        return connection
 
     def resume_idle(self, rows: list[tuple[int, Address, socket.socket, float, float]]) -> None:
         """Idle ones of the process before: endpoint, address, socket, idle since, born."""
-        for endpoint, address, sock, since, born in sorted(rows, key=lambda row: row[3]):
-            link = self.resume(endpoint, address, sock, born)
-            place = self.endpoints.get(endpoint)
+        for endpoint, address, sock, since, opened_at in sorted(rows, key=lambda row: row[3]):
+            connection = self.resume(endpoint, address, sock, opened_at)
+            entry = self.endpoints.get(endpoint)
             if (
-                place is None
-                or link not in place.connections
-                or born < place.boot
+                entry is None
+                or connection not in entry.connections
+                or opened_at < entry.booted_at
                 or not self.is_usable(endpoint)
             ):
-                self.drop(link, LEFT)
+                self.drop(connection, ENDPOINT_REMOVED)
             else:
-                place.most = max(place.most, len(place.idle) + 1)  # until the module says how many
-                self._rest(link, place, since)
+                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)  # until the module says how many
+                self._make_idle(connection, entry, since)
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from hopmill import interface as i
+from hopmill import interface
 from hopmill import logs
 from hopmill.net.config import Address, ConfigError, parse_address
 from hopmill.net.pool import Pool
 
-STATES = {
-    "in_service": i.EndpointState.READY,
-    "terminating": i.EndpointState.DRAINING,
-    "terminated": i.EndpointState.GONE,
+ENDPOINT_STATES = {
+    "in_service": interface.EndpointState.READY,
+    "terminating": interface.EndpointState.DRAINING,
+    "terminated": interface.EndpointState.GONE,
 }
-MOST_ZONES = 256  # an entry with one more is not used: names must not pile up
+MAX_ZONES = 256  # an entry with one more is not used: names must not pile up
 log = logs.part("courier")
 
 
@@ -25,55 +25,59 @@
     """One owner of what discovery said. The module hears of it as events, the pool as places."""
 
     def __init__(
-        self, settings: i.Settings, zones: tuple[str, ...], may_serve: Callable[[int, int], bool]
+        self, settings: interface.Settings, zones: tuple[str, ...], may_serve: Callable[[int, int], bool]
     ) -> None:
         """zones: those of the settings, in order. may_serve: the module's word on what staff left out."""
-        self.s, self.may_serve = settings, may_serve
+        self.settings, self.may_serve = settings, may_serve
         self.kinds = {k.name: n for n, k in enumerate(settings.kinds)}
         self.zones = {z: n for n, z in enumerate(zones)}
         self.uids: dict[str, int] = {}
-        self.entries: dict[int, i.ListEntry] = {}
+        self.entries: dict[int, interface.ListEntry] = {}
         self.targets: dict[int, dict[str, Any]] = {}  # the same as discovery told them
         self.retry_after_until: dict[
             tuple[int, int], int
         ] = {}  # told waits, by destination or route: when they end, us
 
-    def listed(self, change: dict[str, Any], form: i.ListForm | None, pool: Pool) -> i.EndpointsListed:
+    def apply_list(
+        self, change: dict[str, Any], form: interface.ListForm | None, pool: Pool
+    ) -> interface.EndpointsListed:
         """Take it over; what can't be read of it is left out."""
-        form = form or (i.ListForm.FULL if change.get("all") else i.ListForm.DELTA)
+        form = form or (interface.ListForm.FULL if change.get("all") else interface.ListForm.DELTA)
         entries = []
         for target in change.get("targets", []):
             try:
-                entry, address, boot_ms = self._entry(target)
+                entry, address, boot_ms = self._parse_target(target)
             except (KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
                 log.error("discovery.entry_unreadable", error=error)
                 continue
             entries.append(entry)
             self.entries[entry.endpoint], self.targets[entry.endpoint] = entry, target
             pool.set_endpoint(entry.endpoint, address, boot_ms)
-        if form is not i.ListForm.DELTA:
-            named = {e.endpoint for e in entries}
-            for number in [n for n in self.entries if n not in named]:
-                self._gone(number, pool)
+        if form is not interface.ListForm.DELTA:
+            listed_numbers = {e.endpoint for e in entries}
+            for number in [n for n in self.entries if n not in listed_numbers]:
+                self._remove(number, pool)
         for entry in entries:
-            if entry.state is i.EndpointState.GONE:
-                self._gone(entry.endpoint, pool)
-            elif entry.state is i.EndpointState.DRAINING:
+            if entry.state is interface.EndpointState.GONE:
+                self._remove(entry.endpoint, pool)
+            elif entry.state is interface.EndpointState.DRAINING:
                 pool.close_idle(entry.endpoint)
-        return i.EndpointsListed(form, tuple(entries))
+        return interface.EndpointsListed(form, tuple(entries))
 
-    def _gone(self, endpoint: int, pool: Pool) -> None:
+    def _remove(self, endpoint: int, pool: Pool) -> None:
         self.entries.pop(endpoint, None)
         self.targets.pop(endpoint, None)
         pool.forget(endpoint)
 
-    def _entry(self, target: dict[str, Any]) -> tuple[i.ListEntry, Address, float]:
+    def _parse_target(self, target: dict[str, Any]) -> tuple[interface.ListEntry, Address, float]:
         number = self.number(str(target["uid"]))
         kind, zone = self.kinds.get(target.get("model", ""), 0), self.zone(str(target.get("az", "")))
         rate = float(target.get("capacity_hint") or 0.0)
         if not math.isfinite(rate):  # the decision module would pace by it
             raise ValueError("capacity_hint")
-        entry = i.ListEntry(number, int(target["pod_group"]), STATES[target["state"]], rate, kind, zone)
+        entry = interface.ListEntry(
+            number, int(target["pod_group"]), ENDPOINT_STATES[target["state"]], rate, kind, zone
+        )
         address = parse_address(target["endpoint"], "endpoint")
         ipaddress.ip_address(address[0])  # a name would be looked up, and block the loop
         boot_ms = float(target.get("boot_ms") or 0.0)
@@ -85,7 +89,7 @@
 
     def zone(self, name: str) -> int:
         """Those of the settings come first; the list and staff may name more, up to a bound."""
-        if name not in self.zones and len(self.zones) >= MOST_ZONES:
+        if name not in self.zones and len(self.zones) >= MAX_ZONES:
             raise ValueError("az")
         return self.zones.setdefault(name, len(self.zones))
 
@@ -103,30 +107,33 @@
 
     # What an endpoint may get
 
-    def _kind(self, entry: i.ListEntry) -> i.Kind:
-        return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)]
+    def _kind(self, entry: interface.ListEntry) -> interface.Kind:
+        return self.settings.kinds[min(entry.kind, len(self.settings.kinds) - 1)]
 
-    def batch(self, endpoint: int) -> int:
+    def max_batch(self, endpoint: int) -> int:
         """Messages of one call, at most."""
         entry = self.entries.get(endpoint)
         return self._kind(entry).batch if entry else 1
 
-    def _wait_key(self, endpoint: int) -> tuple[int, int]:
+    def _retry_after_key(self, endpoint: int) -> tuple[int, int]:
         entry = self.entries.get(endpoint)
         if entry is None:
             return (-1, endpoint)
         return (entry.destination, endpoint if self._kind(entry).routes_apart else -1)
 
     def set_retry_after(self, endpoint: int, until_us: int) -> None:
-        key = self._wait_key(endpoint)
+        key = self._retry_after_key(endpoint)
         self.retry_after_until[key] = max(self.retry_after_until.get(key, 0), until_us)
 
     def is_usable(self, endpoint: int) -> bool:
         """Neither draining, nor gone, nor out by hand: it may get calls, and connections for them."""
         entry = self.entries.get(endpoint)
-        ready = entry is not None and entry.state is i.EndpointState.READY
+        ready = entry is not None and entry.state is interface.EndpointState.READY
         return ready and self.may_serve(endpoint, entry.zone)
 
     def may_write(self, endpoint: int, now_us: int) -> bool:
         """News that came while a connection was being made holds for the call that waits for it."""
-        return self.is_usable(endpoint) and self.retry_after_until.get(self._wait_key(endpoint), 0) <= now_us
+        return (
+            self.is_usable(endpoint)
+            and self.retry_after_until.get(self._retry_after_key(endpoint), 0) <= now_us
+        )
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from hopmill import interface as i
+from hopmill import interface
 from hopmill import observe
 from hopmill.net.clients import ClientServer
 from hopmill.net.staff_fleet import fleet_routes
 from hopmill.net.operator import Page, Routes
-from hopmill.net.pool import MOST_ROWS, Pool
+from hopmill.net.pool import MAX_ROWS, Pool
 from hopmill.net.roster import EndpointRegistry
 from hopmill.net.state import Journal
 from hopmill.policy.courier import Courier
@@ -29,12 +29,12 @@
         pool: Pool,
         clients: ClientServer,
         clock: Callable[[], int],
-        act: Callable[[i.Event], None],
-        taking: Callable[[], bool],
+        act: Callable[[interface.Event], None],
+        is_taking: Callable[[], bool],
     ) -> None:
         """act: tell the module in a turn taken at once. taking: whether new clients are taken."""
         self.courier, self.journal, self.registry = courier, journal, registry
-        self.pool, self.clients, self.clock, self.act, self.taking = pool, clients, clock, act, taking
+        self.pool, self.clients, self.clock, self.act, self.is_taking = pool, clients, clock, act, is_taking
         self.metrics: Any = None  # hopmill/net/metrics.py, while the door is open
         self.active_policy: Any = None  # hopmill/net/in_force.py, where something may differ from the file
         self.member_transport: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
@@ -51,19 +51,19 @@
             ("GET", "/connections/*", self._connections),
             *fleet_routes(lambda: self.member_transport, lambda: self.active_policy),
             ("GET", "/zones", lambda: (200, {"zones": self.zone_rows()})),
-            ("POST", "/zones/*/maint", lambda name: self._set_zone_by_hand(name, True)),
-            ("POST", "/zones/*/ready", lambda name: self._set_zone_by_hand(name, False)),
-            ("POST", "/endpoints/*/maint", lambda uid: self._set_by_hand(uid, True)),
-            ("POST", "/endpoints/*/ready", lambda uid: self._set_by_hand(uid, False)),
+            ("POST", "/zones/*/maint", lambda name: self._set_zone_excluded(name, True)),
+            ("POST", "/zones/*/ready", lambda name: self._set_zone_excluded(name, False)),
+            ("POST", "/endpoints/*/maint", lambda uid: self._set_endpoint_excluded(uid, True)),
+            ("POST", "/endpoints/*/ready", lambda uid: self._set_endpoint_excluded(uid, False)),
         )
 
     # Asking
 
     def _healthcheck(self) -> Answer:
         """What staff on call want to know first."""
-        taking = self.taking() and not self.clients.drained
-        return 200 if taking else 503, {
-            "taking_clients": taking,
+        is_taking = self.is_taking() and not self.clients.drained
+        return 200 if is_taking else 503, {
+            "taking_clients": is_taking,
             "drained": self.clients.drained,
             "out_by_hand": sorted(self.journal.out_by_hand),
             "clients": len(self.clients.clients),
@@ -79,8 +79,8 @@
         names = {number: name for name, number in self.registry.zones.items()}
         rows = observe.endpoint_rows(self.courier, self.registry.uid)
         return 200, {
-            "endpoints": [row | {"zone": names.get(row["zone"])} for row in rows[:MOST_ROWS]],
-            "not_shown": max(0, len(rows) - MOST_ROWS),
+            "endpoints": [row | {"zone": names.get(row["zone"])} for row in rows[:MAX_ROWS]],
+            "not_shown": max(0, len(rows) - MAX_ROWS),
         }
 
     def _lanes(self) -> Answer:
@@ -98,9 +98,9 @@
                     "refused": round(row.refused, 3),
                     "wait_ms": row.wait_us // 1000,
                 }
-                for row in rows[:MOST_ROWS]
+                for row in rows[:MAX_ROWS]
             ],
-            "not_shown": max(0, len(rows) - MOST_ROWS),
+            "not_shown": max(0, len(rows) - MAX_ROWS),
         }
 
     def _connections(self, uid: str) -> Answer:
@@ -135,22 +135,22 @@
         self.clients.drain(on)
         return 200, {"drained": on}
 
-    def _set_by_hand(self, uid: str, out: bool) -> Answer:
+    def _set_endpoint_excluded(self, uid: str, is_excluded: bool) -> Answer:
         """Nothing new starts there after the yes."""
         if uid not in self.registry.uids:
             return 404, {"error": "no such endpoint was ever listed"}
-        if out is not (uid in self.journal.out_by_hand):
-            self.journal.set_by_hand(uid, out)
-            if not (self.active_policy and uid in self.active_policy.left_out[0]):  # the policy in force does
-                self.act(i.SetByHand(self.registry.uids[uid], out))
-        return 200, {"endpoint": uid, "out_by_hand": out}
+        if is_excluded is not (uid in self.journal.out_by_hand):
+            self.journal.set_by_hand(uid, is_excluded)
+            if not (self.active_policy and uid in self.active_policy.excluded[0]):  # the policy in force does
+                self.act(interface.SetByHand(self.registry.uids[uid], is_excluded))
+        return 200, {"endpoint": uid, "out_by_hand": is_excluded}
 
-    def _set_zone_by_hand(self, name: str, out: bool) -> Answer:
+    def _set_zone_excluded(self, name: str, is_excluded: bool) -> Answer:
         """Nothing new starts there after the yes."""
         if name not in self.registry.zones:
             return 404, {"error": "no such zone was ever named"}
-        if out is not (name in self.journal.zones_out):
-            self.journal.set_zone_by_hand(name, out)
-            if not (self.active_policy and name in self.active_policy.left_out[1]):
-                self.act(i.SetZoneByHand(self.registry.zones[name], out))
-        return 200, {"zone": name, "out_by_hand": out}
+        if is_excluded is not (name in self.journal.zones_out):
+            self.journal.set_zone_by_hand(name, is_excluded)
+            if not (self.active_policy and name in self.active_policy.excluded[1]):
+                self.act(interface.SetZoneByHand(self.registry.zones[name], is_excluded))
+        return 200, {"zone": name, "out_by_hand": is_excluded}
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/staff_fleet.py
@@ -10,11 +10,11 @@
 from hopmill.net.staff_policy import policy_routes
 
 Answer = tuple[int, dict[str, Any]]
-MOST_OUTCOMES = 256
-MOST_TEXT = 200
+MAX_OUTCOMES = 256
+MAX_TEXT = 200
 
 
-class FleetStaff:
+class FleetActions:
     """One owner of the changes that staff have begun here."""
 
     def __init__(self, peers: Callable[[], Any]) -> None:
@@ -28,42 +28,42 @@
 
     def _begin(self, change: Any) -> Answer:
         peers = self.peers()
-        told: dict[str, Any] = {"state": "under way"}
+        answer: dict[str, Any] = {"state": "under way"}
 
         def ended(outcome: Any) -> None:
-            told.update(state=outcome.state, why=outcome.why)
+            answer.update(state=outcome.state, why=outcome.why)
             if outcome.document is not None:
-                told.update(
+                answer.update(
                     version=outcome.document.version,
                     made=outcome.made,
                     words=outcome.document.words,
                     voters=list(outcome.document.voters),
                 )
 
-        ticket = peers.propose(change, ended)
-        told["ticket"] = ticket
-        self.outcomes[ticket] = told
-        while len(self.outcomes) > MOST_OUTCOMES:
+        proposal_id = peers.propose(change, ended)
+        answer["ticket"] = proposal_id
+        self.outcomes[proposal_id] = answer
+        while len(self.outcomes) > MAX_OUTCOMES:
             self.outcomes.popitem(last=False)
-        return 202, told
+        return 202, answer
 
-    def say(self, name: str, text: str) -> Answer:
+    def store_entry(self, name: str, text: str) -> Answer:
         if self.peers() is None:
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import say
 
-        if len(name) + len(text) > MOST_TEXT:
-            return 400, {"error": f"a word and its text are at most {MOST_TEXT} characters"}
+        if len(name) + len(text) > MAX_TEXT:
+            return 400, {"error": f"a word and its text are at most {MAX_TEXT} characters"}
         return self._begin(say(name, text))
 
-    def unsay(self, name: str) -> Answer:
-        return self.say(name, "")
+    def remove_entry(self, name: str) -> Answer:
+        return self.store_entry(name, "")
 
     def read(self) -> Answer:
         """What a majority holds now, as against what this courier knows."""
         if self.peers() is None:
             return 404, {"error": "no fleet is configured"}
-        return self._begin(lambda ticket, document: None)
+        return self._begin(lambda proposal_id, document: None)
 
     def replace(self, old: str, new: str) -> Answer:
         peers = self.peers()
@@ -79,25 +79,25 @@
         """Whether this courier may act under it now, and the elapsed time at which that was looked up."""
         if (peers := self.peers()) is None:
             return 404, {"error": "no fleet is configured"}
-        fence, at_us = peers.held(name)
-        return 200, {"lease": name, "fence": fence, "at_us": at_us, "owner": peers.node.register.name}
+        fencing_token, at_us = peers.fencing_token(name)
+        return 200, {"lease": name, "fence": fencing_token, "at_us": at_us, "owner": peers.node.register.name}
 
-    def outcome(self, ticket: str) -> Answer:
-        told = self.outcomes.get(ticket)
-        return (200, told) if told else (404, {"error": "no such change was begun here lately"})
+    def outcome(self, proposal_id: str) -> Answer:
+        answer = self.outcomes.get(proposal_id)
+        return (200, answer) if answer else (404, {"error": "no such change was begun here lately"})
 
 
 def fleet_routes(
     peers: Callable[[], Any], in_force: Callable[[], Any]
 ) -> list[tuple[str, str, Handler | WithBody]]:
-    staff = FleetStaff(peers)
+    actions = FleetActions(peers)
     return [
         *policy_routes(peers, in_force),
-        ("GET", "/fleet", staff.status),
-        ("POST", "/fleet/read", staff.read),
-        ("GET", "/fleet/leases/*", staff.lease),
-        ("GET", "/fleet/changes/*", staff.outcome),
-        ("POST", "/fleet/words/*/*", staff.say),
-        ("POST", "/fleet/words/*", staff.unsay),
-        ("POST", "/fleet/voters/*/*", staff.replace),
+        ("GET", "/fleet", actions.status),
+        ("POST", "/fleet/read", actions.read),
+        ("GET", "/fleet/leases/*", actions.lease),
+        ("GET", "/fleet/changes/*", actions.outcome),
+        ("POST", "/fleet/words/*/*", actions.store_entry),
+        ("POST", "/fleet/words/*", actions.remove_entry),
+        ("POST", "/fleet/voters/*/*", actions.replace),
     ]
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -13,7 +13,7 @@
 from hopmill.net.operator import Handler, WithBody
 
 Answer = tuple[int, dict[str, Any]]
-MOST_OUTCOMES = 64
+MAX_OUTCOMES = 64
 
 
 class Proposal(msgspec.Struct, forbid_unknown_fields=True):
@@ -31,147 +31,159 @@
     dry_run: bool = False
 
 
-class PolicyStaff:
+class PolicyActions:
     """One owner of the proposals that staff have made here."""
 
     def __init__(self, peers: Callable[[], Any], in_force: Callable[[], Any]) -> None:
         self.peers, self.in_force = peers, in_force
-        self.begun: OrderedDict[str, str] = OrderedDict()  # by id: why it was not begun, "" while it is
+        self.refusals: OrderedDict[str, str] = OrderedDict()  # by id: why it was not begun, "" while it is
 
-    def _govern(self) -> Any:
+    def _policy_member(self) -> Any:
         peers = self.peers()
         return peers.node.govern if peers else None
 
     def status(self) -> Answer:
-        if self._govern() is None:
+        if self._policy_member() is None:
             return 404, {"error": "no fleet with a policy is configured"}
         return 200, self.peers().status()["policy"] | self.in_force().status()
 
     def history(self) -> Answer:
         """What came into force, and the newest that did not."""
-        if (govern := self._govern()) is None:
+        if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        p = govern.register.document.policy
+        policy = policy_member.register.document.policy
         rows = [{**msgspec.to_builtins(e), "outcome": "in force"} for e in self.in_force().book.entries]
-        rows += [{"id": e.id, "outcome": "in force nowhere", "why": e.why} for e in p.ended if not e.version]
-        return 200, {"version": p.version, "applied": self.in_force().applied_version, "changes": rows}
+        rows += [
+            {"id": e.id, "outcome": "in force nowhere", "why": e.why} for e in policy.ended if not e.version
+        ]
+        return 200, {"version": policy.version, "applied": self.in_force().applied_version, "changes": rows}
 
     def propose(self, body: bytes) -> Answer:
-        if (govern := self._govern()) is None:
+        if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
         from hopmill import book as books
         from hopmill.overlay import read_patch
 
         try:
-            ask = msgspec.json.decode(body, type=Proposal)
+            proposal = msgspec.json.decode(body, type=Proposal)
         except (msgspec.DecodeError, RecursionError) as error:
             return 400, {"error": str(error)}
-        in_force, p = self.in_force(), govern.register.document.policy
-        there = {p.change.id if p.change else "", p.stage.id if p.stage else ""}
-        if any(e.id == ask.id for e in in_force.book.entries) or p.outcome(ask.id) or ask.id in there:
-            return self.outcome(ask.id)
-        if p.stage:
-            return 409, {"error": f"change {p.stage.id} of {p.stage.by} is staged"}
-        if in_force.applied_version != p.version:
-            return 409, {"error": f"version {p.version} is in force, and not known here yet"}
-        if ask.if_version not in (None, p.version):
-            return 409, {"error": f"version {p.version} is in force, not {ask.if_version}"}
+        in_force, policy = self.in_force(), policy_member.register.document.policy
+        there = {policy.change.id if policy.change else "", policy.stage.id if policy.stage else ""}
+        if (
+            any(e.id == proposal.id for e in in_force.book.entries)
+            or policy.outcome(proposal.id)
+            or proposal.id in there
+        ):
+            return self.outcome(proposal.id)
+        if policy.stage:
+            return 409, {"error": f"change {policy.stage.id} of {policy.stage.by} is staged"}
+        if in_force.applied_version != policy.version:
+            return 409, {"error": f"version {policy.version} is in force, and not known here yet"}
+        if proposal.if_version not in (None, policy.version):
+            return 409, {"error": f"version {policy.version} is in force, not {proposal.if_version}"}
         try:
-            if ask.revert is None:
-                patch, unset = read_patch(ask.patch)
+            if proposal.revert is None:
+                patch, unset = read_patch(proposal.patch)
             else:
-                patch, unset = in_force.book.patch_to(ask.revert)
-            book = in_force.book.next(ask.id, time.time(), ask.by, ask.reason, patch, unset)
+                patch, unset = in_force.book.patch_to(proposal.revert)
+            book = in_force.book.next(proposal.id, time.time(), proposal.by, proposal.reason, patch, unset)
         except (ConfigError, books.TooLong) as error:
             return 400, {"error": str(error)}
         except KeyError:
-            return 400, {"error": f"version {ask.revert} is no longer known"}
+            return 400, {"error": f"version {proposal.revert} is no longer known"}
         changes = book.entries[-1].changes if book.entries else []
         if not changes:
             return 400, {"error": "the patch: changes nothing"}
         text = book.encode()
-        if why := in_force.against(text):
+        if why := in_force.reason_to_reject(text):
             return 409, {"error": f"this courier can't go by it: {why}"}
-        if ask.dry_run:
-            return 200, {"state": "not proposed", "base": p.version, "changes": changes}
-        return self._begin(ask, text, p.version, changes)
+        if proposal.dry_run:
+            return 200, {"state": "not proposed", "base": policy.version, "changes": changes}
+        return self._begin(proposal, text, policy.version, changes)
 
-    def _begin(self, ask: Proposal, text: bytes, base: int, changes: list[Any]) -> Answer:
-        ident = ask.id
-        self.begun[ident] = ""
-        while len(self.begun) > MOST_OUTCOMES:
-            self.begun.popitem(last=False)
+    def _begin(self, proposal: Proposal, text: bytes, base: int, changes: list[Any]) -> Answer:
+        change_id = proposal.id
+        self.refusals[change_id] = ""
+        while len(self.refusals) > MAX_OUTCOMES:
+            self.refusals.popitem(last=False)
 
         def ended(outcome: Any) -> None:
             if outcome.state == "refused":
-                self.begun[ident] = outcome.why
+                self.refusals[change_id] = outcome.why
             elif outcome.state == "unknown":
-                self.begun.pop(ident, None)
+                self.refusals.pop(change_id, None)
 
-        self.peers().govern(
-            lambda govern, now: govern.propose(
-                ident, text, base, now, ended, ask.share, int(ask.watch_s * 1e3)
+        self.peers().update_policy(
+            lambda policy_member, now: policy_member.propose(
+                change_id, text, base, now, ended, proposal.share, int(proposal.watch_s * 1e3)
             )
         )
-        return 202, {"state": "under way", "id": ident, "base": base, "changes": changes}
+        return 202, {"state": "under way", "id": change_id, "base": base, "changes": changes}
 
-    def outcome(self, ident: str) -> Answer:
-        if (govern := self._govern()) is None:
+    def outcome(self, change_id: str) -> Answer:
+        if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        p = govern.register.document.policy
-        told = {"id": ident, "version": p.version}
-        if p.change and p.change.id == ident + "~":
-            return 200, told | {
+        policy = policy_member.register.document.policy
+        answer = {"id": change_id, "version": policy.version}
+        if policy.change and policy.change.id == change_id + "~":
+            return 200, answer | {
                 "state": "under way",
                 "step": "going back",
-                "why": p.outcome(ident).why if p.outcome(ident) else "",
+                "why": policy.outcome(change_id).why if policy.outcome(change_id) else "",
             }
-        if ended := p.outcome(ident):
+        if ended := policy.outcome(change_id):
             state = "in force" if ended.version else "in force nowhere"
-            return 200, told | {"state": state, "version": ended.version or p.version, "why": ended.why}
-        for entry in self.in_force().book.entries if not p.stage else ():
-            if entry.id == ident:
-                return 200, told | {"state": "in force", "version": entry.version, "why": ""}
-        if p.change and p.change.id == ident:
-            return 200, told | {
+            return 200, answer | {
+                "state": state,
+                "version": ended.version or policy.version,
+                "why": ended.why,
+            }
+        for entry in self.in_force().book.entries if not policy.stage else ():
+            if entry.id == change_id:
+                return 200, answer | {"state": "in force", "version": entry.version, "why": ""}
+        if policy.change and policy.change.id == change_id:
+            return 200, answer | {
                 "state": "under way",
-                "step": "closing" if p.change.closing else "prepared",
-                "waits": govern.conductor.waits(),
+                "step": "closing" if policy.change.closing else "prepared",
+                "waits": policy_member.conductor.waits(),
             }
-        if p.stage and p.stage.id == ident:
-            return 200, told | {
+        if policy.stage and policy.stage.id == change_id:
+            return 200, answer | {
                 "state": "under way",
                 "step": "staged",
-                "watched": sorted(govern.conductor.counts),
+                "watched": sorted(policy_member.conductor.counts),
             }
-        if self.begun.get(ident):
-            return 200, told | {"state": "in force nowhere", "why": self.begun[ident]}
-        return 200, told | {"state": "under way" if ident in self.begun else "not known", "why": ""}
+        if self.refusals.get(change_id):
+            return 200, answer | {"state": "in force nowhere", "why": self.refusals[change_id]}
+        return 200, answer | {"state": "under way" if change_id in self.refusals else "not known", "why": ""}
 
     def _step(self, act: Callable[[Any, int], str]) -> Answer:
-        if self._govern() is None:
+        if self._policy_member() is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        self.peers().govern(act)
+        self.peers().update_policy(act)
         return 202, {"state": "under way"}
 
-    def strike(self, member: str, off: bool = True) -> Answer:
+    def cancel_member(self, member: str, is_cancelled: bool = True) -> Answer:
         """Staff's word that this courier does not run."""
-        return self._step(lambda govern, now: govern.strike(member, off, now, lambda outcome: None))
+        return self._step(
+            lambda policy_member, now: policy_member.strike(member, is_cancelled, now, lambda outcome: None)
+        )
 
-    def withdraw(self, ident: str) -> Answer:
-        return self._step(lambda govern, now: govern.withdraw(ident, now))
+    def withdraw(self, change_id: str) -> Answer:
+        return self._step(lambda policy_member, now: policy_member.withdraw(change_id, now))
 
 
 def policy_routes(
     peers: Callable[[], Any], in_force: Callable[[], Any]
 ) -> list[tuple[str, str, Handler | WithBody]]:
-    staff = PolicyStaff(peers, in_force)
+    actions = PolicyActions(peers, in_force)
     return [
-        ("GET", "/fleet/policy", staff.status),
-        ("GET", "/fleet/policy/history", staff.history),
-        ("POST", "/fleet/policy", WithBody(staff.propose)),
-        ("GET", "/fleet/policy/changes/*", staff.outcome),
-        ("POST", "/fleet/policy/changes/*/withdraw", staff.withdraw),
-        ("POST", "/fleet/policy/strike/*", staff.strike),
-        ("POST", "/fleet/policy/let-back/*", lambda member: staff.strike(member, False)),
+        ("GET", "/fleet/policy", actions.status),
+        ("GET", "/fleet/policy/history", actions.history),
+        ("POST", "/fleet/policy", WithBody(actions.propose)),
+        ("GET", "/fleet/policy/changes/*", actions.outcome),
+        ("POST", "/fleet/policy/changes/*/withdraw", actions.withdraw),
+        ("POST", "/fleet/policy/strike/*", actions.cancel_member),
+        ("POST", "/fleet/policy/let-back/*", lambda member: actions.cancel_member(member, False)),
     ]
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -60,7 +60,7 @@
     [
         (answer(200), c.Outcome(Result.OK, over=True)),
         (answer(500), c.Outcome(Result.ERROR)),
-        (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
+        (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, retry_after_us=250_000)),
         (answer(503), c.Outcome(Result.FULL)),
         (
             answer(503, X_Server_Load="x0=0.4,x1=25"),
@@ -101,7 +101,7 @@
         assert 1 <= int(headers["x-timeout-ms"]) <= 5000
         if step == "hang":  # the slot is held until the connection ends: a timed-out call closes it
             await bounded(endpoint.ended.get())
-        assert o.waits == ([250_000] if outcome.wait_us else [])
+        assert o.waits == ([250_000] if outcome.retry_after_us else [])
         o.calls.close()
         await endpoint.stop()
 
@@ -130,7 +130,7 @@
     ],
 )
 def test_an_answer_that_does_not_end_is_not_kept(ids, outcome, monkeypatch):
-    monkeypatch.setattr(c, "TAIL_S", 1000.0)
+    monkeypatch.setattr(c, "RESPONSE_TAIL_S", 1000.0)
 
     async def run():
         endpoint = await Flood().start()
@@ -229,7 +229,7 @@
         up, lost = loop.create_future(), loop.create_future()
 
         class Seen(Exchange):
-            def lost(self, written):
+            def connection_lost(self, written):
                 lost.set_result(written)
 
         connection = Connection(loop, listener.getsockname())
@@ -286,7 +286,7 @@
         ends = dict(await o.send(endpoint.port, *"abcde"))
         path, headers, body, _ = await endpoint.call()
         assert path == "/events/bundle" and b'"key":"ka"' in body and b'"body":"eA=="' in body
-        assert {o.wait_us for o in ends.values()} == {500_000}
+        assert {o.retry_after_us for o in ends.values()} == {500_000}
         assert {i: (o.result, o.over) for i, o in ends.items()} == {
             "a": (Result.OK, True),
             "b": (Result.ERROR, False),
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -204,7 +204,7 @@
 
 def test_a_silent_watch_is_opened_again(tmp_path, monkeypatch):
     # A cut connection stays open and silent: only the missing empty lines tell.
-    monkeypatch.setattr("hopmill.net.discovery.SILENCE_S", 0.2)
+    monkeypatch.setattr("hopmill.net.discovery.SILENCE_TIMEOUT_S", 0.2)
 
     class Mute(Discovery):
         def _push(self, line):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -423,8 +423,8 @@
 
 @pytest.mark.parametrize("how", ["reset", "end", "move", "silence"])
 def test_a_watch_that_dies_in_half_a_line_is_opened_again_soon_from_where_it_was(how, monkeypatch):
-    monkeypatch.setattr("hopmill.net.discovery.WORKED_S", 0.0)
-    monkeypatch.setattr("hopmill.net.discovery.SILENCE_S", 0.3 if how == "silence" else 30.0)
+    monkeypatch.setattr("hopmill.net.discovery.ESTABLISHED_S", 0.0)
+    monkeypatch.setattr("hopmill.net.discovery.SILENCE_TIMEOUT_S", 0.3 if how == "silence" else 30.0)
     random.seed(1)
 
     async def run():
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -148,7 +148,7 @@
     await fleet.inside()
     metrics = fleet.host.metrics
     for partner in range(MAX_LABEL_VALUES + 50):
-        metrics.call(partner, "ok", 0.1)
+        metrics.count_attempt(partner, "ok", 0.1)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     sock.setblocking(False)
@@ -162,11 +162,11 @@
 
 
 def test_labels_stay_bounded_under_a_churn_of_names():
-    names = LabelValues(most=3)
+    names = LabelValues(max_count=3)
     assert [names.label(n) for n in (1, 2, 3, 4, 5, 1)] == ["1", "2", "3", OTHER, OTHER, "1"]
     metrics = Metrics(("safe",))
     for partner in range(MAX_LABEL_VALUES * 3):
-        metrics.call(partner, "ok", 0.01)
+        metrics.count_attempt(partner, "ok", 0.01)
     rows = [line for line in metrics.text().splitlines() if line.startswith(b"hopmill_attempts_total")]
     assert len(rows) == MAX_LABEL_VALUES + 1 and b'partner="other"' in rows[-1]
 
@@ -178,7 +178,7 @@
     client = await fleet.inside()
     assert await client.put("m") == "+OK"
     assert fleet.host.metrics is None and fleet.host.observer.meters is None
-    assert not fleet.host.observer.taken_at and not fleet.host.operator_server.acceptors
+    assert not fleet.host.observer.accepted_at and not fleet.host.operator_server.acceptors
 
 
 @courier
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -185,12 +185,12 @@
     begun = []
     fleet.host.calls.hooks.begin = lambda endpoint, items: begun.append(items) or items
     waiting = []
-    fleet.host.pool._up = lambda *args: waiting.append(args)
+    fleet.host.pool._connected = lambda *args: waiting.append(args)
     await client.put("m")
     await until(lambda: waiting)
     assert await out(fleet, "a") == 200
-    del fleet.host.pool._up
-    fleet.host.pool._up(*waiting[0])
+    del fleet.host.pool._connected
+    fleet.host.pool._connected(*waiting[0])
     assert not begun and e.calls.empty()
     assert waiting[0][1].closed  # nor is it kept there
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -133,7 +133,7 @@
 
 def written(folder, *counts):
     storage = peers.Storage(folder)
-    storage.settle(storage.load()[1])
+    storage.ensure_anchor(storage.load()[1])
     for count in counts:
         storage.write(stored(count))
     return storage
@@ -206,7 +206,7 @@
 
     fleet.host.member_transport.storage.write = full
     begun = asyncio.create_task(changed(fleet, "/fleet/words/w/x"))
-    await until(lambda: fleet.host.member_transport.failing)
+    await until(lambda: fleet.host.member_transport.is_failing)
     assert (await status(fleet))["disk"] == "failing" and await client.put("m") == "+OK"
     await e.call()
     await asyncio.sleep(0.3)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -56,7 +56,7 @@
 
 def silent(o):
     """Nothing was heard of the endpoint for longer than a connect may take."""
-    o.pool.endpoints[1].heard_at -= o.pool.connect_s + 1
+    o.pool.endpoints[1].last_response_at -= o.pool.connect_s + 1
 
 
 @run
@@ -80,7 +80,7 @@
             o.pool.check_out(n, lambda link, error, got=got: got.set_result(link))
             o.pool.check_in(await bounded(got))
         assert [len(o.pool.endpoints[n].idle) for n in range(3)] == [0, 1, 1]
-        assert o.pool.endpoints[0].closed == {p.ROOM: 1}
+        assert o.pool.endpoints[0].closed == {p.EVICTED: 1}
         o.pool.close()
         for e in endpoints:
             await e.stop()
@@ -94,7 +94,7 @@
     o.pool.set_max_idle(1, 2)
     assert list(o.pool.endpoints[1].idle) == links[2:]
     o.pool.set_max_idle(1, 0)
-    assert not o.pool.idle and o.pool.endpoints[1].closed == {p.SURPLUS: 4}
+    assert not o.pool.idle and o.pool.endpoints[1].closed == {p.OVER_LIMIT: 4}
     link = await lent(o, endpoint)
     o.pool.check_in(link)
     assert link.closed  # none is kept where the table is full
@@ -105,7 +105,7 @@
         endpoint, o = await Endpoint().start(), Outcomes(idle_us=200_000)
         links = await idle(o, endpoint, 2)
         await until(lambda: links[0].closed and links[1].closed)
-        assert o.pool.endpoints[1].closed == {p.AGED: 2} and o.pool.aging is None
+        assert o.pool.endpoints[1].closed == {p.IDLE_EXPIRED: 2} and o.pool.expiry_timer is None
         await endpoint.stop()
 
     asyncio.run(go())
@@ -129,9 +129,9 @@
     assert first is links[-1]
     second, third = await lent(o, endpoint), await lent(o, endpoint)
     assert not {second, third} & set(links)  # while the first is not answered the others go over new ones
-    o.pool.failed(first)
+    o.pool.call_failed(first)
     first.close()
-    assert all(link.closed for link in links) and o.pool.endpoints[1].closed[p.DOUBTED] == 2
+    assert all(link.closed for link in links) and o.pool.endpoints[1].closed[p.NOT_TRUSTED] == 2
 
 
 @run
@@ -139,9 +139,9 @@
     links = await idle(o, endpoint, 3)
     silent(o)
     first = await lent(o, endpoint)
-    o.pool.heard(first)
+    o.pool.response_received(first)
     assert await lent(o, endpoint) is links[1]
-    o.pool.failed(first)  # others were heard since: this one alone was lost
+    o.pool.call_failed(first)  # others were heard since: this one alone was lost
     assert not links[0].closed
 
 
@@ -153,7 +153,7 @@
     await asyncio.sleep(0.01)  # it is born after they came free
     young = await lent(o, endpoint), await lent(o, endpoint)
     assert young[0] is links[1] and young[1] not in links
-    o.pool.heard(young[1])
+    o.pool.response_received(young[1])
     third = await lent(o, endpoint)
     assert third not in links
 
@@ -170,7 +170,7 @@
     await bounded(asyncio.gather(*sends))
     assert len(o.pool.idle) == 2
     assert (await o.send(endpoint.port, "c", timeout_us=100_000))[0][1].result is Result.TIMEOUT
-    assert not o.pool.idle and o.pool.endpoints[1].closed == {p.GIVEN_UP: 1, p.DOUBTED: 1}
+    assert not o.pool.idle and o.pool.endpoints[1].closed == {p.CALL_ABANDONED: 1, p.NOT_TRUSTED: 1}
     assert (await o.send(endpoint.port, "d"))[0][1].result is Result.OK and endpoint.accepted == 3
 
 
@@ -181,7 +181,7 @@
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() - 60) * 1e3)
     assert not links[0].closed  # it started long before
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() + 1) * 1e3)
-    assert links[0].closed and o.pool.endpoints[1].closed == {p.RESTARTED: 1}
+    assert links[0].closed and o.pool.endpoints[1].closed == {p.ENDPOINT_RESTARTED: 1}
     o.pool.check_in(busy)
     assert busy.closed
 
@@ -190,12 +190,12 @@
 async def test_nothing_is_kept_for_an_endpoint_that_may_get_no_calls(endpoint, o):
     # Connect succeeds while the endpoint has begun to drain.
     waiting = []
-    o.pool._up = lambda *args: waiting.append(args)
+    o.pool._connected = lambda *args: waiting.append(args)
     sending = asyncio.ensure_future(o.send(endpoint.port, "a"))
     await until(lambda: waiting)
     o.wanted = o.allowed = False
-    del o.pool._up
-    o.pool._up(*waiting[0])
+    del o.pool._connected
+    o.pool._connected(*waiting[0])
     assert (await sending)[0][1].result is Result.MOOT
     assert not o.pool.idle and waiting[0][1].closed and endpoint.calls.empty()
     assert (await o.send(endpoint.port, "b"))[0][1].result is Result.MOOT  # and none is opened any more
@@ -211,8 +211,8 @@
     assert links[0].closed and not busy.closed and o.pool.take_idle_changes() == [(1, ())]
     assert o.pool.status(str)["open"] == 1  # it is still counted, and would be closed with the pool
     o.pool.check_in(busy)
-    assert busy.closed and not o.pool.leaving
-    assert o.pool.totals() == {"opened": 2, "reused": 1, p.LEFT: 2}
+    assert busy.closed and not o.pool.removed_endpoints
+    assert o.pool.totals() == {"opened": 2, "reused": 1, p.ENDPOINT_REMOVED: 2}
 
 
 class Late(Endpoint):
@@ -268,7 +268,7 @@
         port = listener.getsockname()[1]
         assert (await o.send(port, "a"))[0][1].result is Result.OK
         assert (await o.send(port, "b", body=b"x" * size))[0][1].result is result
-        assert o.pool.endpoints[1].reused == 1 and o.pool.endpoints[1].closed == {p.BROKE: 1}
+        assert o.pool.endpoints[1].reused == 1 and o.pool.endpoints[1].closed == {p.BROKE_DURING_CALL: 1}
         thread.join()
         listener.close()
 
@@ -304,13 +304,13 @@
         got = []
         o.pool.check_out(2, lambda link, error: got.append(link))
         await until(lambda: got)
-        assert got[0].endpoint == 2 and o.pool.endpoints[1].closed == {p.ROOM: 1}
+        assert got[0].endpoint == 2 and o.pool.endpoints[1].closed == {p.EVICTED: 1}
         assert [r.result for _, r in await o.send(a.port, "x")] == [Result.MOOT]  # none came free in its time
         sending = asyncio.ensure_future(o.send(a.port, "y"))
-        await until(lambda: o.pool.waiting)
-        o.pool.drop(got[0], p.ASKED)  # one does now
+        await until(lambda: o.pool.waiting_for_descriptor)
+        o.pool.drop(got[0], p.REQUESTED_BY_POLICY)  # one does now
         assert [r.result for _, r in await sending] == [Result.OK]
-        assert not o.pool.waiting and not o.calls.in_flight and files.asked < 50
+        assert not o.pool.waiting_for_descriptor and not o.calls.in_flight and files.asked < 50
         for e in (a, b):
             await e.stop()
 
@@ -331,7 +331,7 @@
             ends = await asyncio.gather(*(o.send(s.getsockname()[1], str(n)) for n in range(30)))
             assert {outcome.result for ((_, outcome),) in ends} == {Result.CONNECT_FAILED}
             assert open_files() == before and not o.pool.endpoints[1].connections
-            assert o.pool.endpoints[1].closed == {p.NEVER_UP: 30}
+            assert o.pool.endpoints[1].closed == {p.NEVER_CONNECTED: 30}
             for f in fill:
                 f.close()
 
@@ -366,8 +366,13 @@
         if not n % 3:
             o.pool.check_in(link)
     await until(lambda: not endpoint.writers)
-    assert open_files() == before and not o.pool.endpoints and not o.pool.leaving and not o.pool.changed
-    assert o.pool.totals() == {"opened": 2000, "reused": 0, p.LEFT: 2000}
+    assert (
+        open_files() == before
+        and not o.pool.endpoints
+        and not o.pool.removed_endpoints
+        and not o.pool.idle_changed
+    )
+    assert o.pool.totals() == {"opened": 2000, "reused": 0, p.ENDPOINT_REMOVED: 2000}
 
 
 @run
@@ -376,7 +381,7 @@
     cargo = Cargo()
     rows = o.pool.carry_idle(cargo, 10)
     assert [len(row) for row in rows] == [4, 4]  # as the version before knows them
-    assert cargo.values["born"] == {0: links[1].born, 1: links[0].born}
+    assert cargo.values["born"] == {0: links[1].opened_at, 1: links[0].opened_at}
     other = Outcomes()
     other.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
     other.pool.resume_idle(
@@ -467,7 +472,7 @@
     for n in range(1000, 5000):  # bounded, however many there are
         places[n] = p.EndpointConnections(("127.0.0.1", 1))
     status, said = await at_door(fleet.door, "GET", "/connections")
-    assert len(said["endpoints"]) == p.MOST_ROWS and said["not_shown"] == 4001 - p.MOST_ROWS
+    assert len(said["endpoints"]) == p.MAX_ROWS and said["not_shown"] == 4001 - p.MAX_ROWS
 
 
 def test_restarts_reloads_and_whole_new_lists_leave_no_descriptor(tmp_path):
