--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -25,10 +25,8 @@
 )
 from hopmill.net.upgrade import Cargo
 
-RESPONSE_TAIL_S = 1.0  # how long the rest of an answer whose status line has come is waited for
-MAX_RESPONSE_BYTES = (
-    64 * 1024
-)  # bytes of an answer's body: what is longer is no answer, and is not waited for
+RESPONSE_TAIL_S = 1.0  # wait for the rest of a response whose head has been received
+MAX_RESPONSE_BYTES = 64 * 1024  # of a body; a longer response counts as none and is not waited for
 BATCH_RESULTS = {
     "done": Result.OK,
     "failed": Result.ERROR,
@@ -51,7 +49,7 @@
     timeout_us: int
     begun: bool = False  # its first byte may have been written
     ended: bool = False
-    idle_us: int = -1  # how long its connection had been idle before, -1 for a new one
+    idle_us: int = -1  # idle time of its connection before, -1 for a new one
 
 
 @dataclass(frozen=True)
@@ -59,34 +57,33 @@
     """How an attempt ended."""
 
     result: Result
-    over: bool = False  # nothing more is owed for the message
-    retry_after_us: int = 0  # a told wait
-    report: tuple[tuple[str, float], ...] = ()  # the endpoint's figures, by name
+    over: bool = False  # the message needs no further attempt or notice
+    retry_after_us: int = 0  # wait announced by the endpoint, 0 if none
+    report: tuple[tuple[str, float], ...] = ()  # load figures of the endpoint, by name
 
 
 @dataclass
 class CallHooks:
     """What the calls ask of and tell the host."""
 
-    may_write: Callable[[int], bool]  # the endpoint neither drains nor is there a wait
-    begin: Callable[
-        [int, list[CallItem]], list[CallItem]
-    ]  # endpoint: which of these may be written there, now
-    ended: Callable[[CallItem, int, Outcome, int], None]  # item, endpoint, outcome, latency in us
-    retry_after: Callable[[int, int], None]  # endpoint, us: at once, before any outcome
+    may_write: Callable[[int], bool]  # false while the endpoint drains or has announced a wait
+    begin: Callable[[int, list[CallItem]], list[CallItem]]  # endpoint, items: those that may be written now
+    ended: Callable[[CallItem, int, Outcome, int], None]  # item, endpoint, outcome, latency (us)
+    retry_after: Callable[[int, int], None]  # endpoint, wait (us); called before any outcome
     probed: Callable[[int, Result, int], None]
 
 
 def single_outcome(status: int, headers: dict[str, str]) -> Outcome:
     """PROTOCOL's table of answers."""
-    result, over = Result.ERROR, False  # 500, or what the protocol does not name: it may have run
+    # 500, or a status that the protocol does not name: the call may have run.
+    result, over = Result.ERROR, False
     if status == 200:
         result, over = Result.OK, True
     elif status in (429, 503):
         result = Result.MOOT if headers.get("slots-taken") == "1" else Result.FULL
     elif status == 410:
         result, over = Result.MOOT, True
-    elif status in (400, 413, 504):  # not sent
+    elif status in (400, 413, 504):  # by the protocol it did not run
         result = Result.MOOT
     return Outcome(result, over, parse_retry_after_us(headers), parse_load_report(headers))
 
@@ -115,7 +112,7 @@
         rows = json.loads(body)
         states = {str(row["id"]): BATCH_RESULTS[row["state"]] for row in rows}
         voids = {str(row["id"]) for row in rows if row["state"] in ("done", "void")}
-    except (ValueError, KeyError, TypeError, RecursionError):  # the last one: nested too deep
+    except (ValueError, KeyError, TypeError, RecursionError):  # RecursionError: nested too deeply
         return {}
     return {i: Outcome(r, i in voids, wait, report) for i, r in states.items()}
 
@@ -125,7 +122,7 @@
 
     def __init__(self, calls: Calls, endpoint: int, items: list[CallItem], path: str = "") -> None:
         self.calls, self.endpoint, self.items = calls, endpoint, items
-        self.path = path  # of a probe
+        self.path = path  # of a probe, "" for messages
         self.started = calls.loop.time()
         self.status, self.headers, self.body, self.body_bytes = 0, {}, bytearray(), 0
         self.connection: PooledConnection | None = None
@@ -155,7 +152,7 @@
         elif self.status == 200 and len(self.items) > 1:
             ends = batch_outcomes(bytes(self.body), self.headers)
             for item in self.items:
-                # One that the answer leaves out may have run.
+                # A message that the response leaves out may have run.
                 self.finish(item, ends.get(item.id, Outcome(Result.ERROR)))
         self.calls.release(self)
 
@@ -165,7 +162,7 @@
             self.calls.pool.response_received(self.connection)
         if wait := parse_retry_after_us(headers):
             self.calls.hooks.retry_after(self.endpoint, wait)
-        if self.path or status == 200 and len(self.items) > 1:  # a bundle's counts once it is whole
+        if self.path or status == 200 and len(self.items) > 1:  # a batch response counts once it is complete
             return
         for item in self.items:
             self.finish(item, single_outcome(status, headers))
@@ -177,7 +174,7 @@
             log.warning("answer.too_long", endpoint_number=self.endpoint, most=MAX_RESPONSE_BYTES)
             self.abandon()
             self.finish_all(Outcome(Result.ERROR, retry_after_us=parse_retry_after_us(self.headers)))
-        elif len(self.items) > 1:  # a single call's body means nothing
+        elif len(self.items) > 1:  # the body of a single call carries no information
             self.body += data
 
     def connection_lost(self, written: bool) -> None:
@@ -196,7 +193,7 @@
 
     def timed_out(self) -> None:
         """The courier stops waiting: the connection goes too, or a late answer would meet the next call."""
-        if not self.is_open and not self.path:  # only the rest of an answer whose head has come is missing
+        if not self.is_open and not self.path:  # the head has been received, only the rest is missing
             return
         sent = self.connection is not None and self.connection.exchange is self and self.connection.written
         if self.connection is not None:
@@ -255,7 +252,7 @@
                         received,
                     ]
                 )
-            # One that has begun and is not handed over may have run, unless its last byte was not written.
+            # A call that has begun and is not handed over may have run, unless its last byte was not written.
         return rows
 
     def unwritten(self) -> list[int]:
@@ -312,7 +309,7 @@
         checkout = self.pool.check_out(
             call.endpoint, lambda connection, error: self._checked_out(call, connection, error)
         )
-        call.checkout = checkout if call in self.in_flight else None  # it may have ended at once
+        call.checkout = checkout if call in self.in_flight else None  # it may have ended already
 
     def _checked_out(self, call: Call, connection: PooledConnection | None, error: OSError | None) -> None:
         if connection is not None:
--- a/hopmill/net/config.py
+++ b/hopmill/net/config.py
@@ -23,7 +23,7 @@
 class Options:
     """What is optional; all of it is off unless the file names it. docs/operations.md has each part."""
 
-    warm_up: bool = False  # connections.warm_up: opened before a message needs them
+    warm_up: bool = False  # connections.warm_up: open connections before messages need them
 
 
 @dataclass(frozen=True)
@@ -41,12 +41,12 @@
     known: dict[str, Any]
     settings: Settings
     zones: tuple[str, ...]
-    operator: Address | None = None  # where operators call, if anywhere
-    listen_fd: int | None = None  # the clients' listening socket, where the platform holds it
+    operator: Address | None = None  # address of the operator API, None if it is off
+    listen_fd: int | None = None  # listening socket for clients, if the platform passes it
     options: Options = field(default_factory=lambda: Options())
     log: doc.Log = field(default_factory=lambda: doc.Log())
-    members: Members | None = None  # the fleet that this courier agrees with, if any
-    document: Document | None = None  # the file, whole
+    members: Members | None = None  # fleet that this courier is a member of, if any
+    document: Document | None = None  # the whole configuration file
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     """Where the configuration is read from, at the start and again on SIGHUP."""
 
     env: Mapping[str, str]
-    file: Path | None = None  # TOML; else the JSON that LB_CONFIG names
+    file: Path | None = None  # TOML; if None, the JSON file that LB_CONFIG names
 
     def read(self) -> tuple[Document, Settings, dict[str, Any]]:
         """(the file, the module's settings, the endpoints known before discovery speaks)."""
@@ -147,7 +147,7 @@
         raise ConfigError("known: must be a JSON object")
     rev, targets = known.get("rev", 0), known.get("targets", [])
     if not isinstance(rev, int) or not isinstance(targets, list):
-        raise ConfigError("known: must hold a whole number rev and a list targets")
+        raise ConfigError("known: must have an integer rev and a list targets")
     return {"rev": rev, "targets": targets}
 
 
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -12,18 +12,16 @@
 from hopmill.net.config import Address
 from hopmill.net.http import Connection, Exchange
 
-SILENCE_TIMEOUT_S = 3.2  # an empty line comes every 2 s: after this the watch is taken for dead
+SILENCE_TIMEOUT_S = 3.2  # discovery sends an empty line every 2 s; the watch is reopened after this silence
 CONNECT_TIMEOUT_S = 1.0
-RETRY_CEILINGS_S = (
-    0.1,
-    1.0,
-)  # first and longest ceiling of the wait before the next try, for one courier alone
-# A watch that has worked for so long and is lost is opened again so soon: that says nothing of a busy server.
+# First and largest upper bound of the jittered wait before a retry, for a single courier.
+RETRY_CEILINGS_S = (0.1, 1.0)
+# A watch that has worked for ESTABLISHED_S is reopened after REOPEN_DELAY_S (range), since its loss does not
+# indicate an overloaded server.
 ESTABLISHED_S, REOPEN_DELAY_S = 1.0, (0.02, 0.3)
-MAX_LIST_BYTES = 4 << 20  # bytes of a list that comes in several lines
-NOTICE_TIMEOUT_S = (
-    0.3  # an agent on this machine answers a notice at once: after this it is sent again, elsewhere
-)
+MAX_LIST_BYTES = 4 << 20  # of a list that arrives in several lines
+# An agent on this machine answers notices at once. After this time they are sent again on a new connection.
+NOTICE_TIMEOUT_S = 0.3
 MAX_BATCH = 200  # notices in one request
 log = logs.part("discovery")
 
@@ -173,7 +171,7 @@
                 raise ValueError("targets")
         except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
             log.error("discovery.unreadable", error=error)
-            self.rev = 0  # what it said is lost: ask for all anew
+            self.rev = 0  # its content is lost: ask for the whole list again
             self.retry()
             return
         self.backoff.reset()
@@ -198,7 +196,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, on_accepted: Callable[[list[int]], None]
     ) -> None:
-        super().__init__(loop, address, Backoff())  # its own machine's agent answers these
+        super().__init__(loop, address, Backoff())  # the agent on this machine serves one courier only
         self.on_accepted = on_accepted
         self.waiting: dict[int, bytes] = {}
         self.sent_numbers: list[int] = []
@@ -247,7 +245,7 @@
             self.backoff.reset()
             self._remove_sent()
             self.batch_size = MAX_BATCH
-        elif self.status == 400 and len(self.sent_numbers) > 1:  # find the line that can't be read
+        elif self.status == 400 and len(self.sent_numbers) > 1:  # bisect to find the line that is rejected
             self.batch_size = len(self.sent_numbers) // 2
         elif self.status == 400:
             log.error("notice.turned_down", text=self.waiting[self.sent_numbers[0]])
--- a/hopmill/net/http.py
+++ b/hopmill/net/http.py
@@ -23,7 +23,8 @@
 READ_BYTES = 1 << 16
 STATUS_LINE = re.compile(rb"HTTP/\d\.\d (\d{3})(?: [^\n]*)?\r?\n")
 MAX_STATUS_LINE_BYTES = 256
-MAX_KEPT_BYTES = 96 * 1024  # bytes of an answer kept for an upgrade: over the longest that is not given up
+# Of a response, kept for an upgrade; more than the longest response that calls accept.
+MAX_KEPT_BYTES = 96 * 1024
 
 
 class Exchange:
@@ -53,10 +54,10 @@
         self.http = h11.Connection(h11.CLIENT)
         self.exchange: Exchange | None = None
         self.on_close: Callable[[], None] = lambda: None
-        self.closed = self.broke_during_exchange = False  # broke: with an exchange on it
+        self.closed = self.broke_during_exchange = False  # closed with an exchange under way
         self._outgoing, self._sent_bytes, self._received = b"", 0, bytearray()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self.sock = sock or socket.socket(family, socket.SOCK_STREAM)  # OSError: see LOCAL_ERRORS
+        self.sock = sock or socket.socket(family, socket.SOCK_STREAM)  # may raise OSError, see LOCAL_ERRORS
         self.sock.setblocking(False)
         if sock:
             loop.add_reader(sock, self._readable)
@@ -149,7 +150,7 @@
             return
         except OSError:
             data = b""
-        if self.exchange is None:  # an end, or bytes that nobody asked for
+        if self.exchange is None:  # end of stream, or bytes that no request asked for
             self.close()
             return
         self._process_received(data)
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -24,11 +24,10 @@
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-MAX_CHANGE_WAIT_S = (
-    0.5  # clients wait so long for a change to be over; from then on they are told to come again
-)
-HELD_MEMORY_SHARE = 1 / 2  # of the memory, for messages that are held, each as long as the longest
-EMPTY_POLICY = books.Book().encode()  # the policy of a fleet that has made no change
+# Clients wait up to this time for a policy change to complete; after it they are answered with a retry-after.
+MAX_CHANGE_WAIT_S = 0.5
+HELD_MEMORY_SHARE = 1 / 2  # of memory, for held messages, if each had the maximum size
+EMPTY_POLICY = books.Book().encode()  # policy of a fleet that has not changed it yet
 log = logs.part("fleet")
 
 
@@ -39,16 +38,16 @@
         self.host, self.document = host, document
         self.member_transport: MemberTransport | None = None
         self.has_policy = bool(host.config.members and host.config.members.policy)
-        self.file_settings = host.s  # as this courier's file has them
+        self.file_settings = host.s  # from this courier's configuration file
         self.book = books.Book()
-        self.applied_version = -1  # the version that the module goes by
+        self.applied_version = -1  # version that the policy module uses, -1 for none
         self.excluded: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
-        self.rejection = ""  # why the version in force can't be taken here
+        self.rejection = ""  # why the version in force can not be applied, or ""
         self.is_holding = self.has_policy
         self.holding_since = host.loop.time()
         self.waiting: list[tuple[Put, Reply, float]] = []
 
-    # Whether this courier may act
+    # Permission to act
 
     def may_act(self) -> bool:
         """To be asked as near to the act as can be."""
@@ -64,7 +63,7 @@
     def queue(self, put: Put, reply: Reply) -> None:
         """A message that came while nothing may be taken on."""
         now = self.host.loop.time()
-        if not self.is_holding:  # found out by the message itself
+        if not self.is_holding:  # noticed only now, by this message
             self._set_holding(True)
         if now - self.holding_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.s.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
@@ -103,7 +102,7 @@
                     remaining_ms = max(1, put.life_ms - round((now - at) * 1e3))
                     self.host.intake.put(dataclasses.replace(put, life_ms=remaining_ms), reply)
 
-    # What is in force
+    # Policy versions
 
     def initial_events(self) -> list[interface.Event]:
         """For the first turn: the file's own, and nothing begun before the fleet has been heard."""
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from hopmill.net.host import Host
 
-FLEET_BYTES = 16_384  # of the disk, for what members keep, the file that is half written included
-TEXTS_BYTES = 200_000  # and for the texts of policies: in force, under way, half written
+FLEET_BYTES = 16_384  # disk space for member state, a partially written file included
+TEXTS_BYTES = 200_000  # disk space for policy texts: in force, proposed and partially written
 
 
 def fleet_bytes(config: Config) -> int:
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -48,38 +48,41 @@
         self.classes, self.partners = classes, LabelValues()
         self.messages = Counter(
             "hopmill_messages",
-            "Messages by class and what became of them.",
+            "Messages by class and result.",
             ["cls", "end"],
             registry=registry,
         )
         self.message_s = Histogram(
             "hopmill_message_seconds",
-            "From taken on to its end.",
+            "Time from acceptance of a message to its end.",
             ["cls", "end"],
             buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
         self.calls = Counter(
             "hopmill_attempts",
-            "Attempts that ended, by partner and result.",
+            "Ended attempts by partner and result.",
             ["partner", "result"],
             registry=registry,
         )
         self.call_s = Histogram(
             "hopmill_attempt_seconds",
-            "From an attempt's start to its end.",
+            "Time from start to end of an attempt.",
             ["partner"],
             buckets=LATENCY_BUCKETS_S,
             registry=registry,
         )
         self.turn_s = Histogram(
             "hopmill_turn_seconds",
-            "Time that a turn takes, its effects included.",
+            "Duration of a turn, its actions included.",
             buckets=TURN_BUCKETS_S,
             registry=registry,
         )
         self.lag_s = Histogram(
-            "hopmill_loop_lag_seconds", "How late turns begin.", buckets=TURN_BUCKETS_S, registry=registry
+            "hopmill_loop_lag_seconds",
+            "Delay of turns after their due time.",
+            buckets=TURN_BUCKETS_S,
+            registry=registry,
         )
         if state_collector:
             registry.register(state_collector)
@@ -112,22 +115,24 @@
     def collect(self) -> Iterator[Metric]:
         host = self.host
         for name, text, value in (
-            ("hopmill_messages_held", "Messages taken on and not ended.", host.journal.open),
+            ("hopmill_messages_held", "Accepted messages that have not ended.", host.journal.open),
             (
                 "hopmill_notices_owed",
-                "Notices that the platform has not accepted.",
+                "Notices not yet accepted by the platform.",
                 len(host.notices.waiting),
             ),
             ("hopmill_slots_used", "Calls in flight.", host.courier.book.out),
-            ("hopmill_slots", "Calls that may be in flight.", host.s.slots),
+            ("hopmill_slots", "Maximum number of calls in flight.", host.s.slots),
             ("hopmill_journal_bytes", "Size of the journal.", host.journal.size),
-            ("hopmill_journal_limit_bytes", "What the folder may hold.", host.journal.limit),
-            ("hopmill_clients", "Clients' connections.", len(host.clients.clients)),
-            ("hopmill_drained", "1 while an operator has it drained.", int(host.clients.drained)),
+            ("hopmill_journal_limit_bytes", "Disk space that the journal may use.", host.journal.limit),
+            ("hopmill_clients", "Client connections.", len(host.clients.clients)),
+            ("hopmill_drained", "1 while drained by an operator.", int(host.clients.drained)),
         ):
             yield GaugeMetricFamily(name, text, value=value)
         yield from self._lanes()
-        yield from self._by("hopmill_circuits", "Circuits by state.", "state", observe.circuits(host.courier))
+        yield from self._by(
+            "hopmill_circuits", "Circuit breakers by state.", "state", observe.circuits(host.courier)
+        )
         yield from self._zones()
         yield from self._connections()
         if host.member_transport:
@@ -138,29 +143,39 @@
         states = [row["state"] for row in status["members"]]
         yield from HostState._by(
             "hopmill_fleet_members",
-            "Members as this courier sees them.",
+            "Fleet members by state, as seen by this courier.",
             "state",
             {state: states.count(state) for state in sorted(set(states))},
         )
         counts = status["datagrams"]
         for name, text, value in (
-            ("hopmill_fleet_version", "Of the register's document, as known here.", status["version"]),
-            ("hopmill_fleet_votes", "1 while this courier votes.", int(status["votes"])),
-            ("hopmill_fleet_health", "Of this member's own hearing; 0 is well.", status["health"]),
+            (
+                "hopmill_fleet_version",
+                "Version of the register document known to this courier.",
+                status["version"],
+            ),
+            ("hopmill_fleet_votes", "1 while this courier is a voter.", int(status["votes"])),
+            (
+                "hopmill_fleet_health",
+                "Local health score of this member (Lifeguard); 0 is healthy.",
+                status["health"],
+            ),
             (
                 "hopmill_fleet_leases_held",
-                "Leases that it may act under.",
+                "Leases held by this courier.",
                 sum(row["mine"] for row in status["leases"]),
             ),
         ):
             yield GaugeMetricFamily(name, text, value=value)
         for name, text in (
-            ("sent", "Datagrams to members."),
-            ("sent_bytes", "Their bytes."),
-            ("received", "Datagrams from members."),
+            ("sent", "Datagrams sent to members."),
+            ("sent_bytes", "Bytes of datagrams sent to members."),
+            ("received", "Datagrams received from members."),
         ):
             yield CounterMetricFamily(f"hopmill_fleet_{name}", text, value=counts[name])
-        dropped = CounterMetricFamily("hopmill_fleet_dropped", "Datagrams by reason.", labels=["reason"])
+        dropped = CounterMetricFamily(
+            "hopmill_fleet_dropped", "Dropped datagrams by reason.", labels=["reason"]
+        )
         for reason, count in counts["dropped"].items():
             dropped.add_metric([reason], count)
         yield dropped
@@ -170,17 +185,17 @@
         columns: list[tuple[Metric, Callable[[observe.LaneRow], float]]] = [
             (GaugeMetricFamily(f"hopmill_lane_{name}", text, labels=names), value)
             for name, text, value in (
-                ("queued", "Messages that wait, of the whole partner.", lambda row: row.queued),
+                ("queued", "Queued messages of the whole partner.", lambda row: row.queued),
                 ("out", "Calls in flight.", lambda row: row.out),
                 (
                     "window",
-                    "Calls that may be in flight; 0 where a pace holds instead.",
+                    "Maximum number of calls in flight; 0 if a rate limits instead.",
                     lambda row: row.window,
                 ),
-                ("pace", "Calls a second it is held to, 0 if none.", lambda row: row.pace),
-                ("part", "This courier's part of the limit, calls a second.", lambda row: row.part),
-                ("refused_ratio", "Share of its calls refused lately.", lambda row: row.refused),
-                ("wait_seconds", "Until a told wait ends.", lambda row: row.wait_us / 1e6),
+                ("pace", "Rate limit in calls per second, 0 if none.", lambda row: row.pace),
+                ("part", "Share of this courier of the limit, calls per second.", lambda row: row.part),
+                ("refused_ratio", "Moving share of refused calls.", lambda row: row.refused),
+                ("wait_seconds", "Time until an announced wait ends.", lambda row: row.wait_us / 1e6),
             )
         ]
         for count, row in enumerate(observe.lanes(host.courier, host.clock())):
@@ -194,7 +209,7 @@
 
     def _zones(self) -> Iterator[Metric]:
         share = GaugeMetricFamily(
-            "hopmill_zone_share", "Share of the traffic that a zone may get.", labels=["zone", "state"]
+            "hopmill_zone_share", "Share of traffic that the zone may receive.", labels=["zone", "state"]
         )
         for row in self.host.operator_actions.zone_rows():
             share.add_metric([row["zone"], row["state"]], row["share"])
@@ -203,13 +218,19 @@
     def _connections(self) -> Iterator[Metric]:
         totals, pool = self.host.pool.totals(), self.host.pool
         opened, reused = totals.pop("opened", 0), totals.pop("reused", 0)
-        yield CounterMetricFamily("hopmill_connections_opened", "Connections to endpoints.", value=opened)
-        yield CounterMetricFamily("hopmill_connections_reused", "Calls on one that was idle.", value=reused)
-        closed = CounterMetricFamily("hopmill_connections_closed", "By reason.", labels=["reason"])
+        yield CounterMetricFamily(
+            "hopmill_connections_opened", "Connections opened to endpoints.", value=opened
+        )
+        yield CounterMetricFamily("hopmill_connections_reused", "Calls on a reused connection.", value=reused)
+        closed = CounterMetricFamily(
+            "hopmill_connections_closed", "Closed connections by reason.", labels=["reason"]
+        )
         for reason, count in totals.items():
             closed.add_metric([reason], count)
         yield closed
-        yield GaugeMetricFamily("hopmill_connections_idle", "Idle ones.", value=len(pool.idle))
+        yield GaugeMetricFamily(
+            "hopmill_connections_idle", "Idle connections to endpoints.", value=len(pool.idle)
+        )
 
     @staticmethod
     def _by(name: str, text: str, label: str, counts: dict[str, int]) -> Iterator[Metric]:
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -29,10 +29,12 @@
     def __init__(self, settings: interface.Settings) -> None:
         self.settings = settings
         self.meters: Meters | None = None
-        # Of messages and calls that ended: worth, earned, calls, refused as full, failed otherwise; counted
-        # where a change of the fleet's policy is watched by them.
+        # Totals over ended messages and calls: worth offered, worth earned, calls, calls refused as full, and
+        # calls that failed otherwise. Counted where a staged policy change is evaluated by them.
         self.is_counting, self.totals = False, [0.0] * 5
-        self.accepted_at: dict[int, float] = {}  # by number, while it is open and counted
+        self.accepted_at: dict[
+            int, float
+        ] = {}  # by message number, monotonic time; only while metrics are on
 
     def _cls(self, message: Held) -> str:
         return self.settings.classes[message.cls].name
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -18,12 +18,14 @@
 from hopmill.net.config import Address
 from hopmill.net.upgrade import Cargo
 
-CALL_TIMEOUT_S = 3.0  # for a whole call
-LINGER_S = 0.5  # for the caller to read its answer and end; closing on unread bytes would take it away again
-MAX_CALL_BYTES = 8192  # bytes of a call
-MAX_CONNECTIONS, DESCRIPTOR_SHARE = 32, 1 / 16  # connections at once, and their share of the descriptors
+CALL_TIMEOUT_S = 3.0  # for receiving a whole call
+# Time for the caller to read the response and close: closing with unread bytes would reset the connection and
+# discard the response.
+LINGER_S = 0.5
+MAX_CALL_BYTES = 8192
+MAX_CONNECTIONS, DESCRIPTOR_SHARE = 32, 1 / 16  # concurrent, and as a share of the file descriptors
 BACKLOG = 64
-FORMER_ADDRESS_S = 5.0  # after an upgrade the former address is answered for so long
+FORMER_ADDRESS_S = 5.0  # after an upgrade the previous address is served this long
 log = logs.part("door")
 
 
@@ -36,7 +38,7 @@
 
 
 Body = dict[str, Any] | Page
-# What a call does: it is given the words of the path that the pattern leaves open.
+# Handler of a route. Its arguments are the parts of the path that match "*".
 Handler = Callable[..., tuple[int, Body]]
 
 
@@ -119,7 +121,7 @@
     def eof_received(self) -> bool:
         if self.answered:
             return False
-        self._read(b"")  # a call cut short is answered too, for those that still read
+        self._read(b"")  # a truncated call is answered too; the caller may still read
         return not self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
@@ -157,7 +159,7 @@
             headers = {}
         except CallRefusedError as error:
             status, body, headers = error.status, {"error": str(error)}, error.headers
-        except OSError as error:  # what must last could not be recorded, so it is not done
+        except OSError as error:  # the journal write failed, so the change is not made
             log.error("door.not_recorded", method=method, path=target[:200], error=error)
             status, body, headers = 503, {"error": "can't be recorded"}, {}
         log.info("door.call", method=method, path=target[:200], status=status)
@@ -178,7 +180,7 @@
                 self.http.send(h11.Response(status_code=status, headers=fields)),
                 self.http.send(h11.Data(data=text)) if not self._is_head else b"",
             ]
-        except h11.LocalProtocolError:  # the caller's side is beyond an answer
+        except h11.LocalProtocolError:  # the connection can no longer carry a response
             self.transport.close()
             return
         self.transport.write(b"".join(part for part in parts if part))
@@ -197,9 +199,9 @@
     def __init__(self, routes: Routes, sockets: int) -> None:
         self.routes = routes
         self.max_callers = max(4, min(MAX_CONNECTIONS, int(sockets * DESCRIPTOR_SHARE)))
-        self.callers: dict[OperatorConnection, None] = {}  # the oldest first
+        self.callers: dict[OperatorConnection, None] = {}  # oldest first
         self.acceptor: Acceptor | None = None
-        self.former: Acceptor | None = None  # at the address of the process before this one
+        self.former: Acceptor | None = None  # at the address of the previous process
 
     def listen(self, address: Address) -> None:
         self.acceptor = Acceptor(
@@ -208,11 +210,10 @@
 
     def connection_made(self, caller: OperatorConnection) -> None:
         self.callers[caller] = None
-        if len(self.callers) > self.max_callers:  # one answered already, or the longest without a call
+        if len(self.callers) > self.max_callers:  # evict an answered one, else the oldest
             evicted = next((c for c in self.callers if c.answered), next(iter(self.callers)))
-            self.callers.pop(
-                evicted
-            )  # or the next to join in this turn of the loop would close the same again
+            # Removed at once: otherwise the next connection in this loop iteration would evict the same one.
+            self.callers.pop(evicted)
             evicted.transport.abort()
 
     @property
--- a/hopmill/net/peers.py
+++ b/hopmill/net/peers.py
@@ -25,11 +25,11 @@
 
 STATE, ANCHOR, TEXT_PREFIX = "fleet.state", "fleet.anchor", "fleet.text."
 SLOT_BYTES = 4096
-SLOT_HEADER = struct.Struct(">II")  # bytes of a slot's payload, their crc32
-ERROR_RETRY_US = 1_000_000  # after a fault of the program
-MAX_DATAGRAMS_PER_READ = 256  # datagrams read before the loop goes on
+SLOT_HEADER = struct.Struct(">II")  # length and CRC-32 of a slot's payload
+ERROR_RETRY_US = 1_000_000  # next tick after an unexpected exception
+MAX_DATAGRAMS_PER_READ = 256  # before other events of the loop are handled
 RECEIVE_BUFFER_BYTES = 1 << 18
-FREEZE_TIMEOUT_S = 0.4  # an upgrade waits so long for a write that is under way
+FREEZE_TIMEOUT_S = 0.4  # an upgrade waits this long for a write in progress
 log = logs.part("fleet")
 
 
@@ -50,14 +50,14 @@
     """
 
     class Slot(msgspec.Struct, array_like=True):
-        count: int  # of writes: the larger is the later
+        count: int  # number of the write; the larger is the later
         inode: int
         changed_ns: int
         state: bytes
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.state, self.anchor = folder, folder / STATE, folder / ANCHOR
-        self.write_count = -1  # of the latest write; not known before the file is read
+        self.write_count = -1  # of the latest write, -1 before the file is read
 
     def load(self) -> tuple[Stored, bool]:
         """(what is there, whether it is what was last written here). OSError: it can't be read."""
@@ -67,14 +67,14 @@
         except FileNotFoundError:
             return Stored(), False
         slots = [s for at in (0, SLOT_BYTES) if (s := self._slot(data[at : at + SLOT_BYTES]))]
-        if not slots:  # damaged: as good as emptied
+        if not slots:  # damaged; treated like an empty folder
             log.error("fleet.storage_unreadable", path=self.state)
             return Stored(), False
         slot = max(slots, key=lambda s: s.count)
         self.write_count = slot.count
         try:
             stored = msgspec.msgpack.decode(slot.state, type=Stored)
-        except msgspec.DecodeError:  # of a later version
+        except msgspec.DecodeError:  # written by a later version
             log.error("fleet.storage_unreadable", path=self.state)
             return Stored(), False
         try:
@@ -109,7 +109,7 @@
         fd = os.open(partial, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             if os.write(fd, text) != len(text):
-                raise OSError("no room for a text of the fleet")
+                raise OSError("short write of a policy text")
             os.fdatasync(fd)
         finally:
             os.close(fd)
@@ -136,7 +136,7 @@
 
     def write(self, state: bytes) -> None:
         """On disk when it returns. OSError: the state before may still hold."""
-        if self.write_count < 0:  # after an upgrade: later than all that the process before wrote
+        if self.write_count < 0:  # after an upgrade: continue after the last write of the previous process
             self.load()
         anchor = os.stat(self.anchor)
         payload = msgspec.msgpack.encode(
@@ -144,15 +144,15 @@
         )
         data = SLOT_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
         if len(data) > SLOT_BYTES:
-            raise OSError("the fleet's state is over its bound")
+            raise OSError("fleet state exceeds its slot size")
         fd = os.open(self.state, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            # The whole slot each time: its place on disk is taken once, and later writes change no metadata.
+            # Always the whole slot: its blocks are allocated once, and later writes change no metadata.
             if (
                 os.pwrite(fd, data.ljust(SLOT_BYTES, b"\0"), (self.write_count + 1) % 2 * SLOT_BYTES)
                 != SLOT_BYTES
             ):
-                raise OSError("no room for the fleet's state")
+                raise OSError("short write of the fleet state")
             os.fdatasync(fd)
         finally:
             os.close(fd)
@@ -186,9 +186,7 @@
             carried,
             self.storage.texts() if members.policy else None,
         )
-        self.on_change: Callable[[], None] = lambda: (
-            None
-        )  # whoever goes by the fleet's policy looks what is new
+        self.on_change: Callable[[], None] = lambda: None  # set by the active policy
         self.sock = sock or self._bind()
         self.writer = ThreadPoolExecutor(1, "fleet-disk")
         self.current_write: Future[None] | None = None
@@ -220,7 +218,7 @@
             raise
         return sock
 
-    # In and out
+    # Datagrams and actions
 
     def _readable(self) -> None:
         now, needs_tick = elapsed_us(), False
@@ -229,7 +227,7 @@
                 data = self.sock.recv(wire.MOST_BYTES + 1)
             except BlockingIOError:
                 break
-            except OSError:  # an earlier datagram found nobody: that is what members find out by themselves
+            except OSError:  # ICMP error for an earlier datagram; SWIM detects lost members
                 continue
             try:
                 needs_tick |= self.node.datagram(data, now)
@@ -237,7 +235,7 @@
                 log.exception("fleet.failed")
         if needs_tick or self.node.writes:
             self.run_due_work()
-        else:  # most are: they cost little
+        else:  # most datagrams need no tick
             self._perform_actions(now)
 
     def run_due_work(self) -> None:
@@ -252,7 +250,7 @@
         due = self.loop.time() + max(0.001, wait_us / 1e6)
         if self.timer:
             if self.loop.time() < self.timer.when() <= due:
-                return  # the one that is set comes first, and looks again
+                return  # the timer that is set fires first and sets the next
             self.timer.cancel()
         self.timer = self.loop.call_at(due, self.run_due_work)
 
@@ -301,7 +299,7 @@
 
     def _written(self, batch: list[Write], done: Future[None]) -> None:
         if self.current_write is not done:
-            return  # a freeze has seen to it
+            return  # already handled by freeze
         self.current_write = None
         error = done.exception()
         if bool(error) is not self.is_failing:
@@ -343,7 +341,7 @@
                 log.info("fleet.lease", lease=name, held=bool(fencing_token), fence=fencing_token or None)
         self.on_change()
 
-    # Staff
+    # Operator API
 
     def status(self) -> dict[str, Any]:
         return self.node.status(elapsed_us()) | {"disk": "failing" if self.is_failing else "well"}
@@ -365,13 +363,13 @@
         now = elapsed_us()
         return self.node.held(lease, now), now
 
-    # Ends
+    # Shutdown and upgrade
 
     def leave(self) -> None:
         """A planned restart: the others need not find out by themselves."""
         if self.is_open and self.node.started:
             for lease_holder in self.node.register.keepers.values():
-                lease_holder.wanted = False  # handed on at once
+                lease_holder.wanted = False  # released at once
             self.node.swim.leave()
             self.run_due_work()
 
@@ -386,7 +384,7 @@
                 self.current_write.exception(FREEZE_TIMEOUT_S)
             except TimeoutError:
                 self.thaw()
-                raise FreezeTimeoutError("a write of the fleet's state is under way") from None
+                raise FreezeTimeoutError("a write of the fleet state is in progress") from None
             self.current_write = None
         return self.node.carry()
 
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -21,11 +21,12 @@
 from hopmill.net.http import LOCAL_ERRORS, Connection
 from hopmill.net.upgrade import Cargo
 
-DESCRIPTOR_RETRY_S = 0.05  # with no descriptor left, until the next try: others in this process free some too
-MAX_ROWS = 100  # endpoints that staff are shown in one answer
+# Without a free file descriptor opening is retried after this time: other parts of the process free some too.
+DESCRIPTOR_RETRY_S = 0.05
+MAX_ROWS = 100  # endpoints in one answer of the operator API
 log = logs.part("pool")
 
-# Why a connection was closed, as staff are told.
+# Reasons for closing a connection, as the operator API and the metrics show them.
 IDLE_EXPIRED, OVER_LIMIT, EVICTED = "aged", "over the endpoint's number", "room for others"
 CLOSED_BY_ENDPOINT, BROKE_DURING_CALL, CALL_ABANDONED = (
     "ended by the endpoint",
@@ -60,10 +61,10 @@
     ) -> None:
         super().__init__(loop, address, sock)
         self.endpoint = endpoint
-        self.opened_at = opened_at  # wall clock, as the list's boot times are
-        self.idle_at = 0.0  # since when nothing was asked of it
+        self.opened_at = opened_at  # wall clock, like the boot times in the endpoint list
+        self.idle_at = 0.0  # loop time since which it has carried no call
         self.checked_out_at = 0.0
-        self.idle_us = -1  # how long it had been idle before this loan, -1 for a new one
+        self.idle_us = -1  # idle time before the current checkout, -1 for a new connection
         self.state, self.reason = "opening", ""
         self.timer: asyncio.TimerHandle | None = None
 
@@ -73,15 +74,13 @@
     """One endpoint's connections."""
 
     address: Address
-    booted_at: float = 0.0  # when it last started, wall clock, 0 for long ago
-    max_idle: int = 1  # idle ones kept
-    idle: OrderedDict[PooledConnection, None] = field(
-        default_factory=OrderedDict
-    )  # the most recently used last
-    connections: set[PooledConnection] = field(default_factory=set)  # all, in any state
-    canary: PooledConnection | None = None  # lent after a silence, and not heard from yet
-    last_response_at: float = -math.inf  # when an answer last came,
-    last_response_opened_at: float = math.inf  # on a connection this old
+    booted_at: float = 0.0  # wall clock at which the endpoint last started, 0 if unknown
+    max_idle: int = 1  # idle connections that are kept
+    idle: OrderedDict[PooledConnection, None] = field(default_factory=OrderedDict)  # most recently used last
+    connections: set[PooledConnection] = field(default_factory=set)  # in any state
+    canary: PooledConnection | None = None  # checked out untrusted, no response yet
+    last_response_at: float = -math.inf  # loop time of the last response, and
+    last_response_opened_at: float = math.inf  # wall clock at which its connection was opened
     opened: int = 0
     reused: int = 0
     closed: Counter[str] = field(default_factory=Counter)
@@ -136,22 +135,21 @@
     ) -> None:
         """wanted: whether an endpoint may get calls at all; nothing is kept for one that may not."""
         self.loop, self.is_usable = loop, is_usable
-        # The endpoint counts from when it wrote its answer, and the next request takes a while to reach it. A
-        # connect, which is a round trip, has connect_us: what is closed so much sooner crosses nothing.
+        # The endpoint's idle timeout starts when it writes its response, and the next request needs time to
+        # reach it. A connect takes a round trip and is given connect_us. Closing that much earlier avoids
+        # that a request crosses the endpoint's close on the wire.
         self.idle_s = max(idle_us / 2, idle_us - connect_us) / 1e6
         self.connect_s, self.max_idle = connect_us / 1e6, max_idle
         self.endpoints: dict[int, EndpointConnections] = {}
-        self.idle: OrderedDict[PooledConnection, None] = (
-            OrderedDict()
-        )  # of all endpoints, the longest idle first
-        self.removed_endpoints: set[PooledConnection] = set()  # lent ones of endpoints that have gone
-        self.waiting_for_descriptor: deque[Checkout] = deque()  # for a descriptor
-        self.idle_changed: set[int] = set()  # endpoints whose idle ones the module has not heard of yet
-        self.removed_totals: Counter[str] = Counter()  # figures of endpoints that have gone
+        self.idle: OrderedDict[PooledConnection, None] = OrderedDict()  # of all endpoints, longest idle first
+        self.removed_endpoints: set[PooledConnection] = set()  # checked out, endpoint no longer listed
+        self.waiting_for_descriptor: deque[Checkout] = deque()
+        self.idle_changed: set[int] = set()  # endpoints with idle connections not reported yet
+        self.removed_totals: Counter[str] = Counter()  # counters of endpoints no longer listed
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.retry_timer: asyncio.TimerHandle | None = None
 
-    # The list of endpoints
+    # Endpoints
 
     def set_endpoint(self, endpoint: int, address: Address, boot_ms: float = 0.0) -> None:
         """Where the endpoint is and since when it runs: what was opened before reaches nobody."""
@@ -173,7 +171,7 @@
         for connection in list(entry.connections):
             if connection.state == "idle":
                 self.drop(connection, ENDPOINT_REMOVED)
-            else:  # its call goes on, and the connection ends with it
+            else:  # closed when its call ends
                 self.removed_endpoints.add(connection)
         self.idle_changed.discard(endpoint)
         self.removed_totals.update({"opened": entry.opened, "reused": entry.reused})
@@ -201,7 +199,7 @@
         for connection in list(self.removed_endpoints):
             self.drop(connection, ENDPOINT_REMOVED)
 
-    # Lending
+    # Checking out
 
     def check_out(self, endpoint: int, done: CheckoutCallback) -> Checkout:
         """The most recently used idle one, so that surplus ones age; else a new one."""
@@ -237,7 +235,7 @@
             connection = next(reversed(entry.idle))
             is_trusted = self._is_trusted(entry, connection)
             if not is_trusted and entry.canary:
-                return None  # if they are all dead, one call finds it out for all
+                return None  # if all are dead, one call finds out for all
             if connection.stale():
                 self.drop(connection, CLOSED_BY_ENDPOINT)
                 continue
@@ -310,12 +308,12 @@
         self._distrust_idle(entry, self.loop.time() - self.connect_s)
         checkout.complete(None, OSError(errno.ETIMEDOUT, "connect"))
 
-    # No descriptor left
+    # Out of file descriptors
 
     def _wait_for_descriptor(self, checkout: Checkout, error: OSError) -> None:
         if error.errno not in LOCAL_ERRORS:
             checkout.complete(None, error)
-        elif self.idle:  # the longest idle of any endpoint makes room
+        elif self.idle:  # close the longest idle connection of any endpoint
             self.drop(next(iter(self.idle)), EVICTED)
             self._open(checkout)
         else:
@@ -352,7 +350,7 @@
                 self.waiting_for_descriptor.popleft()
                 self._connect(checkout, entry, connection)
 
-    # Taking back
+    # Checking in
 
     def check_in(self, connection: PooledConnection) -> None:
         """A call is over and its connection is still good: it becomes idle, or is closed."""
@@ -395,7 +393,7 @@
             self.drop(connection, IDLE_EXPIRED)
         self._schedule_expiry()
 
-    # What calls show
+    # Evidence from calls
 
     def response_received(self, connection: PooledConnection) -> None:
         """An answer came: whatever was idle while this connection was open is alive as well."""
@@ -464,7 +462,7 @@
         if self.waiting_for_descriptor:
             self._schedule_retry(0)
 
-    # The accounts
+    # Reporting
 
     def take_idle_changes(self) -> list[tuple[int, tuple[int, ...]]]:
         """Endpoints whose idle connections changed since the last time: when each came free, oldest first."""
@@ -534,5 +532,5 @@
             ):
                 self.drop(connection, ENDPOINT_REMOVED)
             else:
-                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)  # until the module says how many
+                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)  # until the policy sets the number
                 self._make_idle(connection, entry, since)
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -17,7 +17,7 @@
     "terminating": interface.EndpointState.DRAINING,
     "terminated": interface.EndpointState.GONE,
 }
-MAX_ZONES = 256  # an entry with one more is not used: names must not pile up
+MAX_ZONES = 256  # bounds memory; entries that name a further zone are rejected
 log = logs.part("courier")
 
 
@@ -33,10 +33,10 @@
         self.zones = {z: n for n, z in enumerate(zones)}
         self.uids: dict[str, int] = {}
         self.entries: dict[int, interface.ListEntry] = {}
-        self.targets: dict[int, dict[str, Any]] = {}  # the same as discovery told them
+        self.targets: dict[int, dict[str, Any]] = {}  # as received from discovery
         self.retry_after_until: dict[
             tuple[int, int], int
-        ] = {}  # told waits, by destination or route: when they end, us
+        ] = {}  # end of announced waits (us), by destination or route
 
     def apply_list(
         self, change: dict[str, Any], form: interface.ListForm | None, pool: Pool
@@ -73,13 +73,13 @@
         number = self.number(str(target["uid"]))
         kind, zone = self.kinds.get(target.get("model", ""), 0), self.zone(str(target.get("az", "")))
         rate = float(target.get("capacity_hint") or 0.0)
-        if not math.isfinite(rate):  # the decision module would pace by it
+        if not math.isfinite(rate):  # the policy paces calls by it
             raise ValueError("capacity_hint")
         entry = interface.ListEntry(
             number, int(target["pod_group"]), ENDPOINT_STATES[target["state"]], rate, kind, zone
         )
         address = parse_address(target["endpoint"], "endpoint")
-        ipaddress.ip_address(address[0])  # a name would be looked up, and block the loop
+        ipaddress.ip_address(address[0])  # a host name would need a lookup that blocks the loop
         boot_ms = float(target.get("boot_ms") or 0.0)
         if not math.isfinite(boot_ms):
             raise ValueError("boot_ms")
@@ -105,7 +105,7 @@
         target = self.targets.get(number)
         return str(target["uid"]) if target else f"#{number}"
 
-    # What an endpoint may get
+    # Permission to call
 
     def _kind(self, entry: interface.ListEntry) -> interface.Kind:
         return self.settings.kinds[min(entry.kind, len(self.settings.kinds) - 1)]
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -35,9 +35,9 @@
         """act: tell the module in a turn taken at once. taking: whether new clients are taken."""
         self.courier, self.journal, self.registry = courier, journal, registry
         self.pool, self.clients, self.clock, self.act, self.is_taking = pool, clients, clock, act, is_taking
-        self.metrics: Any = None  # hopmill/net/metrics.py, while the door is open
-        self.active_policy: Any = None  # hopmill/net/in_force.py, where something may differ from the file
-        self.member_transport: Any = None  # hopmill/net/peers.py, where the configuration names a fleet
+        self.metrics: Any = None  # hopmill/net/metrics.py, while the operator API is open
+        self.active_policy: Any = None  # hopmill/net/in_force.py, if the policy may differ from the file
+        self.member_transport: Any = None  # hopmill/net/peers.py, if the configuration names a fleet
 
     def routes(self) -> Routes:
         return Routes(
@@ -57,7 +57,7 @@
             ("POST", "/endpoints/*/ready", lambda uid: self._set_endpoint_excluded(uid, False)),
         )
 
-    # Asking
+    # Queries
 
     def _healthcheck(self) -> Answer:
         """What staff on call want to know first."""
@@ -126,7 +126,7 @@
             )
         return rows
 
-    # Telling
+    # Commands
 
     def _drain(self, on: bool) -> Answer:
         """Recorded before it is done: a drained courier that is started again still is."""
@@ -141,7 +141,8 @@
             return 404, {"error": "no such endpoint was ever listed"}
         if is_excluded is not (uid in self.journal.out_by_hand):
             self.journal.set_by_hand(uid, is_excluded)
-            if not (self.active_policy and uid in self.active_policy.excluded[0]):  # the policy in force does
+            # The policy in force may exclude it anyway.
+            if not (self.active_policy and uid in self.active_policy.excluded[0]):
                 self.act(interface.SetByHand(self.registry.uids[uid], is_excluded))
         return 200, {"endpoint": uid, "out_by_hand": is_excluded}
 
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -26,8 +26,10 @@
     reason: str = ""
     if_version: int | None = None
     revert: int | None = None
-    share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0  # of the couriers, which go first
-    watch_s: Annotated[float, msgspec.Meta(ge=1, le=86_400)] = 60.0  # for so long, before the rest follows
+    share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0  # of the couriers: canary group
+    watch_s: Annotated[float, msgspec.Meta(ge=1, le=86_400)] = (
+        60.0  # observation time before the others follow
+    )
     dry_run: bool = False
 
 
@@ -36,7 +38,8 @@
 
     def __init__(self, peers: Callable[[], Any], in_force: Callable[[], Any]) -> None:
         self.peers, self.in_force = peers, in_force
-        self.refusals: OrderedDict[str, str] = OrderedDict()  # by id: why it was not begun, "" while it is
+        # By change id: why it was refused, "" while in progress.
+        self.refusals: OrderedDict[str, str] = OrderedDict()
 
     def _policy_member(self) -> Any:
         peers = self.peers()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -69,7 +69,7 @@
         (
             answer(503, X_Server_Load="x0=0.4,x1=nan"),
             c.Outcome(Result.FULL),
-        ),  # one that can't be read is none
+        ),  # an unreadable report counts as none
         (answer(503, X_Server_Load="x0,=,x1=25,"), c.Outcome(Result.FULL)),
         (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
         (answer(504), c.Outcome(Result.MOOT)),
@@ -79,7 +79,7 @@
         ("hang", c.Outcome(Result.TIMEOUT)),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
         (b"nonsense\r\n\r\n", c.Outcome(Result.RESET)),
-        # Only the first line of such an answer can be read: where it is whole and says 200, it is true.
+        # Only the status line of these can be read; if it is complete and says 200, it decides.
         (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000, c.Outcome(Result.OK, over=True)),
         (b"HTTP/1.1 200 OK\r\nno header\r\n\r\n", c.Outcome(Result.OK, over=True)),
         (b"HTTP/1.1 200\r\nContent-Length: -1\r\n\r\n", c.Outcome(Result.OK, over=True)),
@@ -99,7 +99,7 @@
         assert (path, headers["x-request-id"], headers["idempotency-key"]) == ("/events", "a", "ka")
         assert body == b"x"
         assert 1 <= int(headers["x-timeout-ms"]) <= 5000
-        if step == "hang":  # the slot is held until the connection ends: a timed-out call closes it
+        if step == "hang":  # a timed-out call closes its connection, which frees the slot
             await bounded(endpoint.ended.get())
         assert o.waits == ([250_000] if outcome.retry_after_us else [])
         o.calls.close()
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize(
     ("ids", "outcome"),
     [
-        (("a",), c.Outcome(Result.OK, over=True)),  # the first line had come
+        (("a",), c.Outcome(Result.OK, over=True)),  # the status line had been received
         (("a", "b"), c.Outcome(Result.ERROR)),  # it may have run
     ],
 )
@@ -192,7 +192,7 @@
 
 
 def test_a_connection_that_never_comes_up_never_ran():
-    # A full accept queue swallows the handshake, as a machine that is cut off does.
+    # A full accept queue drops the handshake, like an unreachable machine.
     async def run():
         with socket.socket() as s:
             s.bind(("127.0.0.1", 0))
@@ -221,7 +221,7 @@
         def take_a_little():
             peer, _ = listener.accept()
             peer.recv(10)
-            peer.close()  # with bytes unread: a reset
+            peer.close()  # with unread bytes: causes a reset
 
         thread = threading.Thread(target=take_a_little)
         thread.start()
@@ -251,7 +251,7 @@
         for ident in "abc":
             await o.send(endpoint.port, ident)
         assert endpoint.accepted == 1
-        endpoint.drop()  # closed as idle: a request written to it would end as a reset
+        endpoint.drop()  # closed while idle: a request on it would be reset
         await bounded(endpoint.ended.get())
         assert (await o.send(endpoint.port, "d"))[0][1].result is Result.OK
         assert endpoint.accepted == 2
@@ -266,7 +266,7 @@
         endpoint = await Endpoint().start()
         o = Outcomes(idle_us=100_000)
         await o.send(endpoint.port, "a")
-        await bounded(endpoint.ended.get())  # this side ended it
+        await bounded(endpoint.ended.get())  # closed by the pool
         assert not o.pool.idle
         await endpoint.stop()
 
@@ -305,14 +305,14 @@
 
 @pytest.mark.parametrize("times", [(300_000, 60_000_000), (60_000_000, 300_000)])
 def test_a_bundle_is_waited_for_until_its_first_items_time_and_says_so(times):
-    # An answer that comes after the time of some was taken for the end of the others, and counted for nobody.
+    # Guards against using a response that arrives after the timeout of some items for the others only.
     async def run():
         endpoint = await Endpoint("hang").start()
         o = Outcomes()
         ends = dict(await o.send(endpoint.port, "a", "b", timeout_us=times))
         _, headers, _, _ = await endpoint.call()
         assert 0 < int(headers["x-timeout-ms"]) <= 300
-        await bounded(endpoint.ended.get())  # the connection has ended: no answer can come any more
+        await bounded(endpoint.ended.get())  # the connection is closed: no response can arrive
         assert {end.result for end in ends.values()} == {Result.TIMEOUT} and not o.calls.in_flight
         await endpoint.stop()
 
@@ -320,7 +320,7 @@
 
 
 def test_what_may_not_be_written_any_more_is_reported_as_never_run():
-    # News of a wait or a drain can come while the connection for a call is being made.
+    # A wait or a drain can be announced while the connection for a call is being opened.
     async def run():
         endpoint = await Endpoint().start()
         o = Outcomes()
@@ -349,7 +349,7 @@
 
 
 def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_reuse():
-    # Closed by the endpoint in the moment of the call: written to it, the call would count as a reset.
+    # The endpoint closes the connection just before the call: a request on it would count as reset.
     async def run():
         listener = socket.create_server(("127.0.0.1", 0))
         end, ended = threading.Event(), threading.Event()
@@ -369,7 +369,7 @@
         port = listener.getsockname()[1]
         await o.send(port, "a")
         end.set()
-        ended.wait(10)  # holds the loop: nothing tells it of the end
+        ended.wait(10)  # blocks the loop, so that it has not seen the close
         assert (await o.send(port, "b"))[0][1].result is Result.OK
         assert o.pool.endpoints[1].opened == 2
         o.calls.close()
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -96,7 +96,7 @@
             assert not process.stderr.read()
 
 
-# The door
+# Operator API
 
 
 async def ask(fleet, path):
@@ -122,7 +122,7 @@
     client = await fleet.inside()
     for ident in ("m1", "m2"):
         assert await client.put(ident) == "+OK"
-    await client.put("m3", dest=9, life=300)  # nobody to go to
+    await client.put("m3", dest=9, life=300)  # no endpoint for it
     await fleet.discovery.final()
     await until(lambda: e.calls.qsize() >= 3)
     await asyncio.sleep(0.05)
@@ -155,7 +155,7 @@
     await asyncio.get_running_loop().sock_connect(sock, (DOOR, fleet.door))
     await asyncio.get_running_loop().sock_sendall(sock, b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
     await until(lambda: fleet.host.operator_server.callers)
-    assert len(metrics.text()) > 200_000  # over what both kernels' buffers hold of a small window
+    assert len(metrics.text()) > 200_000  # more than both kernel buffers hold with a small window
     await until(lambda: not fleet.host.operator_server.callers)
     assert (await ask(fleet, "/healthcheck"))[0] == 200
     sock.close()
@@ -219,7 +219,7 @@
         ("config.needs_restart", "held"),
         ("config.changed", "log.format"),
     ]
-    assert json.loads(said[3])["event"] == "config.discovery"  # in the new form already
+    assert json.loads(said[3])["event"] == "config.discovery"  # already in the new format
 
 
 def test_top_adds_up_couriers():
@@ -289,11 +289,11 @@
         (3, b"", 0, 14),
         (0, WHOLE[:-2], 0, len(WHOLE) - 2),
         (0, WHOLE[:3], 0, 3),
-        # a record is being written, above; below it is
+        # above: a record is being written; below:
         (0, WHOLE[:-1] + b"\0" + WHOLE, 1, 2 * len(WHOLE)),  # damaged in the middle
         (0, state.frame(["later", 1]), 1, 0),
     ],
-)  # of a version that is not known
+)  # of an unknown version
 def test_a_folder_is_shown_as_it_is(tmp_path, capsys, cut, more, status, tail):
     path = folder_with(tmp_path, cut=cut, more=more)
     before = path.read_bytes()
@@ -397,7 +397,7 @@
     process = running_demo(tmp_path, "--seconds", "30")
     wait_for(lambda: len(couriers_of(tmp_path)) == 2)
     time.sleep(0.5)
-    # Ctrl-C reaches the whole group; the couriers' end is the demo's affair, and no journal's cut is left.
+    # Ctrl-C reaches the whole process group; the demo ends the couriers, and no journal is left truncated.
     os.killpg(process.pid, how)
     said = process.communicate(timeout=10)[1]
     assert process.returncode == 130 and "ended early" in said and "Traceback" not in said
@@ -446,4 +446,4 @@
     os.close(reader)
     os.close(writer)
     assert load.delivered + load.refused + load.failed == load.offered and load.lost == 0
-    assert load.delivered > 0.5 * load.offered  # one core, and all that is written is dropped
+    assert load.delivered > 0.5 * load.offered  # on one core, with all log output dropped
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -58,7 +58,7 @@
     async def inner(fleet):
         await fleet.inside()
         assert (await say(fleet.door, data))[0] == status
-        assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200  # and the door goes on
+        assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200  # and the server still responds
 
     inner(tmp_path)
 
@@ -73,7 +73,7 @@
     assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200
     assert len(fleet.host.operator_server.callers) <= 10
     answers = [await bounded(reader.read()) for reader, _ in slow[-3:]]
-    assert all(a.startswith(b"HTTP/1.1 408") for a in answers)  # and none keeps its descriptor
+    assert all(a.startswith(b"HTTP/1.1 408") for a in answers)  # and none keeps its file descriptor
     for _, writer in slow:
         writer.close()
 
@@ -98,17 +98,17 @@
     message = client.message("half")
     half.writer.write(message[:40])
     started = asyncio.get_running_loop().time()
-    for _ in range(2):  # calls repeat safely
+    for _ in range(2):  # the call is idempotent
         assert (await call(fleet.door, "POST", "/healthcheck/fail"))[0] == 200
     assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 503
     assert (await (await Client().open(fleet.port)).send(PING)).startswith("-ERR")
-    assert await busy.put("m0") == "+OK"  # open connections go on for a moment
+    assert await busy.put("m0") == "+OK"  # open connections are served for a while
     assert await bounded(quiet.reader.read()) == b""
     late = await Client().open(fleet.port)
-    assert await late.put("late") == "+OK"  # a new one is served, then closed
+    assert await late.put("late") == "+OK"  # a new connection is served once, then closed
     assert await bounded(late.reader.read()) == b""
     half.writer.write(message[40:])
-    assert await half.line() == "+OK"  # a request is let finish
+    assert await half.line() == "+OK"  # a partial request may be completed
     assert await bounded(half.reader.read()) == b"" and await bounded(busy.reader.read()) == b""
     assert asyncio.get_running_loop().time() - started < 3
     assert {(await e.call())[1]["x-request-id"] for _ in range(3)} == {"m0", "late", "half"}
@@ -161,7 +161,7 @@
     assert (await call(fleet.door, "GET", "/healthcheck"))[1]["out_by_hand"] == ["a"]
     assert not fleet.host.pool.endpoints[fleet.host.registry.uids["a"]].idle
     before = a.calls.qsize()
-    for state in ("terminated", "in_service"):  # it goes and is listed again
+    for state in ("terminated", "in_service"):  # removed and listed again
         fleet.discovery.change("a", state=state)
     while fleet.host.watch.rev != fleet.discovery.rev:
         await asyncio.sleep(0.01)
@@ -172,10 +172,10 @@
     assert a.calls.qsize() == before
     assert await out(fleet, "b") == 200
     assert await client.put("last") == "+OK"
-    assert await out(fleet, "a", "ready") == 200  # one call back lifts it, however many there were
+    assert await out(fleet, "a", "ready") == 200  # one call readmits it, no matter how often it was excluded
     while a.calls.qsize() == before:
         await asyncio.sleep(0.01)
-    assert await out(fleet, "a", "ready") == 200  # and repeats
+    assert await out(fleet, "a", "ready") == 200  # idempotent
 
 
 @courier
@@ -192,7 +192,7 @@
     del fleet.host.pool._connected
     fleet.host.pool._connected(*waiting[0])
     assert not begun and e.calls.empty()
-    assert waiting[0][1].closed  # nor is it kept there
+    assert waiting[0][1].closed  # and not kept idle
 
 
 @courier
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -189,7 +189,7 @@
     written(tmp_path, *range(1, 40))
     sizes = [-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()]
     assert sum(sizes) <= 16_384
-    with pytest.raises(OSError, match="over its bound"):
+    with pytest.raises(OSError, match="exceeds its slot size"):
         peers.Storage(tmp_path).write(b"x" * peers.SLOT_BYTES)
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -70,7 +70,7 @@
 
 
 def test_the_longest_idle_of_any_endpoint_makes_room():
-    # The newest was thrown away, whatever it was worth, and each call looked at every pool.
+    # Guards against closing the newest idle connection, and against looking at every endpoint on each call.
     async def go():
         endpoints = [await Endpoint().start() for _ in range(3)]
         o = Outcomes(max_idle=2)
@@ -97,7 +97,7 @@
     assert not o.pool.idle and o.pool.endpoints[1].closed == {p.OVER_LIMIT: 4}
     link = await lent(o, endpoint)
     o.pool.check_in(link)
-    assert link.closed  # none is kept where the table is full
+    assert link.closed  # none is kept for an endpoint whose connection table is full
 
 
 def test_one_timer_ages_them_in_order():
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize(("idle_us", "idle_s"), [(10_000_000, 9.0), (1_500_000, 0.75), (0, 0)])
 def test_idle_ones_close_a_round_trip_before_the_endpoint_would(idle_us, idle_s):
-    # At three quarters of its time each tenth call of a courier of hundreds came just too late.
+    # With three quarters of the idle timeout one call in ten of hundreds of couriers arrived too late.
     async def go():
         assert Outcomes(idle_us=idle_us).pool.idle_s == idle_s
 
@@ -122,13 +122,13 @@
 
 @run
 async def test_all_dead_at_once_costs_one_attempt_between_them(endpoint, o):
-    # The machine vanished and came back without a word: what is written to an old connection is reset.
+    # The machine vanished and restarted without closing: a request on an old connection is reset.
     links = await idle(o, endpoint, 3)
     silent(o)
     first = await lent(o, endpoint)
     assert first is links[-1]
     second, third = await lent(o, endpoint), await lent(o, endpoint)
-    assert not {second, third} & set(links)  # while the first is not answered the others go over new ones
+    assert not {second, third} & set(links)  # until the first is answered the others use new connections
     o.pool.call_failed(first)
     first.close()
     assert all(link.closed for link in links) and o.pool.endpoints[1].closed[p.NOT_TRUSTED] == 2
@@ -141,16 +141,16 @@
     first = await lent(o, endpoint)
     o.pool.response_received(first)
     assert await lent(o, endpoint) is links[1]
-    o.pool.call_failed(first)  # others were heard since: this one alone was lost
+    o.pool.call_failed(first)  # responses have arrived since: only this connection was lost
     assert not links[0].closed
 
 
 @run
 async def test_an_answer_on_a_younger_connection_does_not_speak_for_older_ones(endpoint, o):
-    # The process that answers it may have started after these went idle.
+    # The process that responds may have started after the older connections became idle.
     links = await idle(o, endpoint, 2)
     silent(o)
-    await asyncio.sleep(0.01)  # it is born after they came free
+    await asyncio.sleep(0.01)  # opened after the others became idle
     young = await lent(o, endpoint), await lent(o, endpoint)
     assert young[0] is links[1] and young[1] not in links
     o.pool.response_received(young[1])
@@ -179,7 +179,7 @@
     links = await idle(o, endpoint, 2)
     busy = await lent(o, endpoint)
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() - 60) * 1e3)
-    assert not links[0].closed  # it started long before
+    assert not links[0].closed  # the endpoint started long before
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() + 1) * 1e3)
     assert links[0].closed and o.pool.endpoints[1].closed == {p.ENDPOINT_RESTARTED: 1}
     o.pool.check_in(busy)
@@ -188,7 +188,7 @@
 
 @run
 async def test_nothing_is_kept_for_an_endpoint_that_may_get_no_calls(endpoint, o):
-    # Connect succeeds while the endpoint has begun to drain.
+    # The connect succeeds after the endpoint has begun to drain.
     waiting = []
     o.pool._connected = lambda *args: waiting.append(args)
     sending = asyncio.ensure_future(o.send(endpoint.port, "a"))
@@ -198,7 +198,7 @@
     o.pool._connected(*waiting[0])
     assert (await sending)[0][1].result is Result.MOOT
     assert not o.pool.idle and waiting[0][1].closed and endpoint.calls.empty()
-    assert (await o.send(endpoint.port, "b"))[0][1].result is Result.MOOT  # and none is opened any more
+    assert (await o.send(endpoint.port, "b"))[0][1].result is Result.MOOT  # and no connection is opened
     assert o.pool.endpoints[1].opened == 1
 
 
@@ -209,7 +209,7 @@
     o.pool.take_idle_changes()
     o.pool.set_endpoint(1, ("127.0.0.1", free_port()))
     assert links[0].closed and not busy.closed and o.pool.take_idle_changes() == [(1, ())]
-    assert o.pool.status(str)["open"] == 1  # it is still counted, and would be closed with the pool
+    assert o.pool.status(str)["open"] == 1  # still counted, and closed with the pool
     o.pool.check_in(busy)
     assert busy.closed and not o.pool.removed_endpoints
     assert o.pool.totals() == {"opened": 2, "reused": 1, p.ENDPOINT_REMOVED: 2}
@@ -258,7 +258,7 @@
             peer, _ = listener.accept()
             peer.recv(65536)
             peer.sendall(answer(200))
-            peer.recv(10)  # of the next one, on the same connection
+            peer.recv(10)  # of the next request, on the same connection
             peer.close()
             ended.set()
 
@@ -305,10 +305,12 @@
         o.pool.check_out(2, lambda link, error: got.append(link))
         await until(lambda: got)
         assert got[0].endpoint == 2 and o.pool.endpoints[1].closed == {p.EVICTED: 1}
-        assert [r.result for _, r in await o.send(a.port, "x")] == [Result.MOOT]  # none came free in its time
+        assert [r.result for _, r in await o.send(a.port, "x")] == [
+            Result.MOOT
+        ]  # no descriptor was freed in time
         sending = asyncio.ensure_future(o.send(a.port, "y"))
         await until(lambda: o.pool.waiting_for_descriptor)
-        o.pool.drop(got[0], p.REQUESTED_BY_POLICY)  # one does now
+        o.pool.drop(got[0], p.REQUESTED_BY_POLICY)  # frees a descriptor
         assert [r.result for _, r in await sending] == [Result.OK]
         assert not o.pool.waiting_for_descriptor and not o.calls.in_flight and files.asked < 50
         for e in (a, b):
@@ -380,7 +382,7 @@
     links = await idle(o, endpoint, 2)
     cargo = Cargo()
     rows = o.pool.carry_idle(cargo, 10)
-    assert [len(row) for row in rows] == [4, 4]  # as the version before knows them
+    assert [len(row) for row in rows] == [4, 4]  # as the previous version expects
     assert cargo.values["born"] == {0: links[1].opened_at, 1: links[0].opened_at}
     other = Outcomes()
     other.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
@@ -420,7 +422,7 @@
 
 @courier
 async def test_the_module_and_the_pool_have_one_account(fleet):
-    # The module counted for itself what came free, and never heard what the pool closed.
+    # Guards against a policy that counts idle connections itself and misses those that the pool closes.
     e = await fleet.endpoint("a", answer(200, Connection="close"), answer(200), answer(200))
     client = await fleet.inside()
     host = fleet.host
@@ -469,7 +471,7 @@
     assert (await at_door(fleet.door, "GET", "/connections/b"))[0] == 404
     assert (await at_door(fleet.door, "POST", "/connections"))[0] == 405
     places = fleet.host.pool.endpoints
-    for n in range(1000, 5000):  # bounded, however many there are
+    for n in range(1000, 5000):  # the answer is bounded
         places[n] = p.EndpointConnections(("127.0.0.1", 1))
     status, said = await at_door(fleet.door, "GET", "/connections")
     assert len(said["endpoints"]) == p.MAX_ROWS and said["not_shown"] == 4001 - p.MAX_ROWS
@@ -521,7 +523,7 @@
             ids = [(await e.call())[1]["x-request-id"] for _ in range(5)]
             assert ids == ["first", "pay", "next", "again", "again"]
             place = fleet.host.pool.endpoints[1]
-            assert (place.opened, place.reused) == (3, 2)  # both were lost on one that had been used before
+            assert (place.opened, place.reused) == (3, 2)  # both were lost on a reused connection
             await until(lambda: not fleet.host.journal.held)
             assert e.calls.empty()
 
