--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -112,10 +112,12 @@
     try:
         rows = json.loads(body)
         states = {str(row["id"]): BATCH_RESULTS[row["state"]] for row in rows}
-        voids = {str(row["id"]) for row in rows if row["state"] in ("done", "void")}
+        final_ids = {str(row["id"]) for row in rows if row["state"] in ("done", "void")}
     except (ValueError, KeyError, TypeError, RecursionError):  # RecursionError: nested too deeply
         return {}
-    return {i: Outcome(r, i in voids, wait, report) for i, r in states.items()}
+    return {
+        message: Outcome(result, message in final_ids, wait, report) for message, result in states.items()
+    }
 
 
 class Call(Exchange):
@@ -138,7 +140,7 @@
     @property
     def is_open(self) -> bool:
         """Whether an item has not ended yet."""
-        return any(not i.ended for i in self.items)
+        return any(not item.ended for item in self.items)
 
     @property
     def deadline(self) -> float:
@@ -147,7 +149,7 @@
         If it waited longer, a response that arrives after the timeout of some items would count for the
         others on this side only.
         """
-        return self.started + min((i.timeout_us for i in self.items if not i.ended), default=0) / 1e6
+        return self.started + min((item.timeout_us for item in self.items if not item.ended), default=0) / 1e6
 
     def timer(self, delay: float, action: Callable[[], None]) -> None:
         """Schedules an action that is cancelled when the call ends."""
@@ -262,7 +264,7 @@
                 continue
             received = connection.received if connection.written else None
             if received is not None:
-                items = [[i.number, i.timeout_us, i.ended] for i in call.items]
+                items = [[item.number, item.timeout_us, item.ended] for item in call.items]
                 rows.append(
                     [
                         call.endpoint,
@@ -279,11 +281,11 @@
     def unwritten(self) -> list[int]:
         """Messages whose newest attempt has begun but not run, since its last byte is not written."""
         return [
-            i.number
+            item.number
             for call in self.in_flight
             if call.connection and not call.connection.written
-            for i in call.items
-            if i.begun and not i.ended
+            for item in call.items
+            if item.begun and not item.ended
         ]
 
     def resume(
@@ -345,7 +347,7 @@
 
     def _write(self, call: Call, connection: PooledConnection) -> None:
         call.connection = connection
-        items = [i for i in call.items if not i.ended]
+        items = [item for item in call.items if not item.ended]
         call.items = items
         if not items and not call.path or not self.hooks.may_write(call.endpoint):
             self._end_unsent(call, Result.MOOT)
@@ -366,7 +368,7 @@
         elif len(items) == 1:
             connection.request("POST", "/events", self._message_headers(call, items[0]), items[0].body, call)
         else:
-            body = json.dumps([self._batch_row(i) for i in items], separators=(",", ":")).encode()
+            body = json.dumps([self._batch_row(item) for item in items], separators=(",", ":")).encode()
             headers = [self._timeout_header(call), ("Content-Type", "application/json")]
             connection.request("POST", "/events/bundle", headers, body, call)
 
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -76,7 +76,9 @@
         except ValueError:
             raise CallRefusedError(400, "the target can't be read") from None
         found = [
-            (m, match, handler) for m, pattern, handler in self.rows if (match := pattern.fullmatch(path))
+            (route_method, match, handler)
+            for route_method, pattern, handler in self.rows
+            if (match := pattern.fullmatch(path))
         ]
         if not found:
             raise CallRefusedError(404, "no such path")
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -170,7 +170,7 @@
             entry = self.endpoints[endpoint] = EndpointConnections(address)
             self.idle_changed.add(endpoint)
         entry.booted_at = boot_ms / 1e3
-        for connection in [k for k in entry.idle if k.opened_at < entry.booted_at]:
+        for connection in [idle for idle in entry.idle if idle.opened_at < entry.booted_at]:
             self.drop(connection, ENDPOINT_RESTARTED)
 
     def forget(self, endpoint: int) -> None:
@@ -440,7 +440,7 @@
         """Closes connections idle since before then, unless the endpoint has responded after it."""
         if entry.last_response_at >= since:
             return
-        for connection in [k for k in entry.idle if k.idle_at <= since]:
+        for connection in [idle for idle in entry.idle if idle.idle_at <= since]:
             self.drop(connection, NOT_TRUSTED)
 
     # Closing
@@ -511,7 +511,8 @@
         rows = sorted(self.endpoints.items(), key=lambda row: -len(row[1].connections))
         shown = [{"endpoint": name(endpoint), **entry.status()} for endpoint, entry in rows[:MAX_ROWS]]
         return {
-            "open": sum(len(p.connections) for p in self.endpoints.values()) + len(self.removed_endpoints),
+            "open": sum(len(entry.connections) for entry in self.endpoints.values())
+            + len(self.removed_endpoints),
             "idle": len(self.idle),
             "idle_at_most": self.max_idle,
             "waiting": len(self.waiting_for_descriptor),
@@ -526,8 +527,13 @@
         """Packs the most recently used idle connections for the next process."""
         idle = [connection for connection in reversed(self.idle) if not connection.stale()]
         return [
-            [k.endpoint, list(k.address), carry_connection(cargo, k), k.idle_at]
-            for k in idle[: max(0, max_count)]
+            [
+                connection.endpoint,
+                list(connection.address),
+                carry_connection(cargo, connection),
+                connection.idle_at,
+            ]
+            for connection in idle[: max(0, max_count)]
         ]
 
     def resume(
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/staff_fleet.py
@@ -17,18 +17,18 @@
 class FleetActions:
     """Changes of the register that operators have begun at this courier."""
 
-    def __init__(self, peers: Callable[[], Any]) -> None:
-        self.peers = peers
+    def __init__(self, transport: Callable[[], Any]) -> None:
+        self.member_transport = transport
         self.outcomes: OrderedDict[str, dict[str, Any]] = OrderedDict()
 
     def status(self) -> Answer:
         """State of the member and the fleet."""
-        if (peers := self.peers()) is None:
+        if (transport := self.member_transport()) is None:
             return 404, {"error": "no fleet is configured"}
-        return 200, peers.status()
+        return 200, transport.status()
 
     def _begin(self, change: Any) -> Answer:
-        peers = self.peers()
+        transport = self.member_transport()
         answer: dict[str, Any] = {"state": "under way"}
 
         def ended(outcome: Any) -> None:
@@ -41,7 +41,7 @@
                     voters=list(outcome.document.voters),
                 )
 
-        proposal_id = peers.propose(change, ended)
+        proposal_id = transport.propose(change, ended)
         answer["ticket"] = proposal_id
         self.outcomes[proposal_id] = answer
         while len(self.outcomes) > MAX_OUTCOMES:
@@ -50,7 +50,7 @@
 
     def store_entry(self, name: str, text: str) -> Answer:
         """Stores a short text in the register; an empty text removes it."""
-        if self.peers() is None:
+        if self.member_transport() is None:
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import say
 
@@ -64,27 +64,32 @@
 
     def read(self) -> Answer:
         """Reads the register from a majority; the local copy may be older."""
-        if self.peers() is None:
+        if self.member_transport() is None:
             return 404, {"error": "no fleet is configured"}
         return self._begin(lambda proposal_id, document: None)
 
-    def replace(self, old: str, new: str) -> Answer:
+    def replace(self, old_voter: str, new_voter: str) -> Answer:
         """Replaces a voter by a member that is alive."""
-        peers = self.peers()
-        if peers is None:
+        transport = self.member_transport()
+        if transport is None:
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import replace_voter
 
-        if not peers.node.swim.alive(new):
-            return 409, {"error": f"{new} is no member that is alive"}
-        return self._begin(replace_voter(old, new))
+        if not transport.node.swim.alive(new_voter):
+            return 409, {"error": f"{new_voter} is no member that is alive"}
+        return self._begin(replace_voter(old_voter, new_voter))
 
     def lease(self, name: str) -> Answer:
         """Whether this courier may act under a lease now, and the elapsed time of the answer."""
-        if (peers := self.peers()) is None:
+        if (transport := self.member_transport()) is None:
             return 404, {"error": "no fleet is configured"}
-        fencing_token, at_us = peers.fencing_token(name)
-        return 200, {"lease": name, "fence": fencing_token, "at_us": at_us, "owner": peers.node.register.name}
+        fencing_token, at_us = transport.fencing_token(name)
+        return 200, {
+            "lease": name,
+            "fence": fencing_token,
+            "at_us": at_us,
+            "owner": transport.node.register.name,
+        }
 
     def outcome(self, proposal_id: str) -> Answer:
         """State of a change begun here."""
@@ -93,12 +98,12 @@
 
 
 def fleet_routes(
-    peers: Callable[[], Any], in_force: Callable[[], Any]
+    transport: Callable[[], Any], active_policy: Callable[[], Any]
 ) -> list[tuple[str, str, Handler | WithBody]]:
     """Routes of the fleet, those of its policy included."""
-    actions = FleetActions(peers)
+    actions = FleetActions(transport)
     return [
-        *policy_routes(peers, in_force),
+        *policy_routes(transport, active_policy),
         ("GET", "/fleet", actions.status),
         ("POST", "/fleet/read", actions.read),
         ("GET", "/fleet/leases/*", actions.lease),
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -39,31 +39,40 @@
 class PolicyActions:
     """Proposals that operators have made at this courier."""
 
-    def __init__(self, peers: Callable[[], Any], in_force: Callable[[], Any]) -> None:
-        self.peers, self.in_force = peers, in_force
+    def __init__(self, transport: Callable[[], Any], active_policy: Callable[[], Any]) -> None:
+        self.member_transport, self.active_policy = transport, active_policy
         # By change id: why it was refused, "" while in progress.
         self.refusals: OrderedDict[str, str] = OrderedDict()
 
     def _policy_member(self) -> Any:
-        peers = self.peers()
-        return peers.node.govern if peers else None
+        transport = self.member_transport()
+        return transport.node.govern if transport else None
 
     def status(self) -> Answer:
         """State of the policy in the fleet and here."""
         if self._policy_member() is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        return 200, self.peers().status()["policy"] | self.in_force().status()
+        return 200, self.member_transport().status()["policy"] | self.active_policy().status()
 
     def history(self) -> Answer:
         """Changes that came into force, and the newest that did not."""
         if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
         policy = policy_member.register.document.policy
-        rows = [{**msgspec.to_builtins(e), "outcome": "in force"} for e in self.in_force().book.entries]
+        rows = [
+            {**msgspec.to_builtins(entry), "outcome": "in force"}
+            for entry in self.active_policy().book.entries
+        ]
         rows += [
-            {"id": e.id, "outcome": "in force nowhere", "why": e.why} for e in policy.ended if not e.version
+            {"id": entry.id, "outcome": "in force nowhere", "why": entry.why}
+            for entry in policy.ended
+            if not entry.version
         ]
-        return 200, {"version": policy.version, "applied": self.in_force().applied_version, "changes": rows}
+        return 200, {
+            "version": policy.version,
+            "applied": self.active_policy().applied_version,
+            "changes": rows,
+        }
 
     def propose(self, body: bytes) -> Answer:
         """Checks a proposal and begins its change."""
@@ -76,17 +85,17 @@
             proposal = msgspec.json.decode(body, type=Proposal)
         except (msgspec.DecodeError, RecursionError) as error:
             return 400, {"error": str(error)}
-        in_force, policy = self.in_force(), policy_member.register.document.policy
-        there = {policy.change.id if policy.change else "", policy.stage.id if policy.stage else ""}
+        active_policy, policy = self.active_policy(), policy_member.register.document.policy
+        pending_ids = {policy.change.id if policy.change else "", policy.stage.id if policy.stage else ""}
         if (
-            any(e.id == proposal.id for e in in_force.book.entries)
+            any(entry.id == proposal.id for entry in active_policy.book.entries)
             or policy.outcome(proposal.id)
-            or proposal.id in there
+            or proposal.id in pending_ids
         ):
             return self.outcome(proposal.id)
         if policy.stage:
             return 409, {"error": f"change {policy.stage.id} of {policy.stage.by} is staged"}
-        if in_force.applied_version != policy.version:
+        if active_policy.applied_version != policy.version:
             return 409, {"error": f"version {policy.version} is in force, and not known here yet"}
         if proposal.if_version not in (None, policy.version):
             return 409, {"error": f"version {policy.version} is in force, not {proposal.if_version}"}
@@ -94,8 +103,10 @@
             if proposal.revert is None:
                 patch, unset = read_patch(proposal.patch)
             else:
-                patch, unset = in_force.book.patch_to(proposal.revert)
-            book = in_force.book.next(proposal.id, time.time(), proposal.by, proposal.reason, patch, unset)
+                patch, unset = active_policy.book.patch_to(proposal.revert)
+            book = active_policy.book.next(
+                proposal.id, time.time(), proposal.by, proposal.reason, patch, unset
+            )
         except (ConfigError, books.TooLong) as error:
             return 400, {"error": str(error)}
         except KeyError:
@@ -104,7 +115,7 @@
         if not changes:
             return 400, {"error": "the patch: changes nothing"}
         text = book.encode()
-        if why := in_force.reason_to_reject(text):
+        if why := active_policy.reason_to_reject(text):
             return 409, {"error": f"this courier can't go by it: {why}"}
         if proposal.dry_run:
             return 200, {"state": "not proposed", "base": policy.version, "changes": changes}
@@ -122,7 +133,7 @@
             elif outcome.state == "unknown":
                 self.refusals.pop(change_id, None)
 
-        self.peers().update_policy(
+        self.member_transport().update_policy(
             lambda policy_member, now: policy_member.propose(
                 change_id, text, base, now, ended, proposal.share, int(proposal.watch_s * 1e3)
             )
@@ -148,7 +159,7 @@
                 "version": ended.version or policy.version,
                 "why": ended.why,
             }
-        for entry in self.in_force().book.entries if not policy.stage else ():
+        for entry in self.active_policy().book.entries if not policy.stage else ():
             if entry.id == change_id:
                 return 200, answer | {"state": "in force", "version": entry.version, "why": ""}
         if policy.change and policy.change.id == change_id:
@@ -170,7 +181,7 @@
     def _step(self, act: Callable[[Any, int], str]) -> Answer:
         if self._policy_member() is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        self.peers().update_policy(act)
+        self.member_transport().update_policy(act)
         return 202, {"state": "under way"}
 
     def cancel_member(self, member: str, is_cancelled: bool = True) -> Answer:
@@ -188,10 +199,10 @@
 
 
 def policy_routes(
-    peers: Callable[[], Any], in_force: Callable[[], Any]
+    transport: Callable[[], Any], active_policy: Callable[[], Any]
 ) -> list[tuple[str, str, Handler | WithBody]]:
     """Routes of the fleet policy."""
-    actions = PolicyActions(peers, in_force)
+    actions = PolicyActions(transport, active_policy)
     return [
         ("GET", "/fleet/policy", actions.status),
         ("GET", "/fleet/policy/history", actions.history),
