--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -24,6 +24,7 @@
 # Without a free file descriptor opening is retried after this time: other parts of the process free some too.
 DESCRIPTOR_RETRY_S = 0.05
 MAX_ROWS = 100  # endpoints in one answer of the operator API
+OPENING, CHECKED_OUT, IDLE, CLOSED = "opening", "checked out", "idle", "closed"  # states of a connection
 log = logs.part("pool")
 
 # Reasons for closing a connection, as the operator API and the metrics show them.
@@ -65,7 +66,7 @@
         self.idle_at = 0.0  # loop time since which it has carried no call
         self.checked_out_at = 0.0
         self.idle_us = -1  # idle time before the current checkout, -1 for a new connection
-        self.state, self.reason = "opening", ""
+        self.state, self.reason = OPENING, ""
         self.timer: asyncio.TimerHandle | None = None
 
 
@@ -90,8 +91,8 @@
         states = Counter(connection.state for connection in self.connections)
         return {
             "open": len(self.connections),
-            "lent": states["lent"],
-            "opening": states["opening"],
+            "lent": states[CHECKED_OUT],
+            "opening": states[OPENING],
             "idle": len(self.idle),
             "kept_at_most": self.max_idle,
             "opened": self.opened,
@@ -179,7 +180,7 @@
         if entry is None:
             return
         for connection in list(entry.connections):
-            if connection.state == "idle":
+            if connection.state == IDLE:
                 self.drop(connection, ENDPOINT_REMOVED)
             else:  # closed when its call ends
                 self.removed_endpoints.add(connection)
@@ -228,7 +229,7 @@
             checkout.timer.cancel()
         if checkout in self.waiting_for_descriptor:
             self.waiting_for_descriptor.remove(checkout)
-        elif checkout.connection is not None and checkout.connection.state == "opening":
+        elif checkout.connection is not None and checkout.connection.state == OPENING:
             self.drop(checkout.connection, CALL_ABANDONED)
 
     def open_spare(self, endpoint: int) -> None:
@@ -237,7 +238,10 @@
         Its result is not reported to the policy, since it is not a probe.
         """
         entry = self.endpoints.get(endpoint)
-        room = entry and sum(connection.state != "lent" for connection in entry.connections) < entry.max_idle
+        room = (
+            entry
+            and sum(connection.state != CHECKED_OUT for connection in entry.connections) < entry.max_idle
+        )
         if room and not self.waiting_for_descriptor and len(self.idle) < self.max_idle:
             self._open(
                 Checkout(
@@ -257,7 +261,7 @@
             self._remove_from_idle(connection, entry)
             now = self.loop.time()
             connection.state, connection.checked_out_at, connection.idle_us = (
-                "lent",
+                CHECKED_OUT,
                 now,
                 int((now - connection.idle_at) * 1e6),
             )
@@ -314,7 +318,7 @@
         if error is not None:
             checkout.complete(None, error)
             return
-        connection.state, connection.checked_out_at = "lent", self.loop.time()
+        connection.state, connection.checked_out_at = CHECKED_OUT, self.loop.time()
         checkout.complete(connection, None)
 
     def _connect_timed_out(
@@ -376,7 +380,7 @@
     def check_in(self, connection: PooledConnection) -> None:
         """Takes back the connection of a finished call: it becomes idle, or is closed."""
         entry = self.endpoints.get(connection.endpoint)
-        if connection.closed or connection.state != "lent":
+        if connection.closed or connection.state != CHECKED_OUT:
             return
         if entry is None or connection not in entry.connections or not self.is_usable(connection.endpoint):
             self.drop(connection, ENDPOINT_REMOVED)
@@ -390,7 +394,7 @@
     def _make_idle(self, connection: PooledConnection, entry: EndpointConnections, since: float) -> None:
         if entry.canary is connection:
             entry.canary = None
-        connection.state, connection.idle_at = "idle", since
+        connection.state, connection.idle_at = IDLE, since
         entry.idle[connection] = self.idle[connection] = None
         self.idle_changed.add(connection.endpoint)
         self._trim(entry)
@@ -466,21 +470,21 @@
         entry.connections.discard(connection)
         if connection.timer:
             connection.timer.cancel()
-        if connection.state == "idle":
+        if connection.state == IDLE:
             self._remove_from_idle(connection, entry)
         if entry.canary is connection:
             entry.canary = None
         if not connection.reason:
             connection.reason = (
                 NEVER_CONNECTED
-                if connection.state == "opening"
+                if connection.state == OPENING
                 else BROKE_DURING_CALL
                 if connection.broke_during_exchange
                 else CLOSED_BY_ENDPOINT
             )
         closed = entry.closed if self.endpoints.get(connection.endpoint) is entry else self.removed_totals
         closed[connection.reason] += 1
-        connection.state = "closed"
+        connection.state = CLOSED
         if self.waiting_for_descriptor:
             self._schedule_retry(0)
 
@@ -547,7 +551,7 @@
             self.removed_endpoints.add(connection)
         entry.connections.add(connection)
         connection.on_close = lambda: self._connection_closed(connection, entry)
-        connection.state, connection.checked_out_at, connection.idle_us = "lent", self.loop.time(), 0
+        connection.state, connection.checked_out_at, connection.idle_us = CHECKED_OUT, self.loop.time(), 0
         return connection
 
     def resume_idle(self, rows: list[tuple[int, Address, socket.socket, float, float]]) -> None:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback import Endpoint, Fleet, answer, bounded, courier, free_port, until
 from test_calls import Outcomes
-from test_operator import call as at_door
+from test_operator import call as operator_call
 
 from hopmill.interface import Result
 from hopmill.net import pool as p
@@ -37,21 +37,21 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-async def lent(o, endpoint):
+async def checked_out(o, endpoint):
     """A connection checked out from the pool; the endpoint receives no request."""
     got = asyncio.get_running_loop().create_future()
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
-    o.pool.check_out(1, lambda link, error: got.set_result(link or error))
+    o.pool.check_out(1, lambda connection, error: got.set_result(connection or error))
     return await bounded(got)
 
 
 async def idle(o, endpoint, count):
     """This many idle connections; the first has been idle longest."""
-    links = [await lent(o, endpoint) for _ in range(count)]
+    connections = [await checked_out(o, endpoint) for _ in range(count)]
     o.pool.set_max_idle(1, count)
-    for link in links:
-        o.pool.check_in(link)
-    return links
+    for connection in connections:
+        o.pool.check_in(connection)
+    return connections
 
 
 def silent(o):
@@ -61,12 +61,12 @@
 
 @run
 async def test_the_most_recently_used_goes_first_and_surplus_ages(endpoint, o):
-    links = await idle(o, endpoint, 3)
+    connections = await idle(o, endpoint, 3)
     for _ in range(4):
-        link = await lent(o, endpoint)
-        assert link is links[-1]
-        o.pool.check_in(link)
-    assert list(o.pool.idle) == links
+        connection = await checked_out(o, endpoint)
+        assert connection is connections[-1]
+        o.pool.check_in(connection)
+    assert list(o.pool.idle) == connections
 
 
 def test_the_longest_idle_of_any_endpoint_makes_room():
@@ -77,7 +77,7 @@
         for n, e in enumerate(endpoints):
             o.pool.set_endpoint(n, ("127.0.0.1", e.port))
             got = asyncio.get_running_loop().create_future()
-            o.pool.check_out(n, lambda link, error, got=got: got.set_result(link))
+            o.pool.check_out(n, lambda connection, error, got=got: got.set_result(connection))
             o.pool.check_in(await bounded(got))
         assert [len(o.pool.endpoints[n].idle) for n in range(3)] == [0, 1, 1]
         assert o.pool.endpoints[0].closed == {p.EVICTED: 1}
@@ -90,21 +90,21 @@
 
 @run
 async def test_over_the_endpoints_number_the_longest_idle_closes(endpoint, o):
-    links = await idle(o, endpoint, 4)
+    connections = await idle(o, endpoint, 4)
     o.pool.set_max_idle(1, 2)
-    assert list(o.pool.endpoints[1].idle) == links[2:]
+    assert list(o.pool.endpoints[1].idle) == connections[2:]
     o.pool.set_max_idle(1, 0)
     assert not o.pool.idle and o.pool.endpoints[1].closed == {p.OVER_LIMIT: 4}
-    link = await lent(o, endpoint)
-    o.pool.check_in(link)
-    assert link.closed  # none is kept for an endpoint whose connection table is full
+    connection = await checked_out(o, endpoint)
+    o.pool.check_in(connection)
+    assert connection.closed  # none is kept for an endpoint whose connection table is full
 
 
 def test_one_timer_ages_them_in_order():
     async def go():
         endpoint, o = await Endpoint().start(), Outcomes(idle_us=200_000)
-        links = await idle(o, endpoint, 2)
-        await until(lambda: links[0].closed and links[1].closed)
+        connections = await idle(o, endpoint, 2)
+        await until(lambda: connections[0].closed and connections[1].closed)
         assert o.pool.endpoints[1].closed == {p.IDLE_EXPIRED: 2} and o.pool.expiry_timer is None
         await endpoint.stop()
 
@@ -123,39 +123,44 @@
 @run
 async def test_all_dead_at_once_costs_one_attempt_between_them(endpoint, o):
     # The machine vanished and restarted without closing: a request on an old connection is reset.
-    links = await idle(o, endpoint, 3)
+    connections = await idle(o, endpoint, 3)
     silent(o)
-    first = await lent(o, endpoint)
-    assert first is links[-1]
-    second, third = await lent(o, endpoint), await lent(o, endpoint)
-    assert not {second, third} & set(links)  # until the first is answered the others use new connections
+    first = await checked_out(o, endpoint)
+    assert first is connections[-1]
+    second, third = await checked_out(o, endpoint), await checked_out(o, endpoint)
+    assert not {second, third} & set(
+        connections
+    )  # until the first is answered the others use new connections
     o.pool.call_failed(first)
     first.close()
-    assert all(link.closed for link in links) and o.pool.endpoints[1].closed[p.NOT_TRUSTED] == 2
+    assert (
+        all(connection.closed for connection in connections)
+        and o.pool.endpoints[1].closed[p.NOT_TRUSTED] == 2
+    )
 
 
 @run
 async def test_an_answer_makes_the_older_ones_trusted_again(endpoint, o):
-    links = await idle(o, endpoint, 3)
+    connections = await idle(o, endpoint, 3)
     silent(o)
-    first = await lent(o, endpoint)
+    first = await checked_out(o, endpoint)
     o.pool.response_received(first)
-    assert await lent(o, endpoint) is links[1]
+    assert await checked_out(o, endpoint) is connections[1]
     o.pool.call_failed(first)  # responses have arrived since: only this connection was lost
-    assert not links[0].closed
+    assert not connections[0].closed
 
 
 @run
 async def test_an_answer_on_a_younger_connection_does_not_speak_for_older_ones(endpoint, o):
     # The process that responds may have started after the older connections became idle.
-    links = await idle(o, endpoint, 2)
+    connections = await idle(o, endpoint, 2)
     silent(o)
     await asyncio.sleep(0.01)  # opened after the others became idle
-    young = await lent(o, endpoint), await lent(o, endpoint)
-    assert young[0] is links[1] and young[1] not in links
+    young = await checked_out(o, endpoint), await checked_out(o, endpoint)
+    assert young[0] is connections[1] and young[1] not in connections
     o.pool.response_received(young[1])
-    third = await lent(o, endpoint)
-    assert third not in links
+    third = await checked_out(o, endpoint)
+    assert third not in connections
 
 
 @run
@@ -176,12 +181,12 @@
 
 @run
 async def test_those_from_before_the_endpoint_started_again_are_dropped(endpoint, o):
-    links = await idle(o, endpoint, 2)
-    busy = await lent(o, endpoint)
+    connections = await idle(o, endpoint, 2)
+    busy = await checked_out(o, endpoint)
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() - 60) * 1e3)
-    assert not links[0].closed  # the endpoint started long before
+    assert not connections[0].closed  # the endpoint started long before
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() + 1) * 1e3)
-    assert links[0].closed and o.pool.endpoints[1].closed == {p.ENDPOINT_RESTARTED: 1}
+    assert connections[0].closed and o.pool.endpoints[1].closed == {p.ENDPOINT_RESTARTED: 1}
     o.pool.check_in(busy)
     assert busy.closed
 
@@ -204,11 +209,11 @@
 
 @run
 async def test_an_endpoint_that_moved_or_left_ends_with_its_calls(endpoint, o):
-    links = await idle(o, endpoint, 2)
-    busy = await lent(o, endpoint)
+    connections = await idle(o, endpoint, 2)
+    busy = await checked_out(o, endpoint)
     o.pool.take_idle_changes()
     o.pool.set_endpoint(1, ("127.0.0.1", free_port()))
-    assert links[0].closed and not busy.closed and o.pool.take_idle_changes() == [(1, ())]
+    assert connections[0].closed and not busy.closed and o.pool.take_idle_changes() == [(1, ())]
     assert o.pool.status(str)["open"] == 1  # still counted, and closed with the pool
     o.pool.check_in(busy)
     assert busy.closed and not o.pool.removed_endpoints
@@ -282,12 +287,12 @@
         self.room, self.asked = 0, 0
         real = p.PooledConnection.__init__
 
-        def init(link, *args, **more):
+        def init(connection, *args, **more):
             self.asked += 1
             if not self.room:
                 raise OSError(errno.EMFILE, "too many open files")
             self.room -= 1
-            real(link, *args, **more)
+            real(connection, *args, **more)
 
         monkeypatch.setattr(p.PooledConnection, "__init__", init)
 
@@ -300,9 +305,9 @@
         o.pool.set_endpoint(2, ("127.0.0.1", b.port))
         files = Full(monkeypatch)
         real = o.pool.drop
-        o.pool.drop = lambda link, why: (real(link, why), setattr(files, "room", files.room + 1))
+        o.pool.drop = lambda connection, why: (real(connection, why), setattr(files, "room", files.room + 1))
         got = []
-        o.pool.check_out(2, lambda link, error: got.append(link))
+        o.pool.check_out(2, lambda connection, error: got.append(connection))
         await until(lambda: got)
         assert got[0].endpoint == 2 and o.pool.endpoints[1].closed == {p.EVICTED: 1}
         assert [r.result for _, r in await o.send(a.port, "x")] == [
@@ -360,13 +365,13 @@
     for n in range(2000):
         o.pool.set_endpoint(n, ("127.0.0.1", endpoint.port))
         done = asyncio.get_running_loop().create_future()
-        o.pool.check_out(n, lambda link, error, done=done: done.set_result(link))
-        link = await bounded(done)
+        o.pool.check_out(n, lambda connection, error, done=done: done.set_result(connection))
+        connection = await bounded(done)
         if n % 3:
-            o.pool.check_in(link)
+            o.pool.check_in(connection)
         o.pool.forget(n)
         if not n % 3:
-            o.pool.check_in(link)
+            o.pool.check_in(connection)
     await until(lambda: not endpoint.writers)
     assert (
         open_files() == before
@@ -379,11 +384,11 @@
 
 @run
 async def test_an_upgrade_hands_over_when_each_was_opened_beside_the_rows(endpoint, o):
-    links = await idle(o, endpoint, 2)
+    connections = await idle(o, endpoint, 2)
     cargo = Cargo()
     rows = o.pool.carry_idle(cargo, 10)
     assert [len(row) for row in rows] == [4, 4]  # as the previous version expects
-    assert cargo.values["born"] == {0: links[1].opened_at, 1: links[0].opened_at}
+    assert cargo.values["born"] == {0: connections[1].opened_at, 1: connections[0].opened_at}
     other = Outcomes()
     other.pool.set_endpoint(1, ("127.0.0.1", endpoint.port))
     other.pool.resume_idle(
@@ -392,7 +397,9 @@
             for e, a, place, since in rows
         ]
     )
-    assert [k.idle_at for k in other.pool.endpoints[1].idle] == [k.idle_at for k in links]
+    assert [connection.idle_at for connection in other.pool.endpoints[1].idle] == [
+        connection.idle_at for connection in connections
+    ]
     other.pool.close()
 
 
@@ -431,7 +438,7 @@
     def agree():
         host.turn()
         known = host.courier.book.endpoints[number].links.idle
-        return known == [int(k.idle_at * 1e6) for k in host.pool.endpoints[number].idle]
+        return known == [int(connection.idle_at * 1e6) for connection in host.pool.endpoints[number].idle]
 
     for n in range(3):
         assert await client.put(f"m{n}") == "+OK"
@@ -453,7 +460,7 @@
         assert await client.put(f"m{n}") == "+OK"
         await e.call()
         await until(lambda: not fleet.host.calls.in_flight)
-    status, said = await at_door(fleet.door, "GET", "/connections")
+    status, said = await operator_call(fleet.door, "GET", "/connections")
     assert status == 200 and said["open"] == said["idle"] == 1 and said["not_shown"] == 0
     (row,) = said["endpoints"]
     assert row == {
@@ -467,13 +474,13 @@
         "closed": {},
         "kept_at_most": fleet.host.courier.book.endpoints[1].links.told,
     }
-    assert await at_door(fleet.door, "GET", "/connections/a") == (200, row)
-    assert (await at_door(fleet.door, "GET", "/connections/b"))[0] == 404
-    assert (await at_door(fleet.door, "POST", "/connections"))[0] == 405
+    assert await operator_call(fleet.door, "GET", "/connections/a") == (200, row)
+    assert (await operator_call(fleet.door, "GET", "/connections/b"))[0] == 404
+    assert (await operator_call(fleet.door, "POST", "/connections"))[0] == 405
     places = fleet.host.pool.endpoints
     for n in range(1000, 5000):  # the answer is bounded
         places[n] = p.EndpointConnections(("127.0.0.1", 1))
-    status, said = await at_door(fleet.door, "GET", "/connections")
+    status, said = await operator_call(fleet.door, "GET", "/connections")
     assert len(said["endpoints"]) == p.MAX_ROWS and said["not_shown"] == 4001 - p.MAX_ROWS
 
 
