--- a/hopmill/net/__init__.py
+++ b/hopmill/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real courier around the decision module: sockets, journal and clock. No decisions here."""
+"""The courier on real sockets: network, journal and clock around the policy. No decisions are made here."""
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -128,9 +128,8 @@
     first = await checked_out(o, endpoint)
     assert first is connections[-1]
     second, third = await checked_out(o, endpoint), await checked_out(o, endpoint)
-    assert not {second, third} & set(
-        connections
-    )  # until the first is answered the others use new connections
+    # Until the first is answered the others use new connections.
+    assert not {second, third} & set(connections)
     o.pool.call_failed(first)
     first.close()
     assert (
