--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -171,7 +171,7 @@
     asyncio.run(run())
 
 
-def test_a_bundles_first_line_says_nothing_of_its_messages():
+def test_status_line_of_a_batch_does_not_decide_on_its_messages():
     async def run():
         endpoint = await Endpoint(b"HTTP/1.1 200 OK\r\nno header\r\n\r\n").start()
         o = Outcomes()
@@ -182,7 +182,7 @@
     asyncio.run(run())
 
 
-def test_a_refused_connection_never_ran():
+def test_call_whose_connect_is_refused_has_not_run():
     async def run():
         o = Outcomes()
         assert await o.send(free_port(), "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
@@ -191,7 +191,7 @@
     asyncio.run(run())
 
 
-def test_a_connection_that_never_comes_up_never_ran():
+def test_call_whose_connect_is_not_answered_has_not_run():
     # A full accept queue drops the handshake, like an unreachable machine.
     async def run():
         with socket.socket() as s:
@@ -210,7 +210,7 @@
     asyncio.run(run())
 
 
-def test_a_break_before_the_last_byte_never_ran():
+def test_call_broken_before_its_last_byte_has_not_run():
     # asyncio's transports would count the request as written once it is in their buffer.
     async def run():
         listener = socket.socket()
@@ -273,7 +273,7 @@
     asyncio.run(run())
 
 
-def test_a_bundle_has_an_end_for_each():
+def test_each_message_of_a_batch_has_its_outcome():
     async def run():
         rows = (
             b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
@@ -304,7 +304,7 @@
 
 
 @pytest.mark.parametrize("times", [(300_000, 60_000_000), (60_000_000, 300_000)])
-def test_a_bundle_is_waited_for_until_its_first_items_time_and_says_so(times):
+def test_batch_times_out_with_its_earliest_item_and_sends_that_time(times):
     # Guards against using a response that arrives after the timeout of some items for the others only.
     async def run():
         endpoint = await Endpoint("hang").start()
@@ -319,7 +319,7 @@
     asyncio.run(run())
 
 
-def test_what_may_not_be_written_any_more_is_reported_as_never_run():
+def test_call_that_may_no_longer_be_written_is_reported_as_not_run():
     # A wait or a drain can be announced while the connection for a call is being opened.
     async def run():
         endpoint = await Endpoint().start()
@@ -348,7 +348,7 @@
     asyncio.run(run())
 
 
-def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_reuse():
+def test_close_not_yet_seen_by_the_loop_is_noticed_before_reuse():
     # The endpoint closes the connection just before the call: a request on it would count as reset.
     async def run():
         listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -59,7 +59,7 @@
         (["serve", "/nowhere"], 2, "cannot be read"),
     ],
 )
-def test_commands_say_what_is_wrong_in_a_line(args, status, said):
+def test_commands_report_errors_in_one_line(args, status, said):
     done = hopmill(*args)
     assert done.returncode == status and said in done.stdout + done.stderr
     assert "Traceback" not in done.stderr
@@ -144,7 +144,7 @@
 
 
 @courier
-async def test_a_reader_of_metrics_that_never_reads_holds_nothing(fleet):
+async def test_metrics_reader_that_never_reads_is_disconnected(fleet):
     await fleet.inside()
     metrics = fleet.host.metrics
     for partner in range(MAX_LABEL_VALUES + 50):
@@ -161,7 +161,7 @@
     sock.close()
 
 
-def test_labels_stay_bounded_under_a_churn_of_names():
+def test_number_of_labels_is_bounded():
     names = LabelValues(max_count=3)
     assert [names.label(n) for n in (1, 2, 3, 4, 5, 1)] == ["1", "2", "3", OTHER, OTHER, "1"]
     metrics = Metrics(("safe",))
@@ -172,7 +172,7 @@
 
 
 @courier
-async def test_without_a_door_nothing_is_counted_and_nothing_more_listens(fleet):
+async def test_without_the_operator_api_nothing_is_counted_or_listens(fleet):
     await fleet.endpoint("a")
     fleet.door = 0
     client = await fleet.inside()
@@ -206,7 +206,7 @@
 
 
 @courier
-async def test_a_reload_names_what_changed_and_what_waits(fleet):
+async def test_reload_lists_changes_and_those_that_need_a_restart(fleet):
     await fleet.outside()
     path = fleet.folder / "config.json"
     config = json.loads(path.read_text()) | {"discovery": f"127.0.0.1:{fleet.discovery.port}"}
@@ -246,7 +246,7 @@
 
 
 @courier
-async def test_ctl_and_top_speak_with_a_courier(fleet):
+async def test_ctl_and_top_with_a_courier(fleet):
     await fleet.endpoint("a")
     await fleet.inside()
     address = f"{DOOR}:{fleet.door}"
@@ -393,7 +393,7 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM])
-def test_a_demo_that_is_ended_leaves_nothing(tmp_path, how):
+def test_stopped_demo_leaves_nothing(tmp_path, how):
     process = running_demo(tmp_path, "--seconds", "30")
     wait_for(lambda: len(couriers_of(tmp_path)) == 2)
     time.sleep(0.5)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -28,7 +28,7 @@
 
 
 @courier
-async def test_the_door_says_whether_clients_are_taken(fleet):
+async def test_healthcheck_tells_whether_clients_are_accepted(fleet):
     await fleet.inside()
     status, said = await call(fleet.door, "GET", "/healthcheck")
     assert status == 200 and said["taking_clients"] and not said["drained"]
@@ -53,7 +53,7 @@
         (b"GET /healthcheck HTTP/1.0\r\n\r\n", 200),
     ],
 )
-def test_a_call_that_is_not_proper_gets_a_no(tmp_path, data, status):
+def test_malformed_call_is_refused(tmp_path, data, status):
     @courier
     async def inner(fleet):
         await fleet.inside()
@@ -64,7 +64,7 @@
 
 
 @courier
-async def test_callers_without_a_whole_call_keep_nobody_out(fleet):
+async def test_incomplete_calls_do_not_block_others(fleet):
     fleet.limits["sockets"] = 160
     await fleet.inside()
     slow = [await bounded(asyncio.open_connection(DOOR, fleet.door)) for _ in range(40)]
@@ -79,7 +79,7 @@
 
 
 @courier
-async def test_no_address_no_door(fleet):
+async def test_without_an_address_the_operator_api_is_off(fleet):
     fleet.door = 0
     await fleet.inside()
     assert fleet.host.operator_server.acceptor is None
@@ -90,7 +90,7 @@
 
 
 @courier
-async def test_a_drained_courier_sends_its_clients_away_and_cuts_nothing(fleet):
+async def test_drained_courier_completes_requests_and_closes_client_connections(fleet):
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     quiet, busy, half = client, await Client().open(fleet.port), await Client().open(fleet.port)
@@ -135,7 +135,7 @@
 
 
 @courier
-async def test_what_can_not_be_recorded_gets_a_no_and_is_not_done(fleet):
+async def test_command_that_can_not_be_recorded_is_refused_and_not_carried_out(fleet):
     client = await fleet.inside()
     fleet.host.journal.limit = 0
     assert (await call(fleet.door, "POST", "/healthcheck/fail"))[0] == 503
@@ -147,7 +147,7 @@
 
 
 @courier
-async def test_an_endpoint_out_by_hand_gets_nothing_whatever_the_list_says(fleet):
+async def test_endpoint_excluded_by_an_operator_gets_no_call_whatever_the_list_says(fleet):
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
     client = await fleet.inside()
     for n in range(6):
@@ -179,7 +179,7 @@
 
 
 @courier
-async def test_a_call_whose_connection_is_being_made_does_not_start_after_the_yes(fleet):
+async def test_call_waiting_for_a_connection_does_not_start_after_the_exclusion(fleet):
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     begun = []
@@ -196,7 +196,7 @@
 
 
 @courier
-async def test_what_is_out_by_hand_stays_out_over_a_restart_and_a_rewritten_journal(fleet):
+async def test_exclusion_lasts_over_a_restart_and_a_rewritten_journal(fleet):
     a = await fleet.endpoint("a")
     await fleet.endpoint("b", dest=8)
     await fleet.outside()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -60,7 +60,7 @@
 
 
 @run
-async def test_the_most_recently_used_goes_first_and_surplus_ages(endpoint, o):
+async def test_most_recently_used_connection_is_reused_first(endpoint, o):
     connections = await idle(o, endpoint, 3)
     for _ in range(4):
         connection = await checked_out(o, endpoint)
@@ -69,7 +69,7 @@
     assert list(o.pool.idle) == connections
 
 
-def test_the_longest_idle_of_any_endpoint_makes_room():
+def test_longest_idle_connection_of_any_endpoint_is_evicted():
     # Guards against closing the newest idle connection, and against looking at every endpoint on each call.
     async def go():
         endpoints = [await Endpoint().start() for _ in range(3)]
@@ -89,7 +89,7 @@
 
 
 @run
-async def test_over_the_endpoints_number_the_longest_idle_closes(endpoint, o):
+async def test_longest_idle_connection_closes_over_the_endpoints_limit(endpoint, o):
     connections = await idle(o, endpoint, 4)
     o.pool.set_max_idle(1, 2)
     assert list(o.pool.endpoints[1].idle) == connections[2:]
@@ -100,7 +100,7 @@
     assert connection.closed  # none is kept for an endpoint whose connection table is full
 
 
-def test_one_timer_ages_them_in_order():
+def test_one_timer_expires_idle_connections_in_order():
     async def go():
         endpoint, o = await Endpoint().start(), Outcomes(idle_us=200_000)
         connections = await idle(o, endpoint, 2)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("idle_us", "idle_s"), [(10_000_000, 9.0), (1_500_000, 0.75), (0, 0)])
-def test_idle_ones_close_a_round_trip_before_the_endpoint_would(idle_us, idle_s):
+def test_idle_connections_close_a_round_trip_before_the_endpoint_would(idle_us, idle_s):
     # With three quarters of the idle timeout one call in ten of hundreds of couriers arrived too late.
     async def go():
         assert Outcomes(idle_us=idle_us).pool.idle_s == idle_s
@@ -121,7 +121,7 @@
 
 
 @run
-async def test_all_dead_at_once_costs_one_attempt_between_them(endpoint, o):
+async def test_dead_idle_connections_cost_one_attempt_together(endpoint, o):
     # The machine vanished and restarted without closing: a request on an old connection is reset.
     connections = await idle(o, endpoint, 3)
     silent(o)
@@ -139,7 +139,7 @@
 
 
 @run
-async def test_an_answer_makes_the_older_ones_trusted_again(endpoint, o):
+async def test_response_restores_trust_in_older_connections(endpoint, o):
     connections = await idle(o, endpoint, 3)
     silent(o)
     first = await checked_out(o, endpoint)
@@ -150,7 +150,7 @@
 
 
 @run
-async def test_an_answer_on_a_younger_connection_does_not_speak_for_older_ones(endpoint, o):
+async def test_response_on_a_younger_connection_restores_no_trust(endpoint, o):
     # The process that responds may have started after the older connections became idle.
     connections = await idle(o, endpoint, 2)
     silent(o)
@@ -163,7 +163,7 @@
 
 
 @run
-async def test_a_call_lost_on_a_dead_connection_takes_the_older_ones_along(endpoint, o):
+async def test_failed_call_closes_older_idle_connections(endpoint, o):
     endpoint.script += [answer(200)] * 2 + ["hang"]
     o.pool.set_max_idle(1, 4)
     gate = endpoint.release = asyncio.Event()
@@ -179,7 +179,7 @@
 
 
 @run
-async def test_those_from_before_the_endpoint_started_again_are_dropped(endpoint, o):
+async def test_connections_from_before_an_endpoint_restart_are_closed(endpoint, o):
     connections = await idle(o, endpoint, 2)
     busy = await checked_out(o, endpoint)
     o.pool.set_endpoint(1, ("127.0.0.1", endpoint.port), (time.time() - 60) * 1e3)
@@ -191,7 +191,7 @@
 
 
 @run
-async def test_nothing_is_kept_for_an_endpoint_that_may_get_no_calls(endpoint, o):
+async def test_no_connection_is_kept_for_an_endpoint_that_may_not_be_called(endpoint, o):
     # The connect succeeds after the endpoint has begun to drain.
     waiting = []
     o.pool._connected = lambda *args: waiting.append(args)
@@ -207,7 +207,7 @@
 
 
 @run
-async def test_an_endpoint_that_moved_or_left_ends_with_its_calls(endpoint, o):
+async def test_connections_of_a_moved_endpoint_close_after_their_calls(endpoint, o):
     connections = await idle(o, endpoint, 2)
     busy = await checked_out(o, endpoint)
     o.pool.take_idle_changes()
@@ -229,7 +229,7 @@
         await reader.read()
 
 
-def test_bytes_beyond_an_answers_end_never_meet_the_next_call():
+def test_bytes_after_a_response_never_reach_the_next_call():
     async def go():
         endpoint, o = await Late().start(), Outcomes()
         for ident in "ab":
@@ -241,7 +241,7 @@
 
 
 @run
-async def test_an_answer_after_the_time_out_never_meets_the_next_call(endpoint, o):
+async def test_response_after_the_timeout_never_reaches_the_next_call(endpoint, o):
     endpoint.release = asyncio.Event()
     endpoint.script = [answer(500), answer(200)]
     assert (await o.send(endpoint.port, "a", timeout_us=50_000))[0][1].result is Result.TIMEOUT
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize(("size", "result"), [(10, Result.RESET), (4_000_000, Result.CONNECT_FAILED)])
-def test_an_end_under_the_request_tells_by_the_last_byte_whether_it_may_have_run(size, result):
+def test_connection_loss_before_the_last_byte_proves_that_the_call_has_not_run(size, result):
     async def go():
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -296,7 +296,7 @@
         monkeypatch.setattr(p.PooledConnection, "__init__", init)
 
 
-def test_without_a_descriptor_an_idle_one_makes_room_and_calls_wait_a_bounded_time(monkeypatch):
+def test_without_descriptors_idle_connections_are_evicted_and_calls_wait(monkeypatch):
     async def go():
         a, b = await Endpoint().start(), await Endpoint().start()
         o = Outcomes(connect_us=300_000)
@@ -323,7 +323,7 @@
     asyncio.run(go())
 
 
-def test_half_open_connects_at_a_silent_machine_end_and_leave_nothing():
+def test_unanswered_connects_time_out_and_leave_nothing():
     async def go():
         with socket.socket() as s:
             s.bind(("127.0.0.1", 0))
@@ -382,7 +382,7 @@
 
 
 @run
-async def test_an_upgrade_hands_over_when_each_was_opened_beside_the_rows(endpoint, o):
+async def test_upgrade_hands_over_opening_times_beside_the_rows(endpoint, o):
     connections = await idle(o, endpoint, 2)
     cargo = Cargo()
     rows = o.pool.carry_idle(cargo, 10)
@@ -427,7 +427,7 @@
 
 
 @courier
-async def test_the_module_and_the_pool_have_one_account(fleet):
+async def test_policy_and_pool_agree_on_idle_connections(fleet):
     # Guards against a policy that counts idle connections itself and misses those that the pool closes.
     e = await fleet.endpoint("a", answer(200, Connection="close"), answer(200), answer(200))
     client = await fleet.inside()
@@ -452,7 +452,7 @@
 
 
 @courier
-async def test_staff_see_the_connections_at_the_door(fleet):
+async def test_operator_api_shows_connections(fleet):
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     for n in range(3):
