--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' door, and what its calls do."""
+"""The operator API server and its commands."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 
 @courier
-async def test_the_door_says_whether_clients_are_taken(fleet):
+async def test_healthcheck_tells_whether_clients_are_accepted(fleet):
     await fleet.inside()
     status, said = await call(fleet.door, "GET", "/healthcheck")
     assert status == 200 and said["taking_clients"] and not said["drained"]
@@ -53,36 +53,36 @@
         (b"GET /healthcheck HTTP/1.0\r\n\r\n", 200),
     ],
 )
-def test_a_call_that_is_not_proper_gets_a_no(tmp_path, data, status):
+def test_malformed_call_is_refused(tmp_path, data, status):
     @courier
     async def inner(fleet):
         await fleet.inside()
         assert (await say(fleet.door, data))[0] == status
-        assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200  # and the door goes on
+        assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200  # and the server still responds
 
     inner(tmp_path)
 
 
 @courier
-async def test_callers_without_a_whole_call_keep_nobody_out(fleet):
+async def test_incomplete_calls_do_not_block_others(fleet):
     fleet.limits["sockets"] = 160
     await fleet.inside()
     slow = [await bounded(asyncio.open_connection(DOOR, fleet.door)) for _ in range(40)]
     for _, writer in slow:
         writer.write(b"GET /healthch")
     assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 200
-    assert len(fleet.host.door.callers) <= 10
+    assert len(fleet.host.operator_server.callers) <= 10
     answers = [await bounded(reader.read()) for reader, _ in slow[-3:]]
-    assert all(a.startswith(b"HTTP/1.1 408") for a in answers)  # and none keeps its descriptor
+    assert all(a.startswith(b"HTTP/1.1 408") for a in answers)  # and none keeps its file descriptor
     for _, writer in slow:
         writer.close()
 
 
 @courier
-async def test_no_address_no_door(fleet):
+async def test_without_an_address_the_operator_api_is_off(fleet):
     fleet.door = 0
     await fleet.inside()
-    assert fleet.host.door.acceptor is None
+    assert fleet.host.operator_server.acceptor is None
     assert await (await Client().open(fleet.port)).send(Client.command(b"PING")) == "+PONG"
 
 
@@ -90,7 +90,7 @@
 
 
 @courier
-async def test_a_drained_courier_sends_its_clients_away_and_cuts_nothing(fleet):
+async def test_drained_courier_completes_requests_and_closes_client_connections(fleet):
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     quiet, busy, half = client, await Client().open(fleet.port), await Client().open(fleet.port)
@@ -98,17 +98,17 @@
     message = client.message("half")
     half.writer.write(message[:40])
     started = asyncio.get_running_loop().time()
-    for _ in range(2):  # calls repeat safely
+    for _ in range(2):  # the call is idempotent
         assert (await call(fleet.door, "POST", "/healthcheck/fail"))[0] == 200
     assert (await call(fleet.door, "GET", "/healthcheck"))[0] == 503
     assert (await (await Client().open(fleet.port)).send(PING)).startswith("-ERR")
-    assert await busy.put("m0") == "+OK"  # open connections go on for a moment
+    assert await busy.put("m0") == "+OK"  # open connections are served for a while
     assert await bounded(quiet.reader.read()) == b""
     late = await Client().open(fleet.port)
-    assert await late.put("late") == "+OK"  # a new one is served, then closed
+    assert await late.put("late") == "+OK"  # a new connection is served once, then closed
     assert await bounded(late.reader.read()) == b""
     half.writer.write(message[40:])
-    assert await half.line() == "+OK"  # a request is let finish
+    assert await half.line() == "+OK"  # a partial request may be completed
     assert await bounded(half.reader.read()) == b"" and await bounded(busy.reader.read()) == b""
     assert asyncio.get_running_loop().time() - started < 3
     assert {(await e.call())[1]["x-request-id"] for _ in range(3)} == {"m0", "late", "half"}
@@ -135,7 +135,7 @@
 
 
 @courier
-async def test_what_can_not_be_recorded_gets_a_no_and_is_not_done(fleet):
+async def test_command_that_can_not_be_recorded_is_refused_and_not_carried_out(fleet):
     client = await fleet.inside()
     fleet.host.journal.limit_bytes = 0
     assert (await call(fleet.door, "POST", "/healthcheck/fail"))[0] == 503
@@ -147,7 +147,7 @@
 
 
 @courier
-async def test_an_endpoint_out_by_hand_gets_nothing_whatever_the_list_says(fleet):
+async def test_endpoint_excluded_by_an_operator_gets_no_call_whatever_the_list_says(fleet):
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
     client = await fleet.inside()
     for n in range(6):
@@ -159,9 +159,9 @@
     assert await out(fleet, "nobody") == 404 and await out(fleet, "nobody", "ready") == 404
     assert (await call(fleet.door, "GET", "/endpoints/a/maint"))[0] == 405
     assert (await call(fleet.door, "GET", "/healthcheck"))[1]["out_by_hand"] == ["a"]
-    assert not fleet.host.pool.places[fleet.host.roster.uids["a"]].idle
+    assert not fleet.host.pool.endpoints[fleet.host.registry.uids["a"]].idle
     before = a.calls.qsize()
-    for state in ("terminated", "in_service"):  # it goes and is listed again
+    for state in ("terminated", "in_service"):  # removed and listed again
         fleet.discovery.change("a", state=state)
     while fleet.host.watch.rev != fleet.discovery.rev:
         await asyncio.sleep(0.01)
@@ -172,31 +172,31 @@
     assert a.calls.qsize() == before
     assert await out(fleet, "b") == 200
     assert await client.put("last") == "+OK"
-    assert await out(fleet, "a", "ready") == 200  # one call back lifts it, however many there were
+    assert await out(fleet, "a", "ready") == 200  # one call readmits it, no matter how often it was excluded
     while a.calls.qsize() == before:
         await asyncio.sleep(0.01)
-    assert await out(fleet, "a", "ready") == 200  # and repeats
+    assert await out(fleet, "a", "ready") == 200  # idempotent
 
 
 @courier
-async def test_a_call_whose_connection_is_being_made_does_not_start_after_the_yes(fleet):
+async def test_call_waiting_for_a_connection_does_not_start_after_the_exclusion(fleet):
     e = await fleet.endpoint("a")
     client = await fleet.inside()
     begun = []
     fleet.host.calls.hooks.begin = lambda endpoint, items: begun.append(items) or items
     waiting = []
-    fleet.host.pool._up = lambda *args: waiting.append(args)
+    fleet.host.pool._connected = lambda *args: waiting.append(args)
     await client.put("m")
     await until(lambda: waiting)
     assert await out(fleet, "a") == 200
-    del fleet.host.pool._up
-    fleet.host.pool._up(*waiting[0])
+    del fleet.host.pool._connected
+    fleet.host.pool._connected(*waiting[0])
     assert not begun and e.calls.empty()
-    assert waiting[0][1].closed  # nor is it kept there
+    assert waiting[0][1].closed  # and not kept idle
 
 
 @courier
-async def test_what_is_out_by_hand_stays_out_over_a_restart_and_a_rewritten_journal(fleet):
+async def test_exclusion_lasts_over_a_restart_and_a_rewritten_journal(fleet):
     a = await fleet.endpoint("a")
     await fleet.endpoint("b", dest=8)
     await fleet.outside()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -133,7 +133,7 @@
 
 def written(folder, *counts):
     storage = peers.Storage(folder)
-    storage.settle(storage.load()[1])
+    storage.ensure_anchor(storage.load()[1])
     for count in counts:
         storage.write(stored(count))
     return storage
@@ -189,7 +189,7 @@
     written(tmp_path, *range(1, 40))
     sizes = [-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()]
     assert sum(sizes) <= 16_384
-    with pytest.raises(OSError, match="over its bound"):
+    with pytest.raises(OSError, match="exceeds its slot size"):
         peers.Storage(tmp_path).write(b"x" * peers.SLOT_BYTES)
 
 
@@ -199,19 +199,19 @@
     with_members(fleet)
     client = await fleet.inside()
     await bounded(_holds(fleet))
-    real = fleet.host.peers.storage.write
+    real = fleet.host.member_transport.storage.write
 
     def full(state):
         raise OSError(28, "No space left on device")
 
-    fleet.host.peers.storage.write = full
+    fleet.host.member_transport.storage.write = full
     begun = asyncio.create_task(changed(fleet, "/fleet/words/w/x"))
-    await until(lambda: fleet.host.peers.failing)
+    await until(lambda: fleet.host.member_transport.is_failing)
     assert (await status(fleet))["disk"] == "failing" and await client.put("m") == "+OK"
     await e.call()
     await asyncio.sleep(0.3)
     assert not begun.done()
-    fleet.host.peers.storage.write = real
+    fleet.host.member_transport.storage.write = real
     assert (await bounded(begun))["state"] == "done" and (await status(fleet))["disk"] == "well"
 
 
