--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -78,7 +78,7 @@
         document = doc.read_toml(file)
     except doc.ConfigError as error:
         raise fail(str(error)) from None
-    rows, off = doc.flat(document), doc.off(document)
+    rows, off = doc.flatten(document), doc.disabled_options(document)
     if as_json:
         print(json.dumps({"holds": rows, "off": off}, default=str))
         return
--- a/hopmill/document.py
+++ b/hopmill/document.py
@@ -242,7 +242,7 @@
             refused_price=self.worth.refused_price,
         )
 
-    def known(self) -> dict[str, Any]:
+    def known_endpoints(self) -> dict[str, Any]:
         """The partners' endpoints in discovery's form, as of version 0."""
         return {
             "rev": 0,
@@ -435,7 +435,7 @@
     }
 
 
-def flat(document: Document) -> dict[str, Any]:
+def flatten(document: Document) -> dict[str, Any]:
     """Every field's path with its value."""
     rows: dict[str, Any] = {}
 
@@ -455,7 +455,7 @@
 
 def changes(old: Document, new: Document) -> list[tuple[str, Any, Any]]:
     """(path, before, after) of each field that differs; None where it is not there."""
-    before, after = flat(old), flat(new)
+    before, after = flatten(old), flatten(new)
     return [
         (path, before.get(path), after.get(path))
         for path in sorted({*before, *after})
@@ -463,7 +463,7 @@
     ]
 
 
-def off(document: Document) -> list[str]:
+def disabled_options(document: Document) -> list[str]:
     """What is optional and not switched on, one line each."""
     rows = (
         ("operator", not document.operator, "no door for operators, no metrics"),
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -53,7 +53,8 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.debugs = False  # whether a debug line would be written: for what costs something to put together
+        # Whether a debug line would be written: for what costs something to put together.
+        self.debug_enabled = False
 
 
 class Sink:
@@ -194,7 +195,7 @@
     ).bind()
     for method in METHODS:
         setattr(each, method, getattr(logger, method))
-    each.debugs = level <= logging.DEBUG
+    each.debug_enabled = level <= logging.DEBUG
 
 
 def _before_configured(event: str, **fields: Any) -> None:
--- a/hopmill/net/config.py
+++ b/hopmill/net/config.py
@@ -60,7 +60,7 @@
         """(the file, the module's settings, the endpoints known before discovery speaks)."""
         if self.file is not None:
             document = doc.read_toml(self.file)
-            return document, document.settings(), document.known()
+            return document, document.settings(), document.known_endpoints()
         raw = _read_json(self.env)
         document, settings = doc.from_platform(raw)
         return document, settings, _known(raw.get("known", {}))
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -283,7 +283,7 @@
             guard.cancel()
 
     def _accepted(self, numbers: list[int]) -> None:
-        if messages_log.debugs:
+        if messages_log.debug_enabled:
             for m in (self.journal.held[n] for n in numbers if n in self.journal.held):
                 self.observer.told(m)
         self.note(self.journal.told, numbers)
@@ -306,7 +306,7 @@
             self.tell(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
             return
         item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us)
-        if messages_log.debugs:
+        if messages_log.debug_enabled:
             self.observer.sent(m, attempt, self.roster.uid(a.endpoint), a.timeout_us)
         if self.roster.batch(a.endpoint) > 1:
             bundles.setdefault(a.endpoint, []).append(item)
@@ -352,7 +352,7 @@
     def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
         m = self.journal.held.get(item.number)
         over = outcome.over or m is None
-        if m and (self.metrics or self.observer.counting or messages_log.debugs):
+        if m and (self.metrics or self.observer.counting or messages_log.debug_enabled):
             self.observer.ended(
                 m, item.attempt, self.roster.uid(endpoint), outcome.result, latency, outcome.wait_us
             )
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -9,7 +9,7 @@
 import dataclasses
 from typing import TYPE_CHECKING, Any
 
-from hopmill import book as books
+from hopmill import book as policy_history
 from hopmill import interface as i
 from hopmill import logs, overlay
 from hopmill.document import Document
@@ -26,7 +26,7 @@
 
 WAIT_S = 0.5  # clients wait so long for a change to be over; from then on they are told to come again
 HELD_SHARE = 1 / 2  # of the memory, for messages that are held, each as long as the longest
-NOTHING = books.Book().encode()  # the policy of a fleet that has made no change
+NOTHING = policy_history.PolicyHistory().encode()  # the policy of a fleet that has made no change
 log = logs.part("fleet")
 
 
@@ -38,7 +38,7 @@
         self.peers: Peers | None = None
         self.governed = bool(host.config.members and host.config.members.policy)
         self.own = host.s  # as this courier's file has them
-        self.book = books.Book()
+        self.history = policy_history.PolicyHistory()
         self.applied = -1  # the version that the module goes by
         self.left_out: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
         self.trouble = ""  # why the version in force can't be taken here
@@ -144,37 +144,37 @@
         """Why this courier can't go by it, "" if it can."""
         try:
             self._read(text)
-        except (ConfigError, books.Unreadable, ValueError) as error:
+        except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
             return str(error) or "unreadable"
         return ""
 
-    def _read(self, text: bytes) -> tuple[books.Book, Document]:
-        book = books.read(text)
-        document = overlay.apply(self.document, book.values)
+    def _read(self, text: bytes) -> tuple[policy_history.PolicyHistory, Document]:
+        history = policy_history.decode(text)
+        document = overlay.apply(self.document, history.values)
         need, room = document.held * MAX_REQUEST, int(self.host.config.memory_bytes * HELD_SHARE)
         if document.held > self.document.held and need > room:
             raise ConfigError(f"held: {document.held} messages may take {need >> 20} MiB, room {room >> 20}")
         for zone in document.left_out.zones:
             self.host.roster.zone(zone)
-        return book, document
+        return history, document
 
     def _take(self, version: int, text: bytes) -> None:
         """All of it reaches the module as one event."""
         try:
-            book, document = self._read(text)
-        except (ConfigError, books.Unreadable, ValueError) as error:
+            history, document = self._read(text)
+        except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
             if self.trouble != str(error):
                 self.trouble = str(error)
                 log.error("fleet.policy_not_taken", version=version, error=error)
             return
         changes = sum(
             1
-            for path in {*self.book.values, *book.values}
-            if self.book.values.get(path) != book.values.get(path)
+            for path in {*self.history.values, *history.values}
+            if self.history.values.get(path) != history.values.get(path)
         )
-        self.trouble, self.book, self.applied = "", book, version
+        self.trouble, self.history, self.applied = "", history, version
         self.host.act(self._event(document))
-        log.info("fleet.policy", version=version, fields=len(book.values), changed=changes)
+        log.info("fleet.policy", version=version, fields=len(history.values), changed=changes)
         self.reloaded(self.document)
 
     def _event(self, document: Document) -> i.PolicySet:
@@ -201,7 +201,7 @@
 
     def reloaded(self, document: Document) -> None:
         """What the file on this machine says otherwise does not hold."""
-        if paths := [*overlay.disagreements(document, self.book.values)]:
+        if paths := [*overlay.overridden_paths(document, self.history.values)]:
             log.warning("fleet.policy_prevails", paths=",".join(paths))
 
     def status(self) -> dict[str, Any]:
@@ -209,6 +209,6 @@
             "applied": self.applied,
             "may_act": self.may_act(),
             "trouble": self.trouble,
-            "values": self.book.values,
+            "values": self.history.values,
             "waiting_clients": len(self.waiting),
         }
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -38,7 +38,7 @@
         return self.s.classes[m.cls].name
 
     def put(self, m: Held, life_ms: int) -> None:
-        if log.debugs:
+        if log.debug_enabled:
             tenant = self.s.tenants[m.tenant].name if self.s.tenants else None
             log.debug(
                 "message.put",
@@ -53,7 +53,7 @@
 
     def refused(self, m: Held, wait_us: int) -> None:
         """Answered -BUSY or -ERR before it was taken on."""
-        if log.debugs:
+        if log.debug_enabled:
             log.debug("message.refused", message=m.id, again_ms=-(-wait_us // 1000))
         self._earned(m, False)
         if self.meters:
@@ -66,7 +66,7 @@
             self.meters.message(m.cls, "taken")
 
     def sent(self, m: Held, attempt: int, endpoint: str, timeout_us: int) -> None:
-        if log.debugs:
+        if log.debug_enabled:
             log.debug(
                 "attempt.sent",
                 message=m.id,
@@ -78,7 +78,7 @@
     def ended(
         self, m: Held, attempt: int, endpoint: str, result: i.Result, latency_us: int, wait_us: int
     ) -> None:
-        if log.debugs:
+        if log.debug_enabled:
             log.debug(
                 "attempt.ended",
                 message=m.id,
@@ -97,7 +97,7 @@
 
     def over(self, m: Held, status: str, again_ms: int = 0) -> None:
         """status: delivered (or withdrawn by its endpoint), deferred or undeliverable."""
-        if log.debugs:
+        if log.debug_enabled:
             log.debug("message.over", message=m.id, status=status, again_ms=again_ms or None)
         self._earned(m, status in ("delivered", "withdrawn"))
         if self.meters:
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -52,14 +52,14 @@
         if (govern := self._govern()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
         p = govern.register.document.policy
-        rows = [{**msgspec.to_builtins(e), "outcome": "in force"} for e in self.in_force().book.entries]
+        rows = [{**msgspec.to_builtins(e), "outcome": "in force"} for e in self.in_force().history.entries]
         rows += [{"id": e.id, "outcome": "in force nowhere", "why": e.why} for e in p.ended if not e.version]
         return 200, {"version": p.version, "applied": self.in_force().applied, "changes": rows}
 
     def propose(self, body: bytes) -> Answer:
         if (govern := self._govern()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        from hopmill import book as books
+        from hopmill import book as policy_history
         from hopmill.overlay import read_patch
 
         try:
@@ -68,7 +68,7 @@
             return 400, {"error": str(error)}
         in_force, p = self.in_force(), govern.register.document.policy
         there = {p.change.id if p.change else "", p.stage.id if p.stage else ""}
-        if any(e.id == ask.id for e in in_force.book.entries) or p.outcome(ask.id) or ask.id in there:
+        if any(e.id == ask.id for e in in_force.history.entries) or p.outcome(ask.id) or ask.id in there:
             return self.outcome(ask.id)
         if p.stage:
             return 409, {"error": f"change {p.stage.id} of {p.stage.by} is staged"}
@@ -80,16 +80,16 @@
             if ask.revert is None:
                 patch, unset = read_patch(ask.patch)
             else:
-                patch, unset = in_force.book.patch_to(ask.revert)
-            book = in_force.book.next(ask.id, time.time(), ask.by, ask.reason, patch, unset)
-        except (ConfigError, books.TooLong) as error:
+                patch, unset = in_force.history.patch_to(ask.revert)
+            history = in_force.history.with_change(ask.id, time.time(), ask.by, ask.reason, patch, unset)
+        except (ConfigError, policy_history.HistoryTooLongError) as error:
             return 400, {"error": str(error)}
         except KeyError:
             return 400, {"error": f"version {ask.revert} is no longer known"}
-        changes = book.entries[-1].changes if book.entries else []
+        changes = history.entries[-1].changes if history.entries else []
         if not changes:
             return 400, {"error": "the patch: changes nothing"}
-        text = book.encode()
+        text = history.encode()
         if why := in_force.against(text):
             return 409, {"error": f"this courier can't go by it: {why}"}
         if ask.dry_run:
@@ -129,7 +129,7 @@
         if ended := p.outcome(ident):
             state = "in force" if ended.version else "in force nowhere"
             return 200, told | {"state": state, "version": ended.version or p.version, "why": ended.why}
-        for entry in self.in_force().book.entries if not p.stage else ():
+        for entry in self.in_force().history.entries if not p.stage else ():
             if entry.id == ident:
                 return 200, told | {"state": "in force", "version": entry.version, "why": ""}
         if p.change and p.change.id == ident:
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -85,7 +85,7 @@
         table, _, field = path.rpartition(".")
         if field in FIELDS.get(table, ()):
             return path
-        known = path in doc.flat(_example()) or field in _fields_of(table)
+        known = path in doc.flatten(_example()) or field in _fields_of(table)
     raise ConfigError(f"{path}: " + ("can't change while couriers run" if known else "no such field"))
 
 
@@ -135,7 +135,7 @@
     return changed
 
 
-def disagreements(document: Document, overlay: Flat) -> Iterator[str]:
+def overridden_paths(document: Document, overlay: Flat) -> Iterator[str]:
     """Paths at which a courier's own file says something else; one that leaves a field out says nothing."""
     own, blank = dict(_own(document)), dict(_own(_example()))
     for path, value in overlay.items():
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -80,8 +80,8 @@
             say(
                 "policy",
                 version=version,
-                values=self.book.values,
-                changes=[e.id for e in self.book.entries],
+                values=self.history.values,
+                changes=[e.id for e in self.history.entries],
                 staged=bool(stage and stage.version == version),
             )
 
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -26,7 +26,7 @@
 def test_the_example_is_read_and_names_every_field(tmp_path):
     document = read(tmp_path, TEXT)
     assert document.partners[0].endpoints[0].zone == "hall-a" and document.log.levels == {"messages": "info"}
-    assert document.known()["targets"][0]["pod_group"] == 7
+    assert document.known_endpoints()["targets"][0]["pod_group"] == 7
     raw = tomllib.loads(TEXT)
 
     def missing(struct, given, path):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -21,7 +21,7 @@
     for part in logs._parts.values():  # as before: quiet
         for method in logs.METHODS:
             setattr(part, method, logs._before_configured)
-        part.debugs = False
+        part.debug_enabled = False
     logs._now.clear()
     os.close(reader)
     os.close(writer)
@@ -59,7 +59,7 @@
     reader, writer = pipe
     calls, door = logs.part("calls"), logs.part("door")
     logs.configure(level="warning", levels={"door": "debug"}, stream=writer)
-    assert (calls.debugs, door.debugs) == (False, True)
+    assert (calls.debug_enabled, door.debug_enabled) == (False, True)
     for log in (calls, door):
         log.debug("x")
         log.error("y")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -20,7 +20,7 @@
 from test_peers import with_members
 from test_upgrade import healthy, hold_socket
 
-from hopmill import book as books
+from hopmill import book as policy_history
 from hopmill import overlay
 from hopmill.explorer import policy as explore
 from hopmill.explorer import policy_known as known
@@ -249,7 +249,7 @@
         assert said and re.search(said, str(error)), error
         return
     assert not said and changed.held == 50 and changed.ceilings[0].window == 3
-    assert [*overlay.disagreements(changed, {"held": 60, "retries.attempts": 9})] == ["held"]
+    assert [*overlay.overridden_paths(changed, {"held": 60, "retries.attempts": 9})] == ["held"]
 
 
 FIELDS = st.dictionaries(
@@ -264,28 +264,32 @@
 
 @given(st.lists(st.tuples(FIELDS, UNSET), max_size=12))
 def test_any_version_that_is_kept_can_be_gone_back_to(changes):
-    book, states = books.Book(), [{}]
+    history, states = policy_history.PolicyHistory(), [{}]
     for n, (patch, unset) in enumerate(changes):
-        book = book.next(f"x{n}", 0.0, "me", "why", patch, tuple(unset))
-        states.append(book.values)
-    assert books.read(book.encode()) == book
+        history = history.with_change(f"x{n}", 0.0, "me", "why", patch, tuple(unset))
+        states.append(history.values)
+    assert policy_history.decode(history.encode()) == history
     for version, values in enumerate(states):
-        patch, unset = book.patch_to(version)
-        assert overlay.merged(book.values, patch, unset) == values
+        patch, unset = history.patch_to(version)
+        assert overlay.merged(history.values, patch, unset) == values
 
 
 def test_a_book_drops_its_oldest_changes_and_says_what_it_no_longer_knows():
-    book = books.Book()
+    history = policy_history.PolicyHistory()
     for n in range(400):
-        book = book.next(f"x{n}", 0.0, "me", "r" * 200, {"held": n + 1}, ())
-    assert len(book.encode()) <= books.MOST_BYTES and book.version == 400 and book.entries[0].version > 100
+        history = history.with_change(f"x{n}", 0.0, "me", "r" * 200, {"held": n + 1}, ())
+    assert (
+        len(history.encode()) <= policy_history.MAX_BYTES
+        and history.version == 400
+        and history.entries[0].version > 100
+    )
     with pytest.raises(KeyError):
-        book.patch_to(3)
-    with pytest.raises(books.TooLong):
-        book.next("y", 0.0, "", "", {f"ceilings[{n}].window": 1 for n in range(2000)}, ())
-    for text in (b"", b"\xc1", msgspec.msgpack.encode(books.Book(format=9))):
-        with pytest.raises(books.Unreadable):
-            books.read(text)
+        history.patch_to(3)
+    with pytest.raises(policy_history.HistoryTooLongError):
+        history.with_change("y", 0.0, "", "", {f"ceilings[{n}].window": 1 for n in range(2000)}, ())
+    for text in (b"", b"\xc1", msgspec.msgpack.encode(policy_history.PolicyHistory(format=9))):
+        with pytest.raises(policy_history.UnreadableHistoryError):
+            policy_history.decode(text)
 
 
 # Hard cases, in virtual time: members as they are, and acts judged by one clock
