--- a/hopmill/book.py
+++ b/hopmill/book.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from hopmill.overlay import Flat, merged
+from hopmill.overlay import ValuesByPath, merged
 
 FORMAT = 1
 MAX_BYTES = 40_000  # the oldest changes go first; values alone have to fit
@@ -35,11 +35,11 @@
 class PolicyHistory(msgspec.Struct, frozen=True):
     format: int = FORMAT
     version: int = 0
-    values: Flat = {}
+    values: ValuesByPath = {}
     entries: list[AppliedChange] = []
 
     def with_change(
-        self, change_id: str, at_s: float, by: str, reason: str, patch: Flat, unset: tuple[str, ...]
+        self, change_id: str, at_s: float, by: str, reason: str, patch: ValuesByPath, unset: tuple[str, ...]
     ) -> PolicyHistory:
         """What is in force after this change. HistoryTooLongError."""
         values = merged(self.values, patch, unset)
@@ -61,7 +61,7 @@
     def encode(self) -> bytes:
         return msgspec.msgpack.encode(self)
 
-    def values_at(self, version: int) -> Flat:
+    def values_at(self, version: int) -> ValuesByPath:
         """The values that were in force at a version. KeyError: that is no longer known."""
         if version == 0 and self.version == len(self.entries):
             pass  # every change since is here
@@ -76,12 +76,12 @@
                         values[path] = before
         return values
 
-    def patch_to(self, version: int) -> tuple[Flat, tuple[str, ...]]:
+    def patch_to(self, version: int) -> tuple[ValuesByPath, tuple[str, ...]]:
         """The change that puts back what was in force at a version. KeyError."""
-        then = self.values_at(version)
+        target = self.values_at(version)
         return (
-            {p: v for p, v in then.items() if self.values.get(p) != v},
-            tuple(p for p in self.values if p not in then),
+            {p: v for p, v in target.items() if self.values.get(p) != v},
+            tuple(p for p in self.values if p not in target),
         )
 
 
--- a/hopmill/document.py
+++ b/hopmill/document.py
@@ -14,15 +14,14 @@
 
 import msgspec
 
-from hopmill import interface as i
-from hopmill import wire
+from hopmill import interface, wire
 from hopmill.fields import ConfigError, Count, Name, NotNegative, PartnerNumber, Positive, Share, Strict
 from hopmill.fleet.settings import Members
 from hopmill.fleet.settings import problems as members_problems
 from hopmill.logs import FORMATS, LEVELS, PARTS
 
 FORMAT = 1
-FROM_THE_FILE = (
+PLATFORM_FILE_FIELDS = (
     "name",
     "listen",
     "discovery",
@@ -192,40 +191,41 @@
     ceilings: tuple[Ceiling, ...] = ()
     members: Members | None = None  # the fleet that this courier agrees with; none: it shares nothing
 
-    def settings(self) -> i.Settings:
+    def settings(self) -> interface.Settings:
         """For the decision module, in its units."""
-        r, c = self.retries, self.calls
-        return i.Settings(
+        retries, calls = self.retries, self.calls
+        return interface.Settings(
             classes=tuple(
-                i.MessageClass(
-                    k.name,
-                    _us(k.aim_ms),
-                    _us(k.deadline_ms),
-                    EFFECTS[k.effect],
-                    k.worth,
-                    k.late_share,
-                    k.key_scope,
-                    _us(k.key_window_ms),
-                    k.ordered,
+                interface.MessageClass(
+                    message_class.name,
+                    _us(message_class.aim_ms),
+                    _us(message_class.deadline_ms),
+                    EFFECTS[message_class.effect],
+                    message_class.worth,
+                    message_class.late_share,
+                    message_class.key_scope,
+                    _us(message_class.key_window_ms),
+                    message_class.ordered,
                 )
-                for k in self.classes
+                for message_class in self.classes
             ),
-            kinds=tuple(i.Kind(k.name, k.routes_apart, k.bundle) for k in self.kinds) or (i.Kind("any"),),
-            tenants=tuple(i.Tenant(t.name, t.share, t.quota_per_s) for t in self.tenants),
-            slots=c.slots,
+            kinds=tuple(interface.Kind(k.name, k.routes_apart, k.bundle) for k in self.kinds)
+            or (interface.Kind("any"),),
+            tenants=tuple(interface.Tenant(t.name, t.share, t.quota_per_s) for t in self.tenants),
+            slots=calls.slots,
             max_held=self.held,
             couriers=self.fleet.couriers,
             me=self.fleet.me,
-            max_attempts=r.attempts,
-            second_copies=r.second_copies,
-            may_probe=r.probe,
-            may_cancel=r.cancel,
+            max_attempts=retries.attempts,
+            second_copies=retries.second_copies,
+            may_probe=retries.probe,
+            may_cancel=retries.cancel,
             peer_notes=self.fleet.peer_notes,
             tick_us=_us(self.tick_ms),
-            max_retry_after_us=_us(r.longest_told_wait_ms),
-            clients_mark_retries=r.clients_mark,
-            connection_idle_us=_us(c.idle_ms),
-            connect_timeout_us=_us(c.connect_ms),
+            max_retry_after_us=_us(retries.longest_told_wait_ms),
+            clients_mark_retries=retries.clients_mark,
+            connection_idle_us=_us(calls.idle_ms),
+            connect_timeout_us=_us(calls.connect_ms),
             drain_grace_us=_us(self.returning.drain_grace_ms),
             cold_share=self.returning.cold_share,
             cold_us=_us(self.returning.cold_ms),
@@ -248,22 +248,22 @@
             "rev": 0,
             "targets": [
                 {
-                    "uid": e.uid,
-                    "endpoint": e.address,
-                    "az": e.zone,
-                    "model": p.kind,
-                    "pod_group": p.number,
+                    "uid": endpoint.uid,
+                    "endpoint": endpoint.address,
+                    "az": endpoint.zone,
+                    "model": partner.kind,
+                    "pod_group": partner.number,
                     "state": "in_service",
-                    "capacity_hint": e.rate_per_s,
+                    "capacity_hint": endpoint.rate_per_s,
                     "boot_ms": 0,
                 }
-                for p in self.partners
-                for e in p.endpoints
+                for partner in self.partners
+                for endpoint in partner.endpoints
             ],
         }
 
 
-EFFECTS = {"safe": i.Effect.SAFE, "keyed": i.Effect.KEYED, "unsafe": i.Effect.UNSAFE}
+EFFECTS = {"safe": interface.Effect.SAFE, "keyed": interface.Effect.KEYED, "unsafe": interface.Effect.UNSAFE}
 
 
 def _us(ms: float) -> int:
@@ -280,8 +280,8 @@
         raise ConfigError(f"{path}: cannot be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: is not TOML: {error}") from None
-    if (told := raw.get("format")) != FORMAT:
-        raise ConfigError(f"format: must be {FORMAT}, not {told!r}")
+    if (file_format := raw.get("format")) != FORMAT:
+        raise ConfigError(f"format: must be {FORMAT}, not {file_format!r}")
     document = convert(raw)
     for problem in problems(document):
         raise ConfigError(problem)
@@ -298,25 +298,25 @@
 
 def _one_line(text: str) -> str:
     """msgspec's 'what - at `$.path`' with the path first; for an unknown field, the nearest known one."""
-    what, _, where = text.partition(" - at `$.")
-    path = where.rstrip("`")
-    if found := re.search("(unknown|missing required) field `(.+)`", what):
-        path = f"{path}.{found[2]}".lstrip(".")
-        what = "lacks" if found[1] != "unknown" else "no such field" + _nearest(found[2])
-    return f"{path}: {what}" if path else what
+    problem, _, location = text.partition(" - at `$.")
+    path = location.rstrip("`")
+    if match := re.search("(unknown|missing required) field `(.+)`", problem):
+        path = f"{path}.{match[2]}".lstrip(".")
+        problem = "lacks" if match[1] != "unknown" else "no such field" + _nearest(match[2])
+    return f"{path}: {problem}" if path else problem
 
 
 def _nearest(name: str) -> str:
     import difflib
 
     known = {f.name for struct in Strict.__subclasses__() for f in msgspec.structs.fields(struct)}
-    near = difflib.get_close_matches(name, known, 1)
-    return f"; there is {near[0]}" if near else ""
+    matches = difflib.get_close_matches(name, known, 1)
+    return f"; there is {matches[0]}" if matches else ""
 
 
 def problems(document: Document) -> Iterator[str]:
     """What is wrong in the relation of fields, one line each. The platform's own files are not held to it."""
-    for names, where in (
+    for names, table in (
         ([c.name for c in document.classes], "classes"),
         ([k.name for k in document.kinds], "kinds"),
         ([t.name for t in document.tenants], "tenants"),
@@ -324,21 +324,21 @@
         ([p.number for p in document.partners], "partners"),
         ([c.partner for c in document.ceilings], "ceilings"),
     ):
-        for at, name in enumerate(names):
-            if name in names[:at]:
-                yield f"{where}[{at}]: {name!r} is there twice"
-    for at, c in enumerate(document.classes):
-        if c.aim_ms > c.deadline_ms:
-            yield f"classes[{at}].aim_ms: is over deadline_ms"
+        for index, name in enumerate(names):
+            if name in names[:index]:
+                yield f"{table}[{index}]: {name!r} is there twice"
+    for index, message_class in enumerate(document.classes):
+        if message_class.aim_ms > message_class.deadline_ms:
+            yield f"classes[{index}].aim_ms: is over deadline_ms"
     kinds = {k.name for k in document.kinds} | {""}
     uids: set[str] = set()
-    for at, p in enumerate(document.partners):
-        if p.kind not in kinds:
-            yield f"partners[{at}].kind: no such kind: {p.kind!r}"
-        for n, e in enumerate(p.endpoints):
-            if e.uid in uids:
-                yield f"partners[{at}].endpoints[{n}].uid: {e.uid!r} is there twice"
-            uids.add(e.uid)
+    for index, partner in enumerate(document.partners):
+        if partner.kind not in kinds:
+            yield f"partners[{index}].kind: no such kind: {partner.kind!r}"
+        for endpoint_index, endpoint in enumerate(partner.endpoints):
+            if endpoint.uid in uids:
+                yield f"partners[{index}].endpoints[{endpoint_index}].uid: {endpoint.uid!r} is there twice"
+            uids.add(endpoint.uid)
     if document.members:
         yield from members_problems(document.members)
     for name in document.log.levels:
@@ -350,21 +350,21 @@
         yield f"settings: {error}"
 
 
-def from_platform(raw: dict[str, Any]) -> tuple[Document, i.Settings]:
+def from_platform(raw: dict[str, Any]) -> tuple[Document, interface.Settings]:
     """The platform's JSON, whose `settings` are the simulator's. ConfigError as for a TOML file.
 
     The settings are returned beside the tree as they were told: what a courier in service decides by does not
     pass through other units.
     """
-    given = raw.get("settings")
-    if not isinstance(given, dict) or not given:
-        raise ConfigError("settings: lacks" if not given else "settings: must be a JSON object")
+    raw_settings = raw.get("settings")
+    if not isinstance(raw_settings, dict) or not raw_settings:
+        raise ConfigError("settings: lacks" if not raw_settings else "settings: must be a JSON object")
     try:
-        settings = wire.read_settings(json.dumps(given))
+        settings = wire.read_settings(json.dumps(raw_settings))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
-    tree = from_settings(settings, given.get("localities") or ())
-    for name in FROM_THE_FILE:
+    tree = from_settings(settings, raw_settings.get("localities") or ())
+    for name in PLATFORM_FILE_FIELDS:
         if raw.get(name) is not None:
             tree[name] = raw[name]
     if isinstance(tree.get("limits"), dict):  # the platform may tell more of them than there are here
@@ -376,62 +376,66 @@
     return document, settings
 
 
-def from_settings(s: i.Settings, zones: Any = ()) -> dict[str, Any]:
+def from_settings(settings: interface.Settings, zones: Any = ()) -> dict[str, Any]:
     """The module's settings as the tree that `convert` reads; Document.settings() gives them back."""
     names = {effect: name for name, effect in EFFECTS.items()}
-    fees = dict(enumerate(s.zone_fees))
+    fees = dict(enumerate(settings.zone_fees))
     zones = [str(z) for z in zones]
     return {
         "classes": [
             {
-                "name": c.name,
-                "aim_ms": c.aim_us / 1e3,
-                "deadline_ms": c.deadline_us / 1e3,
-                "effect": names[c.effect],
-                "worth": c.worth,
-                "late_share": c.late_share,
-                "key_scope": c.key_scope,
-                "key_window_ms": c.key_window_us / 1e3,
-                "ordered": c.ordered,
+                "name": message_class.name,
+                "aim_ms": message_class.aim_us / 1e3,
+                "deadline_ms": message_class.deadline_us / 1e3,
+                "effect": names[message_class.effect],
+                "worth": message_class.worth,
+                "late_share": message_class.late_share,
+                "key_scope": message_class.key_scope,
+                "key_window_ms": message_class.key_window_us / 1e3,
+                "ordered": message_class.ordered,
             }
-            for c in s.classes
+            for message_class in settings.classes
         ],
-        "kinds": [{"name": k.name, "routes_apart": k.routes_apart, "bundle": k.batch} for k in s.kinds],
-        "tenants": [{"name": t.name, "share": t.share, "quota_per_s": t.quota_per_s} for t in s.tenants],
-        "zones": [{"name": z, "fee": fees.get(n, 0.0)} for n, z in enumerate(zones)],
+        "kinds": [
+            {"name": k.name, "routes_apart": k.routes_apart, "bundle": k.batch} for k in settings.kinds
+        ],
+        "tenants": [
+            {"name": t.name, "share": t.share, "quota_per_s": t.quota_per_s} for t in settings.tenants
+        ],
+        "zones": [{"name": zone, "fee": fees.get(index, 0.0)} for index, zone in enumerate(zones)],
         "retries": {
-            "attempts": s.max_attempts,
-            "longest_told_wait_ms": s.max_retry_after_us / 1e3,
-            "clients_mark": s.clients_mark_retries,
-            "second_copies": s.second_copies,
-            "cancel": s.may_cancel,
-            "probe": s.may_probe,
+            "attempts": settings.max_attempts,
+            "longest_told_wait_ms": settings.max_retry_after_us / 1e3,
+            "clients_mark": settings.clients_mark_retries,
+            "second_copies": settings.second_copies,
+            "cancel": settings.may_cancel,
+            "probe": settings.may_probe,
         },
         "calls": {
-            "slots": s.slots,
-            "idle_ms": s.connection_idle_us / 1e3,
-            "connect_ms": s.connect_timeout_us / 1e3,
+            "slots": settings.slots,
+            "idle_ms": settings.connection_idle_us / 1e3,
+            "connect_ms": settings.connect_timeout_us / 1e3,
         },
-        "held": s.max_held,
-        "tick_ms": s.tick_us / 1e3,
+        "held": settings.max_held,
+        "tick_ms": settings.tick_us / 1e3,
         "returning": {
-            "cold_share": s.cold_share,
-            "cold_ms": s.cold_us / 1e3,
-            "fall_multiple": s.fall_multiple,
-            "fall_ms": s.fall_us / 1e3,
-            "drain_grace_ms": s.drain_grace_us / 1e3,
+            "cold_share": settings.cold_share,
+            "cold_ms": settings.cold_us / 1e3,
+            "fall_multiple": settings.fall_multiple,
+            "fall_ms": settings.fall_us / 1e3,
+            "drain_grace_ms": settings.drain_grace_us / 1e3,
         },
-        "fleet": {"couriers": s.couriers, "me": s.me, "peer_notes": s.peer_notes},
+        "fleet": {"couriers": settings.couriers, "me": settings.me, "peer_notes": settings.peer_notes},
         "worth": {
-            "over_share": s.over_share_worth,
-            "late": "halves" if s.late_halves else "evenly",
-            "refused_price": s.refused_price,
+            "over_share": settings.over_share_worth,
+            "late": "halves" if settings.late_halves else "evenly",
+            "refused_price": settings.refused_price,
         },
-        "key_rest_ms": s.key_rest_us / 1e3,
-        "answer_slack_ms": s.answer_slack_us / 1e3,
-        "list_on_request": s.list_on_request,
-        "report_fields": list(s.report_fields),
-        "rates_listed": s.rates_listed,
+        "key_rest_ms": settings.key_rest_us / 1e3,
+        "answer_slack_ms": settings.answer_slack_us / 1e3,
+        "list_on_request": settings.list_on_request,
+        "report_fields": list(settings.report_fields),
+        "rates_listed": settings.rates_listed,
     }
 
 
@@ -444,8 +448,8 @@
             for name, inner in value.items():
                 walk(f"{path}.{name}" if path else name, inner)
         elif isinstance(value, (list, tuple)) and value and isinstance(value[0], dict):
-            for at, inner in enumerate(value):
-                walk(f"{path}[{at}]", inner)
+            for index, inner in enumerate(value):
+                walk(f"{path}[{index}]", inner)
         else:
             rows[path] = value
 
@@ -476,4 +480,4 @@
         ("members", document.members is None, "nothing is shared with other couriers"),
         ("retries.second_copies", not document.retries.second_copies, "one attempt at a time"),
     )
-    return [f"{path}: {what}" for path, is_off, what in rows if is_off]
+    return [f"{path}: {consequence}" for path, is_disabled, consequence in rows if is_disabled]
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -38,11 +38,11 @@
     "pool",
     "upgrade",
 )
-MOST = 4096  # bytes of a line: a pipe that is ready takes as many without waiting
+MAX_LINE_BYTES = 4096  # bytes of a line: a pipe that is ready takes as many without waiting
 METHODS = ("debug", "info", "warning", "error", "exception")
 
 
-class Part:
+class PartLogger:
     """The logger of one part of the program; `configure` gives it its methods."""
 
     debug: Callable[..., Any]
@@ -62,38 +62,38 @@
 
     def __init__(self, stream: TextIO | int, lines_per_s: int) -> None:
         """lines_per_s: at most so many in a second of the monotonic clock; the rest are dropped."""
-        self.file = stream if isinstance(stream, int) else stream.fileno()
-        self.lines_per_s, self.second, self.count, self.dropped = lines_per_s, 0, 0, 0
-        self.render: Callable[[str, int], bytes] = lambda level, count: b""
-        self.ready = select.poll()
-        self.ready.register(self.file, select.POLLOUT)
+        self.descriptor = stream if isinstance(stream, int) else stream.fileno()
+        self.lines_per_s, self.second, self.lines_this_second, self.dropped = lines_per_s, 0, 0, 0
+        self.render_dropped: Callable[[str, int], bytes] = lambda event, count: b""
+        self.poller = select.poll()
+        self.poller.register(self.descriptor, select.POLLOUT)
         # A file, or a log that nobody reads, never makes a writer wait.
-        mode = os.fstat(self.file).st_mode
-        self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.file)
+        mode = os.fstat(self.descriptor).st_mode
+        self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.descriptor)
 
     def msg(self, line: str) -> None:
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.count = second, 0
-            if self.dropped and self._write(self.render("log.dropped", self.dropped)):
+            self.second, self.lines_this_second = second, 0
+            if self.dropped and self._write(self.render_dropped("log.dropped", self.dropped)):
                 self.dropped = 0
-        self.count += 1
-        if self.count > self.lines_per_s or not self._write(line.encode("utf-8", "replace")):
+        self.lines_this_second += 1
+        if self.lines_this_second > self.lines_per_s or not self._write(line.encode("utf-8", "replace")):
             self.dropped += 1
 
     debug = info = warning = error = critical = exception = log = msg
 
     def _write(self, line: bytes) -> bool:
-        if len(line) >= MOST:
-            line = line[: MOST - 4] + b"..."
-        if self.may_block and not any(state & select.POLLOUT for _, state in self.ready.poll(0)):
+        if len(line) >= MAX_LINE_BYTES:
+            line = line[: MAX_LINE_BYTES - 4] + b"..."
+        if self.may_block and not any(state & select.POLLOUT for _, state in self.poller.poll(0)):
             return False
         with contextlib.suppress(OSError):  # a log that is gone must not end the courier
-            os.write(self.file, line + b"\n")
+            os.write(self.descriptor, line + b"\n")
         return True
 
 
-class Stdlib(logging.Handler):
+class LibraryLogHandler(logging.Handler):
     """What libraries log, asyncio above all."""
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -103,7 +103,7 @@
         )
 
 
-def _in_order(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
+def _order_fields(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
     """Time, level, part and event first, in both forms."""
     head = {
         "at": event.pop("at"),
@@ -114,41 +114,41 @@
     return head | {name: value for name, value in event.items() if value is not None}
 
 
-def _plain(value: Any) -> str:
+def _encode_other(value: Any) -> str:
     return repr(value) if isinstance(value, BaseException) else str(value)
 
 
 def _as_json(event: dict[str, Any], **_: Any) -> str:
-    return msgspec.json.encode(event, enc_hook=_plain).decode()
+    return msgspec.json.encode(event, enc_hook=_encode_other).decode()
 
 
 def _as_line(_: Any, __: str, event: dict[str, Any]) -> str:
     head = [str(event.pop("at")), f"{event.pop('level'):<7}", f"{event.pop('part'):<9}", event.pop("event")]
-    return " ".join(head + [f"{name}={_word(value)}" for name, value in event.items()])
+    return " ".join(head + [f"{name}={_quoted(value)}" for name, value in event.items()])
 
 
-def _word(value: Any) -> str:
+def _quoted(value: Any) -> str:
     """Quoted where it would not read as one word."""
-    text = _plain(value) if not isinstance(value, float) else f"{value:g}"
+    text = _encode_other(value) if not isinstance(value, float) else f"{value:g}"
     if text and text.isprintable() and not set(text) & set(' "='):
         return text
     return msgspec.json.encode(text).decode()
 
 
-_parts: dict[str, Part] = {}
-_now: dict[str, Any] = {}
+_loggers: dict[str, PartLogger] = {}
+_configuration: dict[str, Any] = {}
 
 
-def part(name: str) -> Part:
+def part(name: str) -> PartLogger:
     """The logger of this part, the same one each time."""
-    if name not in _parts:
-        _parts[name] = Part(name)
-        _equip(_parts[name])
-    return _parts[name]
+    if name not in _loggers:
+        _loggers[name] = PartLogger(name)
+        _bind_methods(_loggers[name])
+    return _loggers[name]
 
 
 def configure(
-    form: str = "line",
+    output_format: str = "line",
     level: str = "info",
     levels: Mapping[str, str] | None = None,
     lines_per_s: int = 50,
@@ -156,47 +156,48 @@
 ) -> None:
     """From now on, also for loggers that were made before.
 
-    form: one of FORMATS. level: of all parts but those in `levels`, each one of LEVELS. lines_per_s: the
-    bound over all parts. stream: standard error if none is given; a number is a file descriptor.
+    output_format: one of FORMATS. level: of all parts but those in `levels`, each one of LEVELS.
+    lines_per_s: the bound over all parts.
+    stream: standard error if none is given; a number is a file descriptor.
     """
     sink = Sink(sys.stderr if stream is None else stream, lines_per_s)
-    renderer = structlog.processors.JSONRenderer(serializer=_as_json) if form == "json" else _as_line
+    renderer = structlog.processors.JSONRenderer(serializer=_as_json) if output_format == "json" else _as_line
     processors = [
         structlog.processors.format_exc_info,
         structlog.processors.TimeStamper("iso", key="at"),
-        _in_order,
+        _order_fields,
         renderer,
     ]
 
-    def dropped(event: str, count: int) -> bytes:
+    def render_dropped(event: str, count: int) -> bytes:
         fields: Any = {"event": event, "part": "courier", "count": count}
-        for step in processors:
-            fields = step(None, "warning", fields)
+        for processor in processors:
+            fields = processor(None, "warning", fields)
         return fields.encode()
 
-    sink.render = dropped
-    _now.update(sink=sink, processors=processors, level=level, levels=dict(levels or {}))
-    for each in _parts.values():
-        _equip(each)
-    logging.basicConfig(level=logging.WARNING, handlers=[Stdlib()], force=True)
+    sink.render_dropped = render_dropped
+    _configuration.update(sink=sink, processors=processors, level=level, levels=dict(levels or {}))
+    for logger in _loggers.values():
+        _bind_methods(logger)
+    logging.basicConfig(level=logging.WARNING, handlers=[LibraryLogHandler()], force=True)
 
 
-def _equip(each: Part) -> None:
-    if not _now:
+def _bind_methods(logger: PartLogger) -> None:
+    if not _configuration:
         for method in METHODS:
-            setattr(each, method, _before_configured)
+            setattr(logger, method, _discard)
         return
-    level = LEVELS[_now["levels"].get(each.name, _now["level"])]
-    logger = structlog.wrap_logger(
-        _now["sink"],
-        processors=_now["processors"],
-        part=each.name,
+    level = LEVELS[_configuration["levels"].get(logger.name, _configuration["level"])]
+    bound = structlog.wrap_logger(
+        _configuration["sink"],
+        processors=_configuration["processors"],
+        part=logger.name,
         wrapper_class=structlog.make_filtering_bound_logger(level),
     ).bind()
     for method in METHODS:
-        setattr(each, method, getattr(logger, method))
-    each.debug_enabled = level <= logging.DEBUG
+        setattr(logger, method, getattr(bound, method))
+    logger.debug_enabled = level <= logging.DEBUG
 
 
-def _before_configured(event: str, **fields: Any) -> None:
+def _discard(event: str, **fields: Any) -> None:
     """Parts are used on their own in tests and tools: what they say there is nobody's affair."""
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -16,81 +16,82 @@
 from hopmill.document import Document
 from hopmill.fields import ConfigError
 
-Flat = dict[str, Any]
-FIELDS = {  # tables, and what of them may differ
+ValuesByPath = dict[str, Any]
+CHANGEABLE_FIELDS = {  # tables, and what of them may differ
     "retries": ("attempts", "longest_told_wait_ms"),
     "worth": ("over_share", "late", "refused_price"),
     "returning": ("cold_share", "cold_ms", "fall_multiple", "fall_ms"),
     "left_out": ("endpoints", "zones"),
     "": ("held",),
 }
-ROWS = {  # lists: what names a row, what of it may differ, whether there may be rows that no file has
+# Lists: what names a row, what of it may differ, whether there may be rows that no file has.
+CHANGEABLE_ROWS = {
     "classes": ("name", ("worth", "late_share"), False),
     "tenants": ("name", ("share", "quota_per_s"), False),
     "zones": ("name", ("fee",), False),
     "ceilings": ("partner", ("window", "rate_per_s"), True),
 }
 UNSET = "unset"
-ROW = re.compile(r"^(\w+)\[([^\]]+)\]\.(\w+)$")
-MOST_FIELDS = 2000
+ROW_PATH = re.compile(r"^(\w+)\[([^\]]+)\]\.(\w+)$")
+MAX_FIELDS = 2000
 
 
-def read_patch(raw: Any) -> tuple[Flat, tuple[str, ...]]:
+def read_patch(raw: Any) -> tuple[ValuesByPath, tuple[str, ...]]:
     """(values, paths that are unset) of a patch. ConfigError: one line with the first wrong path."""
     if not isinstance(raw, dict):
         raise ConfigError("the patch: must be a table")
     unset = raw.get(UNSET, [])
     if not isinstance(unset, list) or not all(isinstance(path, str) for path in unset):
         raise ConfigError(f"{UNSET}: must be a list of paths")
-    flat: Flat = {}
+    flat: ValuesByPath = {}
     for name, value in raw.items():
         if name == UNSET:
             continue
-        if name in ROWS:
-            flat |= _rows(name, value)
+        if name in CHANGEABLE_ROWS:
+            flat |= _read_rows(name, value)
         elif isinstance(value, dict) and value:
             for field, inner in value.items():
-                flat[_allowed(f"{name}.{field}")] = inner
+                flat[_require_changeable(f"{name}.{field}")] = inner
         else:
-            flat[_allowed(name)] = value
+            flat[_require_changeable(name)] = value
     for path in unset:
-        _allowed(path)
+        _require_changeable(path)
     if not flat and not unset:
         raise ConfigError("the patch: changes nothing")
-    if len(flat) + len(unset) > MOST_FIELDS:
-        raise ConfigError(f"the patch: has over {MOST_FIELDS} fields")
+    if len(flat) + len(unset) > MAX_FIELDS:
+        raise ConfigError(f"the patch: has over {MAX_FIELDS} fields")
     return flat, tuple(unset)
 
 
-def _rows(name: str, rows: Any) -> Flat:
-    key, _, _ = ROWS[name]
-    flat: Flat = {}
+def _read_rows(name: str, rows: Any) -> ValuesByPath:
+    key, _, _ = CHANGEABLE_ROWS[name]
+    flat: ValuesByPath = {}
     if not isinstance(rows, list) or not all(isinstance(row, dict) and key in row for row in rows):
         raise ConfigError(f"{name}: must be rows with a {key} each")
     for row in rows:
         for field, value in row.items():
             if field != key:
-                flat[_allowed(f"{name}[{row[key]}].{field}")] = value
+                flat[_require_changeable(f"{name}[{row[key]}].{field}")] = value
     return flat
 
 
-def _allowed(path: str) -> str:
+def _require_changeable(path: str) -> str:
     """ConfigError: no such field, or one that can't change while a courier runs."""
-    if found := ROW.match(path):
-        table, row, field = found.groups()
-        if table in ROWS and field in ROWS[table][1]:
+    if match := ROW_PATH.match(path):
+        table, row, field = match.groups()
+        if table in CHANGEABLE_ROWS and field in CHANGEABLE_ROWS[table][1]:
             return path
-        known = table in ROWS and field in _fields_of(table)
+        is_known = table in CHANGEABLE_ROWS and field in _fields_of(table)
     else:
         table, _, field = path.rpartition(".")
-        if field in FIELDS.get(table, ()):
+        if field in CHANGEABLE_FIELDS.get(table, ()):
             return path
-        known = path in doc.flatten(_example()) or field in _fields_of(table)
-    raise ConfigError(f"{path}: " + ("can't change while couriers run" if known else "no such field"))
+        is_known = path in doc.flatten(_minimal_document()) or field in _fields_of(table)
+    raise ConfigError(f"{path}: " + ("can't change while couriers run" if is_known else "no such field"))
 
 
 def _fields_of(table: str) -> set[str]:
-    kinds = {
+    structs = {
         "classes": doc.MessageClass,
         "tenants": doc.Tenant,
         "zones": doc.Zone,
@@ -98,30 +99,30 @@
         "kinds": doc.Kind,
         "": Document,
     }
-    kind = kinds.get(table)
-    return {f.name for f in msgspec.structs.fields(kind)} if kind else set()
+    struct = structs.get(table)
+    return {f.name for f in msgspec.structs.fields(struct)} if struct else set()
 
 
-def _example() -> Document:
+def _minimal_document() -> Document:
     return Document(classes=(doc.MessageClass(name="any", aim_ms=1.0, deadline_ms=1.0),))
 
 
-def merged(overlay: Flat, patch: Flat, unset: tuple[str, ...]) -> Flat:
+def merged(overlay: ValuesByPath, patch: ValuesByPath, unset: tuple[str, ...]) -> ValuesByPath:
     return {path: value for path, value in (overlay | patch).items() if path not in unset}
 
 
-def apply(document: Document, overlay: Flat) -> Document:
+def apply(document: Document, overlay: ValuesByPath) -> Document:
     """The document with these values in it. ConfigError: a line that names what does not fit."""
     tree = msgspec.to_builtins(document)
     for path, value in overlay.items():
-        _allowed(path)
-        found = ROW.match(path)
-        if found is None:
+        _require_changeable(path)
+        match = ROW_PATH.match(path)
+        if match is None:
             table, _, field = path.rpartition(".")
             (tree[table] if table else tree)[field] = value
             continue
-        table, name, field = found.groups()
-        key, _, may_add = ROWS[table]
+        table, name, field = match.groups()
+        key, _, may_add = CHANGEABLE_ROWS[table]
         row = next((r for r in tree[table] if str(r[key]) == name), None)
         if row is None:
             if not may_add:
@@ -135,20 +136,20 @@
     return changed
 
 
-def overridden_paths(document: Document, overlay: Flat) -> Iterator[str]:
+def overridden_paths(document: Document, overlay: ValuesByPath) -> Iterator[str]:
     """Paths at which a courier's own file says something else; one that leaves a field out says nothing."""
-    own, blank = dict(_own(document)), dict(_own(_example()))
+    own, defaults = dict(_changeable_values(document)), dict(_changeable_values(_minimal_document()))
     for path, value in overlay.items():
-        if path in own and own[path] != value and own[path] != blank.get(path):
+        if path in own and own[path] != value and own[path] != defaults.get(path):
             yield path
 
 
-def _own(document: Document) -> Iterator[tuple[str, Any]]:
+def _changeable_values(document: Document) -> Iterator[tuple[str, Any]]:
     tree = msgspec.to_builtins(document)
-    for table, fields in FIELDS.items():
+    for table, fields in CHANGEABLE_FIELDS.items():
         for field in fields:
             yield f"{table}.{field}" if table else field, (tree[table] if table else tree)[field]
-    for table, (key, fields, _) in ROWS.items():
+    for table, (key, fields, _) in CHANGEABLE_ROWS.items():
         for row in tree[table]:
             for field in fields:
                 yield f"{table}[{row[key]}].{field}", row[field]
--- a/hopmill/serve.py
+++ b/hopmill/serve.py
@@ -18,7 +18,7 @@
 log = logs.part("courier")
 config_log = logs.part("config")
 # What a running courier takes over from a changed file; everything else waits for its next start.
-LIVE = ("discovery", "connections.", "log.")
+RELOADABLE_PATHS = ("discovery", "connections.", "log.")
 
 
 class Reloader:
@@ -30,7 +30,7 @@
 
     def __call__(self) -> None:
         try:
-            self._take(self.source.read()[0])
+            self._apply(self.source.read()[0])
         except ConfigError as error:
             config_log.error("config.not_used", error=error)
         try:
@@ -41,10 +41,10 @@
         config_log.info("config.discovery", address="{}:{}".format(*address))
         self.host.move_discovery(address)
 
-    def _take(self, document: doc.Document) -> None:
+    def _apply(self, document: doc.Document) -> None:
         for path, before, after in doc.changes(self.document, document):
             if path != "seed":  # is new with each start
-                event = "config.changed" if path.startswith(LIVE) else "config.needs_restart"
+                event = "config.changed" if path.startswith(RELOADABLE_PATHS) else "config.needs_restart"
                 config_log.info(event, path=path, before=before, after=after)
         self.document = document
         configure_logs(document.log)
@@ -53,8 +53,8 @@
             self.host.in_force.reloaded(document)
 
 
-def configure_logs(log: doc.Log) -> None:
-    logs.configure(log.format, log.level, log.levels, log.lines_per_s)
+def configure_logs(settings: doc.Log) -> None:
+    logs.configure(settings.format, settings.level, settings.levels, settings.lines_per_s)
 
 
 async def _serve(config: Config, source: Source, owner: Owner, cargo: Cargo | None) -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -18,11 +18,11 @@
 def pipe():
     reader, writer = os.pipe()
     yield reader, writer
-    for part in logs._parts.values():  # as before: quiet
+    for part in logs._loggers.values():  # as before: quiet
         for method in logs.METHODS:
-            setattr(part, method, logs._before_configured)
+            setattr(part, method, logs._discard)
         part.debug_enabled = False
-    logs._now.clear()
+    logs._configuration.clear()
     os.close(reader)
     os.close(writer)
 
@@ -90,7 +90,7 @@
         log.info("x", text="y" * 8000)
     assert time.monotonic() - began < 5
     got = lines(reader)
-    assert got and all(len(line) < logs.MOST for line in got)
+    assert got and all(len(line) < logs.MAX_LINE_BYTES for line in got)
 
 
 def said_in_code():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -241,7 +241,7 @@
     ],
 )
 def test_a_patch_that_does_not_fit_is_named(patch, said):
-    document = overlay._example()
+    document = overlay._minimal_document()
     try:
         flat, unset = overlay.read_patch(patch)
         changed = overlay.apply(document, overlay.merged({}, flat, unset))
