--- a/hopmill/book.py
+++ b/hopmill/book.py
@@ -9,8 +9,8 @@
 from hopmill.overlay import ValuesByPath, merged
 
 FORMAT = 1
-MAX_BYTES = 40_000  # the oldest changes go first; values alone have to fit
-MAX_TEXT_CHARACTERS = 200  # characters of a reason or a name
+MAX_BYTES = 40_000  # of the encoded history: the oldest changes are dropped first, the values are not
+MAX_TEXT_CHARACTERS = 200  # of a reason or of a name; the rest is cut off
 
 
 class UnreadableHistoryError(ValueError):
@@ -25,11 +25,12 @@
     """A change that came into force. at_s: wall clock of the courier that was asked."""
 
     id: str
-    version: int
-    at_s: float
-    by: str
+    version: int  # the policy version that the change made
+    at_s: float  # wall clock of the courier that received the proposal
+    by: str  # the operator
     reason: str
-    changes: list[tuple[str, Any, Any]]  # path, before, after; None: each courier's own file
+    # Path, value before, value after; None stands for the value in each courier's own file.
+    changes: list[tuple[str, Any, Any]]
 
 
 class PolicyHistory(msgspec.Struct, frozen=True):
@@ -64,7 +65,7 @@
     def values_at(self, version: int) -> ValuesByPath:
         """The values that were in force at a version. KeyError: that is no longer known."""
         if version == 0 and self.version == len(self.entries):
-            pass  # every change since is here
+            pass  # no change has been dropped, so version 0 can be restored
         elif not any(e.version == version or e.version == version + 1 for e in self.entries):
             raise KeyError(version)
         values = dict(self.values)
@@ -92,5 +93,5 @@
     except msgspec.DecodeError as error:
         raise UnreadableHistoryError(str(error)) from None
     if history.format != FORMAT:
-        raise UnreadableHistoryError(f"format {history.format}")
+        raise UnreadableHistoryError(f"policy history format {history.format} is not supported")
     return history
--- a/hopmill/document.py
+++ b/hopmill/document.py
@@ -21,6 +21,7 @@
 from hopmill.logs import FORMATS, LEVELS, PARTS
 
 FORMAT = 1
+# Fields that the platform's JSON gives under the same names as a TOML file.
 PLATFORM_FILE_FIELDS = (
     "name",
     "listen",
@@ -35,7 +36,8 @@
     "ceilings",
 )
 Level = Literal["debug", "info", "warning", "error"]
-assert set(Level.__args__) == set(LEVELS) and FORMATS == ("line", "json")  # one list of each
+# The literal types in this module must match the lists in hopmill.logs.
+assert set(Level.__args__) == set(LEVELS) and FORMATS == ("line", "json")
 
 
 class Limits(Strict):
@@ -50,36 +52,36 @@
 class Log(Strict):
     format: Literal["line", "json"] = "line"
     level: Level = "info"
-    levels: dict[str, Level] = {}  # by part of the program
-    lines_per_s: Count = 50
+    levels: dict[str, Level] = {}  # by part of the program; overrides `level`
+    lines_per_s: Count = 50  # further lines are dropped and counted
 
 
 class Connections(Strict):
-    warm_up: bool = False  # opened before a message needs them
+    warm_up: bool = False  # open connections before a message needs them
 
 
 class MessageClass(Strict):
     name: Name
-    aim_ms: Positive
-    deadline_ms: Positive
-    effect: Literal["safe", "keyed", "unsafe"] = "safe"
+    aim_ms: Positive  # delivered within this time, a message earns its full worth
+    deadline_ms: Positive  # delivered between aim and deadline, it earns a part
+    effect: Literal["safe", "keyed", "unsafe"] = "safe"  # whether an attempt may be repeated
     worth: NotNegative = 1.0
-    late_share: Share = 0.0
-    key_scope: Literal["all", "zone", "cell"] = "all"
-    key_window_ms: NotNegative = 0.0
-    ordered: bool = False
+    late_share: Share = 0.0  # share of the worth that is left at the deadline
+    key_scope: Literal["all", "zone", "cell"] = "all"  # keyed: endpoints that drop repeats of a key
+    key_window_ms: NotNegative = 0.0  # keyed: how long they drop them
+    ordered: bool = False  # messages with the same key are delivered one at a time
 
 
 class Kind(Strict):
     name: Name
-    routes_apart: bool = False
-    bundle: Count = 1  # messages of one call, at most
+    routes_apart: bool = False  # each endpoint has its own limit, waits and outages
+    bundle: Count = 1  # most messages that one call carries
 
 
 class Tenant(Strict):
     name: Name
-    share: NotNegative = 0.0
-    quota_per_s: NotNegative = 0.0
+    share: NotNegative = 0.0  # of the traffic; messages within it count in full
+    quota_per_s: NotNegative = 0.0  # messages per second from all couriers together
 
 
 class Zone(Strict):
@@ -88,49 +90,49 @@
 
 
 class Retries(Strict):
-    attempts: Count = 3
-    longest_told_wait_ms: NotNegative = 0.0  # that clients heed; 0: they are told none
-    clients_mark: bool = False
-    second_copies: bool = False
-    cancel: bool = False
-    probe: bool = False
+    attempts: Count = 3  # of one message, at most
+    longest_told_wait_ms: NotNegative = 0.0  # longest retry-after that clients obey; 0: none is sent
+    clients_mark: bool = False  # clients mark messages that they submit again
+    second_copies: bool = False  # two attempts of one message may run at the same time
+    cancel: bool = False  # a running attempt may be cancelled
+    probe: bool = False  # endpoints may be probed
 
 
 class Calls(Strict):
-    slots: Count = 32  # calls out at once
-    idle_ms: NotNegative = 10_000.0  # endpoints close a connection that was idle for so long
-    connect_ms: NotNegative = 1_000.0
+    slots: Count = 32  # most calls in flight
+    idle_ms: NotNegative = 10_000.0  # endpoints close a connection that has been idle for this long
+    connect_ms: NotNegative = 1_000.0  # time-out for opening a connection
 
 
 class Return(Strict):
     """How a destination comes back, and how it falls over."""
 
-    cold_share: Share = 0.1
-    cold_ms: NotNegative = 10_000.0
-    fall_multiple: Positive = 2.0
-    fall_ms: NotNegative = 1_000.0
+    cold_share: Share = 0.1  # share of its capacity that a recovering destination has at first
+    cold_ms: NotNegative = 10_000.0  # after this time it has its full capacity
+    fall_multiple: Positive = 2.0  # load above this multiple of its present capacity,
+    fall_ms: NotNegative = 1_000.0  # for this long, makes it fail again
     drain_grace_ms: NotNegative = 0.0
 
 
 class Fleet(Strict):
-    couriers: Count = 1
-    me: Annotated[int, msgspec.Meta(ge=0)] = 0
+    couriers: Count = 1  # how many share the traffic
+    me: Annotated[int, msgspec.Meta(ge=0)] = 0  # index of this courier, below `couriers`
     peer_notes: bool = False
 
 
 class Worth(Strict):
     """What results are priced at."""
 
-    over_share: NotNegative = 1.0
-    late: Literal["evenly", "halves"] = "evenly"
-    refused_price: NotNegative = 0.0
+    over_share: NotNegative = 1.0  # factor for a message above its tenant's share
+    late: Literal["evenly", "halves"] = "evenly"  # after the aim: linear, or halved with each further aim
+    refused_price: NotNegative = 0.0  # of each call refused above a limit, as a share of a message's worth
 
 
 class Endpoint(Strict):
     uid: Name
     address: Name
     zone: str = ""
-    rate_per_s: NotNegative = 0.0
+    rate_per_s: NotNegative = 0.0  # calls accepted per second from all couriers together
 
 
 class Partner(Strict):
@@ -153,8 +155,8 @@
     """What one partner gets at most. 0: no such ceiling."""
 
     partner: PartnerNumber
-    window: Annotated[int, msgspec.Meta(ge=0)] = 0  # calls of one courier at once
-    rate_per_s: NotNegative = 0.0  # calls of all couriers together
+    window: Annotated[int, msgspec.Meta(ge=0)] = 0  # most calls in flight from one courier
+    rate_per_s: NotNegative = 0.0  # most calls per second from all couriers together
 
 
 class Document(Strict, kw_only=True):
@@ -162,11 +164,11 @@
 
     format: int = FORMAT
     name: str = ""
-    listen: str = ""
-    discovery: str = ""
-    state: str = ""
-    operator: str = ""  # where operators call, if anywhere
-    seed: int | str = 0
+    listen: str = ""  # HOST:PORT for clients
+    discovery: str = ""  # HOST:PORT of the discovery agent
+    state: str = ""  # existing folder for the journal
+    operator: str = ""  # HOST:PORT of the operator API; empty: none
+    seed: int | str = 0  # of all random numbers; text is read as hex digits
     limits: Limits = Limits()
     log: Log = Log()
     connections: Connections = Connections()
@@ -176,20 +178,20 @@
     zones: tuple[Zone, ...] = ()
     retries: Retries = Retries()
     calls: Calls = Calls()
-    held: Count = 1000  # messages taken on and not ended, at most
-    tick_ms: Positive = 5.0
+    held: Count = 1000  # most messages that are taken on and not finished
+    tick_ms: Positive = 5.0  # least time between two turns of the policy
     returning: Return = Return()
     fleet: Fleet = Fleet()
     worth: Worth = Worth()
-    key_rest_ms: NotNegative = 0.0
+    key_rest_ms: NotNegative = 0.0  # pause of an ordered key after an attempt without a definite result
     answer_slack_ms: NotNegative = 0.0
-    list_on_request: bool = False
-    report_fields: tuple[str, ...] = ()
-    rates_listed: bool = False
+    list_on_request: bool = False  # discovery sends the endpoint list only after a request
+    report_fields: tuple[str, ...] = ()  # names of the figures that an answer may report
+    rates_listed: bool = False  # whether the rate_per_s of endpoints in the list means anything
     partners: tuple[Partner, ...] = ()
     left_out: LeftOut = LeftOut()
     ceilings: tuple[Ceiling, ...] = ()
-    members: Members | None = None  # the fleet that this courier agrees with; none: it shares nothing
+    members: Members | None = None  # the fleet that this courier belongs to; None: it shares no state
 
     def settings(self) -> interface.Settings:
         """For the decision module, in its units."""
@@ -272,7 +274,7 @@
 
 def read_toml(path: Path) -> Document:
     """The file as a Document. ConfigError: one line with the field's path."""
-    import tomllib  # not read in service, whose file is JSON
+    import tomllib  # imported late: a courier started by the platform reads JSON only
 
     try:
         raw = tomllib.loads(path.read_bytes().decode())
@@ -367,7 +369,7 @@
     for name in PLATFORM_FILE_FIELDS:
         if raw.get(name) is not None:
             tree[name] = raw[name]
-    if isinstance(tree.get("limits"), dict):  # the platform may tell more of them than there are here
+    if isinstance(tree.get("limits"), dict):  # the platform may send limits that this version does not know
         known = {f.name for f in msgspec.structs.fields(Limits)}
         tree["limits"] = {k: v for k, v in tree["limits"].items() if k in known}
     document = convert(tree)
@@ -470,14 +472,22 @@
 def disabled_options(document: Document) -> list[str]:
     """What is optional and not switched on, one line each."""
     rows = (
-        ("operator", not document.operator, "no door for operators, no metrics"),
-        ("connections.warm_up", not document.connections.warm_up, "no connection is opened early"),
+        ("operator", not document.operator, "no operator API and no metrics"),
+        (
+            "connections.warm_up",
+            not document.connections.warm_up,
+            "connections are opened only when a message needs one",
+        ),
         (
             "retries.longest_told_wait_ms",
             not document.retries.longest_told_wait_ms,
-            "clients are not told when to come again",
+            "refused clients get no retry-after",
+        ),
+        ("members", document.members is None, "no state is shared with other couriers"),
+        (
+            "retries.second_copies",
+            not document.retries.second_copies,
+            "at most one attempt of a message runs at a time",
         ),
-        ("members", document.members is None, "nothing is shared with other couriers"),
-        ("retries.second_copies", not document.retries.second_copies, "one attempt at a time"),
     )
     return [f"{path}: {consequence}" for path, is_disabled, consequence in rows if is_disabled]
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -38,7 +38,7 @@
     "pool",
     "upgrade",
 )
-MAX_LINE_BYTES = 4096  # bytes of a line: a pipe that is ready takes as many without waiting
+MAX_LINE_BYTES = 4096  # PIPE_BUF on Linux: a pipe that polls writable accepts this many without blocking
 METHODS = ("debug", "info", "warning", "error", "exception")
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        # Whether a debug line would be written: for what costs something to put together.
+        # Whether a debug line would be written; checked before costly fields are put together.
         self.debug_enabled = False
 
 
@@ -67,7 +67,7 @@
         self.render_dropped: Callable[[str, int], bytes] = lambda event, count: b""
         self.poller = select.poll()
         self.poller.register(self.descriptor, select.POLLOUT)
-        # A file, or a log that nobody reads, never makes a writer wait.
+        # Writing to a regular file or to /dev/null does not block.
         mode = os.fstat(self.descriptor).st_mode
         self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.descriptor)
 
@@ -88,7 +88,7 @@
             line = line[: MAX_LINE_BYTES - 4] + b"..."
         if self.may_block and not any(state & select.POLLOUT for _, state in self.poller.poll(0)):
             return False
-        with contextlib.suppress(OSError):  # a log that is gone must not end the courier
+        with contextlib.suppress(OSError):  # a closed log must not stop the courier
             os.write(self.descriptor, line + b"\n")
         return True
 
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -17,14 +17,15 @@
 from hopmill.fields import ConfigError
 
 ValuesByPath = dict[str, Any]
-CHANGEABLE_FIELDS = {  # tables, and what of them may differ
+# Table: its fields that a policy may change; "" is the top level.
+CHANGEABLE_FIELDS = {
     "retries": ("attempts", "longest_told_wait_ms"),
     "worth": ("over_share", "late", "refused_price"),
     "returning": ("cold_share", "cold_ms", "fall_multiple", "fall_ms"),
     "left_out": ("endpoints", "zones"),
     "": ("held",),
 }
-# Lists: what names a row, what of it may differ, whether there may be rows that no file has.
+# List: the field that identifies a row, the fields that a policy may change, and whether it may add rows.
 CHANGEABLE_ROWS = {
     "classes": ("name", ("worth", "late_share"), False),
     "tenants": ("name", ("share", "quota_per_s"), False),
@@ -32,8 +33,8 @@
     "ceilings": ("partner", ("window", "rate_per_s"), True),
 }
 UNSET = "unset"
-ROW_PATH = re.compile(r"^(\w+)\[([^\]]+)\]\.(\w+)$")
-MAX_FIELDS = 2000
+ROW_PATH = re.compile(r"^(\w+)\[([^\]]+)\]\.(\w+)$")  # list[row].field
+MAX_FIELDS = 2000  # of one patch
 
 
 def read_patch(raw: Any) -> tuple[ValuesByPath, tuple[str, ...]]:
--- a/hopmill/serve.py
+++ b/hopmill/serve.py
@@ -17,7 +17,7 @@
 
 log = logs.part("courier")
 config_log = logs.part("config")
-# What a running courier takes over from a changed file; everything else waits for its next start.
+# Paths and path prefixes that SIGHUP applies; other changes need a restart.
 RELOADABLE_PATHS = ("discovery", "connections.", "log.")
 
 
@@ -43,7 +43,7 @@
 
     def _apply(self, document: doc.Document) -> None:
         for path, before, after in doc.changes(self.document, document):
-            if path != "seed":  # is new with each start
+            if path != "seed":  # differs at each start
                 event = "config.changed" if path.startswith(RELOADABLE_PATHS) else "config.needs_restart"
                 config_log.info(event, path=path, before=before, after=after)
         self.document = document
@@ -65,7 +65,7 @@
     loop.add_signal_handler(signal.SIGHUP, Reloader(host, source))
     port = host.start()
     gc.collect()
-    gc.freeze()  # what is there now stays: full collections need not look at it again
+    gc.freeze()  # start-up objects live as long as the process: full collections skip them
     log.info("ready", name=config.name, port=port, restored=len(host.journal.held))
     await host.restart.closed
     host.close()
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -1,4 +1,4 @@
-"""The configuration: what is wrong is named, what is right is the same by both ways in."""
+"""The configuration: errors name the field, and TOML and the platform's JSON give the same settings."""
 
 import re
 import tomllib
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, never in the way, and listed in docs/logs.md."""
+"""Logs: the rate is bounded, writing never blocks, and docs/logs.md lists every event and field."""
 
 import ast
 import json
@@ -18,7 +18,7 @@
 def pipe():
     reader, writer = os.pipe()
     yield reader, writer
-    for part in logs._loggers.values():  # as before: quiet
+    for part in logs._loggers.values():  # no output, as before `configure`
         for method in logs.METHODS:
             setattr(part, method, logs._discard)
         part.debug_enabled = False
@@ -122,7 +122,7 @@
         ("asyncio", "library"),
         ("config", "config.changed"),
         ("config", "config.needs_restart"),
-    }  # put together where they are said
+    }  # part or event is computed there
     assert len(found) > 30 and {(part, event) for part, event, _ in found} | elsewhere == listed
     assert {n for _, _, f in found for n in f} - {"name"} <= names
     assert {part for part, _ in listed} <= set(logs.PARTS)
