--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ("[[partners]]", "[[partners", "is not TOML"),
         (TEXT[len(TEXT) // 2 :], "", "is not TOML|lacks|must be"),
@@ -60,15 +60,15 @@
         ("me = 0", "me = 1", r"^settings: me: must be from 0 to under couriers"),
     ],
 )
-def test_what_is_wrong_is_named_in_one_line(tmp_path, old, new, said):
+def test_what_is_wrong_is_named_in_one_line(tmp_path, old, new, expected):
     assert old in TEXT
     with pytest.raises(doc.ConfigError) as caught:
         read(tmp_path, TEXT.replace(old, new, 1))
-    assert re.search(said, str(caught.value)) and "\n" not in str(caught.value)
+    assert re.search(expected, str(caught.value)) and "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("more", "expected"),
     [
         ("[[partners]]\nnumber = 7\n", r"^partners\[1\]: 7 is there twice$"),
         (
@@ -81,8 +81,8 @@
         ),
     ],
 )
-def test_what_is_there_twice_is_named(tmp_path, more, said):
-    with pytest.raises(doc.ConfigError, match=said):
+def test_what_is_there_twice_is_named(tmp_path, more, expected):
+    with pytest.raises(doc.ConfigError, match=expected):
         read(tmp_path, TEXT + more)
 
 
@@ -108,9 +108,9 @@
     )
     raw |= {"groupSize": drawn.get("group", 2), "stepUs": drawn.get("tick", 5000), "localities": ["a", "b"]}
     raw["familyInfo"] |= {"carriage": drawn.get("fees", []), "late": "halves" if drawn.get("late") else ""}
-    document, told = doc.from_platform({"settings": raw, "name": "n1"})
-    assert told == wire.read_settings(msgspec.json.encode(raw))
-    assert document.settings() == told and [z.name for z in document.zones] == ["a", "b"]
+    document, settings_read = doc.from_platform({"settings": raw, "name": "n1"})
+    assert settings_read == wire.read_settings(msgspec.json.encode(raw))
+    assert document.settings() == settings_read and [z.name for z in document.zones] == ["a", "b"]
 
 
 def test_changes_are_told_by_their_paths(tmp_path):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -93,7 +93,7 @@
     assert got and all(len(line) < logs.MAX_LINE_BYTES for line in got)
 
 
-def said_in_code():
+def events_in_code():
     """(part, event) and the field names of every line that the program can write."""
     for path in (ROOT / "hopmill").rglob("*.py"):
         tree = ast.parse(path.read_text())
@@ -101,13 +101,13 @@
         for node in ast.walk(tree):
             if isinstance(node, ast.Assign) and "logs.part(" in ast.unparse(node.value):
                 names = [ast.unparse(n) for n in getattr(node.targets[0], "elts", node.targets)]
-                told = re.findall(r"part\('(\w+)'\)", ast.unparse(node.value))
-                parts |= dict(zip(names, told, strict=True))
+                part_names = re.findall(r"part\('(\w+)'\)", ast.unparse(node.value))
+                parts |= dict(zip(names, part_names, strict=True))
         for node in ast.walk(tree):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
                 owner = ast.unparse(node.func.value)
-                told = isinstance(node.args[0], ast.Constant)
-                if owner in parts and node.func.attr in logs.METHODS and told:
+                is_literal = isinstance(node.args[0], ast.Constant)
+                if owner in parts and node.func.attr in logs.METHODS and is_literal:
                     yield parts[owner], node.args[0].value, {k.arg for k in node.keywords} - {"exc_info"}
 
 
@@ -116,7 +116,7 @@
     listed = {tuple(row) for row in re.findall(r"^\| (\w+) \| ([\w.]+) \|", events, re.M)}
     listed -= {("part", "event")}
     names = {n for row in re.findall(r"^\| ([\w, ]+) \|", fields, re.M) for n in row.split(", ")} - {"name"}
-    found = list(said_in_code())
+    found = list(events_in_code())
     elsewhere = {
         ("courier", "log.dropped"),
         ("asyncio", "library"),
