--- a/hopmill/book.py
+++ b/hopmill/book.py
@@ -1,4 +1,7 @@
-"""The text of a policy's version: all values in force, and the changes that led there, the newest last."""
+"""The history of the fleet's policy: all values of a version, and the changes that led to it, oldest first.
+
+Its MessagePack encoding is the text of a policy version that the members of a fleet exchange and store.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,15 @@
 
 
 class UnreadableHistoryError(ValueError):
-    """The text is none that this version of the program reads."""
+    """The text is not a policy history, or has a format that this program does not read."""
 
 
 class HistoryTooLongError(ValueError):
-    """The values alone are more than a text may hold."""
+    """The policy's values alone take more than MAX_BYTES."""
 
 
 class AppliedChange(msgspec.Struct, frozen=True):
-    """A change that came into force. at_s: wall clock of the courier that was asked."""
+    """A change that came into force."""
 
     id: str
     version: int  # the policy version that the change made
@@ -34,6 +37,8 @@
 
 
 class PolicyHistory(msgspec.Struct, frozen=True):
+    """The values of a policy version, and the latest changes that led to it."""
+
     format: int = FORMAT
     version: int = 0
     values: ValuesByPath = {}
@@ -42,7 +47,10 @@
     def with_change(
         self, change_id: str, at_s: float, by: str, reason: str, patch: ValuesByPath, unset: tuple[str, ...]
     ) -> PolicyHistory:
-        """What is in force after this change. HistoryTooLongError."""
+        """Returns the history of the next version; the oldest changes are dropped to fit MAX_BYTES.
+
+        Raises HistoryTooLongError.
+        """
         values = merged(self.values, patch, unset)
         changes = [
             (path, self.values.get(path), values.get(path))
@@ -60,10 +68,14 @@
         return history
 
     def encode(self) -> bytes:
+        """Returns the text of this version, which `decode` reads."""
         return msgspec.msgpack.encode(self)
 
     def values_at(self, version: int) -> ValuesByPath:
-        """The values that were in force at a version. KeyError: that is no longer known."""
+        """Returns the values of an earlier version.
+
+        Raises KeyError if the changes since that version are no longer known.
+        """
         if version == 0 and self.version == len(self.entries):
             pass  # no change has been dropped, so version 0 can be restored
         elif not any(e.version == version or e.version == version + 1 for e in self.entries):
@@ -78,7 +90,7 @@
         return values
 
     def patch_to(self, version: int) -> tuple[ValuesByPath, tuple[str, ...]]:
-        """The change that puts back what was in force at a version. KeyError."""
+        """Returns the patch, as values and unset paths, that restores an earlier version. Raises KeyError."""
         target = self.values_at(version)
         return (
             {p: v for p, v in target.items() if self.values.get(p) != v},
@@ -87,7 +99,7 @@
 
 
 def decode(text: bytes) -> PolicyHistory:
-    """UnreadableHistoryError."""
+    """Reads the text of a version. Raises UnreadableHistoryError."""
     try:
         history = msgspec.msgpack.decode(text, type=PolicyHistory)
     except msgspec.DecodeError as error:
--- a/hopmill/document.py
+++ b/hopmill/document.py
@@ -1,7 +1,7 @@
-"""The configuration as staff write it: one tree of structs with units in the names, format 1.
+"""The configuration that operators write: one tree of structs, with units in the field names (format 1).
 
-A TOML file is read into it, and so is the platform's JSON, so that both are checked by the same rules and
-can be compared field by field. `deploy/courier.example.toml` explains each field.
+A TOML file and the platform's JSON are both read into this tree, so the same rules check them and they can
+be compared field by field. `deploy/courier.example.toml` explains each field.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class Limits(Strict):
-    """What the machine gives this courier."""
+    """Resources of the machine that this courier may use."""
 
     cores: Positive = 1.0
     memory_mb: Positive = 192.0
@@ -50,6 +50,8 @@
 
 
 class Log(Strict):
+    """Format, levels and maximum rate of the log on standard error."""
+
     format: Literal["line", "json"] = "line"
     level: Level = "info"
     levels: dict[str, Level] = {}  # by part of the program; overrides `level`
@@ -57,10 +59,14 @@
 
 
 class Connections(Strict):
+    """How connections to endpoints are kept."""
+
     warm_up: bool = False  # open connections before a message needs them
 
 
 class MessageClass(Strict):
+    """What the messages of one class are worth, and whether an attempt may be repeated."""
+
     name: Name
     aim_ms: Positive  # delivered within this time, a message earns its full worth
     deadline_ms: Positive  # delivered between aim and deadline, it earns a part
@@ -73,23 +79,31 @@
 
 
 class Kind(Strict):
+    """A kind of destination."""
+
     name: Name
     routes_apart: bool = False  # each endpoint has its own limit, waits and outages
     bundle: Count = 1  # most messages that one call carries
 
 
 class Tenant(Strict):
+    """A customer with a share of the traffic."""
+
     name: Name
     share: NotNegative = 0.0  # of the traffic; messages within it count in full
     quota_per_s: NotNegative = 0.0  # messages per second from all couriers together
 
 
 class Zone(Strict):
+    """A zone that endpoints are in, with the fee for sending a call there."""
+
     name: Name
     fee: NotNegative = 0.0
 
 
 class Retries(Strict):
+    """How attempts are repeated, and what refused clients are told."""
+
     attempts: Count = 3  # of one message, at most
     longest_told_wait_ms: NotNegative = 0.0  # longest retry-after that clients obey; 0: none is sent
     clients_mark: bool = False  # clients mark messages that they submit again
@@ -99,13 +113,15 @@
 
 
 class Calls(Strict):
+    """Limits of the calls to endpoints and of their connections."""
+
     slots: Count = 32  # most calls in flight
     idle_ms: NotNegative = 10_000.0  # endpoints close a connection that has been idle for this long
     connect_ms: NotNegative = 1_000.0  # time-out for opening a connection
 
 
 class Return(Strict):
-    """How a destination comes back, and how it falls over."""
+    """How a destination recovers from an outage, and which overload makes it fail again."""
 
     cold_share: Share = 0.1  # share of its capacity that a recovering destination has at first
     cold_ms: NotNegative = 10_000.0  # after this time it has its full capacity
@@ -115,13 +131,15 @@
 
 
 class Fleet(Strict):
+    """The couriers that share the traffic."""
+
     couriers: Count = 1  # how many share the traffic
     me: Annotated[int, msgspec.Meta(ge=0)] = 0  # index of this courier, below `couriers`
     peer_notes: bool = False
 
 
 class Worth(Strict):
-    """What results are priced at."""
+    """The worth and the cost of results."""
 
     over_share: NotNegative = 1.0  # factor for a message above its tenant's share
     late: Literal["evenly", "halves"] = "evenly"  # after the aim: linear, or halved with each further aim
@@ -129,6 +147,8 @@
 
 
 class Endpoint(Strict):
+    """An endpoint of a partner."""
+
     uid: Name
     address: Name
     zone: str = ""
@@ -136,7 +156,7 @@
 
 
 class Partner(Strict):
-    """One that is known before discovery speaks."""
+    """A partner whose endpoints are known before discovery sends its list."""
 
     number: PartnerNumber
     name: str = ""
@@ -145,14 +165,14 @@
 
 
 class LeftOut(Strict):
-    """Nothing goes there, as if staff had left it out by hand."""
+    """Endpoints and zones that get no calls, as if an operator had excluded them."""
 
     endpoints: tuple[Name, ...] = ()
     zones: tuple[Name, ...] = ()
 
 
 class Ceiling(Strict):
-    """What one partner gets at most. 0: no such ceiling."""
+    """The most that one partner gets; 0 stands for no such ceiling."""
 
     partner: PartnerNumber
     window: Annotated[int, msgspec.Meta(ge=0)] = 0  # most calls in flight from one courier
@@ -160,7 +180,7 @@
 
 
 class Document(Strict, kw_only=True):
-    """All that a courier is told."""
+    """The whole configuration of a courier."""
 
     format: int = FORMAT
     name: str = ""
@@ -194,7 +214,10 @@
     members: Members | None = None  # the fleet that this courier belongs to; None: it shares no state
 
     def settings(self) -> interface.Settings:
-        """For the decision module, in its units."""
+        """Returns the settings of the decision module, in its units.
+
+        Raises ValueError with the name of a field whose value the module does not accept.
+        """
         retries, calls = self.retries, self.calls
         return interface.Settings(
             classes=tuple(
@@ -245,7 +268,7 @@
         )
 
     def known_endpoints(self) -> dict[str, Any]:
-        """The partners' endpoints in discovery's form, as of version 0."""
+        """Returns the partners' endpoints as a list of discovery, revision 0."""
         return {
             "rev": 0,
             "targets": [
@@ -273,7 +296,10 @@
 
 
 def read_toml(path: Path) -> Document:
-    """The file as a Document. ConfigError: one line with the field's path."""
+    """Reads and checks a TOML file.
+
+    Raises ConfigError, whose text is one line that starts with the path of the file or of the field.
+    """
     import tomllib  # imported late: a courier started by the platform reads JSON only
 
     try:
@@ -291,7 +317,10 @@
 
 
 def convert(raw: dict[str, Any]) -> Document:
-    """Checked against the structs, field by field. ConfigError: one line names the first wrong field."""
+    """Checks a tree of built-in types against the structs, field by field.
+
+    Raises ConfigError, whose text is one line that names the first wrong field.
+    """
     try:
         return msgspec.convert(raw, Document)
     except msgspec.ValidationError as error:
@@ -299,7 +328,10 @@
 
 
 def _one_line(text: str) -> str:
-    """msgspec's 'what - at `$.path`' with the path first; for an unknown field, the nearest known one."""
+    """Turns msgspec's 'problem - at `$.path`' into 'path: problem'.
+
+    For an unknown field it suggests the known name that is closest.
+    """
     problem, _, location = text.partition(" - at `$.")
     path = location.rstrip("`")
     if match := re.search("(unknown|missing required) field `(.+)`", problem):
@@ -317,7 +349,10 @@
 
 
 def problems(document: Document) -> Iterator[str]:
-    """What is wrong in the relation of fields, one line each. The platform's own files are not held to it."""
+    """Yields one line for each inconsistency between fields.
+
+    The platform's JSON is checked only for those in `members`.
+    """
     for names, table in (
         ([c.name for c in document.classes], "classes"),
         ([k.name for k in document.kinds], "kinds"),
@@ -353,10 +388,10 @@
 
 
 def from_platform(raw: dict[str, Any]) -> tuple[Document, interface.Settings]:
-    """The platform's JSON, whose `settings` are the simulator's. ConfigError as for a TOML file.
+    """Reads the platform's JSON, whose `settings` have the simulator's form.
 
-    The settings are returned beside the tree as they were told: what a courier in service decides by does not
-    pass through other units.
+    Also returns those settings as given: the values by which a courier in service decides are not converted
+    to the units of the tree and back. Raises ConfigError as `read_toml` does.
     """
     raw_settings = raw.get("settings")
     if not isinstance(raw_settings, dict) or not raw_settings:
@@ -379,7 +414,7 @@
 
 
 def from_settings(settings: interface.Settings, zones: Any = ()) -> dict[str, Any]:
-    """The module's settings as the tree that `convert` reads; Document.settings() gives them back."""
+    """Returns the decision module's settings as a tree for `convert`, the inverse of `Document.settings`."""
     names = {effect: name for name, effect in EFFECTS.items()}
     fees = dict(enumerate(settings.zone_fees))
     zones = [str(z) for z in zones]
@@ -442,7 +477,7 @@
 
 
 def flatten(document: Document) -> dict[str, Any]:
-    """Every field's path with its value."""
+    """Returns the value of every field by its path, such as `calls.slots` or `zones[0].fee`."""
     rows: dict[str, Any] = {}
 
     def walk(path: str, value: Any) -> None:
@@ -460,7 +495,7 @@
 
 
 def changes(old: Document, new: Document) -> list[tuple[str, Any, Any]]:
-    """(path, before, after) of each field that differs; None where it is not there."""
+    """Returns (path, before, after) of each field that differs; None stands for a missing field."""
     before, after = flatten(old), flatten(new)
     return [
         (path, before.get(path), after.get(path))
@@ -470,7 +505,7 @@
 
 
 def disabled_options(document: Document) -> list[str]:
-    """What is optional and not switched on, one line each."""
+    """Returns one line for each optional part that is switched off."""
     rows = (
         ("operator", not document.operator, "no operator API and no metrics"),
         (
--- a/hopmill/fields.py
+++ b/hopmill/fields.py
@@ -1,4 +1,4 @@
-"""The types that fields of the configuration are made of."""
+"""The types of the fields of the configuration, and its error."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 class ConfigError(Exception):
-    """A value that lacks or is wrong; the text is one line that names its field."""
+    """A value is missing or wrong; the text is one line that names its field."""
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """A table: a name that it does not know is a mistake."""
+    """A table of the configuration; an unknown field is an error."""
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one line an event, by part and level, bounded in number and never in the way of the loop.
+"""Structured logs: one line per event, filtered by part and level, at a bounded rate; writing never blocks.
 
-`log = logs.part("calls")` gives a part's logger; `log.info("attempt.ended", message=..., endpoint=...)`
-writes a line. docs/logs.md lists the events and the one name of each field. Until `configure` is called,
-nothing is written.
+`log = logs.part("calls")` returns the logger of a part; `log.info("attempt.ended", message=...)` writes a
+line. docs/logs.md lists the events and fields; a field has the same name in every event. Nothing is written
+until `configure` is called.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class PartLogger:
-    """The logger of one part of the program; `configure` gives it its methods."""
+    """The logger of one part of the program; `configure` sets its methods."""
 
     debug: Callable[..., Any]
     info: Callable[..., Any]
@@ -58,10 +58,10 @@
 
 
 class Sink:
-    """Writes lines to a descriptor. What it can't take at once is dropped and counted, not waited for."""
+    """Writes lines to a file descriptor; drops and counts those that it can't accept without blocking."""
 
     def __init__(self, stream: TextIO | int, lines_per_s: int) -> None:
-        """lines_per_s: at most so many in a second of the monotonic clock; the rest are dropped."""
+        """lines_per_s: the most lines in a second of the monotonic clock; further ones are dropped."""
         self.descriptor = stream if isinstance(stream, int) else stream.fileno()
         self.lines_per_s, self.second, self.lines_this_second, self.dropped = lines_per_s, 0, 0, 0
         self.render_dropped: Callable[[str, int], bytes] = lambda event, count: b""
@@ -72,6 +72,7 @@
         self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.descriptor)
 
     def msg(self, line: str) -> None:
+        """Writes a line, after a `log.dropped` line at the start of a second if lines were dropped before."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.lines_this_second = second, 0
@@ -94,9 +95,10 @@
 
 
 class LibraryLogHandler(logging.Handler):
-    """What libraries log, asyncio above all."""
+    """Passes on what libraries log through `logging`, mostly asyncio."""
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Writes a record as the event `library` of the part asyncio."""
         method = "error" if record.levelno >= logging.ERROR else "warning"
         getattr(part("asyncio"), method)(
             "library", text=record.getMessage(), logger=record.name, exc_info=record.exc_info or None
@@ -104,7 +106,7 @@
 
 
 def _order_fields(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
-    """Time, level, part and event first, in both forms."""
+    """Puts time, level, part and event first and drops fields without a value."""
     head = {
         "at": event.pop("at"),
         "level": method if method != "exception" else "error",
@@ -128,7 +130,7 @@
 
 
 def _quoted(value: Any) -> str:
-    """Quoted where it would not read as one word."""
+    """Returns a value as text, quoted if it is empty or would not be a single word."""
     text = _encode_other(value) if not isinstance(value, float) else f"{value:g}"
     if text and text.isprintable() and not set(text) & set(' "='):
         return text
@@ -140,7 +142,7 @@
 
 
 def part(name: str) -> PartLogger:
-    """The logger of this part, the same one each time."""
+    """Returns the logger of a part, the same object at each call."""
     if name not in _loggers:
         _loggers[name] = PartLogger(name)
         _bind_methods(_loggers[name])
@@ -154,11 +156,12 @@
     lines_per_s: int = 50,
     stream: TextIO | int | None = None,
 ) -> None:
-    """From now on, also for loggers that were made before.
+    """Sets the output of all loggers, including those that exist already.
 
-    output_format: one of FORMATS. level: of all parts but those in `levels`, each one of LEVELS.
-    lines_per_s: the bound over all parts.
-    stream: standard error if none is given; a number is a file descriptor.
+    output_format: one of FORMATS.
+    level: one of LEVELS, for all parts that are not in `levels`.
+    lines_per_s: the most lines per second, over all parts.
+    stream: a stream or a file descriptor; standard error if none is given.
     """
     sink = Sink(sys.stderr if stream is None else stream, lines_per_s)
     renderer = structlog.processors.JSONRenderer(serializer=_as_json) if output_format == "json" else _as_line
@@ -200,4 +203,4 @@
 
 
 def _discard(event: str, **fields: Any) -> None:
-    """Parts are used on their own in tests and tools: what they say there is nobody's affair."""
+    """Discards an event: tests and tools use parts of the program without configuring logs."""
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -1,7 +1,7 @@
-"""What a policy is: values for those fields of the configuration that may differ while a courier runs.
+"""A policy: values that override those fields of the configuration that can change while a courier runs.
 
-It is kept flat, as {path: value}; a row of a list goes by its name: `tenants[gold].quota_per_s`. A patch is
-TOML in the configuration's own tables; `unset` names paths that go back to each courier's own file.
+It is stored as {path: value}; a row of a list is identified by its name: `tenants[gold].quota_per_s`. A patch
+is TOML with the tables of the configuration; `unset` lists paths that return to each courier's own file.
 """
 
 from __future__ import annotations
@@ -38,7 +38,10 @@
 
 
 def read_patch(raw: Any) -> tuple[ValuesByPath, tuple[str, ...]]:
-    """(values, paths that are unset) of a patch. ConfigError: one line with the first wrong path."""
+    """Returns the values that a patch sets and the paths that it unsets.
+
+    Raises ConfigError, whose text is one line that names the first wrong path.
+    """
     if not isinstance(raw, dict):
         raise ConfigError("the patch: must be a table")
     unset = raw.get(UNSET, [])
@@ -77,7 +80,7 @@
 
 
 def _require_changeable(path: str) -> str:
-    """ConfigError: no such field, or one that can't change while a courier runs."""
+    """Returns the path. Raises ConfigError if the field is unknown or can't change while a courier runs."""
     if match := ROW_PATH.match(path):
         table, row, field = match.groups()
         if table in CHANGEABLE_ROWS and field in CHANGEABLE_ROWS[table][1]:
@@ -109,11 +112,15 @@
 
 
 def merged(overlay: ValuesByPath, patch: ValuesByPath, unset: tuple[str, ...]) -> ValuesByPath:
+    """Returns the values of a policy after a patch; `unset` wins over `patch`."""
     return {path: value for path, value in (overlay | patch).items() if path not in unset}
 
 
 def apply(document: Document, overlay: ValuesByPath) -> Document:
-    """The document with these values in it. ConfigError: a line that names what does not fit."""
+    """Returns the document with the values of a policy in it.
+
+    Raises ConfigError, whose text is one line that names a value that does not fit this document.
+    """
     tree = msgspec.to_builtins(document)
     for path, value in overlay.items():
         _require_changeable(path)
@@ -138,7 +145,10 @@
 
 
 def overridden_paths(document: Document, overlay: ValuesByPath) -> Iterator[str]:
-    """Paths at which a courier's own file says something else; one that leaves a field out says nothing."""
+    """Yields the paths whose value in a courier's own file is overridden by a different one.
+
+    A field that has its default counts as left out of the file.
+    """
     own, defaults = dict(_changeable_values(document)), dict(_changeable_values(_minimal_document()))
     for path, value in overlay.items():
         if path in own and own[path] != value and own[path] != defaults.get(path):
--- a/hopmill/serve.py
+++ b/hopmill/serve.py
@@ -1,4 +1,4 @@
-"""The real courier's process: signals and wiring."""
+"""The process of a courier in service: start, signals and reload of the configuration."""
 
 from __future__ import annotations
 
@@ -22,13 +22,18 @@
 
 
 class Reloader:
-    """SIGHUP: the configuration was replaced. What can't be read of it changes nothing."""
+    """Applies the configuration file again on SIGHUP.
+
+    An error in the file leaves the running configuration as it is, except for the address of discovery.
+    That is read separately, so an error elsewhere in the platform's file keeps no courier at an old address.
+    """
 
     def __init__(self, host: Host, source: Source) -> None:
         self.host, self.source = host, source
         self.document = source.read()[0]
 
     def __call__(self) -> None:
+        """Reads the file again, applies what can change and logs what needs a restart."""
         try:
             self._apply(self.source.read()[0])
         except ConfigError as error:
@@ -54,6 +59,7 @@
 
 
 def configure_logs(settings: doc.Log) -> None:
+    """Applies the `[log]` table."""
     logs.configure(settings.format, settings.level, settings.levels, settings.lines_per_s)
 
 
@@ -72,7 +78,10 @@
 
 
 def run(file: Path | None = None) -> int:
-    """Serve until SIGTERM; returns the exit status: 2 for a bad configuration, 1 for what can't be opened."""
+    """Serves until SIGTERM or SIGINT.
+
+    Returns the exit status: 2 for a bad configuration, 1 if a file or a socket can't be opened.
+    """
     source = Source(os.environ, file)
     try:
         config = load(os.environ, file)
