--- a/hopmill/book.py
+++ b/hopmill/book.py
@@ -1,4 +1,7 @@
-"""The text of a policy's version: all values in force, and the changes that led there, the newest last."""
+"""The history of the fleet's policy: all values of a version, and the changes that led to it, oldest first.
+
+Its MessagePack encoding is the text of a policy version that the members of a fleet exchange and store.
+"""
 
 from __future__ import annotations
 
@@ -6,63 +9,75 @@
 
 import msgspec
 
-from hopmill.overlay import Flat, merged
+from hopmill.overlay import ValuesByPath, merged
 
 FORMAT = 1
-MOST_BYTES = 40_000  # the oldest changes go first; values alone have to fit
-MOST_TEXT = 200  # characters of a reason or a name
+MAX_BYTES = 40_000  # of the encoded history: the oldest changes are dropped first, the values are not
+MAX_TEXT_CHARACTERS = 200  # of a reason or of a name; the rest is cut off
 
 
-class Unreadable(ValueError):
-    """The text is none that this version of the program reads."""
+class UnreadableHistoryError(ValueError):
+    """The text is not a policy history, or has a format that this program does not read."""
 
 
-class TooLong(ValueError):
-    """The values alone are more than a text may hold."""
+class HistoryTooLongError(ValueError):
+    """The policy's values alone take more than MAX_BYTES."""
 
 
-class Entry(msgspec.Struct, frozen=True):
-    """A change that came into force. at_s: wall clock of the courier that was asked."""
+class AppliedChange(msgspec.Struct, frozen=True):
+    """A change that came into force."""
 
     id: str
-    version: int
-    at_s: float
-    by: str
+    version: int  # the policy version that the change made
+    at_s: float  # wall clock of the courier that received the proposal
+    by: str  # the operator
     reason: str
-    changes: list[tuple[str, Any, Any]]  # path, before, after; None: each courier's own file
+    # Path, value before, value after; None stands for the value in each courier's own file.
+    changes: list[tuple[str, Any, Any]]
+
 
+class PolicyHistory(msgspec.Struct, frozen=True):
+    """The values of a policy version, and the latest changes that led to it."""
 
-class Book(msgspec.Struct, frozen=True):
     format: int = FORMAT
     version: int = 0
-    values: Flat = {}
-    entries: list[Entry] = []
+    values: ValuesByPath = {}
+    entries: list[AppliedChange] = []
+
+    def with_change(
+        self, change_id: str, at_s: float, by: str, reason: str, patch: ValuesByPath, unset: tuple[str, ...]
+    ) -> PolicyHistory:
+        """Returns the history of the next version; the oldest changes are dropped to fit MAX_BYTES.
 
-    def next(
-        self, ident: str, at_s: float, by: str, reason: str, patch: Flat, unset: tuple[str, ...]
-    ) -> Book:
-        """What is in force after this change. TooLong."""
+        Raises HistoryTooLongError.
+        """
         values = merged(self.values, patch, unset)
         changes = [
             (path, self.values.get(path), values.get(path))
             for path in sorted({*self.values, *values})
             if self.values.get(path) != values.get(path)
         ]
-        entry = Entry(ident, self.version + 1, at_s, by[:MOST_TEXT], reason[:MOST_TEXT], changes)
-        book = Book(FORMAT, self.version + 1, values, [*self.entries, entry])
-        while len(book.encode()) > MOST_BYTES:
-            if not book.entries:
-                raise TooLong(f"the policy's values would take over {MOST_BYTES} bytes")
-            book = msgspec.structs.replace(book, entries=book.entries[1:])
-        return book
+        entry = AppliedChange(
+            change_id, self.version + 1, at_s, by[:MAX_TEXT_CHARACTERS], reason[:MAX_TEXT_CHARACTERS], changes
+        )
+        history = PolicyHistory(FORMAT, self.version + 1, values, [*self.entries, entry])
+        while len(history.encode()) > MAX_BYTES:
+            if not history.entries:
+                raise HistoryTooLongError(f"the policy's values would take over {MAX_BYTES} bytes")
+            history = msgspec.structs.replace(history, entries=history.entries[1:])
+        return history
 
     def encode(self) -> bytes:
+        """Returns the text of this version, which `decode` reads."""
         return msgspec.msgpack.encode(self)
 
-    def at(self, version: int) -> Flat:
-        """The values that were in force at a version. KeyError: that is no longer known."""
+    def values_at(self, version: int) -> ValuesByPath:
+        """Returns the values of an earlier version.
+
+        Raises KeyError if the changes since that version are no longer known.
+        """
         if version == 0 and self.version == len(self.entries):
-            pass  # every change since is here
+            pass  # no change has been dropped, so version 0 can be restored
         elif not any(e.version == version or e.version == version + 1 for e in self.entries):
             raise KeyError(version)
         values = dict(self.values)
@@ -74,21 +89,21 @@
                         values[path] = before
         return values
 
-    def patch_to(self, version: int) -> tuple[Flat, tuple[str, ...]]:
-        """The change that puts back what was in force at a version. KeyError."""
-        then = self.at(version)
+    def patch_to(self, version: int) -> tuple[ValuesByPath, tuple[str, ...]]:
+        """Returns the patch, as values and unset paths, that restores an earlier version. Raises KeyError."""
+        target = self.values_at(version)
         return (
-            {p: v for p, v in then.items() if self.values.get(p) != v},
-            tuple(p for p in self.values if p not in then),
+            {p: v for p, v in target.items() if self.values.get(p) != v},
+            tuple(p for p in self.values if p not in target),
         )
 
 
-def read(text: bytes) -> Book:
-    """Unreadable."""
+def decode(text: bytes) -> PolicyHistory:
+    """Reads the text of a version. Raises UnreadableHistoryError."""
     try:
-        book = msgspec.msgpack.decode(text, type=Book)
+        history = msgspec.msgpack.decode(text, type=PolicyHistory)
     except msgspec.DecodeError as error:
-        raise Unreadable(str(error)) from None
-    if book.format != FORMAT:
-        raise Unreadable(f"format {book.format}")
-    return book
+        raise UnreadableHistoryError(str(error)) from None
+    if history.format != FORMAT:
+        raise UnreadableHistoryError(f"policy history format {history.format} is not supported")
+    return history
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one line an event, by part and level, bounded in number and never in the way of the loop.
+"""Structured logs: one line per event, filtered by part and level, at a bounded rate; writing never blocks.
 
-`log = logs.part("calls")` gives a part's logger; `log.info("attempt.ended", message=..., endpoint=...)`
-writes a line. docs/logs.md lists the events and the one name of each field. Until `configure` is called,
-nothing is written.
+`log = logs.part("calls")` returns the logger of a part; `log.info("attempt.ended", message=...)` writes a
+line. docs/logs.md lists the events and fields; a field has the same name in every event. Nothing is written
+until `configure` is called.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
     "pool",
     "upgrade",
 )
-MOST = 4096  # bytes of a line: a pipe that is ready takes as many without waiting
+MAX_LINE_BYTES = 4096  # PIPE_BUF on Linux: a pipe that polls writable accepts this many without blocking
 METHODS = ("debug", "info", "warning", "error", "exception")
 
 
-class Part:
-    """The logger of one part of the program; `configure` gives it its methods."""
+class PartLogger:
+    """The logger of one part of the program; `configure` sets its methods."""
 
     debug: Callable[..., Any]
     info: Callable[..., Any]
@@ -53,57 +53,60 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.debugs = False  # whether a debug line would be written: for what costs something to put together
+        # Whether a debug line would be written; checked before costly fields are put together.
+        self.debug_enabled = False
 
 
 class Sink:
-    """Writes lines to a descriptor. What it can't take at once is dropped and counted, not waited for."""
+    """Writes lines to a file descriptor; drops and counts those that it can't accept without blocking."""
 
     def __init__(self, stream: TextIO | int, lines_per_s: int) -> None:
-        """lines_per_s: at most so many in a second of the monotonic clock; the rest are dropped."""
-        self.file = stream if isinstance(stream, int) else stream.fileno()
-        self.lines_per_s, self.second, self.count, self.dropped = lines_per_s, 0, 0, 0
-        self.render: Callable[[str, int], bytes] = lambda level, count: b""
-        self.ready = select.poll()
-        self.ready.register(self.file, select.POLLOUT)
-        # A file, or a log that nobody reads, never makes a writer wait.
-        mode = os.fstat(self.file).st_mode
-        self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.file)
+        """lines_per_s: the most lines in a second of the monotonic clock; further ones are dropped."""
+        self.descriptor = stream if isinstance(stream, int) else stream.fileno()
+        self.lines_per_s, self.second, self.lines_this_second, self.dropped = lines_per_s, 0, 0, 0
+        self.render_dropped: Callable[[str, int], bytes] = lambda event, count: b""
+        self.poller = select.poll()
+        self.poller.register(self.descriptor, select.POLLOUT)
+        # Writing to a regular file or to /dev/null does not block.
+        mode = os.fstat(self.descriptor).st_mode
+        self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.descriptor)
 
     def msg(self, line: str) -> None:
+        """Writes a line, after a `log.dropped` line at the start of a second if lines were dropped before."""
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.count = second, 0
-            if self.dropped and self._write(self.render("log.dropped", self.dropped)):
+            self.second, self.lines_this_second = second, 0
+            if self.dropped and self._write(self.render_dropped("log.dropped", self.dropped)):
                 self.dropped = 0
-        self.count += 1
-        if self.count > self.lines_per_s or not self._write(line.encode("utf-8", "replace")):
+        self.lines_this_second += 1
+        if self.lines_this_second > self.lines_per_s or not self._write(line.encode("utf-8", "replace")):
             self.dropped += 1
 
     debug = info = warning = error = critical = exception = log = msg
 
     def _write(self, line: bytes) -> bool:
-        if len(line) >= MOST:
-            line = line[: MOST - 4] + b"..."
-        if self.may_block and not any(state & select.POLLOUT for _, state in self.ready.poll(0)):
+        if len(line) >= MAX_LINE_BYTES:
+            line = line[: MAX_LINE_BYTES - 4] + b"..."
+        if self.may_block and not any(state & select.POLLOUT for _, state in self.poller.poll(0)):
             return False
-        with contextlib.suppress(OSError):  # a log that is gone must not end the courier
-            os.write(self.file, line + b"\n")
+        with contextlib.suppress(OSError):  # a closed log must not stop the courier
+            os.write(self.descriptor, line + b"\n")
         return True
 
 
-class Stdlib(logging.Handler):
-    """What libraries log, asyncio above all."""
+class LibraryLogHandler(logging.Handler):
+    """Passes on what libraries log through `logging`, mostly asyncio."""
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Writes a record as the event `library` of the part asyncio."""
         method = "error" if record.levelno >= logging.ERROR else "warning"
         getattr(part("asyncio"), method)(
             "library", text=record.getMessage(), logger=record.name, exc_info=record.exc_info or None
         )
 
 
-def _in_order(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
-    """Time, level, part and event first, in both forms."""
+def _order_fields(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
+    """Puts time, level, part and event first and drops fields without a value."""
     head = {
         "at": event.pop("at"),
         "level": method if method != "exception" else "error",
@@ -113,89 +116,91 @@
     return head | {name: value for name, value in event.items() if value is not None}
 
 
-def _plain(value: Any) -> str:
+def _encode_other(value: Any) -> str:
     return repr(value) if isinstance(value, BaseException) else str(value)
 
 
 def _as_json(event: dict[str, Any], **_: Any) -> str:
-    return msgspec.json.encode(event, enc_hook=_plain).decode()
+    return msgspec.json.encode(event, enc_hook=_encode_other).decode()
 
 
 def _as_line(_: Any, __: str, event: dict[str, Any]) -> str:
     head = [str(event.pop("at")), f"{event.pop('level'):<7}", f"{event.pop('part'):<9}", event.pop("event")]
-    return " ".join(head + [f"{name}={_word(value)}" for name, value in event.items()])
+    return " ".join(head + [f"{name}={_quoted(value)}" for name, value in event.items()])
 
 
-def _word(value: Any) -> str:
-    """Quoted where it would not read as one word."""
-    text = _plain(value) if not isinstance(value, float) else f"{value:g}"
+def _quoted(value: Any) -> str:
+    """Returns a value as text, quoted if it is empty or would not be a single word."""
+    text = _encode_other(value) if not isinstance(value, float) else f"{value:g}"
     if text and text.isprintable() and not set(text) & set(' "='):
         return text
     return msgspec.json.encode(text).decode()
 
 
-_parts: dict[str, Part] = {}
-_now: dict[str, Any] = {}
+_loggers: dict[str, PartLogger] = {}
+_configuration: dict[str, Any] = {}
 
 
-def part(name: str) -> Part:
-    """The logger of this part, the same one each time."""
-    if name not in _parts:
-        _parts[name] = Part(name)
-        _equip(_parts[name])
-    return _parts[name]
+def part(name: str) -> PartLogger:
+    """Returns the logger of a part, the same object at each call."""
+    if name not in _loggers:
+        _loggers[name] = PartLogger(name)
+        _bind_methods(_loggers[name])
+    return _loggers[name]
 
 
 def configure(
-    form: str = "line",
+    output_format: str = "line",
     level: str = "info",
     levels: Mapping[str, str] | None = None,
     lines_per_s: int = 50,
     stream: TextIO | int | None = None,
 ) -> None:
-    """From now on, also for loggers that were made before.
+    """Sets the output of all loggers, including those that exist already.
 
-    form: one of FORMATS. level: of all parts but those in `levels`, each one of LEVELS. lines_per_s: the
-    bound over all parts. stream: standard error if none is given; a number is a file descriptor.
+    output_format: one of FORMATS.
+    level: one of LEVELS, for all parts that are not in `levels`.
+    lines_per_s: the most lines per second, over all parts.
+    stream: a stream or a file descriptor; standard error if none is given.
     """
     sink = Sink(sys.stderr if stream is None else stream, lines_per_s)
-    renderer = structlog.processors.JSONRenderer(serializer=_as_json) if form == "json" else _as_line
+    renderer = structlog.processors.JSONRenderer(serializer=_as_json) if output_format == "json" else _as_line
     processors = [
         structlog.processors.format_exc_info,
         structlog.processors.TimeStamper("iso", key="at"),
-        _in_order,
+        _order_fields,
         renderer,
     ]
 
-    def dropped(event: str, count: int) -> bytes:
+    def render_dropped(event: str, count: int) -> bytes:
         fields: Any = {"event": event, "part": "courier", "count": count}
-        for step in processors:
-            fields = step(None, "warning", fields)
+        for processor in processors:
+            fields = processor(None, "warning", fields)
         return fields.encode()
 
-    sink.render = dropped
-    _now.update(sink=sink, processors=processors, level=level, levels=dict(levels or {}))
-    for each in _parts.values():
-        _equip(each)
-    logging.basicConfig(level=logging.WARNING, handlers=[Stdlib()], force=True)
+    sink.render_dropped = render_dropped
+    _configuration.update(sink=sink, processors=processors, level=level, levels=dict(levels or {}))
+    for logger in _loggers.values():
+        _bind_methods(logger)
+    logging.basicConfig(level=logging.WARNING, handlers=[LibraryLogHandler()], force=True)
 
 
-def _equip(each: Part) -> None:
-    if not _now:
+def _bind_methods(logger: PartLogger) -> None:
+    if not _configuration:
         for method in METHODS:
-            setattr(each, method, _before_configured)
+            setattr(logger, method, _discard)
         return
-    level = LEVELS[_now["levels"].get(each.name, _now["level"])]
-    logger = structlog.wrap_logger(
-        _now["sink"],
-        processors=_now["processors"],
-        part=each.name,
+    level = LEVELS[_configuration["levels"].get(logger.name, _configuration["level"])]
+    bound = structlog.wrap_logger(
+        _configuration["sink"],
+        processors=_configuration["processors"],
+        part=logger.name,
         wrapper_class=structlog.make_filtering_bound_logger(level),
     ).bind()
     for method in METHODS:
-        setattr(each, method, getattr(logger, method))
-    each.debugs = level <= logging.DEBUG
+        setattr(logger, method, getattr(bound, method))
+    logger.debug_enabled = level <= logging.DEBUG
 
 
-def _before_configured(event: str, **fields: Any) -> None:
-    """Parts are used on their own in tests and tools: what they say there is nobody's affair."""
+def _discard(event: str, **fields: Any) -> None:
+    """Discards an event: tests and tools use parts of the program without configuring logs."""
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -349,7 +349,7 @@
             timer.cancel()
 
     def _notices_accepted(self, numbers: list[int]) -> None:
-        if messages_log.debugs:
+        if messages_log.debug_enabled:
             for message in (self.journal.messages[n] for n in numbers if n in self.journal.messages):
                 self.observer.notice_accepted(message)
         self.record_best_effort(self.journal.record_notices_accepted, numbers)
@@ -378,7 +378,7 @@
         item = CallItem(
             message.number, attempt, message.id, message.idempotency_key, message.body, action.timeout_us
         )
-        if messages_log.debugs:
+        if messages_log.debug_enabled:
             self.observer.attempt_sent(
                 message, attempt, self.registry.uid(action.endpoint), action.timeout_us
             )
@@ -438,7 +438,7 @@
     def _attempt_ended(self, item: CallItem, endpoint: int, outcome: Outcome, latency_us: int) -> None:
         message = self.journal.messages.get(item.number)
         is_over = outcome.over or message is None
-        if message and (self.metrics or self.observer.is_counting or messages_log.debugs):
+        if message and (self.metrics or self.observer.is_counting or messages_log.debug_enabled):
             self.observer.attempt_ended(
                 message,
                 item.attempt,
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -9,7 +9,7 @@
 import dataclasses
 from typing import TYPE_CHECKING, Any
 
-from hopmill import book as books
+from hopmill import book as policy_history
 from hopmill import interface
 from hopmill import logs, overlay
 from hopmill.document import Document
@@ -27,7 +27,7 @@
 # Clients wait up to this time for a policy change to complete; after it they are answered with a retry-after.
 MAX_CHANGE_WAIT_S = 0.5
 HELD_MEMORY_SHARE = 1 / 2  # of memory, for held messages, if each had the maximum size
-EMPTY_POLICY = books.Book().encode()  # policy of a fleet that has not changed it yet
+EMPTY_POLICY = policy_history.PolicyHistory().encode()  # policy of a fleet that has not changed it yet
 log = logs.part("fleet")
 
 
@@ -39,7 +39,7 @@
         self.member_transport: MemberTransport | None = None
         self.has_policy = bool(host.config.members and host.config.members.policy)
         self.file_settings = host.settings  # from this courier's configuration file
-        self.book = books.Book()
+        self.history = policy_history.PolicyHistory()
         self.applied_version = -1  # version that the policy module uses, -1 for none
         self.excluded: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
         self.rejection = ""  # why the version in force can not be applied, or ""
@@ -159,37 +159,37 @@
         """Why this courier can not apply a policy text, "" if it can."""
         try:
             self._parse(text)
-        except (ConfigError, books.Unreadable, ValueError) as error:
+        except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
             return str(error) or "unreadable"
         return ""
 
-    def _parse(self, text: bytes) -> tuple[books.Book, Document]:
-        book = books.read(text)
-        document = overlay.apply(self.document, book.values)
+    def _parse(self, text: bytes) -> tuple[policy_history.PolicyHistory, Document]:
+        history = policy_history.decode(text)
+        document = overlay.apply(self.document, history.values)
         need, room = document.held * MAX_REQUEST_BYTES, int(self.host.config.memory_bytes * HELD_MEMORY_SHARE)
         if document.held > self.document.held and need > room:
             raise ConfigError(f"held: {document.held} messages may take {need >> 20} MiB, room {room >> 20}")
         for zone in document.left_out.zones:
             self.host.registry.zone(zone)
-        return book, document
+        return history, document
 
     def _apply(self, version: int, text: bytes) -> None:
         """Applies a version; the module receives all of it as one event."""
         try:
-            book, document = self._parse(text)
-        except (ConfigError, books.Unreadable, ValueError) as error:
+            history, document = self._parse(text)
+        except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
             if self.rejection != str(error):
                 self.rejection = str(error)
                 log.error("fleet.policy_not_taken", version=version, error=error)
             return
         changes = sum(
             1
-            for path in {*self.book.values, *book.values}
-            if self.book.values.get(path) != book.values.get(path)
+            for path in {*self.history.values, *history.values}
+            if self.history.values.get(path) != history.values.get(path)
         )
-        self.rejection, self.book, self.applied_version = "", book, version
+        self.rejection, self.history, self.applied_version = "", history, version
         self.host.handle_now(self._policy_event(document))
-        log.info("fleet.policy", version=version, fields=len(book.values), changed=changes)
+        log.info("fleet.policy", version=version, fields=len(history.values), changed=changes)
         self.on_file_reloaded(self.document)
 
     def _policy_event(self, document: Document) -> interface.PolicySet:
@@ -216,7 +216,7 @@
 
     def on_file_reloaded(self, document: Document) -> None:
         """Logs the settings of the local file that the policy overrides."""
-        if paths := [*overlay.disagreements(document, self.book.values)]:
+        if paths := [*overlay.overridden_paths(document, self.history.values)]:
             log.warning("fleet.policy_prevails", paths=",".join(paths))
 
     def status(self) -> dict[str, Any]:
@@ -225,6 +225,6 @@
             "applied": self.applied_version,
             "may_act": self.may_act(),
             "trouble": self.rejection,
-            "values": self.book.values,
+            "values": self.history.values,
             "waiting_clients": len(self.waiting),
         }
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -46,7 +46,7 @@
 
     def received(self, message: JournaledMessage, life_ms: int) -> None:
         """A client has sent the message."""
-        if log.debugs:
+        if log.debug_enabled:
             tenant = self.settings.tenants[message.tenant].name if self.settings.tenants else None
             log.debug(
                 "message.put",
@@ -61,7 +61,7 @@
 
     def refused(self, message: JournaledMessage, wait_us: int) -> None:
         """The message was answered -BUSY or -ERR before it was accepted."""
-        if log.debugs:
+        if log.debug_enabled:
             log.debug("message.refused", message=message.id, again_ms=-(-wait_us // 1000))
         self._count_worth(message, False)
         if self.meters:
@@ -76,7 +76,7 @@
 
     def attempt_sent(self, message: JournaledMessage, attempt: int, endpoint: str, timeout_us: int) -> None:
         """An attempt was started."""
-        if log.debugs:
+        if log.debug_enabled:
             log.debug(
                 "attempt.sent",
                 message=message.id,
@@ -95,7 +95,7 @@
         wait_us: int,
     ) -> None:
         """An attempt has ended."""
-        if log.debugs:
+        if log.debug_enabled:
             log.debug(
                 "attempt.ended",
                 message=message.id,
@@ -121,7 +121,7 @@
 
         status: delivered, withdrawn (by its endpoint), deferred or undeliverable.
         """
-        if log.debugs:
+        if log.debug_enabled:
             log.debug("message.over", message=message.id, status=status, again_ms=again_ms or None)
         self._count_worth(message, status in ("delivered", "withdrawn"))
         if self.meters:
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -61,7 +61,7 @@
         policy = policy_member.register.document.policy
         rows = [
             {**msgspec.to_builtins(entry), "outcome": "in force"}
-            for entry in self.active_policy().book.entries
+            for entry in self.active_policy().history.entries
         ]
         rows += [
             {"id": entry.id, "outcome": "in force nowhere", "why": entry.why}
@@ -78,7 +78,7 @@
         """Checks a proposal and begins its change."""
         if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        from hopmill import book as books
+        from hopmill import book as policy_history
         from hopmill.overlay import read_patch
 
         try:
@@ -88,7 +88,7 @@
         active_policy, policy = self.active_policy(), policy_member.register.document.policy
         pending_ids = {policy.change.id if policy.change else "", policy.stage.id if policy.stage else ""}
         if (
-            any(entry.id == proposal.id for entry in active_policy.book.entries)
+            any(entry.id == proposal.id for entry in active_policy.history.entries)
             or policy.outcome(proposal.id)
             or proposal.id in pending_ids
         ):
@@ -103,18 +103,18 @@
             if proposal.revert is None:
                 patch, unset = read_patch(proposal.patch)
             else:
-                patch, unset = active_policy.book.patch_to(proposal.revert)
-            book = active_policy.book.next(
+                patch, unset = active_policy.history.patch_to(proposal.revert)
+            history = active_policy.history.with_change(
                 proposal.id, time.time(), proposal.by, proposal.reason, patch, unset
             )
-        except (ConfigError, books.TooLong) as error:
+        except (ConfigError, policy_history.HistoryTooLongError) as error:
             return 400, {"error": str(error)}
         except KeyError:
             return 400, {"error": f"version {proposal.revert} is no longer known"}
-        changes = book.entries[-1].changes if book.entries else []
+        changes = history.entries[-1].changes if history.entries else []
         if not changes:
             return 400, {"error": "the patch: changes nothing"}
-        text = book.encode()
+        text = history.encode()
         if why := active_policy.reason_to_reject(text):
             return 409, {"error": f"this courier can't go by it: {why}"}
         if proposal.dry_run:
@@ -159,7 +159,7 @@
                 "version": ended.version or policy.version,
                 "why": ended.why,
             }
-        for entry in self.active_policy().book.entries if not policy.stage else ():
+        for entry in self.active_policy().history.entries if not policy.stage else ():
             if entry.id == change_id:
                 return 200, answer | {"state": "in force", "version": entry.version, "why": ""}
         if policy.change and policy.change.id == change_id:
--- a/hopmill/serve.py
+++ b/hopmill/serve.py
@@ -1,4 +1,4 @@
-"""The real courier's process: signals and wiring."""
+"""The process of a courier in service: start, signals and reload of the configuration."""
 
 from __future__ import annotations
 
@@ -17,20 +17,25 @@
 
 log = logs.part("courier")
 config_log = logs.part("config")
-# What a running courier takes over from a changed file; everything else waits for its next start.
-LIVE = ("discovery", "connections.", "log.")
+# Paths and path prefixes that SIGHUP applies; other changes need a restart.
+RELOADABLE_PATHS = ("discovery", "connections.", "log.")
 
 
 class Reloader:
-    """SIGHUP: the configuration was replaced. What can't be read of it changes nothing."""
+    """Applies the configuration file again on SIGHUP.
+
+    An error in the file leaves the running configuration as it is, except for the address of discovery.
+    That is read separately, so an error elsewhere in the platform's file keeps no courier at an old address.
+    """
 
     def __init__(self, host: Host, source: Source) -> None:
         self.host, self.source = host, source
         self.document = source.read()[0]
 
     def __call__(self) -> None:
+        """Reads the file again, applies what can change and logs what needs a restart."""
         try:
-            self._take(self.source.read()[0])
+            self._apply(self.source.read()[0])
         except ConfigError as error:
             config_log.error("config.not_used", error=error)
         try:
@@ -41,10 +46,10 @@
         config_log.info("config.discovery", address="{}:{}".format(*address))
         self.host.move_discovery(address)
 
-    def _take(self, document: doc.Document) -> None:
+    def _apply(self, document: doc.Document) -> None:
         for path, before, after in doc.changes(self.document, document):
-            if path != "seed":  # is new with each start
-                event = "config.changed" if path.startswith(LIVE) else "config.needs_restart"
+            if path != "seed":  # differs at each start
+                event = "config.changed" if path.startswith(RELOADABLE_PATHS) else "config.needs_restart"
                 config_log.info(event, path=path, before=before, after=after)
         self.document = document
         configure_logs(document.log)
@@ -53,8 +58,9 @@
             self.host.active_policy.on_file_reloaded(document)
 
 
-def configure_logs(log: doc.Log) -> None:
-    logs.configure(log.format, log.level, log.levels, log.lines_per_s)
+def configure_logs(settings: doc.Log) -> None:
+    """Applies the `[log]` table."""
+    logs.configure(settings.format, settings.level, settings.levels, settings.lines_per_s)
 
 
 async def _serve(
@@ -67,14 +73,17 @@
     loop.add_signal_handler(signal.SIGHUP, Reloader(host, source))
     port = host.start()
     gc.collect()
-    gc.freeze()  # what is there now stays: full collections need not look at it again
+    gc.freeze()  # start-up objects live as long as the process: full collections skip them
     log.info("ready", name=config.name, port=port, restored=len(host.journal.messages))
     await host.restart.closed
     host.close()
 
 
 def run(file: Path | None = None) -> int:
-    """Serve until SIGTERM; returns the exit status: 2 for a bad configuration, 1 for what can't be opened."""
+    """Serves until SIGTERM or SIGINT.
+
+    Returns the exit status: 2 for a bad configuration, 1 if a file or a socket can't be opened.
+    """
     source = Source(os.environ, file)
     try:
         config = load(os.environ, file)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, never in the way, and listed in docs/logs.md."""
+"""Logs: the rate is bounded, writing never blocks, and docs/logs.md lists every event and field."""
 
 import ast
 import json
@@ -18,11 +18,11 @@
 def pipe():
     reader, writer = os.pipe()
     yield reader, writer
-    for part in logs._parts.values():  # as before: quiet
+    for part in logs._loggers.values():  # no output, as before `configure`
         for method in logs.METHODS:
-            setattr(part, method, logs._before_configured)
-        part.debugs = False
-    logs._now.clear()
+            setattr(part, method, logs._discard)
+        part.debug_enabled = False
+    logs._configuration.clear()
     os.close(reader)
     os.close(writer)
 
@@ -59,7 +59,7 @@
     reader, writer = pipe
     calls, door = logs.part("calls"), logs.part("door")
     logs.configure(level="warning", levels={"door": "debug"}, stream=writer)
-    assert (calls.debugs, door.debugs) == (False, True)
+    assert (calls.debug_enabled, door.debug_enabled) == (False, True)
     for log in (calls, door):
         log.debug("x")
         log.error("y")
@@ -90,10 +90,10 @@
         log.info("x", text="y" * 8000)
     assert time.monotonic() - began < 5
     got = lines(reader)
-    assert got and all(len(line) < logs.MOST for line in got)
+    assert got and all(len(line) < logs.MAX_LINE_BYTES for line in got)
 
 
-def said_in_code():
+def events_in_code():
     """(part, event) and the field names of every line that the program can write."""
     for path in (ROOT / "hopmill").rglob("*.py"):
         tree = ast.parse(path.read_text())
@@ -101,13 +101,13 @@
         for node in ast.walk(tree):
             if isinstance(node, ast.Assign) and "logs.part(" in ast.unparse(node.value):
                 names = [ast.unparse(n) for n in getattr(node.targets[0], "elts", node.targets)]
-                told = re.findall(r"part\('(\w+)'\)", ast.unparse(node.value))
-                parts |= dict(zip(names, told, strict=True))
+                part_names = re.findall(r"part\('(\w+)'\)", ast.unparse(node.value))
+                parts |= dict(zip(names, part_names, strict=True))
         for node in ast.walk(tree):
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
                 owner = ast.unparse(node.func.value)
-                told = isinstance(node.args[0], ast.Constant)
-                if owner in parts and node.func.attr in logs.METHODS and told:
+                is_literal = isinstance(node.args[0], ast.Constant)
+                if owner in parts and node.func.attr in logs.METHODS and is_literal:
                     yield parts[owner], node.args[0].value, {k.arg for k in node.keywords} - {"exc_info"}
 
 
@@ -116,13 +116,13 @@
     listed = {tuple(row) for row in re.findall(r"^\| (\w+) \| ([\w.]+) \|", events, re.M)}
     listed -= {("part", "event")}
     names = {n for row in re.findall(r"^\| ([\w, ]+) \|", fields, re.M) for n in row.split(", ")} - {"name"}
-    found = list(said_in_code())
+    found = list(events_in_code())
     elsewhere = {
         ("courier", "log.dropped"),
         ("asyncio", "library"),
         ("config", "config.changed"),
         ("config", "config.needs_restart"),
-    }  # put together where they are said
+    }  # part or event is computed there
     assert len(found) > 30 and {(part, event) for part, event, _ in found} | elsewhere == listed
     assert {n for _, _, f in found for n in f} - {"name"} <= names
     assert {part for part, _ in listed} <= set(logs.PARTS)
