--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -21,7 +21,6 @@
     Fail,
     Hold,
     ListEntry,
-    ListForm,
     MessageArrived,
     MessageGone,
     PolicySet,
@@ -37,14 +36,15 @@
 )
 from hopmill.interface import Connections as ConnectionsReport
 from hopmill.policy.admission import Admission
+from hopmill.policy.carried import CarriedFigures
 from hopmill.policy.circuit import CircuitBreakers
 from hopmill.policy.connections import Connections
+from hopmill.policy.directory import EndpointDirectory
 from hopmill.policy.evidence import Evidence
 from hopmill.policy.gate import Gate
-from hopmill.policy.links import ConnectionBudget
 from hopmill.policy.pacing import Pacing
 from hopmill.policy.ranking import Ranking
-from hopmill.policy.state import CourierState, Call, CircuitBreaker, Destination, Endpoint, Lane, Message
+from hopmill.policy.state import CourierState, Call, Destination, Endpoint, Message
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 from hopmill.policy.worth import Worth
@@ -53,57 +53,6 @@
 DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; the retry note's default
 RESERVED_MESSAGES = 2  # places kept free for new messages
 QUICK_FAILURE_US = 200_000  # after a faster failure a message may be repeated even during an outage
-# What an upgrade hands over, by part: the name that other builds know, and the attribute that holds it.
-CARRIED = {
-    "ep": {
-        "bad": "failure_share",
-        "dirty": "ambiguous_share",
-        "dirty_at": "ambiguous_updated_us",
-        "last_ok": "last_success_us",
-    },
-    "circuit": {
-        "bad": "failure_share",
-        "open": "is_open",
-        "trial_at": "next_trial_us",
-        "gap": "trial_gap_us",
-        "ramp_from": "slow_start_began_us",
-        "base": "warm_rate_per_s",
-        "tokens": "tokens",
-        "stamp": "refilled_us",
-    },
-    "lane": {
-        "rate": "pace_per_s",
-        "brink": "last_refused_rate_per_s",
-        "tokens": "tokens",
-        "stamp": "refilled_us",
-        "wait_until": "wait_until_us",
-        "cut_at": "next_cut_us",
-        "refused": "refused_share",
-        "window": "window",
-        "fulls": "consecutive_refusals",
-        "mean": "mean_latency_us",
-        "dev": "latency_deviation_us",
-        "hold": "slot_time_us",
-        "seen": "success_rate_per_s",
-        "seen_at": "last_success_us",
-    },
-    "links": {
-        "calls": "recent_calls",
-        "counted_at": "counted_us",
-        "first_at": "first_call_us",
-        "part": "table_share",
-        "bound": "max_connections",
-        "grow_at": "next_growth_us",
-    },
-    "all": {
-        "hold": "mean_slot_time_us",
-        "loss": "loss_share",
-        "new_lost": "new_loss_share",
-        "keep": "max_idle_us",
-        "reaped": "idle_losses",
-        "unreturned": "unreturned_refusals",
-    },
-}
 
 
 class Courier:
@@ -122,7 +71,9 @@
         self.connections = Connections(turn)
         self.worth = Worth(turn)
         self.admission = Admission(turn, self.pacing, self.max_attempts)
+        self.carried = CarriedFigures(self.timeouts, self.connections, self.admission)
         self.evidence = Evidence(turn, self.pacing, self.breakers, self.timeouts, self.connections)
+        self.directory = EndpointDirectory(turn, self.state, self.pacing)
         self.gate = Gate(
             turn, self.state, self.pacing, self.breakers, self.timeouts, self.zones, self.max_attempts
         )
@@ -148,7 +99,7 @@
             elif isinstance(event, AttemptEnded):
                 self._on_attempt_ended(event)
             elif isinstance(event, EndpointsListed):
-                self._on_endpoints_listed(event)
+                self.directory.update(event)
             elif isinstance(event, MessageGone) and (message := state.messages.get(event.message)):
                 self._close(message)
             elif isinstance(event, Closing):
@@ -168,7 +119,7 @@
             elif isinstance(event, WarmUp):
                 self.connections.warm_up = event.on
             elif isinstance(event, Carried) and (endpoint := state.endpoints.get(event.endpoint)):
-                self._on_carried(endpoint, event)
+                self.carried.restore(endpoint, event.figures)
             elif isinstance(event, CallCarried):
                 self._on_call_carried(event)
             elif isinstance(event, AttemptAnswering) and (message := state.messages.get(event.message)):
@@ -250,43 +201,9 @@
 
     # Upgrades
 
-    def _carried_owners(self, endpoint: Endpoint) -> dict[str, tuple[object, ...]]:
-        """The objects that hold the attributes of each part of CARRIED."""
-        owners_of_all = (self.timeouts, self.connections, self.admission)
-        return {
-            "ep": (endpoint,),
-            "circuit": (endpoint.breaker,),
-            "lane": (endpoint.lane,),
-            "links": (endpoint.connection_budget,),
-            "all": owners_of_all,
-        }
-
-    def _carried_attributes(self, endpoint: Endpoint) -> Iterable[tuple[str, object, str]]:
-        for part, owners in self._carried_owners(endpoint).items():
-            for outer, attribute in CARRIED[part].items():
-                yield (
-                    f"{part}.{outer}",
-                    next(owner for owner in owners if hasattr(owner, attribute)),
-                    attribute,
-                )
-
     def carry(self) -> list[tuple[int, dict[str, float]]]:
         """What was learned of each endpoint, for the process that takes over: [(endpoint, {name: value})]."""
-        return [
-            (
-                endpoint.id,
-                {
-                    outer_path: getattr(owner, attribute)
-                    for outer_path, owner, attribute in self._carried_attributes(endpoint)
-                },
-            )
-            for endpoint in self.state.endpoints.values()
-        ]
-
-    def _on_carried(self, endpoint: Endpoint, event: Carried) -> None:
-        for outer_path, owner, attribute in self._carried_attributes(endpoint):
-            current = getattr(owner, attribute)
-            setattr(owner, attribute, type(current)(event.figures.get(outer_path, current)))
+        return [(endpoint.id, self.carried.collect(endpoint)) for endpoint in self.state.endpoints.values()]
 
     def _on_call_carried(self, event: CallCarried) -> None:
         messages = [
@@ -299,7 +216,7 @@
         destination = messages[0].destination
         endpoint = self.state.endpoints.get(event.endpoint)
         if endpoint is None:  # it has left the list since
-            endpoint = self._add_endpoint(
+            endpoint = self.directory.add(
                 ListEntry(event.endpoint, destination.number, EndpointState.GONE, kind=destination.kind)
             )
             endpoint.state = EndpointState.GONE
@@ -309,48 +226,6 @@
         for message in messages:
             self._add_attempt(message, call, message.attempts - 1)
 
-    # Endpoint list
-
-    def _on_endpoints_listed(self, event: EndpointsListed) -> None:
-        if event.form is ListForm.FAILED:
-            self.turn.actions.append(Subscribe())
-            return
-        endpoints, named = self.state.endpoints, {}
-        for entry in event.entries:
-            named[entry.endpoint] = True
-            endpoint = endpoints.get(entry.endpoint)
-            # The endpoint moved to another destination: what was learned about it no longer holds.
-            if endpoint and endpoint.lane.destination.number != entry.destination:
-                endpoint.state, endpoint = (
-                    EndpointState.GONE,
-                    endpoint.lane.endpoints.pop(endpoint.id) and None,
-                )
-            if endpoint is None and entry.state is not EndpointState.GONE:
-                endpoint = self._add_endpoint(entry)
-            if endpoint is not None:
-                endpoint.state, endpoint.zone = entry.state, entry.zone
-                self.pacing.record_listed_rate(endpoint.lane, entry.rate_per_s)
-        for endpoint_id, endpoint in list(endpoints.items()):
-            if event.form is not ListForm.DELTA and endpoint_id not in named:
-                endpoint.state = EndpointState.GONE
-            # Removed, since replaced endpoints would pile up.
-            if endpoint.state is EndpointState.GONE and not endpoint.calls_in_flight:
-                del endpoints[endpoint_id], endpoint.lane.endpoints[endpoint_id]
-                if not endpoint.lane.endpoints and len(endpoint.lane.destination.lanes) > 1:
-                    endpoint.lane.destination.lanes.remove(endpoint.lane)
-
-    def _add_endpoint(self, entry: ListEntry) -> Endpoint:
-        destination = self.state.destinations.setdefault(entry.destination, Destination(entry.destination))
-        destination.kind = min(entry.kind, len(self.settings.kinds) - 1)
-        if not destination.lanes or self.settings.kinds[destination.kind].routes_apart:
-            destination.lanes.append(
-                Lane(destination, CircuitBreaker() if self.turn.is_large_fleet else None)
-            )
-        connection_budget = ConnectionBudget(self.settings.connection_idle_us, self.turn.rng)
-        endpoint = Endpoint(entry.endpoint, destination.lanes[-1], entry.zone, connection_budget)
-        endpoint.lane.endpoints[endpoint.id] = self.state.endpoints[endpoint.id] = endpoint
-        return endpoint
-
     # Messages
 
     def _on_message_arrived(self, event: MessageArrived) -> None:
