--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -142,40 +142,10 @@
 def _settings(raw: dict[str, Any]) -> interface.Settings:
     family, limits, contract = raw.get("familyInfo", {}), raw["policyLimits"], raw["contract"]
     report = raw.get("report", {})
-    classes = tuple(
-        interface.MessageClass(
-            name=given.get("name", str(index)),
-            aim_us=int(given["goalTimeUs"]),
-            deadline_us=int(given["deadlineUs"]),
-            effect=_choice(EFFECTS, given["idempotency"], "classes.idempotency"),
-            worth=float(given.get("worth", 1.0)),
-            late_share=float(given.get("lateShare", 0.0)),
-            key_scope=given.get("keyScope", "all"),
-            key_window_us=int(given.get("keyTtlUs", 0)),
-            ordered=bool(given.get("sequential", False)),
-        )
-        for index, given in enumerate(raw["classes"])
-    )
-    kind_names = raw.get("shapes") or ["any"]
-    routes_apart, batch_sizes = family.get("kindApart", []), family.get("kindBatch", [])
-    kinds = tuple(
-        interface.Kind(
-            name,
-            bool(routes_apart[index]) if index < len(routes_apart) else False,
-            int(batch_sizes[index]) if index < len(batch_sizes) else 1,
-        )
-        for index, name in enumerate(kind_names)
-    )
-    tenants = tuple(
-        interface.Tenant(
-            tenant.get("name", ""), float(tenant.get("fraction", 0.0)), float(tenant.get("quotaPerS", 0.0))
-        )
-        for tenant in raw.get("tenants", [])
-    )
     return interface.Settings(
-        classes=classes,
-        kinds=kinds,
-        tenants=tenants,
+        classes=_message_classes(raw),
+        kinds=_kinds(raw, family),
+        tenants=_tenants(raw),
         slots=int(family["maxCalls"]),
         max_held=int(limits["maxOpen"]),
         couriers=int(raw.get("groupSize", 1)),
@@ -207,6 +177,45 @@
     )
 
 
+def _message_classes(raw: dict[str, Any]) -> tuple[interface.MessageClass, ...]:
+    return tuple(
+        interface.MessageClass(
+            name=given.get("name", str(index)),
+            aim_us=int(given["goalTimeUs"]),
+            deadline_us=int(given["deadlineUs"]),
+            effect=_choice(EFFECTS, given["idempotency"], "classes.idempotency"),
+            worth=float(given.get("worth", 1.0)),
+            late_share=float(given.get("lateShare", 0.0)),
+            key_scope=given.get("keyScope", "all"),
+            key_window_us=int(given.get("keyTtlUs", 0)),
+            ordered=bool(given.get("sequential", False)),
+        )
+        for index, given in enumerate(raw["classes"])
+    )
+
+
+def _kinds(raw: dict[str, Any], family: dict[str, Any]) -> tuple[interface.Kind, ...]:
+    kind_names = raw.get("shapes") or ["any"]
+    routes_apart, batch_sizes = family.get("kindApart", []), family.get("kindBatch", [])
+    return tuple(
+        interface.Kind(
+            name,
+            bool(routes_apart[index]) if index < len(routes_apart) else False,
+            int(batch_sizes[index]) if index < len(batch_sizes) else 1,
+        )
+        for index, name in enumerate(kind_names)
+    )
+
+
+def _tenants(raw: dict[str, Any]) -> tuple[interface.Tenant, ...]:
+    return tuple(
+        interface.Tenant(
+            tenant.get("name", ""), float(tenant.get("fraction", 0.0)), float(tenant.get("quotaPerS", 0.0))
+        )
+        for tenant in raw.get("tenants", [])
+    )
+
+
 def read_entries(data: memoryview) -> tuple[interface.ListEntry, ...]:
     """Parse the entries of an endpoint list."""
     return tuple(
