--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -30,7 +30,7 @@
 LOG_METHODS = ("debug", "info", "warning", "error", "exception")
 ENVIRONMENT = re.compile(r"LB_[A-Z_]+")
 METRIC = re.compile(r"hopmill_[a-z_]+")
-DOOR_PATH = re.compile(r"/[a-z]+(/.*)?")
+OPERATOR_API_PATH = re.compile(r"/[a-z]+(/.*)?")
 LOG_EVENT = re.compile(r"[a-z_]+\.[a-z_]+")
 
 
@@ -78,7 +78,7 @@
             found["environment"].update(ENVIRONMENT.findall(text))
             if METRIC.fullmatch(text):
                 found["metrics"].add(text)
-            if DOOR_PATH.fullmatch(text):
+            if OPERATOR_API_PATH.fullmatch(text):
                 found["paths"].add(text)
     return found
 
