--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -293,7 +293,7 @@
         endpoint: int,
         address: Address,
         sock: socket.socket,
-        born: float,
+        opened_at: float,
         started: float,
         items: list[CallItem],
         received: bytes,
@@ -301,7 +301,7 @@
         """Continues a call of the previous process."""
         call = Call(self, endpoint, items)
         call.started = started
-        call.connection = self.pool.resume(endpoint, address, sock, born)
+        call.connection = self.pool.resume(endpoint, address, sock, opened_at)
         self.in_flight.add(call)
         call.timer(call.deadline - self.loop.time(), call.timed_out)
         call.connection.resume(call, received)
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -97,9 +97,9 @@
         self.host.act(interface.Hold(is_holding))
         if not is_holding:
             waiting, self.waiting, now = self.waiting, [], self.host.loop.time()
-            for put, reply, at in waiting:
+            for put, reply, queued_at in waiting:
                 if reply.wanted:
-                    remaining_ms = max(1, put.life_ms - round((now - at) * 1e3))
+                    remaining_ms = max(1, put.life_ms - round((now - queued_at) * 1e3))
                     self.host.intake.put(dataclasses.replace(put, life_ms=remaining_ms), reply)
 
     # Policy versions
@@ -131,10 +131,10 @@
         policy_member = self.member_transport and self.member_transport.node.govern
         if not policy_member:
             return
-        policy, held, me = policy_member.register.document.policy, policy_member.texts.held, policy_member.me
+        policy, texts, me = policy_member.register.document.policy, policy_member.texts.held, policy_member.me
         change, version, digest = policy.change, policy.version_for(me), policy.digest_for(me)
-        if version != self.applied_version and (not digest or digest in held):
-            self._apply(version, held.get(digest, EMPTY_POLICY))
+        if version != self.applied_version and (not digest or digest in texts):
+            self._apply(version, texts.get(digest, EMPTY_POLICY))
             if self.applied_version == version:
                 policy_member.standing.set_up_for(version)
                 self.member_transport.run_due_work()
@@ -142,9 +142,9 @@
         if (
             change
             and change.id != policy_member.standing.ready
-            and (not change.digest or change.digest in held)
+            and (not change.digest or change.digest in texts)
         ):
-            reason = self.reason_to_reject(held.get(change.digest, EMPTY_POLICY))
+            reason = self.reason_to_reject(texts.get(change.digest, EMPTY_POLICY))
             log.info("fleet.policy_checked", change=change.id, by=change.by, why=reason or None)
             policy_member.standing.judged(change.id, reason)
             self.member_transport.run_due_work()
@@ -162,9 +162,14 @@
     def _parse(self, text: bytes) -> tuple[books.Book, Document]:
         book = books.read(text)
         document = overlay.apply(self.document, book.values)
-        need, room = document.held * MAX_REQUEST, int(self.host.config.memory_bytes * HELD_MEMORY_SHARE)
-        if document.held > self.document.held and need > room:
-            raise ConfigError(f"held: {document.held} messages may take {need >> 20} MiB, room {room >> 20}")
+        needed_bytes, room_bytes = (
+            document.held * MAX_REQUEST,
+            int(self.host.config.memory_bytes * HELD_MEMORY_SHARE),
+        )
+        if document.held > self.document.held and needed_bytes > room_bytes:
+            raise ConfigError(
+                f"held: {document.held} messages may take {needed_bytes >> 20} MiB, room {room_bytes >> 20}"
+            )
         for zone in document.left_out.zones:
             self.host.registry.zone(zone)
         return book, document
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -137,8 +137,8 @@
     def is_usable(self, endpoint: int) -> bool:
         """Whether the endpoint may be called: listed, not draining and not excluded."""
         entry = self.entries.get(endpoint)
-        ready = entry is not None and entry.state is interface.EndpointState.READY
-        return ready and self.may_serve(endpoint, entry.zone)
+        is_ready = entry is not None and entry.state is interface.EndpointState.READY
+        return is_ready and self.may_serve(endpoint, entry.zone)
 
     def may_write(self, endpoint: int, now_us: int) -> bool:
         """Whether a call may be written now.
