--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -74,7 +74,7 @@
 # The wire
 
 
-def frame(fleet="f", sender="b", incarnation=1, body=None, form=wire.FORMAT, news=()):
+def frame(fleet="f", sender="b", incarnation=1, body=None, form=wire.FORMAT, updates=()):
     row = wire.Frame(
         form,
         fleet,
@@ -82,7 +82,7 @@
         incarnation,
         0,
         msgspec.Raw(wire.encode(body or wire.Ping(1, "a"))),
-        tuple(msgspec.Raw(wire.encode(n)) for n in news),
+        tuple(msgspec.Raw(wire.encode(n)) for n in updates),
     )
     return wire.encode(row)
 
@@ -100,7 +100,7 @@
     return [(a.address, wire.read(a.data, "f")[1]) for a in node.take(now) if not isinstance(a, Write)]
 
 
-BEYOND = wire.RecoveryReply(1, True, 0, (1, "b"), (1, "b"), b"\xc1 no document")
+UNREADABLE_REPLY = wire.RecoveryReply(1, True, 0, (1, "b"), (1, "b"), b"\xc1 no document")
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
         lambda body, cut: frame(body=body)[:cut],
         st.sampled_from(
             [
-                BEYOND,
+                UNREADABLE_REPLY,
                 wire.Accept((1, "b"), b"x", (("b", 1),)),
                 wire.IndirectPing(1, "c"),
                 wire.DocumentRequest(0),
@@ -148,7 +148,7 @@
     assert all(len(a.data) <= wire.MAX_DATAGRAM_BYTES for a in node.take(20) if not isinstance(a, Write))
 
 
-def test_the_largest_document_and_most_lives_fit_a_datagram():
+def test_the_largest_document_and_most_generations_fit_a_datagram():
     names = [f"{n}" * 20 for n in range(9)]
     text = "x" * 500
     while True:
@@ -160,9 +160,9 @@
         text += "x"
     data = data if len(data) <= doc.MAX_DOCUMENT_BYTES else data[: doc.MAX_DOCUMENT_BYTES]
     ballot = (1 << 40, names[0] + "#" + "9" * 15)
-    lives = {name: 1 << 40 for name in names[:MAX_OTHER_GENERATIONS]}
+    generations = {name: 1 << 40 for name in names[:MAX_OTHER_GENERATIONS]}
     for body in (
-        wire.RecoveryReply(1 << 40, True, 1 << 40, ballot, ballot, data, lives),
+        wire.RecoveryReply(1 << 40, True, 1 << 40, ballot, ballot, data, generations),
         wire.Accept(ballot, data, tuple((n, 1 << 40) for n in names[:6])),
     ):
         assert (
@@ -191,8 +191,8 @@
 )
 def test_of_two_incarnations_the_later_prevails(incarnation, state, known):
     node = started()
-    gone = wire.MemberUpdate("b", DEAD, 7, "127.0.0.1:7002", "z", "", "c")
-    node.datagram(frame(sender="c", news=[gone]), 10)
+    update = wire.MemberUpdate("b", DEAD, 7, "127.0.0.1:7002", "z", "", "c")
+    node.datagram(frame(sender="c", updates=[update]), 10)
     node.datagram(frame(sender="b", incarnation=incarnation), 20)
     peer = node.swim.peers["b"]
     assert (peer.state, peer.incarnation) == known
@@ -207,13 +207,13 @@
     st.randoms(),
 )
 @settings(max_examples=100, deadline=None)
-def test_news_twice_late_or_out_of_order_come_to_the_same(rows, chance):
+def test_updates_duplicated_late_or_out_of_order_converge(rows, rng):
     seen = []
-    for order in (rows, chance.sample(rows + rows, 2 * len(rows))):
+    for order in (rows, rng.sample(rows + rows, 2 * len(rows))):
         node = started()
         for name in ("b", "c", "new"):
             node.datagram(
-                frame(sender="c", news=[wire.MemberUpdate(name, ALIVE, 1, "127.0.0.1:9", "", "")]), 1
+                frame(sender="c", updates=[wire.MemberUpdate(name, ALIVE, 1, "127.0.0.1:9", "", "")]), 1
             )
         for name, incarnation, state in order:
             node.swim._on_update(
@@ -227,8 +227,8 @@
 def test_a_name_may_come_back_at_another_address_but_not_a_configured_one():
     node = started()
     for incarnation, address in ((3, "127.0.0.1:8001"), (4, "127.0.0.1:8002"), (2, "127.0.0.1:8003")):
-        news = [wire.MemberUpdate(name, ALIVE, incarnation, address, "z", "") for name in ("new", "b")]
-        node.datagram(frame(sender="c", news=news), 10)
+        updates = [wire.MemberUpdate(name, ALIVE, incarnation, address, "z", "") for name in ("new", "b")]
+        node.datagram(frame(sender="c", updates=updates), 10)
     assert node.swim.address("new") == "127.0.0.1:8002" and node.swim.address("b") == "127.0.0.1:7002"
 
 
@@ -238,7 +238,7 @@
         now = n * 1_000_000
         for state in (ALIVE, DEAD):
             node.datagram(
-                frame(sender="c", news=[wire.MemberUpdate(f"x{n}", state, 1, "127.0.0.1:9", "", "")]), now
+                frame(sender="c", updates=[wire.MemberUpdate(f"x{n}", state, 1, "127.0.0.1:9", "", "")]), now
             )
         for at in range(now, now + 1_000_000, 80_000):
             node.tick(at)
@@ -265,7 +265,7 @@
     assert len(node.swim.relays) <= MAX_RELAYS
 
 
-def test_one_that_hears_but_is_not_heard_is_dead_to_the_others_and_back_when_it_is_heard():
+def test_a_member_whose_datagrams_are_lost_is_dead_until_they_arrive_again():
     fleet = Fleet(Plan(6, 0.0, 2))
     fleet.run(2_000_000)
     fleet.passes = lambda a, b: a != 3
@@ -276,7 +276,7 @@
     assert all(p.state == ALIVE for n in fleet.nodes for p in n.swim.peers.values())
 
 
-def test_one_that_nobody_has_in_its_configuration_joins_and_leaves():
+def test_a_member_that_no_configuration_names_joins_and_leaves():
     fleet = Fleet(Plan(5, 0.0, 2))
     new = fleet.configs[4]
     for n in range(4):
@@ -293,7 +293,7 @@
     assert [n.swim.peers["c4"].state for n in fleet.nodes[:4]] == [LEFT] * 4
 
 
-def test_a_member_that_stood_still_blames_nobody_on_waking():
+def test_a_stalled_member_suspects_nobody_when_it_resumes():
     node, now = started(), 0
     for name in "bc":
         node.datagram(frame(sender=name), now)
@@ -310,7 +310,7 @@
     assert all(p.state != DEAD or not p.incarnation for p in node.swim.peers.values())
 
 
-def test_nothing_is_said_before_the_incarnation_is_on_disk_and_none_is_used_twice():
+def test_nothing_is_sent_before_the_incarnation_is_on_disk_and_none_is_used_twice():
     node = Node(members(), Stored(), False, 1)
     first = node.take(0)
     assert [type(a) for a in first] == [Write]
@@ -336,7 +336,7 @@
     fleet._pump(n)
 
 
-def test_two_proposers_in_each_others_way_get_done():
+def test_proposers_that_preempt_each_other_finish():
     fleet, rows = Fleet(Plan(5, 0.1, 4)), []
     fleet.run(3_000_000)
     for turn in range(20):
@@ -363,7 +363,7 @@
         fleet.start(n)
     fleet.run(fleet.now + 5_000_000)
     # Two that remember are a majority; the third comes back by them alone, which takes both to vote.
-    outcomes(fleet, rows, 2, lambda ticket, document: None)
+    outcomes(fleet, rows, 2, lambda proposal_id, document: None)
     fleet.run(fleet.now + 5_000_000)
     assert rows[1].document.entries == {"w": "kept"}
     assert [n.register.voter.is_voting for n in fleet.nodes] == [True] * 3
@@ -387,7 +387,7 @@
     assert all(p.state == ALIVE for n in fleet.nodes for p in n.swim.peers.values())
 
 
-def test_one_who_does_not_answer_is_not_made_a_voter():
+def test_a_member_that_does_not_answer_is_not_made_a_voter():
     fleet, rows = Fleet(Plan(5)), []
     fleet.run(2_000_000)
     outcomes(fleet, rows, 0, replace_voter("c1", "c9"))
@@ -415,7 +415,7 @@
     assert rows[-1].state == "done"
 
 
-def test_a_disk_that_says_no_means_no_answer_but_no_end():
+def test_after_a_failed_write_nothing_is_answered_but_the_member_continues():
     node = started(voters=("a",))
     node.tick(0)
     rows = []
@@ -436,26 +436,26 @@
     ("pause_us", "holds"), [(100_000, True), (980_000, True), (995_000, False), (9_000_000, False)]
 )
 def test_a_lease_is_checked_by_elapsed_time_where_it_is_used(pause_us, holds):
-    keeper = LeaseHolder("duty", "a#1", 1_000_000, 0.01)
-    ticket, change = keeper.tick(0, RegisterDocument(0, ("a",)))
+    holder = LeaseHolder("duty", "a#1", 1_000_000, 0.01)
+    proposal_id, change = holder.tick(0, RegisterDocument(0, ("a",)))
     taken = change(RegisterDocument(0, ("a",)))
-    keeper.on_outcome(Outcome(ticket, "done", taken), 50_000)
+    holder.on_outcome(Outcome(proposal_id, "done", taken), 50_000)
     assert (
-        bool(keeper.fencing_token(pause_us)) is holds
+        bool(holder.fencing_token(pause_us)) is holds
     )  # counted from before it asked, and short by the drift
 
 
 @pytest.mark.parametrize(("waited_us", "takes"), [(990_000, False), (1_000_000, False), (1_010_002, True)])
 def test_a_lease_is_taken_over_only_after_its_whole_time_and_drift(waited_us, takes):
-    keeper = LeaseHolder("duty", "b#1", 1_000_000, 0.01)
+    holder = LeaseHolder("duty", "b#1", 1_000_000, 0.01)
     held = RegisterDocument(3, ("a",), leases={"duty": Lease("a#1", 4, 2, 1_000_000)})
-    assert keeper.tick(500, held) is None
-    asked = keeper.tick(500 + waited_us, held)
-    assert (asked is not None) is takes
-    if asked:
-        assert asked[1](held).leases["duty"] == Lease("b#1", 5, 0, 1_000_000)
+    assert holder.tick(500, held) is None
+    proposal = holder.tick(500 + waited_us, held)
+    assert (proposal is not None) is takes
+    if proposal:
+        assert proposal[1](held).leases["duty"] == Lease("b#1", 5, 0, 1_000_000)
         renewed = RegisterDocument(4, ("a",), leases={"duty": Lease("a#1", 4, 3, 1_000_000)})
-        assert asked[1](renewed) is None  # it waited for another renewal
+        assert proposal[1](renewed) is None  # it waited for another renewal
 
 
 # The explorer
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -219,7 +219,7 @@
 
 
 @courier
-async def test_staff_ask_and_change_the_register(fleet):
+async def test_operators_read_and_change_the_register(fleet):
     with_members(fleet)
     await fleet.outside()
     await bounded(_holds(fleet))
@@ -249,7 +249,7 @@
 
 
 @courier
-async def test_an_upgrade_keeps_one_voice_with_its_lease_and_incarnation(fleet):
+async def test_an_upgrade_keeps_lease_and_incarnation(fleet):
     hold_socket(fleet)
     with_members(fleet)
     await fleet.outside()
@@ -272,7 +272,7 @@
 
 
 @courier
-async def test_a_process_that_stood_still_does_not_act_on_waking(fleet):
+async def test_a_stalled_process_does_not_act_when_it_resumes(fleet):
     with_members(fleet, others=[{"id": "x", "address": "127.0.0.1:9"}])
     await fleet.outside()
     await bounded(_holds(fleet))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -92,7 +92,7 @@
     assert explore.explore(120, first, count)[1] == [], f"{count} members, from seed {first}"
 
 
-def test_nobody_is_made_a_voter_who_could_not_be_let_in(monkeypatch):
+def test_no_member_becomes_a_voter_that_could_not_be_readmitted(monkeypatch):
     monkeypatch.setattr(Proposer, "can_switch_voters", lambda self, after, at: True)
     assert "somebody may not act" in explore.run(explore.schedule(134_568), 4, 134_568)
 
@@ -108,22 +108,22 @@
     assert not world.disks["m0"] and m.life == life + 1 and not m.register.voter.is_voting
 
 
-def test_a_text_that_is_wanted_again_outlasts_its_drop():
+def test_a_text_that_is_needed_again_outlasts_its_deletion():
     fleet = Fleet(Plan(3, settings={"policy": PolicyRule(alone="hold")}))
     fleet.run(1_000_000)
     node = fleet.nodes[0]
-    govern = node.policy_member
-    digest = govern.texts.add(b"again")
-    govern.deletable_texts.add(digest)
-    govern.texts.store(digest)
-    deeds = [a for a in node.take(fleet.now) if isinstance(a, (DeleteTexts, WriteText))]
-    assert [type(a) for a in deeds] == [DeleteTexts, WriteText]
+    policy_member = node.policy_member
+    digest = policy_member.texts.add(b"again")
+    policy_member.deletable_texts.add(digest)
+    policy_member.texts.store(digest)
+    actions = [a for a in node.take(fleet.now) if isinstance(a, (DeleteTexts, WriteText))]
+    assert [type(a) for a in actions] == [DeleteTexts, WriteText]
 
 
 # The steps
 
 KINDS = st.sampled_from(
-    ["prepare", "few", "close", "reopen", "commit", "end_change", "extend_to_rest", "roll_back", "strike"]
+    ["prepare", "canary", "close", "reopen", "commit", "end_change", "extend_to_rest", "roll_back", "cancel"]
 )
 
 
@@ -133,13 +133,13 @@
     for n, (kind, ident, ago) in enumerate(rows):
         p = d.policy
         epoch = p.epoch - ago
-        few = CanaryGroup(0.5, 1, 10)
+        canary = CanaryGroup(0.5, 1, 10)
         change = PolicyChange(
-            f"x{ident}", b"d%d" % ident, "a", False, *((STAGE, few) if kind == "few" else ())
+            f"x{ident}", b"d%d" % ident, "a", False, *((STAGE, canary) if kind == "canary" else ())
         )
-        if kind in ("prepare", "few"):
+        if kind in ("prepare", "canary"):
             step = steps.prepare(change, p.version)
-        elif kind == "strike":
+        elif kind == "cancel":
             step = steps.cancel_member(f"m{ident}", ident % 2 == 0)
         else:
             step = getattr(steps, kind)(epoch, *(["why"] if kind in ("end_change", "roll_back") else []))
@@ -150,7 +150,7 @@
         if after is None:
             continue
         q = after.policy
-        assert kind in ("prepare", "few", "strike") or ago == 0
+        assert kind in ("prepare", "canary", "cancel") or ago == 0
         assert q.epoch == p.epoch + 1 and q.version >= p.version
         assert all(q.version_for(m) >= p.version_for(m) for m in "abc")
         for m in "abc":  # who works under another version has stopped for it
@@ -162,15 +162,15 @@
 
 def test_the_largest_document_and_what_goes_with_it_fit_a_datagram():
     voters = tuple(f"{n}" + "v" * 19 for n in range(5))
-    few, d16 = CanaryGroup(0.3333333, 255, 86_400_000), b"\xff" * 16
+    canary, d16 = CanaryGroup(0.3333333, 255, 86_400_000), b"\xff" * 16
     policy = Policy(
         1 << 40,
         1 << 40,
         d16,
-        PolicyChange("i" * 16, d16, "b" * 20, True, BACK, few, 99),
+        PolicyChange("i" * 16, d16, "b" * 20, True, BACK, canary, 99),
         (EndedChange("i" * 16, 1 << 40, "w" * steps.MAX_REASON_CHARS),) * steps.MAX_ENDED,
         (),
-        CanaryStage("i" * 16, d16, 1 << 40, few, "b" * 20),
+        CanaryStage("i" * 16, d16, 1 << 40, canary, "b" * 20),
     )
     document = doc.RegisterDocument(
         1 << 40, voters, (), {}, {}, (doc.proposal_id_of("t"),) * doc.MAX_RECENT_PROPOSALS, policy
@@ -191,26 +191,26 @@
 
 @given(st.binary(max_size=texts.MAX_TEXT_BYTES), st.integers(0, 2**32), st.floats(0, 0.4))
 @settings(max_examples=25, deadline=None)
-def test_a_text_comes_whole_whatever_is_lost_doubled_or_overtaken(text, seed, loss):
-    chance, giver, taker = random.Random(seed), texts.TextStore({}), texts.TextStore({})
-    digest = giver.add(text)
-    taker.fetch(digest, ["giver"])
+def test_a_text_arrives_whole_despite_loss_duplicates_and_reordering(text, seed, loss):
+    rng, source, receiver = random.Random(seed), texts.TextStore({}), texts.TextStore({})
+    digest = source.add(text)
+    receiver.fetch(digest, ["source"])
     for round_ in range(2000):
-        if digest in taker.by_digest:
+        if digest in receiver.by_digest:
             break
-        taker.tick(round_ * texts.RETRY_US)
-        asked, taker.outbox = taker.outbox, []
+        receiver.tick(round_ * texts.RETRY_US)
+        asked, receiver.outbox = receiver.outbox, []
         for send in asked:
-            giver.on_text_request("taker", send.body)
-        given_, giver.outbox = giver.outbox, []
-        chance.shuffle(given_)
-        for send in given_ + chance.sample(given_, len(given_) // 3):
-            if chance.random() >= loss:
-                taker.on_piece("giver", send.body, round_ * texts.RETRY_US)
-    assert taker.by_digest == {digest: text} and not taker.fetches
+            source.on_text_request("receiver", send.body)
+        given_, source.outbox = source.outbox, []
+        rng.shuffle(given_)
+        for send in given_ + rng.sample(given_, len(given_) // 3):
+            if rng.random() >= loss:
+                receiver.on_piece("source", send.body, round_ * texts.RETRY_US)
+    assert receiver.by_digest == {digest: text} and not receiver.fetches
 
 
-def test_what_does_not_fit_its_digest_is_not_taken_and_too_long_is_refused():
+def test_a_text_that_does_not_match_its_digest_is_ignored_and_one_too_long_is_refused():
     store = texts.TextStore({b"x" * 16: b"another text"})
     assert not store.by_digest and not store.on_disk
     store.fetch(b"y" * 16, ["a"])
@@ -297,12 +297,12 @@
 # Hard cases, in virtual time: members as they are, and acts judged by one clock
 
 
-class Staffed:
+class PolicyFleet:
     """A fleet with a policy; each member acts whenever it may, every 10 ms."""
 
     def __init__(self, members=5, loss=0.0, alone="hold"):
         self.fleet = Fleet(Plan(members, loss, 7, settings={"policy": PolicyRule(alone=alone)}))
-        self.fleet.look, self.judge, self.count, self.unfit = self.look, explore.Acts(), 0, set()
+        self.fleet.look, self.checker, self.count, self.refusing_members = self.look, explore.Acts(), 0, set()
         self.fleet.after(0, self.poll)
         self.run(3.0)
 
@@ -316,29 +316,33 @@
         self.fleet.after(10_000, self.poll)
 
     def act(self, n):
-        govern = self.fleet.nodes[n].policy_member
-        p, version = govern.register.document.policy, govern.lease.valid_version(self.fleet.now)
+        policy_member = self.fleet.nodes[n].policy_member
+        p, version = policy_member.register.document.policy, policy_member.lease.valid_version(self.fleet.now)
         if version >= 0:
-            self.judge.acted(govern.me, version, govern.texts.by_digest.get(p.digest_for(govern.me), b""))
+            self.checker.acted(
+                policy_member.me,
+                version,
+                policy_member.texts.by_digest.get(p.digest_for(policy_member.me), b""),
+            )
 
     def look(self, n):
-        govern = self.fleet.nodes[n].policy_member
-        p, held = govern.register.document.policy, govern.texts.by_digest
-        if p.version != govern.lease.applied_version and (not p.digest or p.digest in held):
-            govern.lease.set_applied_version(p.version)
+        policy_member = self.fleet.nodes[n].policy_member
+        p, held = policy_member.register.document.policy, policy_member.texts.by_digest
+        if p.version != policy_member.lease.applied_version and (not p.digest or p.digest in held):
+            policy_member.lease.set_applied_version(p.version)
             self.fleet.again(n)
-        if p.change and p.change.id != govern.lease.ready_for and p.change.digest in held:
-            govern.lease.report_check(p.change.id, "no room" if n in self.unfit else "")
+        if p.change and p.change.id != policy_member.lease.ready_for and p.change.digest in held:
+            policy_member.lease.report_check(p.change.id, "no room" if n in self.refusing_members else "")
             self.fleet.again(n)
         self.act(n)
 
     def propose(self, n, ident=""):
         self.count += 1
-        govern = self.fleet.nodes[n].policy_member
-        govern.propose(
+        policy_member = self.fleet.nodes[n].policy_member
+        policy_member.propose(
             ident or f"x{self.count}",
             b"text %d" % self.count,
-            govern.register.document.policy.version,
+            policy_member.register.document.policy.version,
             self.fleet.now,
             lambda outcome: None,
         )
@@ -391,7 +395,7 @@
     f.cut((0, 4), (1, 2, 3))
     f.propose(0)
     f.run(8.0)
-    assert f.judge.version == 0
+    assert f.checker.version == 0
     return None
 
 
@@ -402,7 +406,7 @@
     return 1
 
 
-def told_again(f):
+def proposed_again(f):
     f.propose(0, "same")
     f.run(0.2)
     f.count -= 1
@@ -412,7 +416,7 @@
 
 
 def one_refuses(f):
-    f.unfit.add(3)
+    f.refusing_members.add(3)
     f.propose(0)
     f.run(2.0)
     assert "no room" in f.fleet.nodes[0].register.document.policy.ended[-1].why
@@ -446,17 +450,17 @@
     return None
 
 
-def left_alone(f):
+def without_a_lost_member(f):
     f.fleet.kill(4)
     f.propose(0)
     f.run(9.0)
     assert (
-        f.judge.version == 0 and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
+        f.checker.version == 0 and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
     )  # work goes on
     f.fleet.nodes[0].policy_member.cancel_member("c4", True, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     f.run(4.0)
-    assert f.judge.version == 1
+    assert f.checker.version == 1
     f.fleet.nodes[0].policy_member.cancel_member("c4", False, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     return 1
@@ -471,18 +475,18 @@
         (proposer_in_the_smaller_part, {}),
         (two_at_once, {}),
         (two_at_once, {"loss": 0.3}),
-        (told_again, {}),
-        (told_again, {"loss": 0.3}),
+        (proposed_again, {}),
+        (proposed_again, {"loss": 0.3}),
         (one_refuses, {}),
         (one_missed_a_hundred, {}),
         (a_voter_is_replaced_meanwhile, {"members": 6}),
         (an_emptied_folder, {}),
-        (left_alone, {"alone": "last"}),
+        (without_a_lost_member, {"alone": "last"}),
         (proposer_dies, {"alone": "last"}),
     ],
 )
 def test_a_hard_case_ends_everywhere_or_nowhere(case, more):
-    f = Staffed(**more)
+    f = PolicyFleet(**more)
     version = case(f)
     assert f.settled() in ((0, 1) if version is None else (version,))
 
@@ -490,39 +494,47 @@
 # Watching those that go first
 
 
-def sums(worth, earned, calls=0.0, refused=0.0, failed=0.0):
+def totals(worth, earned, calls=0.0, refused=0.0, failed=0.0):
     return OutcomeTotals(worth, earned, calls, refused, failed)
 
 
-GOOD, WORSE = (sums(1000, 980), sums(1000, 975)), (sums(1000, 980), sums(1000, 800))
+GOOD, WORSE = (totals(1000, 980), totals(1000, 975)), (totals(1000, 980), totals(1000, 800))
 
 
 @pytest.mark.parametrize(
-    ("few", "rest", "said"),
+    ("canary", "rest", "said"),
     [
         ([GOOD], [GOOD] * 4, ""),
         ([WORSE], [GOOD] * 4, "worth: -0.180"),
         ([WORSE] * 2, [WORSE] * 4, ""),  # all do: it is not the change
-        ([(sums(1000, 300), sums(1000, 300))], [GOOD] * 4, ""),  # it always did
-        ([(sums(10, 10), sums(10, 2))], [GOOD] * 4, ""),  # too few to say
-        ([(sums(0, 0, 900, 0, 9), sums(0, 0, 900, 300, 9))], [(sums(0, 0, 900, 9, 9),) * 2] * 3, "refusals"),
-        ([(sums(0, 0, 900, 0, 9), sums(0, 0, 900, 0, 200))], [(sums(0, 0, 900, 9, 9),) * 2] * 3, "errors"),
-        ([WORSE], [GOOD, WORSE, GOOD, (sums(1000, 700), sums(1000, 990))], ""),  # others differ as much
+        ([(totals(1000, 300), totals(1000, 300))], [GOOD] * 4, ""),  # it always did
+        ([(totals(10, 10), totals(10, 2))], [GOOD] * 4, ""),  # too few to say
+        (
+            [(totals(0, 0, 900, 0, 9), totals(0, 0, 900, 300, 9))],
+            [(totals(0, 0, 900, 9, 9),) * 2] * 3,
+            "refusals",
+        ),
+        (
+            [(totals(0, 0, 900, 0, 9), totals(0, 0, 900, 0, 200))],
+            [(totals(0, 0, 900, 9, 9),) * 2] * 3,
+            "errors",
+        ),
+        ([WORSE], [GOOD, WORSE, GOOD, (totals(1000, 700), totals(1000, 990))], ""),  # others differ as much
         ([], [GOOD], ""),
         ([WORSE], [], ""),
     ],
 )
-def test_those_that_go_first_are_held_back_only_if_they_do_worse_beyond_chance(few, rest, said):
-    found = watch.regression(few, rest, 60)
+def test_a_canary_group_is_rolled_back_only_if_it_does_worse_beyond_chance(canary, rest, said):
+    found = watch.regression(canary, rest, 60)
     assert found.startswith(said) and bool(found) is bool(said)
 
 
-def test_a_stage_that_changes_nothing_is_seldom_ended():
-    chance, ended = random.Random(5), 0
+def test_a_stage_that_changes_nothing_is_seldom_rolled_back():
+    rng, ended = random.Random(5), 0
     for _ in range(300):
 
         def pair():
-            return tuple(sums(200, sum(chance.random() < 0.9 for _ in range(200))) for _ in range(2))
+            return tuple(totals(200, sum(rng.random() < 0.9 for _ in range(200))) for _ in range(2))
 
         ended += any(watch.regression([pair()], [pair() for _ in range(4)], 5) for _ in range(5))
     assert ended <= 3
