--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members in virtual time and as objects: who is there, how they speak, what the register promises."""
+"""Members in virtual time and as objects: membership, datagrams, the register and its leases."""
 
 import random
 import re
@@ -71,7 +71,7 @@
     )
 
 
-# The wire
+# Datagrams
 
 
 def frame(fleet="f", sender="b", incarnation=1, body=None, form=wire.FORMAT, updates=()):
@@ -96,7 +96,7 @@
 
 
 def sends(node, now=0):
-    """Who is written to, and what."""
+    """(address, message) of each datagram."""
     return [(a.address, wire.read(a.data, "f")[1]) for a in node.take(now) if not isinstance(a, Write)]
 
 
@@ -171,7 +171,7 @@
         )
 
 
-# Who is there
+# Membership
 
 
 def test_a_dead_member_is_known_soon_and_a_slow_one_is_not_taken_for_dead():
@@ -289,7 +289,7 @@
     fleet.nodes[4].swim.leave()
     fleet._pump(4)
     fleet.kill(4)
-    fleet.run(5_000_000)  # sooner than silence would tell
+    fleet.run(5_000_000)  # sooner than failed probes would show it
     assert [n.swim.peers["c4"].state for n in fleet.nodes[:4]] == [LEFT] * 4
 
 
@@ -300,13 +300,13 @@
     while not node.swim.probes:
         now = node.tick(now)
         node.take(now)
-    now += 5_000_000  # stopped with a probe open, and nothing of what came meanwhile is read yet
+    now += 5_000_000  # stalled with an open probe; nothing that arrived meanwhile is read yet
     node.tick(now)
     assert not node.swim.suspects
-    while not node.swim.suspects:  # nor does it wait for ever: then it looks again, and hears nobody
+    while not node.swim.suspects:  # it probes again later, and gets no answer
         now = node.tick(now)
         node.take(now)
-    node.tick(now + 5_000_000)  # stopped again: suspicions wait on as long
+    node.tick(now + 5_000_000)  # stalled again: suspicions are extended by as much
     assert all(p.state != DEAD or not p.incarnation for p in node.swim.peers.values())
 
 
@@ -314,7 +314,7 @@
     node = Node(members(), Stored(), False, 1)
     first = node.take(0)
     assert [type(a) for a in first] == [Write]
-    node.written(first[0], False, 0)  # the disk says no: once more, a second later
+    node.written(first[0], False, 0)  # the write fails: it is repeated a second later
     node.tick(1_000_000)
     assert not node.started and [type(a) for a in node.take(1_000_000)] == [Write]
     node.written(first[0], True, 0)
@@ -322,9 +322,9 @@
     stored = msgspec.msgpack.decode(first[0].state, type=Stored)
     assert Node(members(), stored, True, 1).swim.me.incarnation > node.swim.me.incarnation + 500
     copied = [Node(members(), stored, False, seed).register.name for seed in range(20)]
-    assert len(set(copied)) == 20  # nor does a copy's next number tell what was used since
+    assert len(set(copied)) == 20  # a copy does not know what was used since it was made
     emptied = [Node(members(), Stored(), False, seed).register.name for seed in range(20)]
-    assert len(set(emptied)) == 20  # a folder that was emptied begins where it never was
+    assert len(set(emptied)) == 20  # an emptied folder starts at an unused incarnation
 
 
 # The register
@@ -362,7 +362,7 @@
         fleet.run(fleet.now + 1_000_000)
         fleet.start(n)
     fleet.run(fleet.now + 5_000_000)
-    # Two that remember are a majority; the third comes back by them alone, which takes both to vote.
+    # Two with memory are a majority; the third is readmitted by them alone, for which both have to vote.
     outcomes(fleet, rows, 2, lambda proposal_id, document: None)
     fleet.run(fleet.now + 5_000_000)
     assert rows[1].document.entries == {"w": "kept"}
@@ -372,7 +372,7 @@
 def test_a_split_without_a_majority_changes_nothing_and_heals():
     fleet, rows = Fleet(Plan(9, 0.0, 6)), []
     fleet.run(3_000_000)
-    groups = [0, 1, 2, 0, 1, 2, 0, 1, 2]  # the five voters lie two, two and one
+    groups = [0, 1, 2, 0, 1, 2, 0, 1, 2]  # of the five voters, two, two and one are in a group
     fleet.passes = lambda a, b: groups[a] == groups[b]
     for n in range(9):
         outcomes(fleet, rows, n, say("w", str(n)))
@@ -409,7 +409,7 @@
     document = fleet.nodes[0].register.document
     assert [r.state for r in rows] == ["done", "done"] and document.previous_voters == ()
     assert set(document.voters) == {"c0", "c2", "c3"} and fleet.nodes[3].register.voter.is_voting
-    fleet.kill(2)  # the two others carry it
+    fleet.kill(2)  # the two others are a majority
     outcomes(fleet, rows, 0, say("w", "after"))
     fleet.run(12_000_000)
     assert rows[-1].state == "done"
@@ -440,9 +440,7 @@
     proposal_id, change = holder.tick(0, RegisterDocument(0, ("a",)))
     taken = change(RegisterDocument(0, ("a",)))
     holder.on_outcome(Outcome(proposal_id, "done", taken), 50_000)
-    assert (
-        bool(holder.fencing_token(pause_us)) is holds
-    )  # counted from before it asked, and short by the drift
+    assert bool(holder.fencing_token(pause_us)) is holds  # counted from before it asked, less the drift
 
 
 @pytest.mark.parametrize(("waited_us", "takes"), [(990_000, False), (1_000_000, False), (1_010_002, True)])
@@ -455,12 +453,12 @@
     if proposal:
         assert proposal[1](held).leases["duty"] == Lease("b#1", 5, 0, 1_000_000)
         renewed = RegisterDocument(4, ("a",), leases={"duty": Lease("a#1", 4, 3, 1_000_000)})
-        assert proposal[1](renewed) is None  # it waited for another renewal
+        assert proposal[1](renewed) is None  # the wait was for another renewal
 
 
 # The explorer
 
-# Each fault with the members and the seed of a schedule that shows it, or the play that is written for it.
+# Each planted fault with the members and the seed of a schedule that shows it, or the play written for it.
 FOUND = {
     "promises-anything": (3, 57),
     "accepts-anything": (3, 6),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Members in processes: their storage, their door, an upgrade, and the trial with faults between them."""
+"""Members in processes: storage, operator API, an upgrade, and the trial with faults between them."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 
 def with_members(fleet, **changes):
-    """One member alone, which is a majority of itself."""
+    """A single member, which is a majority on its own."""
     told = ALONE | {"address": f"{DOOR}:{free_port()}"} | changes
     env = Fleet.env
 
@@ -46,7 +46,7 @@
 
 
 async def changed(fleet, path):
-    """The outcome of a change at the door."""
+    """The outcome of a change that is made by the operator API."""
     code, told = await call(fleet.door, "POST", path)
     assert code == 202
     while told["state"] == "under way":
@@ -73,7 +73,7 @@
     with_members(fleet)
     await fleet.outside()
     await bounded(_holds(fleet))
-    # The socket, once the door's callers are gone; and the thread that waits for the disk.
+    # The socket, once the connections to the operator API are closed; and the thread that writes to disk.
     await until(lambda: count("fd") == without + 1)
     assert count("task") == threads + 1
 
@@ -180,7 +180,9 @@
 @pytest.mark.parametrize("before", [1, 2, 3])
 def test_another_process_writes_later_than_all_before(tmp_path, before):
     written(tmp_path, *range(1, before + 1))
-    peers.Storage(tmp_path).write(stored(9))  # as after an upgrade, which hands over the state, not the file
+    peers.Storage(tmp_path).write(
+        stored(9)
+    )  # as after an upgrade, which hands over the state and not the file
     got, same = peers.Storage(tmp_path).load()
     assert (got.ceiling, same) == (9, True)
 
@@ -215,7 +217,7 @@
     assert (await bounded(begun))["state"] == "done" and (await status(fleet))["disk"] == "well"
 
 
-# The door and an upgrade
+# The operator API and an upgrade
 
 
 @courier
@@ -259,12 +261,14 @@
     assert await bounded(fleet.former.wait()) == 0
     await healthy(fleet.door)
     after = await status(fleet)
-    assert after["leases"] == before["leases"] and after["leases"][0]["mine"]  # at once, and the same number
+    assert (
+        after["leases"] == before["leases"] and after["leases"][0]["mine"]
+    )  # at once, and with the same fencing token
     assert after["members"][0]["incarnation"] == before["members"][0]["incarnation"]
     assert after["life"] == before["life"] and after["version"] >= before["version"]
     told = await changed(fleet, "/fleet/words/w/after")
     assert told["state"] == "done"
-    await fleet.kill()  # what the second process wrote is later than all that the first had written
+    await fleet.kill()  # what the second process wrote counts as newer than all writes of the first
     await fleet.outside()
     await bounded(_holds(fleet, fence=2))
     assert (await changed(fleet, "/fleet/read"))["words"] == {"w": "after"}
@@ -282,7 +286,7 @@
     await asyncio.sleep(1.2)  # the lease is 0.9 s
     fleet.process.send_signal(signal.SIGCONT)
     told = (await bounded(asked))[1]
-    assert fence and told["fence"] != fence  # not under the one that ran out
+    assert fence and told["fence"] != fence  # not under the expired lease
 
 
 # The trial
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Changes of the fleet's policy: as objects, under the explorer, in the module, at the door of a process."""
+"""Changes of the fleet's policy: as objects, in the explorer, in the module, and in a process."""
 
 import asyncio
 import dataclasses
@@ -85,8 +85,8 @@
     assert not explore.run(explore.schedule(seed), count, seed)
 
 
-# By members: a seed at which something was found once, with those before and after it. The same at every run:
-# a verdict must not depend on the day. Longer and other ones: hopmill fleet explore --policy --seed N.
+# By number of members: seeds around one at which a fault was found once. They are the same in every run, so
+# that the result does not depend on chance. Longer and other runs: hopmill fleet explore --policy --seed N.
 @pytest.mark.parametrize(("count", "first"), [(3, 138_900), (4, 134_500), (5, 138_080)])
 def test_random_schedules_keep_the_promise_and_end_every_change(count, first):
     assert explore.explore(120, first, count)[1] == [], f"{count} members, from seed {first}"
@@ -153,9 +153,9 @@
         assert kind in ("prepare", "canary", "cancel") or ago == 0
         assert q.epoch == p.epoch + 1 and q.version >= p.version
         assert all(q.version_for(m) >= p.version_for(m) for m in "abc")
-        for m in "abc":  # who works under another version has stopped for it
+        for m in "abc":  # a member whose version changes has stopped for it
             assert q.version_for(m) == p.version_for(m) or p.closing_for(m)
-        for e in q.ended:  # an outcome is told once, and stays
+        for e in q.ended:  # an outcome never changes
             assert seen.setdefault(e.id, e) == e or e.id in {x.id for x in p.ended}
         d = after
 
@@ -223,7 +223,7 @@
     assert not [s for s in store.outbox if isinstance(s, Send) and isinstance(s.body, TextPiece)]
 
 
-# What a policy is
+# Patches of a policy
 
 
 @pytest.mark.parametrize(
@@ -294,7 +294,7 @@
             books.read(text)
 
 
-# Hard cases, in virtual time: members as they are, and acts judged by one clock
+# Hard cases in virtual time: real members, and acts checked by one clock
 
 
 class PolicyFleet:
@@ -353,7 +353,7 @@
         self.fleet.passes = lambda a, b: where.get(a) == where.get(b)
 
     def settled(self):
-        """The version at which all work again, once all is well."""
+        """The version under which all members work again, once all faults have ended."""
         self.fleet.passes = lambda a, b: True
         for n, node in enumerate(self.fleet.nodes):
             if node is None:
@@ -371,7 +371,7 @@
         f.fleet.kill(n)
     f.propose(0)
     f.run(0.05)
-    f.fleet.start(3)  # back during it
+    f.fleet.start(3)  # restarted during the change
     f.run(6.0)
     return 1
 
@@ -454,9 +454,8 @@
     f.fleet.kill(4)
     f.propose(0)
     f.run(9.0)
-    assert (
-        f.checker.version == 0 and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
-    )  # work goes on
+    # Work continues under version 0.
+    assert f.checker.version == 0 and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
     f.fleet.nodes[0].policy_member.cancel_member("c4", True, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     f.run(4.0)
@@ -491,7 +490,7 @@
     assert f.settled() in ((0, 1) if version is None else (version,))
 
 
-# Watching those that go first
+# Watching a canary group
 
 
 def totals(worth, earned, calls=0.0, refused=0.0, failed=0.0):
@@ -506,9 +505,9 @@
     [
         ([GOOD], [GOOD] * 4, ""),
         ([WORSE], [GOOD] * 4, "worth: -0.180"),
-        ([WORSE] * 2, [WORSE] * 4, ""),  # all do: it is not the change
-        ([(totals(1000, 300), totals(1000, 300))], [GOOD] * 4, ""),  # it always did
-        ([(totals(10, 10), totals(10, 2))], [GOOD] * 4, ""),  # too few to say
+        ([WORSE] * 2, [WORSE] * 4, ""),  # all members do: the change is not the cause
+        ([(totals(1000, 300), totals(1000, 300))], [GOOD] * 4, ""),  # it did so before the stage
+        ([(totals(10, 10), totals(10, 2))], [GOOD] * 4, ""),  # too few messages
         (
             [(totals(0, 0, 900, 0, 9), totals(0, 0, 900, 300, 9))],
             [(totals(0, 0, 900, 9, 9),) * 2] * 3,
@@ -540,7 +539,7 @@
     assert ended <= 3
 
 
-# The module
+# The decision module
 
 
 def policy(host, **changes):
@@ -632,20 +631,20 @@
     out_a, out_b = {"left_out": {"endpoints": ["a"]}}, {"left_out": {"endpoints": ["b"]}}
     assert (await propose(fleet, "x1", out_a, by="ops", reason="rewired"))[0] == 202
     assert (await bounded(became(fleet, "x1")))["state"] == "in force"
-    assert (await propose(fleet, "x1", out_b))[1]["version"] == 1  # told again: the same one
+    assert (await propose(fleet, "x1", out_b))[1]["version"] == 1  # proposed again: the same change
     for n in range(6):
         assert await client.put(f"m{n}") == "+OK"
     for _ in range(6):
         await b.call()
     assert a.calls.empty()
-    # What staff do by hand goes on top; the policy's word stays.
+    # An operator's own setting of an endpoint is applied on top of the policy, which stays as it is.
     assert (await call(fleet.door, "POST", "/endpoints/a/maint"))[0] == 200
     assert (await call(fleet.door, "POST", "/endpoints/a/ready"))[0] == 200
     rows = (await call(fleet.door, "GET", "/endpoints"))[1]["endpoints"]
     assert [r["out_by_hand"] for r in rows if r["endpoint"] == "a"] == [True]
     assert (await propose(fleet, "x2", out_b | {"retries": {"attempts": 2}}))[0] == 202
     await bounded(became(fleet, "x2"))
-    await fleet.kill()  # it comes back under the version in force
+    await fleet.kill()  # it restarts under the version in force
     client = await fleet.outside()
     await bounded(acts(fleet))
     assert (await call(fleet.door, "GET", "/fleet/policy"))[1]["applied"] == 2
@@ -733,7 +732,7 @@
 
     done = await said("propose", door, str(patch), "--reason", "rewired", "--id", "x1")
     assert done.returncode == 0 and 'own -> ["a"]' in done.stdout and "in force" in done.stdout
-    assert (await said("propose", door, str(patch))).returncode == 1  # it changes nothing now
+    assert (await said("propose", door, str(patch))).returncode == 1  # it would change nothing
     assert "rewired" in (await said("history", door)).stdout
     assert (await said("revert", door, "0")).returncode == 0
     assert (await said("change", door, "nobody")).returncode == 3
@@ -795,11 +794,14 @@
     [
         ([A, B, act(10, 1), act(20, 2, "c1"), endpoint_call(11, "b"), endpoint_call(21, "a")], ""),
         ([A, B, act(20, 2, "c1"), act(30, 1)], "under version 1, having looked"),
-        ([A, B, act(20, 2, "c1"), act(30, 1, looked=19)], ""),  # it had looked before
+        ([A, B, act(20, 2, "c1"), act(30, 1, looked=19)], ""),  # its lease was checked before
         ([A, B, act(20, 2, "c1"), act(30, 1, what="took")], "c0 took"),
         ([A, put_in_force(1, ["b"], who="c1"), act(10, 1)], "version 1 is"),
         ([A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b", "n")], "b got a call"),
-        ([A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b")], ""),  # late, by its own record
+        (
+            [A, B, act(10, 1), act(20, 2, "c1", "n"), endpoint_call(40, "b")],
+            "",
+        ),  # late, as its own record shows
         ([A, act(10, 1), endpoint_call(12, "a")], "a got a call"),
         ([A, B, act(10, 1), outcome("x", "in force nowhere")], "x was in force"),
         ([A, B, act(10, 1), outcome("x", "in force", 1), outcome("z", "in force", 2)], "lacks change z"),
