--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -49,7 +49,7 @@
 
 
 class ProbeFailed(ArrayStruct, tag="n"):
-    """The target does not answer this helper either (nack of Lifeguard): the helper itself was heard."""
+    """The target does not answer this helper either (nack of Lifeguard): the asker's own network works."""
 
     seq: int
 
