--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -380,6 +380,8 @@
         stderr=subprocess.PIPE,
         text=True,
         start_new_session=True,
+        # A shell ignores SIGINT in a background job without job control, and its children inherit that.
+        preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     lines = [process.stdout.readline() for _ in range(2)]
     os.killpg(process.pid, signal.SIGINT)
