--- a/hopmill/bench/lean.py
+++ b/hopmill/bench/lean.py
@@ -15,40 +15,52 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill.bench.subject import Subject
-from hopmill.bench.world import World
+from hopmill.bench.subject import MeasuredCourier
+from hopmill.bench.world import Environment
 
-IDLE_S = 1.0
+IDLE_PERIOD_S = 1.0
 
 
 async def measure(
-    name: str, checkout: Path, rate: float, seconds: float, door: bool, extra: dict[str, Any]
+    name: str,
+    checkout: Path,
+    rate_per_s: float,
+    seconds: float,
+    has_operator_api: bool,
+    extra_config: dict[str, Any],
 ) -> dict[str, float]:
     with tempfile.TemporaryDirectory(prefix="hopmill-bench-") as folder:
-        world = World(partners=20, latency_s=0.05)
-        await world.start()
-        subject = Subject(
-            name, checkout, Path(folder), world.settings(), world.known(), world.discovery.port, door, extra
+        environment = Environment(partner_count=20, latency_s=0.05)
+        await environment.start()
+        courier = MeasuredCourier(
+            name,
+            checkout,
+            Path(folder),
+            environment.settings(),
+            environment.known_targets(),
+            environment.discovery.port,
+            has_operator_api,
+            extra_config,
         )
         try:
-            await subject.start()
-            await asyncio.sleep(IDLE_S)
-            idle = subject.usage()
-            load = await world.load(subject.port, rate, seconds, connections=20)
-            busy = subject.usage()
+            await courier.start()
+            await asyncio.sleep(IDLE_PERIOD_S)
+            idle = courier.usage()
+            result = await environment.load(courier.port, rate_per_s, seconds, connections=20)
+            busy = courier.usage()
             return {
-                "ready_s": subject.ready_s,
+                "ready_s": courier.ready_s,
                 "idle_mb": idle.rss_kb / 1024,
-                "busy_mb": busy.peak_kb / 1024,
-                "delivered": load.delivered,
-                "lost": load.lost,
-                "cpu_us_a_message": (busy.cpu_s - idle.cpu_s) / max(1, load.delivered) * 1e6,
-                "p50_ms": load.percentile_ms(0.5),
-                "p99_ms": load.percentile_ms(0.99),
+                "busy_mb": busy.peak_rss_kb / 1024,
+                "delivered": result.delivered,
+                "lost": result.lost,
+                "cpu_us_a_message": (busy.cpu_s - idle.cpu_s) / max(1, result.delivered) * 1e6,
+                "p50_ms": result.percentile_ms(0.5),
+                "p99_ms": result.percentile_ms(0.99),
             }
         finally:
-            await subject.stop()
-            await world.stop()
+            await courier.stop()
+            await environment.stop()
 
 
 def main() -> None:
@@ -59,23 +71,30 @@
     parser.add_argument("--rate", type=float, default=800)
     parser.add_argument("--seconds", type=float, default=10)
     parser.add_argument("--rounds", type=int, default=3)
-    given = parser.parse_args()
+    options = parser.parse_args()
     rows: dict[str, list[dict[str, float]]] = {}
-    for _ in range(given.rounds):
-        for revision in given.revision:
+    for _ in range(options.rounds):
+        for revision in options.revision:
             name, _, checkout = revision.partition("=")
-            extra = {"log": {"level": "debug", "lines_per_s": 100_000}} if "+debug" in name else {}
+            extra_config = {"log": {"level": "debug", "lines_per_s": 100_000}} if "+debug" in name else {}
             row = asyncio.run(
-                measure(name, Path(checkout).resolve(), given.rate, given.seconds, "+door" in name, extra)
+                measure(
+                    name,
+                    Path(checkout).resolve(),
+                    options.rate,
+                    options.seconds,
+                    "+door" in name,
+                    extra_config,
+                )
             )
             rows.setdefault(name, []).append(row)
     for name, measured in rows.items():
         figures = {
-            key: [round(min(v), 3), round(statistics.median(v), 3), round(max(v), 3)]
+            key: [round(min(values), 3), round(statistics.median(values), 3), round(max(values), 3)]
             for key in measured[0]
-            for v in [[row[key] for row in measured]]
+            for values in [[row[key] for row in measured]]
         }
-        print(json.dumps({"name": name, "rate": given.rate, "min_median_max": figures}))
+        print(json.dumps({"name": name, "rate": options.rate, "min_median_max": figures}))
 
 
 if __name__ == "__main__":
--- a/hopmill/bench/subject.py
+++ b/hopmill/bench/subject.py
@@ -17,32 +17,32 @@
 from hopmill.standin.courier import free_port
 from hopmill.standin.server import HOST
 
-TICKS = os.sysconf("SC_CLK_TCK")
-READY_S, POLL_S = 20.0, 0.002
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S, POLL_INTERVAL_S = 20.0, 0.002
 
 
 @dataclass
 class Usage:
-    """Read from /proc. cpu_s: user and system; rss_kb now, peak_kb the most; fds: open descriptors."""
+    """Read from /proc. cpu_s: user and system; rss_kb now, peak_rss_kb the most."""
 
     cpu_s: float
     rss_kb: int
-    peak_kb: int
-    fds: int
+    peak_rss_kb: int
+    open_files: int
 
 
 @dataclass
-class Subject:
+class MeasuredCourier:
     """`checkout` is the folder of a revision; the platform's environment is the same for all."""
 
     name: str
     checkout: Path
     folder: Path
-    raw: dict[str, Any]  # the platform's settings
-    known: dict[str, Any]
-    discovery: int  # its port
-    door: bool = False
-    extra: dict[str, Any] = field(default_factory=dict)  # more fields of the configuration
+    platform_settings: dict[str, Any]  # the platform's settings
+    known_targets: dict[str, Any]
+    discovery_port: int  # its port
+    has_operator_api: bool = False
+    extra_config: dict[str, Any] = field(default_factory=dict)  # more fields of the configuration
     limits: dict[str, float] = field(
         default_factory=lambda: {"memory_mb": 192, "sockets": 4096, "disk_mb": 64}
     )
@@ -52,12 +52,18 @@
 
     async def start(self) -> None:
         """Returns once PING is answered; `ready_s` is the time that took."""
-        state = self.folder / f"{self.name}.state"
-        state.mkdir(parents=True, exist_ok=True)
+        state_folder = self.folder / f"{self.name}.state"
+        state_folder.mkdir(parents=True, exist_ok=True)
         config = self.folder / f"{self.name}.json"
         config.write_text(
             json.dumps(
-                {"seed": 1, "limits": self.limits, "known": self.known, "settings": self.raw, **self.extra}
+                {
+                    "seed": 1,
+                    "limits": self.limits,
+                    "known": self.known_targets,
+                    "settings": self.platform_settings,
+                    **self.extra_config,
+                }
             )
         )
         self.port = free_port()
@@ -65,13 +71,13 @@
             **os.environ,
             "LB_NAME": self.name,
             "LB_LISTEN": f"{HOST}:{self.port}",
-            "LB_DISCOVERY": f"{HOST}:{self.discovery}",
-            "LB_STATE": str(state),
+            "LB_DISCOVERY": f"{HOST}:{self.discovery_port}",
+            "LB_STATE": str(state_folder),
             "LB_CONFIG": str(config),
-            "LB_OPERATOR": f"{HOST}:{free_port()}" if self.door else "",
+            "LB_OPERATOR": f"{HOST}:{free_port()}" if self.has_operator_api else "",
             "PYTHONPATH": str(self.checkout),
         }
-        began = time.monotonic()
+        began_at = time.monotonic()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -81,32 +87,32 @@
             stderr=asyncio.subprocess.DEVNULL,
             start_new_session=True,
         )
-        async with asyncio.timeout(READY_S):
-            while not await self._pings():
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._answers_ping():
                 if self.process.returncode is not None:
                     raise OSError(f"{self.name}: ended at its start with {self.process.returncode}")
-                await asyncio.sleep(POLL_S)
-        self.ready_s = time.monotonic() - began
+                await asyncio.sleep(POLL_INTERVAL_S)
+        self.ready_s = time.monotonic() - began_at
 
-    async def _pings(self) -> bool:
+    async def _answers_ping(self) -> bool:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             client = await Client().open(self.port)
-            said = await client.send(client.command(b"PING"))
+            reply = await client.send(client.command(b"PING"))
             client.close()
-            return said == "+PONG"
+            return reply == "+PONG"
         return False
 
     def usage(self) -> Usage:
         assert self.process is not None
-        proc = Path(f"/proc/{self.process.pid}")
-        stat = (proc / "stat").read_text().rpartition(")")[2].split()
-        lines = (proc / "status").read_text().splitlines()
+        process_folder = Path(f"/proc/{self.process.pid}")
+        stat = (process_folder / "stat").read_text().rpartition(")")[2].split()
+        lines = (process_folder / "status").read_text().splitlines()
         status = dict(line.split(":", 1) for line in lines if ":" in line)
         return Usage(
-            (int(stat[11]) + int(stat[12])) / TICKS,
+            (int(stat[11]) + int(stat[12])) / CLOCK_TICKS_PER_S,
             int(status["VmRSS"].split()[0]),
             int(status["VmHWM"].split()[0]),
-            len(os.listdir(proc / "fd")),
+            len(os.listdir(process_folder / "fd")),
         )
 
     async def stop(self) -> None:
--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -12,24 +12,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hopmill.standin.client import ANSWER_S
+from hopmill.standin.client import ANSWER_TIMEOUT_S
 from hopmill.standin.discovery import Discovery
 from hopmill.standin.server import HOST
 
 SLACK_S = 0.3
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 class Endpoint(asyncio.Protocol):
     """Answers every call with 200 after a fixed time; one call at a time on a connection."""
 
-    def __init__(self, world: World) -> None:
-        self.world, self.buffer = world, b""
+    def __init__(self, environment: Environment) -> None:
+        self.environment, self.buffer = environment, b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.world.connections += 1
+        self.environment.connections_opened += 1
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
@@ -41,18 +41,18 @@
         if len(rest) < size:
             return
         self.buffer = rest[size:]
-        ident = fields[b"x-request-id"].strip().decode()
-        asyncio.get_running_loop().call_later(self.world.latency_s, self._answer, ident)
+        message_id = fields[b"x-request-id"].strip().decode()
+        asyncio.get_running_loop().call_later(self.environment.latency_s, self._answer, message_id)
 
-    def _answer(self, ident: str) -> None:
+    def _answer(self, message_id: str) -> None:
         if not self.transport.is_closing():
-            self.transport.write(OK)
-            self.world.delivered(ident)
+            self.transport.write(OK_RESPONSE)
+            self.environment.record_delivery(message_id)
 
 
 @dataclass
-class Load:
-    """One load's account; latencies in seconds from the time at which a message was due."""
+class LoadResult:
+    """One load's account; latencies_s in seconds from the time at which a message was due."""
 
     offered: int = 0
     taken: int = 0
@@ -61,43 +61,47 @@
     delivered: int = 0
     lost: int = 0
     late_ends: int = 0  # final answers after the message's time and its slack
-    latencies: list[float] = field(default_factory=list)
+    latencies_s: list[float] = field(default_factory=list)
     by_second: dict[int, int] = field(default_factory=dict)  # delivered, by second of the load
 
     def percentile_ms(self, share: float) -> float:
-        values = sorted(self.latencies)
+        values = sorted(self.latencies_s)
         return values[min(len(values) - 1, int(share * len(values)))] * 1e3 if values else 0.0
 
 
-class World:
+class Environment:
     def __init__(
         self,
-        partners: int = 20,
+        partner_count: int = 20,
         latency_s: float = 0.05,
-        endpoints: int = 2,
+        endpoints_per_partner: int = 2,
         slots: int = 256,
-        held: int = 4000,
+        max_held: int = 4000,
     ) -> None:
-        self.partners, self.latency_s, self.endpoints = partners, latency_s, endpoints
-        self.slots, self.held = slots, held
-        self.discovery = Discovery(self._noted)
+        self.partner_count, self.latency_s, self.endpoints_per_partner = (
+            partner_count,
+            latency_s,
+            endpoints_per_partner,
+        )
+        self.slots, self.max_held = slots, max_held
+        self.discovery = Discovery(self._end_by_notice)
         self.servers: list[asyncio.Server] = []
-        self.connections = 0
-        self.due: dict[str, tuple[float, float]] = {}  # id: due, and end of life
-        self.open: set[str] = set()  # taken on and not ended
-        self.done: set[str] = set()
-        self.account = Load()
-        self.began = 0.0
+        self.connections_opened = 0
+        self.due_and_end: dict[str, tuple[float, float]] = {}  # id: due, and end of life
+        self.open_ids: set[str] = set()  # taken on and not ended
+        self.ended_ids: set[str] = set()
+        self.result = LoadResult()
+        self.began_at = 0.0
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
         await self.discovery.start()
-        for partner in range(1, self.partners + 1):
-            for n in range(self.endpoints):
+        for partner in range(1, self.partner_count + 1):
+            for index in range(self.endpoints_per_partner):
                 server = await loop.create_server(lambda: Endpoint(self), HOST, 0, backlog=4096)
                 self.servers.append(server)
                 self.discovery.target(
-                    f"p{partner}-{n}", server.sockets[0].getsockname()[1], partner, "plain", rate=0.0
+                    f"p{partner}-{index}", server.sockets[0].getsockname()[1], partner, "plain", rate=0.0
                 )
 
     async def stop(self) -> None:
@@ -105,8 +109,8 @@
             server.close()
         await self.discovery.stop()
 
-    def known(self) -> dict[str, Any]:
-        return self.discovery.whole()
+    def known_targets(self) -> dict[str, Any]:
+        return self.discovery.full_list()
 
     def settings(self) -> dict[str, Any]:
         """The platform's form, so that any revision reads it."""
@@ -141,7 +145,7 @@
                 "attemptsCap": 3,
                 "connIdleUs": 10_000_000,
                 "connectTimeoutUs": 1_000_000,
-                "maxOpen": self.held,
+                "maxOpen": self.max_held,
                 "retryAfter": True,
                 "maxRetryAfterUs": 2_000_000,
             },
@@ -156,126 +160,131 @@
     async def load(
         self,
         port: int,
-        rate: float,
+        rate_per_s: float,
         seconds: float,
         connections: int = 20,
-        life_s: float = 8.0,
-        again: int = 0,
+        lifetime_s: float = 8.0,
+        resubmissions: int = 0,
         seed: int = 1,
-        dest: int = 0,
-    ) -> Load:
+        partner: int = 0,
+    ) -> LoadResult:
         """Open loop: Poisson arrivals, spread over so many connections, a request after the other on each.
 
-        again: how often a refused message is handed in anew. dest: one partner for all, 0 for any.
+        resubmissions: how often a refused message is handed in anew. partner: one partner for all, 0 for any.
         """
-        loop, chance = asyncio.get_running_loop(), random.Random(seed)
-        self.account, self.began = Load(), loop.time()
+        loop, rng = asyncio.get_running_loop(), random.Random(seed)
+        self.result, self.began_at = LoadResult(), loop.time()
         queue: asyncio.Queue[tuple[str, int, int]] = asyncio.Queue()
-        workers = [loop.create_task(self._client(port, queue, life_s, chance)) for _ in range(connections)]
-        due, count = loop.time(), 0
-        while (due := due + chance.expovariate(rate)) < self.began + seconds:
-            if (wait := due - loop.time()) > 0:
-                await asyncio.sleep(wait)
-            count += 1
-            ident = f"b{seed:x}-{count:x}"
-            self.due[ident] = due, due + life_s
-            self.account.offered += 1
-            queue.put_nowait((ident, dest or chance.randint(1, self.partners), again))
+        workers = [
+            loop.create_task(self._submit_from_queue(port, queue, lifetime_s, rng))
+            for _ in range(connections)
+        ]
+        due_at, offered_count = loop.time(), 0
+        while (due_at := due_at + rng.expovariate(rate_per_s)) < self.began_at + seconds:
+            if (wait_s := due_at - loop.time()) > 0:
+                await asyncio.sleep(wait_s)
+            offered_count += 1
+            message_id = f"b{seed:x}-{offered_count:x}"
+            self.due_and_end[message_id] = due_at, due_at + lifetime_s
+            self.result.offered += 1
+            queue.put_nowait((message_id, partner or rng.randint(1, self.partner_count), resubmissions))
         await queue.join()
-        until = loop.time() + life_s + SLACK_S
-        while self.open and loop.time() < until:
+        deadline = loop.time() + lifetime_s + SLACK_S
+        while self.open_ids and loop.time() < deadline:
             await asyncio.sleep(0.02)
         for worker in workers:
             worker.cancel()
-        self.account.lost = len(self.open)
-        return self.account
+        self.result.lost = len(self.open_ids)
+        return self.result
 
-    async def _client(
-        self, port: int, queue: asyncio.Queue[tuple[str, int, int]], life_s: float, chance: random.Random
+    async def _submit_from_queue(
+        self, port: int, queue: asyncio.Queue[tuple[str, int, int]], lifetime_s: float, rng: random.Random
     ) -> None:
         loop = asyncio.get_running_loop()
         reader: asyncio.StreamReader | None = None
         writer: asyncio.StreamWriter | None = None
         while True:
-            ident, dest, again = await queue.get()
-            left = self.due[ident][1] - loop.time()
+            message_id, partner, resubmissions = await queue.get()
+            remaining_s = self.due_and_end[message_id][1] - loop.time()
             try:
-                if left <= 0.01:
-                    self.account.failed += 1
+                if remaining_s <= 0.01:
+                    self.result.failed += 1
                     continue
                 if writer is None:
                     reader, writer = await asyncio.open_connection(HOST, port)
-                fields = f"c=safe,t=t,d={int(left * 1e3)},dest={dest}".encode()
+                fields = f"c=safe,t=t,d={int(remaining_s * 1e3)},dest={partner}".encode()
                 writer.write(
                     b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n"
-                    b"$64\r\n%s\r\n" % (len(ident), ident.encode(), len(fields), fields, b"x" * 64)
+                    b"$64\r\n%s\r\n" % (len(message_id), message_id.encode(), len(fields), fields, b"x" * 64)
                 )
-                said = await asyncio.wait_for(reader.readuntil(b"\r\n"), ANSWER_S)
-                self._answered(ident, said, again, queue, loop, dest, chance)
+                reply = await asyncio.wait_for(reader.readuntil(b"\r\n"), ANSWER_TIMEOUT_S)
+                self._record_reply(message_id, reply, resubmissions, queue, loop, partner, rng)
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
-                self.account.failed += 1
+                self.result.failed += 1
                 if writer is not None:
                     writer.close()
                 reader = writer = None
             finally:
                 queue.task_done()
 
-    def _answered(
+    def _record_reply(
         self,
-        ident: str,
-        said: bytes,
-        again: int,
+        message_id: str,
+        reply: bytes,
+        resubmissions: int,
         queue: asyncio.Queue[tuple[str, int, int]],
         loop: asyncio.AbstractEventLoop,
-        dest: int,
-        chance: random.Random,
+        partner: int,
+        rng: random.Random,
     ) -> None:
-        if said.startswith(b"+"):
-            self.account.taken += 1
-            if ident not in self.done:
-                self.open.add(ident)
+        if reply.startswith(b"+"):
+            self.result.taken += 1
+            if message_id not in self.ended_ids:
+                self.open_ids.add(message_id)
             return
-        self.account.refused += 1
-        if again and said.startswith(b"-BUSY"):
-            words = said.split()
-            wait = int(words[1]) / 1e3 if len(words) > 1 else chance.uniform(0.1, 0.3)
-            fresh = f"{ident}a"
-            self.due[fresh] = self.due[ident]
-            loop.call_later(wait, queue.put_nowait, (fresh, dest, again - 1))
+        self.result.refused += 1
+        if resubmissions and reply.startswith(b"-BUSY"):
+            fields = reply.split()
+            wait_s = int(fields[1]) / 1e3 if len(fields) > 1 else rng.uniform(0.1, 0.3)
+            new_id = f"{message_id}a"
+            self.due_and_end[new_id] = self.due_and_end[message_id]
+            loop.call_later(wait_s, queue.put_nowait, (new_id, partner, resubmissions - 1))
 
-    def delivered(self, ident: str) -> None:
+    def record_delivery(self, message_id: str) -> None:
         now = asyncio.get_running_loop().time()
-        due, until = self.due.get(ident, (now, now))
-        if ident in self.done:
+        due_at, end_at = self.due_and_end.get(message_id, (now, now))
+        if message_id in self.ended_ids:
             return
-        self.done.add(ident)
-        self.open.discard(ident)
-        self.account.delivered += 1
-        self.account.late_ends += now > until + SLACK_S
-        self.account.latencies.append(now - due)
-        second = int(now - self.began)
-        self.account.by_second[second] = self.account.by_second.get(second, 0) + 1
+        self.ended_ids.add(message_id)
+        self.open_ids.discard(message_id)
+        self.result.delivered += 1
+        self.result.late_ends += now > end_at + SLACK_S
+        self.result.latencies_s.append(now - due_at)
+        second = int(now - self.began_at)
+        self.result.by_second[second] = self.result.by_second.get(second, 0) + 1
 
-    def _noted(self, line: dict[str, str]) -> None:
-        ident = line["id"]
-        if ident in self.due:
-            self.account.late_ends += asyncio.get_running_loop().time() > self.due[ident][1] + SLACK_S
-        self.done.add(ident)
-        self.open.discard(ident)
+    def _end_by_notice(self, notice: dict[str, str]) -> None:
+        message_id = notice["id"]
+        if message_id in self.due_and_end:
+            self.result.late_ends += (
+                asyncio.get_running_loop().time() > self.due_and_end[message_id][1] + SLACK_S
+            )
+        self.ended_ids.add(message_id)
+        self.open_ids.discard(message_id)
 
 
-def dump(load: Load) -> str:
-    """One JSON object, without the single latencies."""
+def dump(result: LoadResult) -> str:
+    """One JSON object, without the single latencies_s."""
     return json.dumps(
         {
-            "offered": load.offered,
-            "taken": load.taken,
-            "refused": load.refused,
-            "failed": load.failed,
-            "delivered": load.delivered,
-            "lost": load.lost,
-            "late_ends": load.late_ends,
-            "p50_ms": round(load.percentile_ms(0.5), 1),
-            "p99_ms": round(load.percentile_ms(0.99), 1),
+            "offered": result.offered,
+            "taken": result.taken,
+            "refused": result.refused,
+            "failed": result.failed,
+            "delivered": result.delivered,
+            "lost": result.lost,
+            "late_ends": result.late_ends,
+            "p50_ms": round(result.percentile_ms(0.5), 1),
+            "p99_ms": round(result.percentile_ms(0.99), 1),
         }
     )
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from hopmill.standin.ledger import Result
-from hopmill.standin.scene import Options, Progress, Scene
+from hopmill.standin.scene import Options, Progress, LoopbackSystem
 
 PLAIN_EVERY_S = 2.0  # between two lines where there is no terminal
 ROWS = (
@@ -53,7 +53,7 @@
 def _line(p: Progress) -> str:
     c = p.result.counts
     return (
-        f"{p.second:5.1f} s  {p.note:<28.60}  in {c['handed_in']}  taken {c['taken']}  "
+        f"{p.elapsed_s:5.1f} s  {p.note:<28.60}  in {c['handed_in']}  taken {c['taken']}  "
         f"delivered {c['delivered']}  refused {c['refused']}  p99 {p.result.percentile_ms(0.99):.0f} ms"
     )
 
@@ -65,8 +65,8 @@
         self.console, self.said_at, self.note = console, -PLAIN_EVERY_S, ""
 
     def __call__(self, p: Progress) -> None:
-        if p.second - self.said_at >= PLAIN_EVERY_S or p.note != self.note:
-            self.said_at, self.note = p.second, p.note
+        if p.elapsed_s - self.said_at >= PLAIN_EVERY_S or p.note != self.note:
+            self.said_at, self.note = p.elapsed_s, p.note
             self.console.print(_line(p), highlight=False, soft_wrap=True)
 
 
@@ -74,9 +74,9 @@
     """Exit status: 1 if anything was lost or took effect twice though it may not, 130 after Ctrl-C."""
     console = Console(stderr=as_json)
     with tempfile.TemporaryDirectory(prefix="hopmill-demo-") as folder:
-        scene = Scene(options, Path(folder))
+        scene = LoopbackSystem(options, Path(folder))
         console.print(
-            f"{options.couriers} couriers, 5 partners, {options.rate:g} messages a second for "
+            f"{options.couriers} couriers, 5 partners, {options.rate_per_s:g} messages a second for "
             f"{options.seconds:g} s; trouble: {options.trouble}",
             highlight=False,
         )
@@ -94,14 +94,14 @@
     return int(result.failed)
 
 
-def _watch(scene: Scene, console: Console) -> Result:
+def _watch(scene: LoopbackSystem, console: Console) -> Result:
     if not console.is_terminal:
         return asyncio.run(_run(scene, Plain(console)))
     with Live(console=console, transient=True) as live:
         return asyncio.run(_run(scene, lambda p: live.update(_line(p))))
 
 
-async def _run(scene: Scene, progress: Callable[[Progress], None]) -> Result:
+async def _run(scene: LoopbackSystem, progress: Callable[[Progress], None]) -> Result:
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
--- a/hopmill/lab/live.py
+++ b/hopmill/lab/live.py
@@ -9,9 +9,9 @@
 
 from hopmill.lab.scenario import Scenario, draw, load
 from hopmill.lab.world import World
-from hopmill.standin.load import Kind
-from hopmill.standin.partner import Plan
-from hopmill.standin.scene import Options, Scene
+from hopmill.standin.load import LoadClass
+from hopmill.standin.partner import PartnerSettings
+from hopmill.standin.scene import Options, LoopbackSystem
 
 TROUBLES = {
     "down": "down",
@@ -26,7 +26,7 @@
 }
 
 
-def plans(world: World) -> list[Plan]:
+def plans(world: World) -> list[PartnerSettings]:
     """The model's partners as stand-ins."""
     rows = []
     for partner in world.partners:
@@ -34,16 +34,16 @@
         work_ms = sum(c.work_ms * c.share for c in world.scenario.classes)
         work_ms /= sum(c.share for c in world.scenario.classes)
         rows.append(
-            Plan(
+            PartnerSettings(
                 partner.number,
                 f"p{partner.number}",
                 "apart" if kind.routes_apart else "bundles" if kind.bundle > 1 else "plain",
                 rate_per_s=partner.rate_per_s,
-                bundle=kind.bundle,
+                max_batch=kind.bundle,
                 latency_ms=work_ms * partner.targets[0].slow,
-                sigma=0.5,
-                item_ms=work_ms * kind.item_cost,
-                connections=int(kind.connections),
+                latency_sigma=0.5,
+                extra_message_ms=work_ms * kind.item_cost,
+                max_connections=int(kind.connections),
                 routes_apart=kind.routes_apart,
                 cold_share=kind.cold_from,
                 cold_s=kind.cold_ms / 1e3,
@@ -54,9 +54,11 @@
     return rows
 
 
-def kinds(scenario: Scenario) -> list[Kind]:
+def kinds(scenario: Scenario) -> list[LoadClass]:
     return [
-        Kind(c.name, c.share, c.aim_ms / 1e3, c.deadline_ms / 1e3, c.effect == "unsafe", c.effect == "keyed")
+        LoadClass(
+            c.name, c.share, c.aim_ms / 1e3, c.deadline_ms / 1e3, c.effect == "unsafe", c.effect == "keyed"
+        )
         for c in scenario.classes
     ]
 
@@ -69,7 +71,7 @@
     trouble = next((TROUBLES[t.kind] for t in drawn.troubles if t.kind in TROUBLES), "none")
     rate = min(500.0, drawn.load.rate_per_s * drawn.load.factor)
     with tempfile.TemporaryDirectory(prefix="hopmill-live-") as folder:
-        scene = Scene(
+        scene = LoopbackSystem(
             Options(seconds, rate, couriers, trouble, seed), Path(folder), plans(world), kinds(drawn)
         )
         return asyncio.run(scene.run()).as_json() | {"trouble": trouble, "rate": round(rate, 1)}
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -14,7 +14,7 @@
 
 from hopmill.lab.farm import LabError
 from hopmill.net.config import Address
-from hopmill.standin.client import ANSWER_S, Client
+from hopmill.standin.client import ANSWER_TIMEOUT_S, Client
 
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
 MOST_S, MOST_RATE, MOST_CLIENTS = 600.0, 20_000.0, 500  # a load ends by itself
@@ -100,7 +100,7 @@
         due, ident = await queue.get()
         wrote = time.monotonic()
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 client = client or await Client().open(port)
                 said = await client.send(
                     client.message(
--- a/hopmill/standin/__init__.py
+++ b/hopmill/standin/__init__.py
@@ -4,18 +4,18 @@
 from hopmill.standin.courier import CourierProcess, free_port
 from hopmill.standin.discovery import Discovery
 from hopmill.standin.ledger import Ledger, Result
-from hopmill.standin.load import Load
-from hopmill.standin.partner import Machine, Partner, Plan
+from hopmill.standin.load import LoadGenerator
+from hopmill.standin.partner import Partner, PartnerEndpoint, PartnerSettings
 
 __all__ = [
     "Client",
     "CourierProcess",
     "Discovery",
     "Ledger",
-    "Load",
-    "Machine",
+    "LoadGenerator",
     "Partner",
-    "Plan",
+    "PartnerEndpoint",
+    "PartnerSettings",
     "Result",
     "free_port",
 ]
--- a/hopmill/standin/client.py
+++ b/hopmill/standin/client.py
@@ -6,7 +6,7 @@
 
 from hopmill.standin.server import HOST
 
-ANSWER_S = 0.4  # a client waits so long for its answer
+ANSWER_TIMEOUT_S = 0.4  # a client waits so long for its answer
 
 
 class Client:
@@ -22,12 +22,12 @@
 
     @staticmethod
     def command(*args: bytes) -> bytes:
-        return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(a), a) for a in args)
+        return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(arg), arg) for arg in args)
 
     @classmethod
     def message(
         cls,
-        ident: str,
+        message_id: str,
         kind: str = "safe",
         dest: int = 7,
         life: int = 6000,
@@ -37,7 +37,7 @@
     ) -> bytes:
         """life: in milliseconds."""
         fields = f"c={kind},t={tenant},d={life},dest={dest}" + (f",k={key}" if key else "")
-        return cls.command(b"MSG.PUT", b"0" * 16, ident.encode(), fields.encode(), body)
+        return cls.command(b"MSG.PUT", b"0" * 16, message_id.encode(), fields.encode(), body)
 
     async def line(self) -> str:
         return (await self.reader.readuntil(b"\r\n")).decode().strip()
--- a/hopmill/standin/courier.py
+++ b/hopmill/standin/courier.py
@@ -14,14 +14,14 @@
 from hopmill.standin.client import Client
 from hopmill.standin.server import HOST
 
-READY_S = 20.0
-DEATH_SIGNAL = 1  # PR_SET_PDEATHSIG
+READY_TIMEOUT_S = 20.0
+PR_SET_PDEATHSIG = 1
 libc = ctypes.CDLL(None)
 
 
 def end_with_parent() -> None:
     """In the child: it ends with the process that started it, however that one ends."""
-    libc.prctl(DEATH_SIGNAL, signal.SIGKILL, 0, 0, 0)
+    libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
 def free_port(host: str = HOST) -> int:
@@ -32,30 +32,30 @@
 class CourierProcess:
     """Started from a TOML file; comes back under its name and port with its folder."""
 
-    def __init__(self, name: str, folder: Path, text: str) -> None:
-        """text: the rest of the file, after what says who and where it is."""
-        self.name, self.folder, self.port, self.door = name, folder, free_port(), free_port()
+    def __init__(self, name: str, folder: Path, config: str) -> None:
+        """config: the rest of the file, after what says who and where it is."""
+        self.name, self.folder, self.port, self.operator_port = name, folder, free_port(), free_port()
         self.process: asyncio.subprocess.Process | None = None
-        self.taking = False  # clients may be sent here
-        state = folder / f"{name}.state"
-        state.mkdir()
-        self.file, self.log = folder / f"{name}.toml", folder / f"{name}.log"
-        self.file.write_text(
+        self.is_accepting = False  # clients may be sent here
+        state_folder = folder / f"{name}.state"
+        state_folder.mkdir()
+        self.config_file, self.log_file = folder / f"{name}.toml", folder / f"{name}.log"
+        self.config_file.write_text(
             f'format = 1\nname = "{name}"\nlisten = "{HOST}:{self.port}"\n'
-            f'operator = "{HOST}:{self.door}"\nstate = "{state}"\n{text}'
+            f'operator = "{HOST}:{self.operator_port}"\nstate = "{state_folder}"\n{config}'
         )
 
     async def launch(
         self, module: str = "hopmill", fds: tuple[int, ...] = (), **env: str
     ) -> asyncio.subprocess.Process:
         """env: on top of this process's own."""
-        with self.log.open("ab") as log:
+        with self.log_file.open("ab") as log:
             return await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 module,
                 "serve",
-                str(self.file),
+                str(self.config_file),
                 stderr=log,
                 stdout=log,
                 stdin=asyncio.subprocess.DEVNULL,
@@ -68,31 +68,31 @@
     async def start(self) -> None:
         """Returns once it answers PING. OSError if it ends first."""
         self.process = await self.launch()
-        async with asyncio.timeout(READY_S):
-            while not await self._pings():
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._answers_ping():
                 if self.process.returncode is not None:
-                    last = self.log.read_text().strip().splitlines()[-1:] or ["no word"]
-                    raise OSError(f"courier {self.name} ended at its start: {last[0]}")
+                    last_line = self.log_file.read_text().strip().splitlines()[-1:] or ["no word"]
+                    raise OSError(f"courier {self.name} ended at its start: {last_line[0]}")
                 await asyncio.sleep(0.02)
-        self.taking = True
+        self.is_accepting = True
 
-    async def _pings(self) -> bool:
+    async def _answers_ping(self) -> bool:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(0.5):
                 client = await Client().open(self.port)
-                said = await client.send(client.command(b"PING"))
+                reply = await client.send(client.command(b"PING"))
                 client.close()
-                return said == "+PONG"
+                return reply == "+PONG"
         return False
 
-    async def end(self, how: signal.Signals) -> None:
+    async def stop(self, signal_number: signal.Signals) -> None:
         """Wait for its end; a SIGTERM that is not heeded is followed by SIGKILL."""
-        self.taking = False
+        self.is_accepting = False
         process = self.process
         if process is None or process.returncode is not None:
             return
         with contextlib.suppress(ProcessLookupError):
-            process.send_signal(how)
+            process.send_signal(signal_number)
         try:
             await asyncio.wait_for(process.wait(), 5.0)
         except TimeoutError:
--- a/hopmill/standin/discovery.py
+++ b/hopmill/standin/discovery.py
@@ -9,15 +9,15 @@
 
 from hopmill.standin.server import HOST, Server, read_request
 
-EMPTY_S = 2.0  # an empty line comes so often while nothing changes
+HEARTBEAT_INTERVAL_S = 2.0  # an empty line comes so often while nothing changes
 
 
 class Discovery(Server):
-    """`noted` hears each notice that was answered 204."""
+    """`on_notice` hears each notice that was answered 204."""
 
-    def __init__(self, noted: Callable[[dict[str, Any]], None] = lambda line: None) -> None:
+    def __init__(self, on_notice: Callable[[dict[str, Any]], None] = lambda notice: None) -> None:
         super().__init__()
-        self.noted = noted
+        self.on_notice = on_notice
         self.rev = 1
         self.targets: dict[str, dict[str, Any]] = {}
         self.finals: asyncio.Queue[tuple[int, dict[str, Any]]] = asyncio.Queue()
@@ -47,7 +47,7 @@
         }
         return self.targets[uid]
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         return {"rev": self.rev, "all": True, "targets": list(self.targets.values())}
 
     def change(self, uid: str, **values: Any) -> None:
@@ -59,7 +59,7 @@
     def push(self, line: dict[str, Any]) -> None:
         """To every watch."""
         for writer in self.watchers:
-            _chunk(writer, json.dumps(line).encode())
+            _write_chunk(writer, json.dumps(line).encode())
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -72,26 +72,26 @@
                 notice = json.loads(line)
                 self.finals.put_nowait((status, notice))
                 if status == 204:
-                    self.noted(notice)
+                    self.on_notice(notice)
             writer.write(b"HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n" % status)
 
     async def _watch(self, path: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.watches.put_nowait(path)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        _chunk(writer, json.dumps(self.whole()).encode())
+        _write_chunk(writer, json.dumps(self.full_list()).encode())
         self.watchers.append(writer)
-        beat = asyncio.create_task(self._beat(writer))
+        heartbeats = asyncio.create_task(self._send_heartbeats(writer))
         try:
             await reader.read()
         finally:
-            beat.cancel()
+            heartbeats.cancel()
             self.watchers.remove(writer)
 
-    async def _beat(self, writer: asyncio.StreamWriter) -> None:
+    async def _send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
         while True:
-            await asyncio.sleep(EMPTY_S)
-            _chunk(writer, b"")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            _write_chunk(writer, b"")
 
 
-def _chunk(writer: asyncio.StreamWriter, text: bytes) -> None:
+def _write_chunk(writer: asyncio.StreamWriter, text: bytes) -> None:
     writer.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -12,11 +12,11 @@
 class Entry:
     """One handing in. Times are seconds on the monotonic clock."""
 
-    cls: str
+    class_name: str
     unsafe: bool
-    handed_in: float
+    submitted_at: float
     aim_s: float
-    life_s: float
+    lifetime_s: float
     answer: str = ""  # taken, refused, failed; "" until it is known
     delivered_at: float = 0.0
     effects: int = 0
@@ -29,81 +29,81 @@
 
     entries: dict[str, Entry] = field(default_factory=dict)
     calls: Counter[str] = field(default_factory=Counter)  # answers of endpoints, by what they said
-    connections: int = 0  # opened to endpoints
-    fell: int = 0  # times that a cold partner was pushed over
+    connections_opened: int = 0  # opened to endpoints
+    overloads: int = 0  # times that a cold partner was pushed over
 
-    def handed_in(self, ident: str, entry: Entry) -> None:
-        self.entries[ident] = entry
+    def record_submission(self, message_id: str, entry: Entry) -> None:
+        self.entries[message_id] = entry
 
-    def answered(self, ident: str, answer: str) -> None:
-        self.entries[ident].answer = answer
+    def record_answer(self, message_id: str, answer: str) -> None:
+        self.entries[message_id].answer = answer
 
-    def handed_to(self, ident: str, port: int) -> None:
+    def record_courier(self, message_id: str, port: int) -> None:
         """The courier at this port is given it."""
 
-    def began(self, endpoint: str, idents: list[str]) -> None:
+    def record_call(self, endpoint: str, message_ids: list[str]) -> None:
         """A call with these messages has reached an endpoint."""
 
-    def effect(self, ident: str) -> None:
-        """A call with this message took effect at its partner."""
-        if entry := self.entries.get(ident):
+    def record_effect(self, message_id: str) -> None:
+        """A call with this message latency_s effect at its partner."""
+        if entry := self.entries.get(message_id):
             entry.effects += 1
 
-    def delivered(self, ident: str, now: float) -> None:
+    def record_delivery(self, message_id: str, now: float) -> None:
         """An endpoint has written a 200 for it."""
-        entry = self.entries.get(ident)
+        entry = self.entries.get(message_id)
         if entry and not entry.delivered_at:
             entry.delivered_at = now
 
-    def noted(self, line: dict[str, str]) -> None:
-        if entry := self.entries.get(line["id"]):
-            entry.notice = line["status"]
+    def record_notice(self, notice: dict[str, str]) -> None:
+        if entry := self.entries.get(notice["id"]):
+            entry.notice = notice["status"]
 
-    def open(self, now: float) -> int:
+    def count_open(self, now: float) -> int:
         """Messages taken on whose end is still owed in time."""
         return sum(
-            e.answer == "taken"
-            and not e.delivered_at
-            and not e.notice
-            and now < e.handed_in + e.life_s + SLACK_S
-            for e in self.entries.values()
+            entry.answer == "taken"
+            and not entry.delivered_at
+            and not entry.notice
+            and now < entry.submitted_at + entry.lifetime_s + SLACK_S
+            for entry in self.entries.values()
         )
 
     def result(self) -> Result:
         """The counts; `taken` is the sum of delivered, deferred, undeliverable, withdrawn and lost."""
         counts: Counter[str] = Counter()
-        latencies: list[float] = []
-        for e in self.entries.values():
+        latencies_s: list[float] = []
+        for entry in self.entries.values():
             counts["handed_in"] += 1
-            counts[e.answer or "failed"] += 1
-            if e.answer != "taken":
+            counts[entry.answer or "failed"] += 1
+            if entry.answer != "taken":
                 continue
-            counts["twice"] += e.unsafe and e.effects > 1
-            if e.delivered_at:
-                took = e.delivered_at - e.handed_in
-                latencies.append(took)
+            counts["twice"] += entry.unsafe and entry.effects > 1
+            if entry.delivered_at:
+                latency_s = entry.delivered_at - entry.submitted_at
+                latencies_s.append(latency_s)
                 counts["delivered"] += 1
-                counts["in_time" if took <= e.aim_s else "late"] += 1
+                counts["in_time" if latency_s <= entry.aim_s else "late"] += 1
             else:
-                counts[e.notice or "lost"] += 1
-        return Result(counts, sorted(latencies), self)
+                counts[entry.notice or "lost"] += 1
+        return Result(counts, sorted(latencies_s), self)
 
 
 @dataclass
 class Result:
     counts: Counter[str]
-    latencies: list[float]  # of what was delivered, in order
+    latencies_s: list[float]  # of what was delivered, in order
     ledger: Ledger
 
     def percentile_ms(self, share: float) -> float:
         """Nearest rank; 0 where nothing was delivered."""
-        if not self.latencies:
+        if not self.latencies_s:
             return 0.0
-        return self.latencies[min(len(self.latencies) - 1, int(share * len(self.latencies)))] * 1e3
+        return self.latencies_s[min(len(self.latencies_s) - 1, int(share * len(self.latencies_s)))] * 1e3
 
     @property
     def failed(self) -> bool:
-        """Something was lost, or an unsafe message took effect twice."""
+        """Something was lost, or an unsafe message latency_s effect twice."""
         return bool(self.counts["lost"] or self.counts["twice"])
 
     def as_json(self) -> dict[str, object]:
@@ -128,6 +128,6 @@
             },
             "calls": sum(calls.values()),
             "calls_refused": calls["refused"] + calls["told to wait"],
-            "connections": self.ledger.connections,
-            "pushed_over": self.ledger.fell,
+            "connections": self.ledger.connections_opened,
+            "pushed_over": self.ledger.overloads,
         }
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -12,22 +12,22 @@
 from hopmill.standin.courier import CourierProcess
 from hopmill.standin.discovery import Discovery
 from hopmill.standin.ledger import SLACK_S, Ledger, Result
-from hopmill.standin.load import Kind, Load
-from hopmill.standin.partner import Machine, Partner, Plan
+from hopmill.standin.load import LoadClass, LoadGenerator
+from hopmill.standin.partner import Partner, PartnerEndpoint, PartnerSettings
 from hopmill.standin.server import HOST
 
 TROUBLES = ("none", "down", "silent", "shut", "restart", "zone")
 ZONES = ["hall-a", "hall-b"]
-KINDS = [
-    Kind("news", 0.6, 1.0, 6.0),
-    Kind("update", 0.3, 2.0, 8.0, keyed=True),
-    Kind("payout", 0.1, 1.0, 8.0, unsafe=True),
+MESSAGE_CLASSES = [
+    LoadClass("news", 0.6, 1.0, 6.0),
+    LoadClass("update", 0.3, 2.0, 8.0, keyed=True),
+    LoadClass("payout", 0.1, 1.0, 8.0, unsafe=True),
 ]
-BEGINS, ENDS = 0.3, 0.55  # of the run, for its trouble
-BACK_S = 0.3  # a courier that ended comes back after so long
-STEP_S = 0.25  # between two looks at the processes, and two words of progress
+TROUBLE_BEGIN_SHARE, TROUBLE_END_SHARE = 0.3, 0.55  # of the run, for its trouble
+RESTART_DELAY_S = 0.3  # a courier that ended comes back after so long
+POLL_INTERVAL_S = 0.25  # between two looks at the processes, and two words of progress
 
-COURIER = """
+COURIER_TOML = """
 discovery = "{host}:{discovery}"
 seed = {seed}
 held = 2000
@@ -46,7 +46,7 @@
 fleet = {{couriers = {couriers}, me = {me}}}
 {classes}
 """
-CLASS = '[[classes]]\nname = "{}"\naim_ms = {}\ndeadline_ms = {}\neffect = "{}"\nkey_window_ms = {}\n'
+CLASS_TOML = '[[classes]]\nname = "{}"\naim_ms = {}\ndeadline_ms = {}\neffect = "{}"\nkey_window_ms = {}\n'
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     """Times in seconds; rate in messages a second over all couriers."""
 
     seconds: float = 10.0
-    rate: float = 100.0
+    rate_per_s: float = 100.0
     couriers: int = 2
     trouble: str = "down"
     seed: int = 1
@@ -65,30 +65,33 @@
 class Progress:
     """A look at the run."""
 
-    second: float
+    elapsed_s: float
     note: str  # what the world does just now
     result: Result
     couriers: list[str] = field(default_factory=list)
 
 
-class Scene:
+class LoopbackSystem:
     """Everything that a demo starts. `run` ends all of it, however it ends itself."""
 
     def __init__(
         self,
         options: Options,
         folder: Path,
-        partners: list[Plan] | None = None,
-        kinds: list[Kind] | None = None,
+        partners: list[PartnerSettings] | None = None,
+        classes: list[LoadClass] | None = None,
     ) -> None:
-        """partners, kinds: of messages; the demo's own if none are given."""
-        self.o, self.folder = options, folder
-        self.plans, self.kinds = partners or plans(options.rate), kinds or KINDS
+        """partners, classes: of messages; the demo's own if none are given."""
+        self.options, self.folder = options, folder
+        self.partner_settings, self.classes = (
+            partners or demo_partners(options.rate_per_s),
+            classes or MESSAGE_CLASSES,
+        )
         self.ledger = Ledger()
-        self.discovery = Discovery(self.ledger.noted)
+        self.discovery = Discovery(self.ledger.record_notice)
         self.partners: list[Partner] = []
         self.couriers: list[CourierProcess] = []
-        self.asked: set[str] = set()  # couriers whose end is part of the trouble
+        self.restarting: set[str] = set()  # couriers whose end is part of the trouble
         self.restarts = 0
         self.note = "well"
 
@@ -96,135 +99,144 @@
         """The account of the run. OSError if a courier can't start."""
         try:
             await self._start()
-            await self._play(progress)
+            await self._run_load(progress)
             return self.ledger.result()
         finally:
-            await self._end()
+            await self._stop()
 
     async def _start(self) -> None:
-        chance, now = random.Random(self.o.seed), asyncio.get_running_loop().time()
+        rng, now = random.Random(self.options.seed), asyncio.get_running_loop().time()
         await self.discovery.start()
-        for plan in self.plans:
-            partner = Partner(plan, ZONES, self.ledger, chance, now)
+        for settings in self.partner_settings:
+            partner = Partner(settings, ZONES, self.ledger, rng, now)
             self.partners.append(partner)
-            for machine in partner.machines:
-                await machine.start()
+            for endpoint in partner.endpoints:
+                await endpoint.start()
                 self.discovery.target(
-                    machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
+                    endpoint.uid,
+                    endpoint.port,
+                    settings.number,
+                    settings.kind,
+                    rate=settings.rate_per_s,
+                    zone=endpoint.zone,
                 )
-        for me in range(self.o.couriers):
-            text = courier_toml(self.discovery.port, self.o, me, self.kinds)
-            self.couriers.append(CourierProcess(f"courier-{me}", self.folder, text))
+        for index in range(self.options.couriers):
+            config = courier_toml(self.discovery.port, self.options, index, self.classes)
+            self.couriers.append(CourierProcess(f"courier-{index}", self.folder, config))
         await asyncio.gather(*(c.start() for c in self.couriers))
 
-    async def _play(self, progress: Callable[[Progress], None]) -> None:
+    async def _run_load(self, progress: Callable[[Progress], None]) -> None:
         loop = asyncio.get_running_loop()
-        start = loop.time()
-        load = Load(
+        started_at = loop.time()
+        load = LoadGenerator(
             self.ledger,
-            self.kinds,
-            [p.plan.number for p in self.partners],
-            lambda: [c.port for c in self.couriers if c.taking],
-            random.Random(self.o.seed + 1),
+            self.classes,
+            [p.settings.number for p in self.partners],
+            lambda: [c.port for c in self.couriers if c.is_accepting],
+            random.Random(self.options.seed + 1),
         )
         async with asyncio.TaskGroup() as group:
-            handing_in = group.create_task(load.run(self.o.rate, self.o.seconds))
-            trouble = group.create_task(self._trouble())
-            until = start + self.o.seconds + max(k.life_s for k in self.kinds) + 2 * SLACK_S
-            while not (handing_in.done() and trouble.done() and not self.ledger.open(loop.time())):
-                await asyncio.sleep(STEP_S)
-                await self._keep_up()
+            submitting = group.create_task(load.run(self.options.rate_per_s, self.options.seconds))
+            trouble = group.create_task(self._make_trouble())
+            deadline = (
+                started_at + self.options.seconds + max(c.lifetime_s for c in self.classes) + 2 * SLACK_S
+            )
+            while not (submitting.done() and trouble.done() and not self.ledger.count_open(loop.time())):
+                await asyncio.sleep(POLL_INTERVAL_S)
+                await self._restart_ended_couriers()
                 progress(
                     Progress(
-                        loop.time() - start,
+                        loop.time() - started_at,
                         self.note,
                         self.ledger.result(),
-                        [c.name for c in self.couriers if c.taking],
+                        [c.name for c in self.couriers if c.is_accepting],
                     )
                 )
-                if loop.time() > until:
+                if loop.time() > deadline:
                     break
         load.close()
 
-    async def _keep_up(self) -> None:
+    async def _restart_ended_couriers(self) -> None:
         """A courier that ended unasked comes back with its folder, as the platform would start it."""
         for courier in self.couriers:
             process = courier.process
-            if process and process.returncode is not None and courier.name not in self.asked:
-                courier.taking = False
+            if process and process.returncode is not None and courier.name not in self.restarting:
+                courier.is_accepting = False
                 self.restarts += 1
-                await asyncio.sleep(BACK_S)
+                await asyncio.sleep(RESTART_DELAY_S)
                 await courier.start()
 
-    async def _trouble(self) -> None:
-        await asyncio.sleep(self.o.seconds * BEGINS)
-        lasts = self.o.seconds * (ENDS - BEGINS)
-        if self.o.trouble == "restart":
+    async def _make_trouble(self) -> None:
+        await asyncio.sleep(self.options.seconds * TROUBLE_BEGIN_SHARE)
+        duration_s = self.options.seconds * (TROUBLE_END_SHARE - TROUBLE_BEGIN_SHARE)
+        if self.options.trouble == "restart":
             await self._restart(self.couriers[0], signal.SIGKILL)
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration_s)
             await self._restart(self.couriers[-1], signal.SIGTERM)
-        elif self.o.trouble != "none":
-            struck = self._struck()
-            kind = "down" if self.o.trouble == "zone" else self.o.trouble
-            self.note = f"{self.o.trouble}: {', '.join(m.uid for m in struck[:3])}" + (
-                f" and {len(struck) - 3} more" if len(struck) > 3 else ""
+        elif self.options.trouble != "none":
+            troubled = self._troubled_endpoints()
+            kind = "down" if self.options.trouble == "zone" else self.options.trouble
+            self.note = f"{self.options.trouble}: {', '.join(e.uid for e in troubled[:3])}" + (
+                f" and {len(troubled) - 3} more" if len(troubled) > 3 else ""
             )
-            await asyncio.gather(*(m.begin(kind) for m in struck))
-            await asyncio.sleep(lasts)
-            await asyncio.gather(*(m.end() for m in struck))
-        self.note = "well again" if self.o.trouble != "none" else "well"
-
-    def _struck(self) -> list[Machine]:
-        every = [m for p in self.partners for m in p.machines]
-        if self.o.trouble == "zone":
-            return [m for m in every if m.zone == ZONES[-1]]
-        return self.partners[0].machines + self.partners[-1].machines[:1]
-
-    async def _restart(self, courier: CourierProcess, how: signal.Signals) -> None:
-        self.note = f"{how.name} to {courier.name}"
-        self.asked.add(courier.name)
+            await asyncio.gather(*(e.begin_trouble(kind) for e in troubled))
+            await asyncio.sleep(duration_s)
+            await asyncio.gather(*(e.end_trouble() for e in troubled))
+        self.note = "well again" if self.options.trouble != "none" else "well"
+
+    def _troubled_endpoints(self) -> list[PartnerEndpoint]:
+        endpoints = [e for p in self.partners for e in p.endpoints]
+        if self.options.trouble == "zone":
+            return [e for e in endpoints if e.zone == ZONES[-1]]
+        return self.partners[0].endpoints + self.partners[-1].endpoints[:1]
+
+    async def _restart(self, courier: CourierProcess, signal_number: signal.Signals) -> None:
+        self.note = f"{signal_number.name} to {courier.name}"
+        self.restarting.add(courier.name)
         self.restarts += 1
-        await courier.end(how)
-        await asyncio.sleep(BACK_S)
+        await courier.stop(signal_number)
+        await asyncio.sleep(RESTART_DELAY_S)
         await courier.start()
-        self.asked.discard(courier.name)
+        self.restarting.discard(courier.name)
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for courier in self.couriers:
             courier.kill()
         for courier in self.couriers:
             if courier.process is not None:
                 await courier.process.wait()
-        for server in (self.discovery, *(m for p in self.partners for m in p.machines)):
+        for server in (self.discovery, *(e for p in self.partners for e in p.endpoints)):
             await server.stop()
 
 
-def plans(rate: float) -> list[Plan]:
+def demo_partners(rate_per_s: float) -> list[PartnerSettings]:
     """Five partners whose limits leave half as much again as their part of the load."""
-    each = rate / 5
+    rate_per_partner = rate_per_s / 5
     return [
-        Plan(1, "mill", rate_per_s=max(8.0, 1.5 * each)),
-        Plan(2, "press", at_once=12, latency_ms=60),
-        Plan(3, "hall", "bundles", rate_per_s=max(4.0, 0.6 * each), bundle=10),
-        Plan(4, "ink", "bundles", at_once=6, bundle=10, latency_ms=80),
-        Plan(5, "paper", "apart", rate_per_s=max(6.0, each), routes_apart=True),
+        PartnerSettings(1, "mill", rate_per_s=max(8.0, 1.5 * rate_per_partner)),
+        PartnerSettings(2, "press", max_concurrent_calls=12, latency_ms=60),
+        PartnerSettings(3, "hall", "bundles", rate_per_s=max(4.0, 0.6 * rate_per_partner), max_batch=10),
+        PartnerSettings(4, "ink", "bundles", max_concurrent_calls=6, max_batch=10, latency_ms=80),
+        PartnerSettings(5, "paper", "apart", rate_per_s=max(6.0, rate_per_partner), routes_apart=True),
     ]
 
 
-def courier_toml(discovery: int, options: Options, me: int, kinds: list[Kind]) -> str:
+def courier_toml(discovery_port: int, options: Options, index: int, classes: list[LoadClass]) -> str:
     """The configuration of one courier, after what says who and where it is."""
-    effects = [(k, "unsafe" if k.unsafe else "keyed" if k.keyed else "safe") for k in kinds]
-    return COURIER.format(
+    effects = [(c, "unsafe" if c.unsafe else "keyed" if c.keyed else "safe") for c in classes]
+    return COURIER_TOML.format(
         host=HOST,
-        discovery=discovery,
-        seed=options.seed + me,
+        discovery=discovery_port,
+        seed=options.seed + index,
         level=options.log_level,
         couriers=options.couriers,
-        me=me,
+        me=index,
         bundle=10,
         zones=", ".join(f'{{name = "{z}"}}' for z in ZONES),
         classes="\n".join(
-            CLASS.format(k.cls, int(k.aim_s * 1e3), int(k.life_s * 1e3), effect, 8000 if k.keyed else 0)
-            for k, effect in effects
+            CLASS_TOML.format(
+                c.name, int(c.aim_s * 1e3), int(c.lifetime_s * 1e3), effect, 8000 if c.keyed else 0
+            )
+            for c, effect in effects
         ),
     )
--- a/hopmill/standin/server.py
+++ b/hopmill/standin/server.py
@@ -48,7 +48,9 @@
 async def read_request(reader: asyncio.StreamReader) -> tuple[str, str, dict[str, str], bytes]:
     """(method, path, headers with small letters, body)."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-    headers = {k.lower(): v.strip() for k, v in (line.split(":", 1) for line in head[1:] if line)}
+    headers = {
+        name.lower(): value.strip() for name, value in (line.split(":", 1) for line in head[1:] if line)
+    }
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     method, path, _ = head[0].split()
     return method, path, headers, body
--- a/hopmill/trial/couriers.py
+++ b/hopmill/trial/couriers.py
@@ -62,7 +62,7 @@
     def __init__(self, number: int, folder: Path, text: str, clock_s: float, governed: bool = False) -> None:
         """clock_s: how far its wall clock is off, always. governed: its decisions are recorded."""
         super().__init__(f"c{number}", folder, text)
-        self.door = free_port(THERE)
+        self.operator_port = free_port(THERE)
         # The trial holds the clients' socket, as the platform does, so that a process can take over.
         self.listening = socket.create_server((HOST, self.port), backlog=512)
         self.clock_s, self.disk = clock_s, folder / f"c{number}.disk"
@@ -84,15 +84,15 @@
             LB_LISTEN_FD=str(fd),
             HOPMILL_TRIAL_CLOCK_S=str(self.clock_s),
             HOPMILL_TRIAL_DISK=str(self.disk),
-            LB_OPERATOR=f"{THERE}:{self.door}",
+            LB_OPERATOR=f"{THERE}:{self.operator_port}",
             **env,
         )
 
     async def upgrade(self) -> bool:
         """A second process takes over from the first. False if it did not, and the first goes on."""
-        former, former_door = self.process, self.door
+        former, former_operator_port = self.process, self.operator_port
         assert former is not None
-        self.door = free_port(THERE)
+        self.operator_port = free_port(THERE)
         self.process = await self.launch()
         until = time.monotonic() + UPGRADE_S
         while time.monotonic() < until and self.process.returncode is None:
@@ -107,7 +107,7 @@
             self.process.kill()
             await self.process.wait()
         if former.returncode is None:
-            self.process, self.door = former, former_door
+            self.process, self.operator_port = former, former_operator_port
             return False
         await self.start()
         return False
@@ -165,7 +165,9 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError, ValueError, IndexError):
             async with asyncio.timeout(PATIENCE_S):
                 # From another address: a port that is free there stays free for a door.
-                reader, writer = await asyncio.open_connection(THERE, self.door, local_addr=(HOST, 0))
+                reader, writer = await asyncio.open_connection(
+                    THERE, self.operator_port, local_addr=(HOST, 0)
+                )
                 try:
                     head = f"{method} {path} HTTP/1.1\r\nHost: d\r\nContent-Length: {len(sent)}\r\n\r\n"
                     writer.write(head.encode() + sent)
@@ -179,7 +181,7 @@
     def deaths(self) -> list[tuple[int, str]]:
         """(when, whom) it took for dead, from its log; when: us of the wall clock."""
         found = []
-        with self.log.open("rb") as file:
+        with self.log_file.open("rb") as file:
             for line in file:
                 if match := DEATH.match(line):
                     at = datetime.fromisoformat(match[1].decode()).timestamp()
--- a/hopmill/trial/faults.py
+++ b/hopmill/trial/faults.py
@@ -75,7 +75,7 @@
 
     async def _end_and_start(self, c: Courier, fault: Fault) -> None:
         self.killed += fault.kind != "restart"
-        await c.end(signal.SIGTERM if fault.kind == "restart" else signal.SIGKILL)
+        await c.stop(signal.SIGTERM if fault.kind == "restart" else signal.SIGKILL)
         if fault.kind == "folder":
             c.lose_fleet_files(fault.detail["back"])
         await asyncio.sleep(fault.lasts)
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -43,21 +43,21 @@
         self.names: dict[int, str] = {}  # of couriers, by their clients' port
         self.given: dict[str, str] = {}  # message: the courier that has it, which alone delivers it
 
-    def handed_in(self, ident: str, entry: Entry) -> None:
-        super().handed_in(ident, entry)
-        self.history.add("load", "put", message=ident, cls=entry.cls)
+    def record_submission(self, message_id: str, entry: Entry) -> None:
+        super().record_submission(message_id, entry)
+        self.history.add("load", "put", message=message_id, cls=entry.class_name)
 
-    def answered(self, ident: str, answer: str) -> None:
-        super().answered(ident, answer)
-        self.history.add("load", "answer", message=ident, answer=answer)
+    def record_answer(self, message_id: str, answer: str) -> None:
+        super().record_answer(message_id, answer)
+        self.history.add("load", "answer", message=message_id, answer=answer)
 
-    def handed_to(self, ident: str, port: int) -> None:
-        self.given[ident] = self.names.get(port, "")
+    def record_courier(self, message_id: str, port: int) -> None:
+        self.given[message_id] = self.names.get(port, "")
 
-    def began(self, endpoint: str, idents: list[str]) -> None:
-        courier = self.given.get(idents[0], "") if idents else ""
-        self.history.add(endpoint, "call", courier=courier, messages=idents)
+    def record_call(self, endpoint: str, message_ids: list[str]) -> None:
+        courier = self.given.get(message_ids[0], "") if message_ids else ""
+        self.history.add(endpoint, "call", courier=courier, messages=message_ids)
 
-    def noted(self, line: dict[str, str]) -> None:
-        super().noted(line)
-        self.history.add("discovery", "notice", message=line["id"], status=line["status"])
+    def record_notice(self, notice: dict[str, str]) -> None:
+        super().record_notice(notice)
+        self.history.add("discovery", "notice", message=notice["id"], status=notice["status"])
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from hopmill.standin.discovery import Discovery
-from hopmill.standin.load import Load
+from hopmill.standin.load import LoadGenerator
 from hopmill.standin.partner import Partner
-from hopmill.standin.scene import KINDS, Options, courier_toml, plans
+from hopmill.standin.scene import MESSAGE_CLASSES, Options, courier_toml, demo_partners
 from hopmill.trial import policy_rules, rules
 from hopmill.trial.couriers import LEASE, Courier, free_udp_ports, members_toml
 from hopmill.trial.faults import Hand
@@ -49,7 +49,7 @@
         self.chance = random.Random(f"trial {self.s.name} {ask.seed}")
         self.history = History()
         self.ledger = Recorder(self.history)
-        self.discovery = Discovery(self.ledger.noted)
+        self.discovery = Discovery(self.ledger.record_notice)
         self.partners: list[Partner] = []
         self.couriers: list[Courier] = []
         self.relay = Relay(random.Random(f"relay {ask.seed}"))
@@ -82,10 +82,10 @@
             Options(self.s.seconds, self.s.rate_per_s, self.ask.couriers, seed=self.ask.seed),
         )
         await self.discovery.start()
-        for plan in plans(self.s.rate_per_s):
+        for plan in demo_partners(self.s.rate_per_s):
             partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.chance, loop.time())
             self.partners.append(partner)
-            for m in partner.machines:
+            for m in partner.endpoints:
                 await m.start()
                 self.discovery.target(
                     m.uid, m.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=m.zone
@@ -95,7 +95,7 @@
         self.relay.open(free_udp_ports(self.ask.couriers))
         for n in range(self.ask.couriers):
             text = (
-                courier_toml(self.discovery.port, o, n, KINDS)
+                courier_toml(self.discovery.port, o, n, MESSAGE_CLASSES)
                 + "\n"
                 + members_toml(n, self.ask.couriers, self.voters, self.relay, self.s.alone)
             )
@@ -121,17 +121,17 @@
 
     async def _play(self) -> None:
         loop = asyncio.get_running_loop()
-        load = Load(
+        load = LoadGenerator(
             self.ledger,
-            KINDS,
-            [p.plan.number for p in self.partners],
-            lambda: [c.port for c in self.couriers if c.taking],
+            MESSAGE_CLASSES,
+            [p.settings.number for p in self.partners],
+            lambda: [c.port for c in self.couriers if c.is_accepting],
             random.Random(f"load {self.ask.seed}"),
         )
         watching = [loop.create_task(self._watch(c)) for c in self.couriers]
         watching += [loop.create_task(self._changes())]
         policies = Policies(
-            self.couriers, self.history, self.chance, [m.uid for p in self.partners for m in p.machines]
+            self.couriers, self.history, self.chance, [m.uid for p in self.partners for m in p.endpoints]
         )
         if self.s.policies_per_s:
             watching.append(loop.create_task(policies.go_on(self.s.policies_per_s)))
@@ -252,7 +252,7 @@
                     await c.process.wait()
             c.listening.close()
         self.relay.close()
-        for server in (self.discovery, *(m for p in self.partners for m in p.machines)):
+        for server in (self.discovery, *(m for p in self.partners for m in p.endpoints)):
             await server.stop()
 
     def _told(self, found: list[str], seconds: float) -> dict[str, Any]:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -211,7 +211,7 @@
             "name": "n0",
             "seed": "8c1f30d27a5be964",
             "limits": self.limits,
-            "known": self.discovery.whole(),
+            "known": self.discovery.full_list(),
             "settings": self.raw,
         }
         path = self.folder / "config.json"
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -18,8 +18,8 @@
 from loopback import DOOR, ROOT, answer, bounded, courier, until
 from prometheus_client.parser import text_string_to_metric_families
 
-from hopmill.bench.subject import Subject
-from hopmill.bench.world import Endpoint, World
+from hopmill.bench.subject import MeasuredCourier
+from hopmill.bench.world import Endpoint, Environment
 from hopmill.cli import door, journal
 from hopmill.cli import top as top_
 from hopmill.net import state
@@ -330,7 +330,9 @@
             ("", 0, "", 0),
         ]
     ):
-        ledger.handed_in(str(n), Entry("c", n == 0, 1.0, 1.0, 6.0, answer_, delivered, effects, notice))
+        ledger.record_submission(
+            str(n), Entry("c", n == 0, 1.0, 1.0, 6.0, answer_, delivered, effects, notice)
+        )
     got = ledger.result().as_json()
     assert {
         k: got[k]
@@ -360,7 +362,7 @@
         "lost": 1,
         "twice": 1,
     }
-    assert ledger.result().failed and ledger.open(2.0) == 1 and ledger.open(7.4) == 0
+    assert ledger.result().failed and ledger.count_open(2.0) == 1 and ledger.count_open(7.4) == 0
 
 
 def running_demo(tmp_path, *args):
@@ -423,8 +425,8 @@
     monkeypatch.setattr(
         asyncio, "create_subprocess_exec", lambda *args, **more: launch(*args, **{**more, "stderr": writer})
     )
-    world = World(partners=4, latency_s=0.01)
-    tries = world.settings()["policyLimits"]["attemptsCap"]
+    environment = Environment(partner_count=4, latency_s=0.01)
+    tries = environment.settings()["policyLimits"]["attemptsCap"]
     calls, answered, noted = Counter(), set(), {}  # by id: calls; those with a 200 written; what notices say
 
     def counted(endpoint, ident):
@@ -436,29 +438,29 @@
     monkeypatch.setattr(Endpoint, "_answer", counted)
 
     async def run():
-        await world.start()
-        subject = Subject(
+        await environment.start()
+        measured = MeasuredCourier(
             "n0",
             ROOT,
             tmp_path,
-            world.settings(),
-            world.known(),
-            world.discovery.port,
-            extra={"log": {"level": "debug", "lines_per_s": 10**6}},
+            environment.settings(),
+            environment.known_targets(),
+            environment.discovery.port,
+            extra_config={"log": {"level": "debug", "lines_per_s": 10**6}},
         )
         try:
-            await subject.start()
-            load = await world.load(subject.port, 1000, 1.5, connections=20)
-            while not world.discovery.finals.empty():
-                _, notice = world.discovery.finals.get_nowait()
+            await measured.start()
+            load = await environment.load(measured.port, 1000, 1.5, connections=20)
+            while not environment.discovery.finals.empty():
+                _, notice = environment.discovery.finals.get_nowait()
                 noted.setdefault(notice["id"], set()).add((notice["status"], notice.get("again_ms", 0)))
             # Partners live in this process: while it gets no CPU, calls time out, and after the last try the
             # message is deferred. Each of those calls has been written, so it is read in the end.
             await until(lambda: all(calls[ident] >= tries for ident in noted))
             return load
         finally:
-            await subject.stop()
-            await world.stop()
+            await measured.stop()
+            await environment.stop()
 
     load = asyncio.run(run())
     os.close(reader)
@@ -466,7 +468,9 @@
     # Each message has one end: the courier's own word where it gave one, else the 200 that its partner wrote.
     deferred, delivered = set(noted), answered - set(noted)
     assert len(delivered) + len(deferred) + load.refused + load.failed == load.offered and load.lost == 0
-    assert deferred | delivered == world.done <= set(world.due) and load.late_ends == 0
+    assert (
+        deferred | delivered == environment.ended_ids <= set(environment.due_and_end) and load.late_ends == 0
+    )
     assert all(len(said) == 1 and {status for status, _ in said} == {"deferred"} for said in noted.values())
     assert all(calls[ident] == tries for ident in deferred) and max(calls.values()) <= tries
     assert load.delivered > 0.5 * load.offered  # on one core, with all log output dropped
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -358,7 +358,7 @@
         ("b", Entry("payout", True, 0, 1, 2, "taken", 1.0, 2)),
         ("c", Entry("news", False, 0, 1, 2, "refused")),
     ):
-        ledger.handed_in(ident, entry)
+        ledger.record_submission(ident, entry)
     assert [text.split()[1] for text in rules.violations(History(), ledger)] == ["a", "b"]
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -502,7 +502,7 @@
                 fleet.discovery.targets.clear()
                 fleet.discovery.target(f"a{n}", e.port, 7)
                 fleet.discovery.rev += 1
-                fleet.discovery.push(fleet.discovery.whole())
+                fleet.discovery.push(fleet.discovery.full_list())
                 await until(lambda: host.watch.rev == fleet.discovery.rev)
                 assert await client.put(f"m{n}") == "+OK"
                 await e.call()
