--- a/hopmill/bench/lean.py
+++ b/hopmill/bench/lean.py
@@ -18,7 +18,7 @@
 from hopmill.bench.subject import MeasuredCourier
 from hopmill.bench.world import Environment
 
-IDLE_PERIOD_S = 1.0
+IDLE_PERIOD_S = 1.0  # from ready to the reading of idle memory
 
 
 async def measure(
@@ -66,7 +66,9 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument(
-        "revision", nargs="+", help="NAME=CHECKOUT; NAME+door has its door open, NAME+debug logs at debug"
+        "revision",
+        nargs="+",
+        help="NAME=CHECKOUT; NAME+door enables the operator API, NAME+debug logs at debug level",
     )
     parser.add_argument("--rate", type=float, default=800)
     parser.add_argument("--seconds", type=float, default=10)
--- a/hopmill/bench/subject.py
+++ b/hopmill/bench/subject.py
@@ -38,11 +38,11 @@
     name: str
     checkout: Path
     folder: Path
-    platform_settings: dict[str, Any]  # the platform's settings
-    known_targets: dict[str, Any]
-    discovery_port: int  # its port
+    platform_settings: dict[str, Any]  # as the platform writes them
+    known_targets: dict[str, Any]  # list of targets that the courier starts with
+    discovery_port: int
     has_operator_api: bool = False
-    extra_config: dict[str, Any] = field(default_factory=dict)  # more fields of the configuration
+    extra_config: dict[str, Any] = field(default_factory=dict)  # further fields of the configuration file
     limits: dict[str, float] = field(
         default_factory=lambda: {"memory_mb": 192, "sockets": 4096, "disk_mb": 64}
     )
@@ -90,7 +90,7 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self._answers_ping():
                 if self.process.returncode is not None:
-                    raise OSError(f"{self.name}: ended at its start with {self.process.returncode}")
+                    raise OSError(f"{self.name} exited with {self.process.returncode} before it was ready")
                 await asyncio.sleep(POLL_INTERVAL_S)
         self.ready_s = time.monotonic() - began_at
 
--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -16,7 +16,7 @@
 from hopmill.standin.discovery import Discovery
 from hopmill.standin.server import HOST
 
-SLACK_S = 0.3
+SLACK_S = 0.3  # grace after a message's deadline before it counts as late or lost
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -60,9 +60,9 @@
     failed: int = 0
     delivered: int = 0
     lost: int = 0
-    late_ends: int = 0  # final answers after the message's time and its slack
+    late_ends: int = 0  # deliveries and notices after the message's deadline and its grace
     latencies_s: list[float] = field(default_factory=list)
-    by_second: dict[int, int] = field(default_factory=dict)  # delivered, by second of the load
+    by_second: dict[int, int] = field(default_factory=dict)  # deliveries in each second of the load
 
     def percentile_ms(self, share: float) -> float:
         values = sorted(self.latencies_s)
@@ -87,8 +87,8 @@
         self.discovery = Discovery(self._end_by_notice)
         self.servers: list[asyncio.Server] = []
         self.connections_opened = 0
-        self.due_and_end: dict[str, tuple[float, float]] = {}  # id: due, and end of life
-        self.open_ids: set[str] = set()  # taken on and not ended
+        self.due_and_end: dict[str, tuple[float, float]] = {}  # by message id: due time and deadline
+        self.open_ids: set[str] = set()  # ids of messages taken on, neither delivered nor ended by a notice
         self.ended_ids: set[str] = set()
         self.result = LoadResult()
         self.began_at = 0.0
@@ -155,8 +155,6 @@
             "tenants": [{"name": "t", "fraction": 1.0, "quotaPerS": 1e9}],
         }
 
-    # The load
-
     async def load(
         self,
         port: int,
--- a/hopmill/standin/client.py
+++ b/hopmill/standin/client.py
@@ -6,7 +6,7 @@
 
 from hopmill.standin.server import HOST
 
-ANSWER_TIMEOUT_S = 0.4  # a client waits so long for its answer
+ANSWER_TIMEOUT_S = 0.4  # how long a client waits for the courier's answer
 
 
 class Client:
--- a/hopmill/standin/courier.py
+++ b/hopmill/standin/courier.py
@@ -15,7 +15,7 @@
 from hopmill.standin.server import HOST
 
 READY_TIMEOUT_S = 20.0
-PR_SET_PDEATHSIG = 1
+PR_SET_PDEATHSIG = 1  # of prctl(2)
 libc = ctypes.CDLL(None)
 
 
@@ -36,7 +36,7 @@
         """config: the rest of the file, after what says who and where it is."""
         self.name, self.folder, self.port, self.operator_port = name, folder, free_port(), free_port()
         self.process: asyncio.subprocess.Process | None = None
-        self.is_accepting = False  # clients may be sent here
+        self.is_accepting = False  # ready for clients
         state_folder = folder / f"{name}.state"
         state_folder.mkdir()
         self.config_file, self.log_file = folder / f"{name}.toml", folder / f"{name}.log"
@@ -59,7 +59,7 @@
                 stderr=log,
                 stdout=log,
                 stdin=asyncio.subprocess.DEVNULL,
-                start_new_session=True,  # Ctrl-C is the demo's affair
+                start_new_session=True,  # Ctrl-C reaches the demo only, which then stops its couriers
                 env={**os.environ, **env},
                 pass_fds=fds,
                 preexec_fn=end_with_parent,
@@ -71,8 +71,8 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self._answers_ping():
                 if self.process.returncode is not None:
-                    last_line = self.log_file.read_text().strip().splitlines()[-1:] or ["no word"]
-                    raise OSError(f"courier {self.name} ended at its start: {last_line[0]}")
+                    last_line = self.log_file.read_text().strip().splitlines()[-1:] or ["no output"]
+                    raise OSError(f"courier {self.name} exited before it was ready: {last_line[0]}")
                 await asyncio.sleep(0.02)
         self.is_accepting = True
 
--- a/hopmill/standin/discovery.py
+++ b/hopmill/standin/discovery.py
@@ -9,7 +9,7 @@
 
 from hopmill.standin.server import HOST, Server, read_request
 
-HEARTBEAT_INTERVAL_S = 2.0  # an empty line comes so often while nothing changes
+HEARTBEAT_INTERVAL_S = 2.0  # an empty line keeps the watch open while nothing changes
 
 
 class Discovery(Server):
@@ -18,12 +18,12 @@
     def __init__(self, on_notice: Callable[[dict[str, Any]], None] = lambda notice: None) -> None:
         super().__init__()
         self.on_notice = on_notice
-        self.rev = 1
-        self.targets: dict[str, dict[str, Any]] = {}
-        self.finals: asyncio.Queue[tuple[int, dict[str, Any]]] = asyncio.Queue()
-        self.watches: asyncio.Queue[str] = asyncio.Queue()
+        self.rev = 1  # revision of the list
+        self.targets: dict[str, dict[str, Any]] = {}  # by uid
+        self.finals: asyncio.Queue[tuple[int, dict[str, Any]]] = asyncio.Queue()  # (status, notice)
+        self.watches: asyncio.Queue[str] = asyncio.Queue()  # paths of watch requests
         self.watchers: list[asyncio.StreamWriter] = []
-        self.notice_status: list[int] = []  # of the next answers to notices, in turn; then 204
+        self.notice_status: list[int] = []  # statuses of the next answers to notices; 204 once it is empty
 
     def target(
         self,
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK_S = 0.3  # after its time a message may take so long to end before it counts as lost
+SLACK_S = 0.3  # grace after a message's deadline before it counts as lost
 
 
 @dataclass
@@ -15,12 +15,12 @@
     class_name: str
     unsafe: bool
     submitted_at: float
-    aim_s: float
-    lifetime_s: float
-    answer: str = ""  # taken, refused, failed; "" until it is known
-    delivered_at: float = 0.0
-    effects: int = 0
-    notice: str = ""
+    aim_s: float  # a delivery within this is in time
+    lifetime_s: float  # from submission to the deadline
+    answer: str = ""  # the courier's: taken, refused or failed; "" until it is known
+    delivered_at: float = 0.0  # 0 until an endpoint has answered 200
+    effects: int = 0  # calls with this message that took effect at the partner
+    notice: str = ""  # status of its notice; "" if there was none
 
 
 @dataclass
@@ -28,9 +28,9 @@
     """Told by clients, partners and discovery, each of what it saw itself."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
-    calls: Counter[str] = field(default_factory=Counter)  # answers of endpoints, by what they said
-    connections_opened: int = 0  # opened to endpoints
-    overloads: int = 0  # times that a cold partner was pushed over
+    calls: Counter[str] = field(default_factory=Counter)  # by outcome
+    connections_opened: int = 0  # at endpoints
+    overloads: int = 0  # overloads of partners in warm-up
 
     def record_submission(self, message_id: str, entry: Entry) -> None:
         self.entries[message_id] = entry
@@ -92,7 +92,7 @@
 @dataclass
 class Result:
     counts: Counter[str]
-    latencies_s: list[float]  # of what was delivered, in order
+    latencies_s: list[float]  # of delivered messages, ascending
     ledger: Ledger
 
     def percentile_ms(self, share: float) -> float:
--- a/hopmill/standin/load.py
+++ b/hopmill/standin/load.py
@@ -11,8 +11,8 @@
 from hopmill.standin.client import ANSWER_TIMEOUT_S, Client
 from hopmill.standin.ledger import Entry, Ledger
 
-MAX_RESUBMISSIONS = 2  # times that a refused message is handed in anew, while its life lasts
-MAX_IDLE_S = 1.5  # an idle connection is used up to this age: couriers close them after 2 s
+MAX_RESUBMISSIONS = 2  # how often a refused message is submitted again before its deadline
+MAX_IDLE_S = 1.5  # couriers close a client's idle connection after 2 s
 
 
 @dataclass(frozen=True)
@@ -20,11 +20,11 @@
     """What one class of messages asks for."""
 
     name: str
-    share: float  # of all messages
-    aim_s: float
-    lifetime_s: float
-    unsafe: bool = False
-    keyed: bool = False
+    share: float  # of all messages; relative to the other classes' shares
+    aim_s: float  # a delivery within this is in time
+    lifetime_s: float  # from the time at which a message is due to its deadline
+    unsafe: bool = False  # may take effect once at most
+    keyed: bool = False  # carries an idempotency key
 
 
 class LoadGenerator:
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -14,8 +14,8 @@
 from hopmill.standin.server import Server, answer, read_request
 
 TROUBLES = ("down", "silent", "slow", "errors", "shut")
-SLOW_FACTOR = 10.0  # how much longer a slow endpoint's calls last
-SHUT_RETRY_AFTER_S = 2.0  # the wait that a shut partner tells
+SLOW_FACTOR = 10.0  # a slow endpoint multiplies the latency of its calls by this
+SHUT_RETRY_AFTER_S = 2.0  # Retry-After of an endpoint that refuses every call
 
 
 @dataclass(frozen=True)
@@ -24,20 +24,20 @@
 
     number: int
     name: str
-    kind: str = "plain"
-    rate_per_s: float = 0.0  # calls a second over a span of a second; 0: no such limit
-    max_concurrent_calls: int = 0  # calls at a time; 0: no such limit
-    max_queued_calls: int = 8  # calls that wait for one of these
-    max_batch: int = 1
-    latency_ms: float = 40.0  # median of a log-normal
-    latency_sigma: float = 0.3
-    extra_message_ms: float = 1.0  # that each further message of a bundle adds
-    max_connections: int = 64  # at each endpoint, idle ones counted
-    routes_apart: bool = False  # each endpoint has its own limit
-    cold_share: float = 0.2
-    cold_s: float = 2.0
-    fall_multiple: float = 2.5
-    fall_s: float = 1.0
+    kind: str = "plain"  # name of one of the kinds in the courier's configuration
+    rate_per_s: float = 0.0  # token bucket that holds one second of calls; 0: no rate limit
+    max_concurrent_calls: int = 0  # at each endpoint; 0: no limit
+    max_queued_calls: int = 8  # calls that wait for a free slot at an endpoint; any more are refused with 503
+    max_batch: int = 1  # messages in a call
+    latency_ms: float = 40.0  # median of a log-normal distribution, for a call with one message
+    latency_sigma: float = 0.3  # standard deviation of the logarithm of the latency
+    extra_message_ms: float = 1.0  # added to the median by each further message of a batch
+    max_connections: int = 64  # open connections to each endpoint, idle ones included
+    routes_apart: bool = False  # each endpoint has a rate limit of its own
+    cold_share: float = 0.2  # share of the capacity at the beginning of a warm-up
+    cold_s: float = 2.0  # duration of a warm-up, in which the share grows linearly to 1
+    fall_multiple: float = 2.5  # during a warm-up, more than this times the capacity overloads the partner
+    fall_s: float = 1.0  # span over which the calls are counted, and duration of the outage that follows
 
 
 class RateLimit:
@@ -120,7 +120,7 @@
         self.trouble = ""
         self.slots = asyncio.Semaphore(settings.max_concurrent_calls or 1 << 20)
         self.queued_calls = 0
-        self.applied_keys: set[str] = set()  # idempotency keys that took effect
+        self.applied_keys: set[str] = set()  # idempotency keys of calls that took effect
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.ledger.connections_opened += 1
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -23,9 +23,9 @@
     LoadClass("update", 0.3, 2.0, 8.0, keyed=True),
     LoadClass("payout", 0.1, 1.0, 8.0, unsafe=True),
 ]
-TROUBLE_BEGIN_SHARE, TROUBLE_END_SHARE = 0.3, 0.55  # of the run, for its trouble
-RESTART_DELAY_S = 0.3  # a courier that ended comes back after so long
-POLL_INTERVAL_S = 0.25  # between two looks at the processes, and two words of progress
+TROUBLE_BEGIN_SHARE, TROUBLE_END_SHARE = 0.3, 0.55  # of the time in which messages are submitted
+RESTART_DELAY_S = 0.3  # from the end of a courier process to its next start
+POLL_INTERVAL_S = 0.25  # between two checks of the processes, each followed by a report of progress
 
 COURIER_TOML = """
 discovery = "{host}:{discovery}"
@@ -66,9 +66,9 @@
     """A look at the run."""
 
     elapsed_s: float
-    note: str  # what the world does just now
+    note: str  # state of the trouble
     result: Result
-    couriers: list[str] = field(default_factory=list)
+    couriers: list[str] = field(default_factory=list)  # those that accept clients
 
 
 class LoopbackSystem:
@@ -91,9 +91,9 @@
         self.discovery = Discovery(self.ledger.record_notice)
         self.partners: list[Partner] = []
         self.couriers: list[CourierProcess] = []
-        self.restarting: set[str] = set()  # couriers whose end is part of the trouble
+        self.restarting: set[str] = set()  # couriers that the trouble stops and starts itself
         self.restarts = 0
-        self.note = "well"
+        self.note = "no trouble"
 
     async def run(self, progress: Callable[[Progress], None] = lambda p: None) -> Result:
         """The account of the run. OSError if a courier can't start."""
@@ -182,7 +182,7 @@
             await asyncio.gather(*(e.begin_trouble(kind) for e in troubled))
             await asyncio.sleep(duration_s)
             await asyncio.gather(*(e.end_trouble() for e in troubled))
-        self.note = "well again" if self.options.trouble != "none" else "well"
+        self.note = "trouble over" if self.options.trouble != "none" else "no trouble"
 
     def _troubled_endpoints(self) -> list[PartnerEndpoint]:
         endpoints = [e for p in self.partners for e in p.endpoints]
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -427,7 +427,7 @@
     )
     environment = Environment(partner_count=4, latency_s=0.01)
     tries = environment.settings()["policyLimits"]["attemptsCap"]
-    calls, answered, noted = Counter(), set(), {}  # by id: calls; those with a 200 written; what notices say
+    calls, answered, noted = Counter(), set(), {}  # by id: calls, ids with a written 200, contents of notices
 
     def counted(endpoint, ident):
         calls[ident] += 1
@@ -454,8 +454,8 @@
             while not environment.discovery.finals.empty():
                 _, notice = environment.discovery.finals.get_nowait()
                 noted.setdefault(notice["id"], set()).add((notice["status"], notice.get("again_ms", 0)))
-            # Partners live in this process: while it gets no CPU, calls time out, and after the last try the
-            # message is deferred. Each of those calls has been written, so it is read in the end.
+            # The partners run in this process: while it gets no CPU, calls time out; after the last attempt
+            # the message is deferred. The courier has written each of those calls, so all of them arrive.
             await until(lambda: all(calls[ident] >= tries for ident in noted))
             return load
         finally:
@@ -465,7 +465,7 @@
     load = asyncio.run(run())
     os.close(reader)
     os.close(writer)
-    # Each message has one end: the courier's own word where it gave one, else the 200 that its partner wrote.
+    # Each message has one final answer: the courier's notice if there is one, else the 200 of its partner.
     deferred, delivered = set(noted), answered - set(noted)
     assert len(delivered) + len(deferred) + load.refused + load.failed == load.offered and load.lost == 0
     assert (
