--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -14,8 +14,12 @@
 
 from hopmill.standin.client import ANSWER_TIMEOUT_S
 from hopmill.standin.discovery import Discovery
+from hopmill.standin.load import MAX_RETRY_WAIT_S, MIN_RETRY_WAIT_S
 from hopmill.standin.server import HOST
 
+MIN_LIFETIME_S = 0.01  # a message that is closer to its deadline is not submitted
+POLL_INTERVAL_S = 0.02  # between two checks for messages without a final answer
+MAX_BACKLOG = 4096  # connections waiting to be accepted by an endpoint
 SLACK_S = 0.3  # grace after a message's deadline before it counts as late or lost
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
@@ -107,7 +111,7 @@
         await self.discovery.start()
         for partner in range(1, self.partner_count + 1):
             for index in range(self.endpoints_per_partner):
-                server = await loop.create_server(lambda: Endpoint(self), HOST, 0, backlog=4096)
+                server = await loop.create_server(lambda: Endpoint(self), HOST, 0, backlog=MAX_BACKLOG)
                 self.servers.append(server)
                 self.discovery.target(
                     f"p{partner}-{index}", server.sockets[0].getsockname()[1], partner, "plain", rate=0.0
@@ -201,7 +205,7 @@
         await queue.join()
         deadline = loop.time() + lifetime_s + SLACK_S
         while self.open_ids and loop.time() < deadline:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_INTERVAL_S)
         for worker in workers:
             worker.cancel()
         self.result.lost = len(self.open_ids)
@@ -218,7 +222,7 @@
             message_id, partner, resubmissions = await queue.get()
             remaining_s = self.due_and_end[message_id][1] - loop.time()
             try:
-                if remaining_s <= 0.01:
+                if remaining_s <= MIN_LIFETIME_S:
                     self.result.failed += 1
                     continue
                 if writer is None:
@@ -256,7 +260,9 @@
         self.result.refused += 1
         if resubmissions and reply.startswith(b"-BUSY"):
             fields = reply.split()
-            wait_s = int(fields[1]) / 1e3 if len(fields) > 1 else rng.uniform(0.1, 0.3)
+            wait_s = (
+                int(fields[1]) / 1e3 if len(fields) > 1 else rng.uniform(MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S)
+            )
             new_id = f"{message_id}a"
             self.due_and_end[new_id] = self.due_and_end[message_id]
             loop.call_later(wait_s, queue.put_nowait, (new_id, partner, resubmissions - 1))
--- a/hopmill/standin/courier.py
+++ b/hopmill/standin/courier.py
@@ -15,6 +15,9 @@
 from hopmill.standin.server import HOST
 
 READY_TIMEOUT_S = 20.0
+PING_TIMEOUT_S = 0.5
+PING_INTERVAL_S = 0.02  # until a started courier answers
+STOP_TIMEOUT_S = 5.0  # after it a courier that ignores its signal is killed
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 libc = ctypes.CDLL(None)
 
@@ -77,12 +80,12 @@
                 if self.process.returncode is not None:
                     last_line = self.log_file.read_text().strip().splitlines()[-1:] or ["no output"]
                     raise OSError(f"courier {self.name} exited before it was ready: {last_line[0]}")
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(PING_INTERVAL_S)
         self.is_accepting = True
 
     async def _answers_ping(self) -> bool:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-            async with asyncio.timeout(0.5):
+            async with asyncio.timeout(PING_TIMEOUT_S):
                 client = await Client().open(self.port)
                 reply = await client.send(client.command(b"PING"))
                 client.close()
@@ -98,7 +101,7 @@
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal_number)
         try:
-            await asyncio.wait_for(process.wait(), 5.0)
+            await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             process.kill()
             await process.wait()
--- a/hopmill/standin/load.py
+++ b/hopmill/standin/load.py
@@ -12,6 +12,8 @@
 from hopmill.standin.ledger import Entry, Ledger
 
 MAX_RESUBMISSIONS = 2  # how often a refused message is submitted again before its deadline
+MIN_LIFETIME_S = 0.05  # a message that is closer to its deadline is not submitted
+MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S = 0.1, 0.3  # random wait after a refusal without retry-after
 MAX_IDLE_S = 1.5  # couriers close a client's idle connection after 2 s
 
 
@@ -65,7 +67,7 @@
         for _ in range(1 + MAX_RESUBMISSIONS):
             remaining_s = due_at + message_class.lifetime_s - loop.time()
             ports = self.list_ports()
-            if remaining_s < 0.05 or not ports:
+            if remaining_s < MIN_LIFETIME_S or not ports:
                 return
             self.submissions += 1
             message_id = f"d{self.submissions:08x}"
@@ -86,7 +88,11 @@
             if not is_refused:
                 return
             retry_after = reply.split()[1:]
-            await asyncio.sleep(int(retry_after[0]) / 1e3 if retry_after else self.rng.uniform(0.1, 0.3))
+            await asyncio.sleep(
+                int(retry_after[0]) / 1e3
+                if retry_after
+                else self.rng.uniform(MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S)
+            )
 
     async def _send(
         self, port: int, message_id: str, message_class: LoadClass, partner: int, remaining_s: float
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -20,6 +20,9 @@
 TROUBLES = ("down", "silent", "slow", "errors", "shut")
 SLOW_FACTOR = 10.0  # a slow endpoint multiplies the latency of its calls by this
 SHUT_RETRY_AFTER_S = 2.0  # Retry-After of an endpoint that refuses every call
+SILENCE_POLL_S = 0.05  # interval at which a silent endpoint checks whether its trouble is over
+MIN_OVERLOAD_CALLS = 4.0  # so few calls never overload a partner, however low its rate
+UNLIMITED_SLOTS = 1 << 20  # more than the connections of a run
 
 
 @dataclass(frozen=True)
@@ -76,7 +79,8 @@
         while self.recent_calls[0] < now - settings.fall_s:
             self.recent_calls.popleft()
         if len(self.recent_calls) <= max(
-            4.0, settings.fall_multiple * settings.rate_per_s * self.capacity_share(now) * settings.fall_s
+            MIN_OVERLOAD_CALLS,
+            settings.fall_multiple * settings.rate_per_s * self.capacity_share(now) * settings.fall_s,
         ):
             return False
         self.overloaded_until = now + settings.fall_s
@@ -123,7 +127,7 @@
         self.settings, self.uid, self.zone, self.limit = settings, uid, zone, limit
         self.ledger, self.rng = ledger, rng
         self.trouble = ""
-        self.slots = asyncio.Semaphore(settings.max_concurrent_calls or 1 << 20)
+        self.slots = asyncio.Semaphore(settings.max_concurrent_calls or UNLIMITED_SLOTS)
         self.queued_calls = 0
         self.applied_keys: set[str] = set()  # idempotency keys of calls that took effect
 
@@ -135,7 +139,7 @@
         while True:
             _, path, headers, body = await read_request(reader)
             while self.trouble == "silent":
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(SILENCE_POLL_S)
             writer.write(await self._answer_call(path, headers, body))
 
     async def _answer_call(self, path: str, headers: dict[str, str], body: bytes) -> bytes:
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -24,6 +24,8 @@
     LoadClass("payout", 0.1, 1.0, 8.0, unsafe=True),
 ]
 TROUBLE_BEGIN_SHARE, TROUBLE_END_SHARE = 0.3, 0.55  # of the time in which messages are submitted
+MAX_BATCH = 10  # of the partners that take several messages in a call
+KEY_WINDOW_MS = 8000  # for which partners remember idempotency keys, as the configuration declares
 RESTART_DELAY_S = 0.3  # from the end of a courier process to its next start
 POLL_INTERVAL_S = 0.25  # between two checks of the processes, each followed by a report of progress
 
@@ -225,8 +227,10 @@
     return [
         PartnerSettings(1, "mill", rate_per_s=max(8.0, 1.5 * rate_per_partner)),
         PartnerSettings(2, "press", max_concurrent_calls=12, latency_ms=60),
-        PartnerSettings(3, "hall", "bundles", rate_per_s=max(4.0, 0.6 * rate_per_partner), max_batch=10),
-        PartnerSettings(4, "ink", "bundles", max_concurrent_calls=6, max_batch=10, latency_ms=80),
+        PartnerSettings(
+            3, "hall", "bundles", rate_per_s=max(4.0, 0.6 * rate_per_partner), max_batch=MAX_BATCH
+        ),
+        PartnerSettings(4, "ink", "bundles", max_concurrent_calls=6, max_batch=MAX_BATCH, latency_ms=80),
         PartnerSettings(5, "paper", "apart", rate_per_s=max(6.0, rate_per_partner), routes_apart=True),
     ]
 
@@ -241,11 +245,11 @@
         level=options.log_level,
         couriers=options.couriers,
         me=index,
-        bundle=10,
+        bundle=MAX_BATCH,
         zones=", ".join(f'{{name = "{z}"}}' for z in ZONES),
         classes="\n".join(
             CLASS_TOML.format(
-                c.name, int(c.aim_s * 1e3), int(c.lifetime_s * 1e3), effect, 8000 if c.keyed else 0
+                c.name, int(c.aim_s * 1e3), int(c.lifetime_s * 1e3), effect, KEY_WINDOW_MS if c.keyed else 0
             )
             for c, effect in effects
         ),
--- a/hopmill/standin/server.py
+++ b/hopmill/standin/server.py
@@ -6,6 +6,7 @@
 import contextlib
 
 HOST = "127.0.0.1"
+MAX_HEAD_BYTES = 1 << 20  # of a request
 
 
 class Server:
@@ -18,7 +19,7 @@
 
     async def start(self, port: int = 0) -> Server:
         """Listen. After a stop it listens on the same port again."""
-        self.server = await asyncio.start_server(self._accept, HOST, port or self.port, limit=1 << 20)
+        self.server = await asyncio.start_server(self._accept, HOST, port or self.port, limit=MAX_HEAD_BYTES)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
