--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -51,6 +51,7 @@
         asyncio.get_running_loop().call_later(self.environment.latency_s, self._answer, message_id)
 
     def _answer(self, message_id: str) -> None:
+        """Write the 200 and count the delivery, unless the connection is being closed."""
         if not self.transport.is_closing():
             self.transport.write(OK_RESPONSE)
             self.environment.record_delivery(message_id)
@@ -252,6 +253,7 @@
         partner: int,
         rng: random.Random,
     ) -> None:
+        """Count the answer; queue a refused message again under a new id once its wait is over."""
         if reply.startswith(b"+"):
             self.result.taken += 1
             if message_id not in self.ended_ids:
--- a/hopmill/standin/courier.py
+++ b/hopmill/standin/courier.py
@@ -93,7 +93,7 @@
         return False
 
     async def stop(self, signal_number: signal.Signals) -> None:
-        """Send the signal and wait for the end of the process; SIGKILL follows after 5 s."""
+        """Send the signal and wait for the end of the process; SIGKILL follows after STOP_TIMEOUT_S."""
         self.is_accepting = False
         process = self.process
         if process is None or process.returncode is not None:
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -143,6 +143,7 @@
             writer.write(await self._answer_call(path, headers, body))
 
     async def _answer_call(self, path: str, headers: dict[str, str], body: bytes) -> bytes:
+        """Return the answer to a call, after its latency if it is not refused."""
         refusal = self._refusal()
         if refusal:
             return refusal
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -192,12 +192,14 @@
         self.note = "trouble over" if self.options.trouble != "none" else "no trouble"
 
     def _troubled_endpoints(self) -> list[PartnerEndpoint]:
+        """Return all endpoints of the last zone, or those of the first partner and one of the last."""
         endpoints = [e for p in self.partners for e in p.endpoints]
         if self.options.trouble == "zone":
             return [e for e in endpoints if e.zone == ZONES[-1]]
         return self.partners[0].endpoints + self.partners[-1].endpoints[:1]
 
     async def _restart(self, courier: CourierProcess, signal_number: signal.Signals) -> None:
+        """Stop a courier with the signal and start it again after RESTART_DELAY_S."""
         self.note = f"{signal_number.name} to {courier.name}"
         self.restarting.add(courier.name)
         self.restarts += 1
