--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -318,7 +318,7 @@
 # The demo
 
 
-def test_the_account_adds_up_and_fails_on_what_must_not_be():
+def test_account_adds_up_and_fails_on_a_loss_or_a_double_effect():
     ledger = Ledger()
     for n, (answer_, delivered, notice, effects) in enumerate(
         [
@@ -395,15 +395,15 @@
         time.sleep(0.02)
 
 
-@pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM])
-def test_stopped_demo_leaves_nothing(tmp_path, how):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
+def test_stopped_demo_leaves_nothing(tmp_path, signal_number):
     process = running_demo(tmp_path, "--seconds", "30")
     wait_for(lambda: len(couriers_of(tmp_path)) == 2)
     time.sleep(0.5)
     # Ctrl-C reaches the whole process group; the demo ends the couriers, and no journal is left truncated.
-    os.killpg(process.pid, how)
-    said = process.communicate(timeout=10)[1]
-    assert process.returncode == 130 and "ended early" in said and "Traceback" not in said
+    os.killpg(process.pid, signal_number)
+    errors = process.communicate(timeout=10)[1]
+    assert process.returncode == 130 and "ended early" in errors and "Traceback" not in errors
     assert not couriers_of(tmp_path) and not os.listdir(tmp_path)
 
 
@@ -413,9 +413,11 @@
     time.sleep(1.5)
     os.kill(couriers_of(tmp_path)[0], signal.SIGKILL)
     out, _ = process.communicate(timeout=40)
-    told = json.loads(out.splitlines()[-1])
-    assert process.returncode == 0 and told["restarts"] == 1 and told["lost"] == told["twice"] == 0
-    assert told["taken"] == sum(told[k] for k in ("delivered", "deferred", "undeliverable", "lost")) > 100
+    account = json.loads(out.splitlines()[-1])
+    assert process.returncode == 0 and account["restarts"] == 1 and account["lost"] == account["twice"] == 0
+    assert (
+        account["taken"] == sum(account[k] for k in ("delivered", "deferred", "undeliverable", "lost")) > 100
+    )
     assert not couriers_of(tmp_path) and not os.listdir(tmp_path)
 
 
