--- a/hopmill/bench/subject.py
+++ b/hopmill/bench/subject.py
@@ -1,4 +1,4 @@
-"""One courier process under measurement: any revision's checkout, started as its deploy file starts it."""
+"""One courier process under measurement: the checkout of any revision, started as its deploy file does."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 from hopmill.standin.courier import free_port
 from hopmill.standin.server import HOST
 
-TICKS = os.sysconf("SC_CLK_TCK")
-READY_S, POLL_S = 20.0, 0.002
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S, POLL_INTERVAL_S = 20.0, 0.002
 
 
 @dataclass
 class Usage:
-    """Read from /proc. cpu_s: user and system; rss_kb now, peak_kb the most; fds: open descriptors."""
+    """Resources of a process, read from /proc."""
 
-    cpu_s: float
-    rss_kb: int
-    peak_kb: int
-    fds: int
+    cpu_s: float  # user and system
+    rss_kb: int  # now
+    peak_rss_kb: int
+    open_files: int  # descriptors
 
 
 @dataclass
-class Subject:
-    """`checkout` is the folder of a revision; the platform's environment is the same for all."""
+class MeasuredCourier:
+    """A courier started with the platform's environment variables, which are the same for every revision."""
 
     name: str
     checkout: Path
     folder: Path
-    raw: dict[str, Any]  # the platform's settings
-    known: dict[str, Any]
-    discovery: int  # its port
-    door: bool = False
-    extra: dict[str, Any] = field(default_factory=dict)  # more fields of the configuration
+    platform_settings: dict[str, Any]  # as the platform writes them
+    known_targets: dict[str, Any]  # list of targets that the courier starts with
+    discovery_port: int
+    has_operator_api: bool = False
+    extra_config: dict[str, Any] = field(default_factory=dict)  # further fields of the configuration file
     limits: dict[str, float] = field(
         default_factory=lambda: {"memory_mb": 192, "sockets": 4096, "disk_mb": 64}
     )
@@ -51,13 +51,22 @@
     process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Returns once PING is answered; `ready_s` is the time that took."""
-        state = self.folder / f"{self.name}.state"
-        state.mkdir(parents=True, exist_ok=True)
+        """Start the process and wait until it answers PING; `ready_s` is the time that this takes.
+
+        OSError if it exits first, TimeoutError if it is not ready within READY_TIMEOUT_S.
+        """
+        state_folder = self.folder / f"{self.name}.state"
+        state_folder.mkdir(parents=True, exist_ok=True)
         config = self.folder / f"{self.name}.json"
         config.write_text(
             json.dumps(
-                {"seed": 1, "limits": self.limits, "known": self.known, "settings": self.raw, **self.extra}
+                {
+                    "seed": 1,
+                    "limits": self.limits,
+                    "known": self.known_targets,
+                    "settings": self.platform_settings,
+                    **self.extra_config,
+                }
             )
         )
         self.port = free_port()
@@ -65,13 +74,13 @@
             **os.environ,
             "LB_NAME": self.name,
             "LB_LISTEN": f"{HOST}:{self.port}",
-            "LB_DISCOVERY": f"{HOST}:{self.discovery}",
-            "LB_STATE": str(state),
+            "LB_DISCOVERY": f"{HOST}:{self.discovery_port}",
+            "LB_STATE": str(state_folder),
             "LB_CONFIG": str(config),
-            "LB_OPERATOR": f"{HOST}:{free_port()}" if self.door else "",
+            "LB_OPERATOR": f"{HOST}:{free_port()}" if self.has_operator_api else "",
             "PYTHONPATH": str(self.checkout),
         }
-        began = time.monotonic()
+        began_at = time.monotonic()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -81,35 +90,37 @@
             stderr=asyncio.subprocess.DEVNULL,
             start_new_session=True,
         )
-        async with asyncio.timeout(READY_S):
-            while not await self._pings():
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._answers_ping():
                 if self.process.returncode is not None:
-                    raise OSError(f"{self.name}: ended at its start with {self.process.returncode}")
-                await asyncio.sleep(POLL_S)
-        self.ready_s = time.monotonic() - began
+                    raise OSError(f"{self.name} exited with {self.process.returncode} before it was ready")
+                await asyncio.sleep(POLL_INTERVAL_S)
+        self.ready_s = time.monotonic() - began_at
 
-    async def _pings(self) -> bool:
+    async def _answers_ping(self) -> bool:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             client = await Client().open(self.port)
-            said = await client.send(client.command(b"PING"))
+            reply = await client.send(client.command(b"PING"))
             client.close()
-            return said == "+PONG"
+            return reply == "+PONG"
         return False
 
     def usage(self) -> Usage:
+        """Read the resources that the process uses now; it must be running."""
         assert self.process is not None
-        proc = Path(f"/proc/{self.process.pid}")
-        stat = (proc / "stat").read_text().rpartition(")")[2].split()
-        lines = (proc / "status").read_text().splitlines()
+        process_folder = Path(f"/proc/{self.process.pid}")
+        stat = (process_folder / "stat").read_text().rpartition(")")[2].split()
+        lines = (process_folder / "status").read_text().splitlines()
         status = dict(line.split(":", 1) for line in lines if ":" in line)
         return Usage(
-            (int(stat[11]) + int(stat[12])) / TICKS,
+            (int(stat[11]) + int(stat[12])) / CLOCK_TICKS_PER_S,
             int(status["VmRSS"].split()[0]),
             int(status["VmHWM"].split()[0]),
-            len(os.listdir(proc / "fd")),
+            len(os.listdir(process_folder / "fd")),
         )
 
     async def stop(self) -> None:
+        """Kill the process and wait for its end."""
         process = self.process
         if process is not None and process.returncode is None:
             process.send_signal(signal.SIGKILL)
