--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -139,11 +139,11 @@
         policy = self.policy_for_grants()
         self._knows_all_grants(now)
         if policy is None:
-            return "a vote on the policy may be in progress"
+            return "a vote is under way"
         if request.continues_alone is not self.continues_alone:
-            return "members.policy.alone differs"
+            return "alone differs"
         if sender in policy.cancelled_members:
-            return "struck off by an operator"
+            return "struck off"
         if not self.is_version_in_force(policy, sender, request):
             return f"version {policy.version_for(sender)} is in force"
         if policy.closing_for(sender) and self.refuses_while_closing():
@@ -154,11 +154,11 @@
                     policy.change.id: f"{sender}: {request.refusal[len(policy.change.id) + 1 :]}"
                 }
                 self._notify_waiting(now)
-            return "not ready for the pending change"
+            return "not ready for the change"
         if sender not in self.grants and len(self.grants) >= MAX_GRANTS:
             self.grants = {n: g for n, g in self.grants.items() if g.expires_at > now}
             if len(self.grants) >= MAX_GRANTS:
-                return f"{MAX_GRANTS} members hold a lease"
+                return "too many members"
         return ""
 
     def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -208,9 +208,9 @@
         def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
             policy = document.policy
             if policy.stage and policy.stage.id == change_id:
-                return roll_back(policy.epoch, "withdrawn by an operator")(proposal_id, document)
+                return roll_back(policy.epoch, "withdrawn by staff")(proposal_id, document)
             return (
-                end_change(policy.epoch, "withdrawn by an operator")(proposal_id, document)
+                end_change(policy.epoch, "withdrawn by staff")(proposal_id, document)
                 if (policy.change and policy.change.id == change_id)
                 else None
             )
