--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -11,49 +11,65 @@
 from hopmill.fleet.proposer import Outcome
 
 
-class Violation(Exception):
+class InvariantViolationError(Exception):
     """A promise that was broken; the text says which."""
 
 
 @dataclass
-class Op:
+class Operation:
     """One change as its proposer saw it."""
 
-    ticket: str
-    began: int
-    ended: int = -1
-    version: int = -1  # of the document that it was told
-    made: int = 0  # the version that it made, if it was done
+    proposal_id: str
+    began_at: int
+    ended_at: int = -1
+    seen_version: int = -1  # of the document that it was told
+    made_version: int = 0  # the version that it made, if it was done
 
 
 class Checker:
     """Outcomes and acts, in the order of one clock."""
 
     def __init__(self) -> None:
-        self.contents: dict[int, bytes] = {}
-        self.ops: dict[str, Op] = {}
-        self.fence, self.owner = 0, ""
+        self.encoded_documents: dict[int, bytes] = {}
+        self.operations: dict[str, Operation] = {}
+        self.fencing_token, self.owner = 0, ""
 
-    def ended(self, op: Op, outcome: Outcome, now: int) -> None:
+    def on_outcome(self, operation: Operation, outcome: Outcome, now: int) -> None:
         if outcome.state not in ("done", "left") or outcome.document is None:
             return
-        d = outcome.document
-        content = doc.encode(d)
-        if self.contents.setdefault(d.version, content) != content:
-            raise Violation(f"version {d.version} is two documents")
-        op.ended, op.version = now, d.version
-        if outcome.state == "done" and d.recent_proposals.count(op.ticket) != 1:
-            raise Violation(f"{op.ticket} was done {d.recent_proposals.count(op.ticket)} times")
-        for other in self.ops.values():
-            if other.ended >= 0 and other.ended < op.began and other.version > d.version:
-                raise Violation(f"{op.ticket} saw version {d.version}, after {other.version} was told")
-            close = other.made and 0 <= d.version - other.made < doc.MAX_RECENT_PROPOSALS
-            if close and other.ticket not in d.recent_proposals:
-                raise Violation(f"{other.ticket} was done and is gone in version {d.version}")
+        document = outcome.document
+        encoded = doc.encode(document)
+        if self.encoded_documents.setdefault(document.version, encoded) != encoded:
+            raise InvariantViolationError(f"version {document.version} is two documents")
+        operation.ended_at, operation.seen_version = now, document.version
+        if outcome.state == "done" and document.recent_proposals.count(operation.proposal_id) != 1:
+            raise InvariantViolationError(
+                f"{operation.proposal_id} was done "
+                f"{document.recent_proposals.count(operation.proposal_id)} times"
+            )
+        for other in self.operations.values():
+            if (
+                other.ended_at >= 0
+                and other.ended_at < operation.began_at
+                and other.seen_version > document.version
+            ):
+                raise InvariantViolationError(
+                    f"{operation.proposal_id} saw version {document.version}, "
+                    f"after {other.seen_version} was told"
+                )
+            must_be_recent = (
+                other.made_version and 0 <= document.version - other.made_version < doc.MAX_RECENT_PROPOSALS
+            )
+            if must_be_recent and other.proposal_id not in document.recent_proposals:
+                raise InvariantViolationError(
+                    f"{other.proposal_id} was done and is gone in version {document.version}"
+                )
         if outcome.state == "done":
-            op.made = outcome.made_version
+            operation.made_version = outcome.made_version
 
-    def act(self, owner: str, fence: int) -> None:
-        if fence < self.fence or fence == self.fence and owner != self.owner:
-            raise Violation(f"{owner} acted under {fence} after {self.owner} had under {self.fence}")
-        self.fence, self.owner = fence, owner
+    def on_act(self, owner: str, fencing_token: int) -> None:
+        if fencing_token < self.fencing_token or fencing_token == self.fencing_token and owner != self.owner:
+            raise InvariantViolationError(
+                f"{owner} acted under {fencing_token} after {self.owner} had under {self.fencing_token}"
+            )
+        self.fencing_token, self.owner = fencing_token, owner
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -8,174 +8,187 @@
 
 from collections.abc import Callable
 
-from hopmill.explorer.world import DRIFT, LEASE, LEASE_US, Member, Violation, World
+from hopmill.explorer.world import DRIFT, LEASE_NAME, LEASE_US, Member, InvariantViolationError, Simulation
 from hopmill.fleet import document as doc
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.register import Register, replace_voter, say
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Accept, ChosenDocument, Prepare, Promise
 
-MOST = 200  # things that a part of a play may take
+MAX_DELIVERIES = 200  # things that a part of a play may take
 
 
-def _only(world: World, kinds: tuple[type, ...], may: Callable[[str, str], bool] = lambda a, b: True) -> None:
+def deliver_only(
+    simulation: Simulation,
+    kinds: tuple[type, ...],
+    is_allowed: Callable[[str, str], bool] = lambda a, b: True,
+) -> None:
     """Let messages of these kinds arrive, where they may, and disks write, until none is left."""
-    for _ in range(MOST):
-        for m in world.members.values():
-            world._written(m, len(m.writes))
-        at = next(
-            (n for n, (a, b, body, _) in enumerate(world.net) if isinstance(body, kinds) and may(a, b)), -1
+    for _ in range(MAX_DELIVERIES):
+        for member in simulation.members.values():
+            simulation.complete_writes(member, len(member.pending_writes))
+        index = next(
+            (
+                n
+                for n, (a, b, body, _) in enumerate(simulation.in_flight)
+                if isinstance(body, kinds) and is_allowed(a, b)
+            ),
+            -1,
         )
-        if at < 0:
+        if index < 0:
             return
-        world._deliver(at)
+        simulation.deliver(index)
 
 
-def _among(world: World, names: list[str], ticks: int = 4, wait_us: int = 0) -> None:
+def run_only(simulation: Simulation, names: list[str], ticks: int = 4, wait_us: int = 0) -> None:
     """These go on as ever, the others stand still."""
     for _ in range(ticks):
         for name in names:
-            world._tick(world.members[name])
+            simulation.tick(simulation.members[name])
             for other in names:
-                world.members[other].register.note_version(
-                    name, world.members[name].register.document.version
+                simulation.members[other].register.note_version(
+                    name, simulation.members[name].register.document.version
                 )
-        _only(world, (object,), lambda a, b: a in names and b in names)
-        world.now += wait_us
+        deliver_only(simulation, (object,), lambda a, b: a in names and b in names)
+        simulation.now += wait_us
 
 
-def _act(world: World) -> None:
-    for m in world.members.values():
-        world._act(m)
+def act_all(simulation: Simulation) -> None:
+    """Let each member act under its lease, if it may."""
+    for member in simulation.members.values():
+        simulation.act(member)
 
 
-def _holder(world: World) -> tuple[Member, Member, list[str]]:
+def _elect_holder(simulation: Simulation) -> tuple[Member, Member, list[str]]:
     """(who holds the lease, who may take it later, all but the holder)."""
-    for name in world.ids[1:]:
-        world.members[name].register.lease_holders[LEASE].wanted = False
+    for name in simulation.member_ids[1:]:
+        simulation.members[name].register.lease_holders[LEASE_NAME].wanted = False
     for _ in range(20):
-        world._calm()
-        held = [
-            m
-            for m in world.members.values()
-            if m.register.lease_holders[LEASE].fencing_token(m.clock(world.now))
+        simulation.run_undisturbed()
+        holders = [
+            member
+            for member in simulation.members.values()
+            if member.register.lease_holders[LEASE_NAME].fencing_token(member.elapsed_us(simulation.now))
         ]
         if (
-            held
-            and held[0].id == world.ids[0]
-            and not any(m.register.proposer.pending for m in world.members.values())
+            holders
+            and holders[0].id == simulation.member_ids[0]
+            and not any(member.register.proposer.pending for member in simulation.members.values())
         ):
-            world.net.clear()
-            return held[0], world.members[world.ids[1]], world.ids[1:]
-        world.now += LEASE_US // 4
+            simulation.in_flight.clear()
+            return holders[0], simulation.members[simulation.member_ids[1]], simulation.member_ids[1:]
+        simulation.now += LEASE_US // 4
     raise AssertionError("nobody takes the lease")
 
 
-def _tell(world: World, document: RegisterDocument, names: list[str]) -> None:
+def _announce(simulation: Simulation, document: RegisterDocument, names: list[str]) -> None:
     """These hear that it was chosen."""
     for name in names:
-        m = world.members[name]
-        m.register.receive(name, ChosenDocument(doc.encode(document)), m.clock(world.now))
-        m.register.lease_holders[LEASE].observe(m.clock(world.now), document)
+        member = simulation.members[name]
+        member.register.receive(name, ChosenDocument(doc.encode(document)), member.elapsed_us(simulation.now))
+        member.register.lease_holders[LEASE_NAME].observe(member.elapsed_us(simulation.now), document)
 
 
-def _rate(world: World, m: Member, rate: float) -> None:
-    m.offset = m.clock(world.now) - int(world.now * rate)
-    m.rate = rate
+def set_clock_rate(simulation: Simulation, member: Member, rate: float) -> None:
+    """Change the rate of a clock from now on, without a jump."""
+    member.clock_offset_us = member.elapsed_us(simulation.now) - int(simulation.now * rate)
+    member.clock_rate = rate
 
 
-def late_answer(world: World) -> None:
+def late_reply(simulation: Simulation) -> None:
     """The answers to a renewal come after the lease has run out and another has taken it."""
-    holder, taker, others = _holder(world)
-    world.now += LEASE_US // 2
-    world._tick(holder)
-    _only(world, (Prepare, Promise))
-    _only(world, (Accept,))
-    late = [row for row in world.net if row[1] == holder.id]
-    world.net.clear()
-    taker.register.lease_holders[LEASE].wanted = True
-    _among(world, others, 12, LEASE_US // 2)  # it sees the renewal, waits, and takes it
-    _act(world)
-    world.net[:] = late
-    _only(world, (object,), lambda a, b: b == holder.id)
-    _act(world)
-
-
-def two_clocks(world: World) -> None:
+    holder, successor, others = _elect_holder(simulation)
+    simulation.now += LEASE_US // 2
+    simulation.tick(holder)
+    deliver_only(simulation, (Prepare, Promise))
+    deliver_only(simulation, (Accept,))
+    late_messages = [row for row in simulation.in_flight if row[1] == holder.id]
+    simulation.in_flight.clear()
+    successor.register.lease_holders[LEASE_NAME].wanted = True
+    run_only(simulation, others, 12, LEASE_US // 2)  # it sees the renewal, waits, and takes it
+    act_all(simulation)
+    simulation.in_flight[:] = late_messages
+    deliver_only(simulation, (object,), lambda a, b: b == holder.id)
+    act_all(simulation)
+
+
+def drifting_clocks(simulation: Simulation) -> None:
     """The holder's clock is slow and the next one's fast, both within the drift."""
-    holder, taker, others = _holder(world)
-    _rate(world, holder, 1 - 0.49 * DRIFT)
-    _rate(world, taker, 1 + 0.49 * DRIFT)
-    world.now += LEASE_US // 2
-    world._calm()  # a renewal
-    _tell(world, holder.register.document, others)
-    taker.register.lease_holders[LEASE].wanted = True
-    taker.register.proposer.round = 50  # its first ballot gets through
-    world.now += int(0.9 * LEASE_US)
-    _among(world, others)
-    _act(world)
-    _act(world)
-
-
-def forgotten_promise(world: World) -> None:
+    holder, successor, others = _elect_holder(simulation)
+    set_clock_rate(simulation, holder, 1 - 0.49 * DRIFT)
+    set_clock_rate(simulation, successor, 1 + 0.49 * DRIFT)
+    simulation.now += LEASE_US // 2
+    simulation.run_undisturbed()  # a renewal
+    _announce(simulation, holder.register.document, others)
+    successor.register.lease_holders[LEASE_NAME].wanted = True
+    successor.register.proposer.round = 50  # its first ballot gets through
+    simulation.now += int(0.9 * LEASE_US)
+    run_only(simulation, others)
+    act_all(simulation)
+    act_all(simulation)
+
+
+def forgotten_promise(simulation: Simulation) -> None:
     """A voter promises, loses its folder and is let in again, and the promise is then made use of."""
-    voter, proposer = world.members["m0"], world.members["m3"]
+    voter, proposer = simulation.members["m0"], simulation.members["m3"]
     proposer.register.proposer.round = 50  # as after many refusals
-    world._change(proposer, say("x", "old"))
-    _only(world, (Prepare, Promise), lambda a, b: {a, b} == {"m0", "m3"})
-    world.net.clear()
-    voter.writes.clear()
-    world._again(voter, Memory(), False)
-    _among(world, ["m0", "m1", "m2"], 6, 350_000)
-    world._change(world.members["m1"], say("x", "new"))
-    _among(world, ["m0", "m1"])
-    world.net.clear()
-    _among(world, ["m2", "m3"], 4, 250_000)
-    _only(world, (object,), lambda a, b: "m1" not in (a, b))
-
-
-def lost_vote(world: World) -> None:
+    simulation.propose(proposer, say("x", "old"))
+    deliver_only(simulation, (Prepare, Promise), lambda a, b: {a, b} == {"m0", "m3"})
+    simulation.in_flight.clear()
+    voter.pending_writes.clear()
+    simulation.restart(voter, Memory(), False)
+    run_only(simulation, ["m0", "m1", "m2"], 6, 350_000)
+    simulation.propose(simulation.members["m1"], say("x", "new"))
+    run_only(simulation, ["m0", "m1"])
+    simulation.in_flight.clear()
+    run_only(simulation, ["m2", "m3"], 4, 250_000)
+    deliver_only(simulation, (object,), lambda a, b: "m1" not in (a, b))
+
+
+def lost_vote(simulation: Simulation) -> None:
     """A voter's answer counts, and it ends before its disk has the vote."""
-    world._calm()
-    world._change(world.members["m0"], say("x", "1"))
-    _only(world, (Prepare, Promise))
-    world.stalled = "m1"
-    _only(world, (object,), lambda a, b: "m2" not in (a, b))
-    world.stalled = ""
-    world.members["m1"].up = False
-    world.members["m1"].writes.clear()
-    world.net.clear()
-    world._start(world.members["m1"])
-    _among(world, ["m1", "m2"], 4, 350_000)
-    world._change(world.members["m2"], say("x", "2"))
-    _among(world, ["m1", "m2"], 4, 350_000)
-
-
-def former_voter(world: World) -> None:
+    simulation.run_undisturbed()
+    simulation.propose(simulation.members["m0"], say("x", "1"))
+    deliver_only(simulation, (Prepare, Promise))
+    simulation.stalled_disk = "m1"
+    deliver_only(simulation, (object,), lambda a, b: "m2" not in (a, b))
+    simulation.stalled_disk = ""
+    simulation.members["m1"].is_running = False
+    simulation.members["m1"].pending_writes.clear()
+    simulation.in_flight.clear()
+    simulation.restart_from_disk(simulation.members["m1"])
+    run_only(simulation, ["m1", "m2"], 4, 350_000)
+    simulation.propose(simulation.members["m2"], say("x", "2"))
+    run_only(simulation, ["m1", "m2"], 4, 350_000)
+
+
+def former_voter(simulation: Simulation) -> None:
     """One that was a voter votes a change in, and those that still are know nothing of it."""
-    world.members["m1"].register.proposer.round = 50  # its first ballot gets through
-    world._change(world.members["m1"], replace_voter("m0", "m2"))
-    _only(world, (Prepare, Promise))
-    _among(world, ["m1", "m2"])
-    world._change(world.members["m3"], say("x", "1"))
-    _among(world, ["m0", "m3"], 4, 350_000)
+    simulation.members["m1"].register.proposer.round = 50  # its first ballot gets through
+    simulation.propose(simulation.members["m1"], replace_voter("m0", "m2"))
+    deliver_only(simulation, (Prepare, Promise))
+    run_only(simulation, ["m1", "m2"])
+    simulation.propose(simulation.members["m3"], say("x", "1"))
+    run_only(simulation, ["m0", "m3"], 4, 350_000)
 
 
 # The play, how many members, and the seed of the world in which it begins.
-PLAYS: dict[str, tuple[Callable[[World], None], int, int]] = {
-    "late-answer": (late_answer, 3, 2),
-    "two-clocks": (two_clocks, 3, 2),
+KNOWN_SCHEDULES: dict[str, tuple[Callable[[Simulation], None], int, int]] = {
+    "late-answer": (late_reply, 3, 2),
+    "two-clocks": (drifting_clocks, 3, 2),
     "forgotten-promise": (forgotten_promise, 4, 2),
     "lost-vote": (lost_vote, 3, 2),
     "former-voter": (former_voter, 4, 1),
 }
 
 
-def violated(name: str, register: type[Register] = Register) -> str:
+def find_violation(name: str, register_type: type[Register] = Register) -> str:
     """What the play of this name violated, "" if nothing."""
-    play, members, seed = PLAYS[name]
+    run_schedule, members, seed = KNOWN_SCHEDULES[name]
     try:
-        play(World(members, seed, register, leases=play in (late_answer, two_clocks)))
-    except Violation as violation:
+        run_schedule(
+            Simulation(members, seed, register_type, has_leases=run_schedule in (late_reply, drifting_clocks))
+        )
+    except InvariantViolationError as violation:
         return str(violation)
     return ""
--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -11,111 +11,111 @@
 from hopmill.fleet.wire import Ballot, RecoveryReply
 
 
-class PromisesAnything(Voter):
+class PromisesEveryBallot(Voter):
     def may_promise(self, ballot: Ballot) -> bool:
         return True
 
 
-class AcceptsAnything(Voter):
+class AcceptsEveryBallot(Voter):
     def may_accept(self, ballot: Ballot) -> bool:
         return True
 
 
-class AnswersBeforeTheDisk(Voter):
+class RepliesBeforeDiskWrite(Voter):
     def persist(self, *then: Send) -> None:
         self.outbox += then
         super().persist()
 
 
-class TrustsACopy(Voter):
+class TrustsCopiedFolder(Voter):
     def trusts_folder(self, same_folder: bool) -> bool:
         return True
 
 
-class LetInByAnyone(Voter):
-    def majority_of_others(self, answers: dict[str, RecoveryReply]) -> bool:
-        return bool(answers)
+class ReadmittedByOneReply(Voter):
+    def majority_of_others(self, replies: dict[str, RecoveryReply]) -> bool:
+        return bool(replies)
 
 
-class VotesAtOnce(Voter):
-    def is_readmitted(self, answers: dict[str, RecoveryReply]) -> bool:
+class VotesWithoutReadmission(Voter):
+    def is_readmitted(self, replies: dict[str, RecoveryReply]) -> bool:
         return True
 
 
-class OldPromisesStand(Voter):
+class KeepsOutdatedPromises(Voter):
     def is_basis_valid(self, basis: tuple[tuple[str, int], ...]) -> bool:
         return True
 
 
-class OneVoteIsEnough(Proposer):
+class AcceptedByOneVote(Proposer):
     def is_accepted(self, attempt: BallotAttempt) -> bool:
         return bool(attempt.accepted_by)
 
 
-class AnyValueWillDo(Proposer):
+class ProposesOldestDocument(Proposer):
     def newest_document(self, attempt: BallotAttempt) -> RegisterDocument:
-        return self._document_of(min(attempt.promises.values(), key=lambda p: p.accepted))
+        return self._document_of(min(attempt.promises.values(), key=lambda promise: promise.accepted))
 
 
-class OnlyTheNewVoters(Proposer):
+class CountsOnlyNewVoters(Proposer):
     def is_accepted(self, attempt: BallotAttempt) -> bool:
         assert attempt.next is not None
         return 2 * len(attempt.accepted_by & set(attempt.next.voters)) > len(attempt.next.voters)
 
 
-class ForgetsItsTicket(Proposer):
-    def is_already_done(self, ticket: str, base: RegisterDocument) -> bool:
+class RepeatsDoneProposal(Proposer):
+    def is_already_done(self, proposal_id: str, base: RegisterDocument) -> bool:
         return False
 
 
-class CountsFromTheAnswer(LeaseHolder):
+class LeaseCountsFromReply(LeaseHolder):
     def counts_from(self, asked_at: int, now: int) -> int:
         return now
 
 
-class WaitsNoLonger(LeaseHolder):
+class TakesOverTooEarly(LeaseHolder):
     def takeover_wait_us(self) -> int:
         return int(self.last_seen.length_us * (1 - self.drift))
 
 
-class SameFence(LeaseHolder):
+class ReusesFencingToken(LeaseHolder):
     def next_fencing_token(self, seen: Lease) -> int:
         return max(1, seen.fencing_token)
 
 
-class TakesBlindly(LeaseHolder):
+class TakesOverUnchecked(LeaseHolder):
     def requires_unchanged(self) -> bool:
         return False
 
 
-class ActsAfterGiving(LeaseHolder):
+class UsesReleasedLease(LeaseHolder):
     def release(self) -> None:
         pass
 
 
-class KeepsForEver(LeaseHolder):
+class LeaseNeverExpires(LeaseHolder):
     def fencing_token(self, now: int) -> int:
         return self.token
 
 
 PLANTED = {
-    "promises-anything": PromisesAnything,
-    "accepts-anything": AcceptsAnything,
-    "answers-before-the-disk": AnswersBeforeTheDisk,
-    "trusts-a-copy": TrustsACopy,
-    "let-in-by-anyone": LetInByAnyone,
-    "votes-at-once": VotesAtOnce,
-    "old-promises-stand": OldPromisesStand,
-    "one-vote-is-enough": OneVoteIsEnough,
-    "any-value-will-do": AnyValueWillDo,
-    "only-the-new-voters": OnlyTheNewVoters,
-    "forgets-its-ticket": ForgetsItsTicket,
-    "counts-from-the-answer": CountsFromTheAnswer,
-    "waits-no-longer": WaitsNoLonger,
-    "same-fence": SameFence,
-    "takes-blindly": TakesBlindly,
-    "acts-after-giving": ActsAfterGiving,
-    "keeps-for-ever": KeepsForEver,
+    "promises-anything": PromisesEveryBallot,
+    "accepts-anything": AcceptsEveryBallot,
+    "answers-before-the-disk": RepliesBeforeDiskWrite,
+    "trusts-a-copy": TrustsCopiedFolder,
+    "let-in-by-anyone": ReadmittedByOneReply,
+    "votes-at-once": VotesWithoutReadmission,
+    "old-promises-stand": KeepsOutdatedPromises,
+    "one-vote-is-enough": AcceptedByOneVote,
+    "any-value-will-do": ProposesOldestDocument,
+    "only-the-new-voters": CountsOnlyNewVoters,
+    "forgets-its-ticket": RepeatsDoneProposal,
+    "counts-from-the-answer": LeaseCountsFromReply,
+    "waits-no-longer": TakesOverTooEarly,
+    "same-fence": ReusesFencingToken,
+    "takes-blindly": TakesOverUnchecked,
+    "acts-after-giving": UsesReleasedLease,
+    "keeps-for-ever": LeaseNeverExpires,
 }
 
 
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -12,276 +12,320 @@
 
 import msgspec
 
-from hopmill.explorer.checker import Checker, Violation
-from hopmill.explorer.world import DRIFT, LEASE_US, Found, Member, World
+from hopmill.explorer.checker import Checker, InvariantViolationError
+from hopmill.explorer.world import DRIFT, LEASE_US, FailingSchedule, Member, Simulation
 from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
 
-STEPS = 110  # of a random schedule
-REFUSED = b"not here"  # a text that begins so is refused by the member that it goes on to name
-SETTLED_US, ROUND_US = 30_000_000, 15_000  # after a schedule all is well, and within so long all has ended
+STEPS_PER_SCHEDULE = 110  # of a random schedule
+REFUSED_PREFIX = b"not here"  # a text that begins so is refused by the member that it goes on to name
+SETTLE_TIMEOUT_US, ROUND_US = (
+    30_000_000,
+    15_000,
+)  # after a schedule all is well, and within so long all has ended
 
 
-class Acts(Checker):
+class PolicyChecker(Checker):
     """On top of the register's: the promise of policy changes."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.few: dict[int, set[str]] = {}  # of staged versions
-        self.of_few = 0  # the highest that one of its few has acted under
-        self.version, self.texts, self.said = 0, dict[int, bytes](), dict[str, int]()
+        self.canary_groups: dict[int, set[str]] = {}  # of staged versions
+        self.highest_canary_version = 0  # the highest that one of its few has acted under
+        self.highest_version, self.texts_by_version, self.versions_by_change = (
+            0,
+            dict[int, bytes](),
+            dict[str, int](),
+        )
 
-    def staged(self, version: int, few: set[str]) -> None:
+    def on_stage(self, version: int, canary_group: set[str]) -> None:
         """For a while these few are to go by it, and the others by the one before."""
-        if self.few.setdefault(version, few) != few:
-            raise Violation(f"version {version} is staged at {few} and at {self.few[version]}")
+        if self.canary_groups.setdefault(version, canary_group) != canary_group:
+            raise InvariantViolationError(
+                f"version {version} is staged at {canary_group} and at {self.canary_groups[version]}"
+            )
 
-    def acted(self, who: str, version: int, text: bytes) -> None:
+    def on_act_under(self, member: str, version: int, text: bytes) -> None:
         """The highest version that binds this courier is known by now: a staged one binds the others only
         once one of them has acted under it."""
-        bound = max(self.version, self.of_few if who in self.few.get(self.of_few, ()) else 0)
-        if version < bound:
-            raise Violation(f"{who} acts under version {version} after another did under {bound}")
-        if who in self.few.get(version, ()) and version > self.version:
-            self.of_few = max(self.of_few, version)
+        min_version = max(
+            self.highest_version,
+            self.highest_canary_version
+            if member in self.canary_groups.get(self.highest_canary_version, ())
+            else 0,
+        )
+        if version < min_version:
+            raise InvariantViolationError(
+                f"{member} acts under version {version} after another did under {min_version}"
+            )
+        if member in self.canary_groups.get(version, ()) and version > self.highest_version:
+            self.highest_canary_version = max(self.highest_canary_version, version)
         else:
-            self.version = max(version, self.version)
-        if self.texts.setdefault(version, text) != text:
-            raise Violation(f"version {version} is two policies")
-
-    def became(self, change: str, version: int) -> None:
-        if self.said.setdefault(change, version) != version:
-            raise Violation(f"change {change} became version {self.said[change]} and {version}")
+            self.highest_version = max(version, self.highest_version)
+        if self.texts_by_version.setdefault(version, text) != text:
+            raise InvariantViolationError(f"version {version} is two policies")
+
+    def on_change_ended(self, change: str, version: int) -> None:
+        if self.versions_by_change.setdefault(change, version) != version:
+            raise InvariantViolationError(
+                f"change {change} became version {self.versions_by_change[change]} and {version}"
+            )
 
 
-class Governed(Register):
+class PolicyRegister(Register):
     """A register that passes on what is the policy's; the world sets `govern`."""
 
-    govern: PolicyMember | None = None
+    policy_member: PolicyMember | None = None
 
     def receive(self, sender: str, body: Body, now: int) -> None:
         if not isinstance(body, POLICY_BODIES):
             super().receive(sender, body, now)
-        elif self.govern:
-            self.govern.receive(sender, body, now)
+        elif self.policy_member:
+            self.policy_member.receive(sender, body, now)
 
     def tick(self, now: int) -> int:
         due = super().tick(now)
-        return min(due, self.govern.tick(now)) if self.govern else due
+        return min(due, self.policy_member.tick(now)) if self.policy_member else due
 
     def take(self, now: int) -> list[Any]:
-        return [*super().take(now), *(self.govern.take() if self.govern else [])]
+        return [*super().take(now), *(self.policy_member.take() if self.policy_member else [])]
 
 
-class PolicyWorld(World):
+class PolicySimulation(Simulation):
     """`govern`: the part that is tried, perhaps with a fault planted."""
 
-    def __init__(self, members: int, seed: int, govern: type[PolicyMember] = PolicyMember) -> None:
-        self.kind, self.last = govern, seed % 4 == 3
-        self.disks: dict[str, dict[bytes, bytes]] = {}  # texts
-        self.names = [f"m{n}" for n in range(members)]
-        self.founded = False
-        super().__init__(members, seed, Governed, leases=False)
-        self.checker: Acts = Acts()
-        self.founded = True
-
-    def _register(self, m: Member, memory: Memory, same: bool) -> Register:
-        register = super()._register(m, memory, same)
-        assert isinstance(register, Governed)
-        others = [name for name in self.names if name != m.id]
-        register.govern = self.kind(
-            m.id,
-            m.life,
+    def __init__(
+        self, members: int, seed: int, policy_member_type: type[PolicyMember] = PolicyMember
+    ) -> None:
+        self.policy_member_type, self.continues_alone = policy_member_type, seed % 4 == 3
+        self.stored_texts: dict[str, dict[bytes, bytes]] = {}  # texts
+        self.configured_ids = [f"m{n}" for n in range(members)]
+        self.is_bootstrapped = False
+        super().__init__(members, seed, PolicyRegister, has_leases=False)
+        self.checker: PolicyChecker = PolicyChecker()
+        self.is_bootstrapped = True
+
+    def create_register(self, member: Member, memory: Memory, same_folder: bool) -> Register:
+        register = super().create_register(member, memory, same_folder)
+        assert isinstance(register, PolicyRegister)
+        others = [name for name in self.configured_ids if name != member.id]
+        register.policy_member = self.policy_member_type(
+            member.id,
+            member.generation,
             register,
-            random.Random(self.chance.random()),
+            random.Random(self.rng.random()),
             LEASE_US,
             DRIFT,
-            self.last,
-            self.names,
+            self.continues_alone,
+            self.configured_ids,
             lambda: others,
-            dict(self.disks.setdefault(m.id, {})),
+            dict(self.stored_texts.setdefault(member.id, {})),
         )
         return register
 
-    def _moves(self) -> list[tuple[Callable[[Member, int], None], int]]:
+    def event_kinds(self) -> list[tuple[Callable[[Member, int], None], int]]:
         return [
-            *super()._moves(),
-            (self._offer, 14),
-            (self._strike, 1),
-            (lambda m, arg: self._ahead(arg), 24),
+            *super().event_kinds(),
+            (self.propose_policy, 14),
+            (self._cancel_or_restore_member, 1),
+            (lambda member, argument: self._run_rounds(argument), 24),
         ]
 
-    def _ahead(self, arg: int) -> None:
+    def _run_rounds(self, argument: int) -> None:
         """Some steps of a change with nothing going wrong."""
-        for _ in range(1 + arg % 6):
-            self._calm()
+        for _ in range(1 + argument % 6):
+            self.run_undisturbed()
             self.now += ROUND_US
 
-    def _offer(self, m: Member, arg: int) -> None:
+    def propose_policy(self, member: Member, argument: int) -> None:
         """A change; now and then one that a member refuses, and one that was offered already."""
-        if not m.up:
+        if not member.is_running:
             return
-        govern = self._govern(m)
-        if arg % 11 == 10:
-            govern.withdraw(f"p{self.proposed}", m.clock(self.now))
-            self._emit(m)
+        policy_member = self.policy_member_of(member)
+        if argument % 11 == 10:
+            policy_member.withdraw(f"p{self.proposal_count}", member.elapsed_us(self.now))
+            self.collect_actions(member)
             return
-        self.proposed += arg % 8 != 7
-        ident = f"p{self.proposed}"
-        text = f"policy {ident}".encode()
-        if arg % 5 == 4:
-            text = REFUSED + f" {self.ids[arg // 5 % len(self.ids)]} {ident}".encode()
-        base = m.register.document.policy.version
-        share = 0.5 if arg // 40 % 3 == 0 else 1.0
-        govern.propose(ident, text, base, m.clock(self.now), lambda outcome: None, share, 50)
-        self._emit(m)
-
-    def _strike(self, m: Member, arg: int) -> None:
+        self.proposal_count += argument % 8 != 7
+        change_id = f"p{self.proposal_count}"
+        text = f"policy {change_id}".encode()
+        if argument % 5 == 4:
+            text = (
+                REFUSED_PREFIX
+                + f" {self.member_ids[argument // 5 % len(self.member_ids)]} {change_id}".encode()
+            )
+        base_version = member.register.document.policy.version
+        share = 0.5 if argument // 40 % 3 == 0 else 1.0
+        policy_member.propose(
+            change_id, text, base_version, member.elapsed_us(self.now), lambda outcome: None, share, 50
+        )
+        self.collect_actions(member)
+
+    def _cancel_or_restore_member(self, member: Member, argument: int) -> None:
         """Staff strike off one that is down; or let back one that was struck."""
-        down = [x.id for x in self.members.values() if not x.up]
-        struck = m.register.document.policy.cancelled_members
-        if m.up and (struck if arg % 2 else down):
-            name = (struck if arg % 2 else down)[0]
-            if arg % 2 or not self.members[name].up:
-                self._govern(m).cancel_member(name, arg % 2 == 0, m.clock(self.now), lambda outcome: None)
-                self._emit(m)
+        stopped_ids = [x.id for x in self.members.values() if not x.is_running]
+        cancelled_ids = member.register.document.policy.cancelled_members
+        if member.is_running and (cancelled_ids if argument % 2 else stopped_ids):
+            name = (cancelled_ids if argument % 2 else stopped_ids)[0]
+            if argument % 2 or not self.members[name].is_running:
+                self.policy_member_of(member).cancel_member(
+                    name, argument % 2 == 0, member.elapsed_us(self.now), lambda outcome: None
+                )
+                self.collect_actions(member)
 
     @staticmethod
-    def _govern(m: Member) -> PolicyMember:
-        assert isinstance(m.register, Governed) and m.register.govern is not None
-        return m.register.govern
+    def policy_member_of(member: Member) -> PolicyMember:
+        assert isinstance(member.register, PolicyRegister) and member.register.policy_member is not None
+        return member.register.policy_member
 
     # What the courier around it does
 
-    def _emit(self, m: Member) -> None:
-        self._set_up(m)
-        super()._emit(m)
+    def collect_actions(self, member: Member) -> None:
+        self._apply_policy(member)
+        super().collect_actions(member)
 
-    def _set_up(self, m: Member) -> None:
-        if not self.founded:
+    def _apply_policy(self, member: Member) -> None:
+        if not self.is_bootstrapped:
             return
-        govern, p = self._govern(m), m.register.document.policy
-        store = govern.texts
-        digest, version = p.digest_for(m.id), p.version_for(m.id)
-        if version != govern.lease.applied_version and (not digest or digest in store.by_digest):
-            govern.lease.set_applied_version(version)
+        policy_member, policy = self.policy_member_of(member), member.register.document.policy
+        texts = policy_member.texts
+        digest, version = policy.digest_for(member.id), policy.version_for(member.id)
+        if version != policy_member.lease.applied_version and (not digest or digest in texts.by_digest):
+            policy_member.lease.set_applied_version(version)
         if (
-            p.change
-            and p.change.id != govern.lease.ready_for
-            and (not p.change.digest or p.change.digest in store.by_digest)
+            policy.change
+            and policy.change.id != policy_member.lease.ready_for
+            and (not policy.change.digest or policy.change.digest in texts.by_digest)
         ):
-            text = store.by_digest.get(p.change.digest, b"")
-            refused = text.startswith(REFUSED) and m.id in text.decode().split()
-            govern.lease.report_check(p.change.id, "no" if refused else "")
+            text = texts.by_digest.get(policy.change.digest, b"")
+            refused = text.startswith(REFUSED_PREFIX) and member.id in text.decode().split()
+            policy_member.lease.report_check(policy.change.id, "no" if refused else "")
 
-    def _written(self, m: Member, count: int) -> None:
-        if m.id == self.stalled:
+    def complete_writes(self, member: Member, count: int) -> None:
+        if member.id == self.stalled_disk:
             return
-        if self.founded and (self._govern(m).texts.writes or self._govern(m).deletable_texts):
-            store = self._govern(m).texts
-            for digest in self._govern(m).deletable_texts:  # in the order in which a node has them done
-                self.disks[m.id].pop(digest, None)
-            self._govern(m).deletable_texts = set()
-            for digest, text in store.writes:
-                self.disks[m.id][digest] = text
-                store.written(digest, True)
-            if store.writes:
-                store.writes = []
-                m.register.on_texts_stored(m.clock(self.now))
-        super()._written(m, count)
-
-    def _lose_folder(self, m: Member) -> None:
-        super()._lose_folder(m)
-        self.disks[m.id] = {}
-
-    def _all_well(self, m: Member) -> bool:
+        if self.is_bootstrapped and (
+            self.policy_member_of(member).texts.writes or self.policy_member_of(member).deletable_texts
+        ):
+            texts = self.policy_member_of(member).texts
+            for digest in self.policy_member_of(
+                member
+            ).deletable_texts:  # in the order in which a node has them done
+                self.stored_texts[member.id].pop(digest, None)
+            self.policy_member_of(member).deletable_texts = set()
+            for digest, text in texts.writes:
+                self.stored_texts[member.id][digest] = text
+                texts.written(digest, True)
+            if texts.writes:
+                texts.writes = []
+                member.register.on_texts_stored(member.elapsed_us(self.now))
+        super().complete_writes(member, count)
+
+    def empty_folder(self, member: Member) -> None:
+        super().empty_folder(member)
+        self.stored_texts[member.id] = {}
+
+    def may_lose_folder(self, member: Member) -> bool:
         """One voter at a time, those included that a change which is under way names; and one that lost its
         folder is whole again once it has its texts, too."""
-        every = list(self.members.values())
-        there = set[str]().union(
+        members = list(self.members.values())
+        voter_ids = set[str]().union(
             *(
-                x.register.document.all_voters | self._govern(x).grantor.accepted_document().all_voters
-                for x in every
+                x.register.document.all_voters
+                | self.policy_member_of(x).grantor.accepted_document().all_voters
+                for x in members
             )
         )
-        return super()._all_well(m) and all(
+        return super().may_lose_folder(member) and all(
             x.register.voter.is_voting
-            and self._govern(x).grantor.accepted_document().policy.texts <= set(self.disks[x.id])
-            for x in every
-            if x.id in there
+            and self.policy_member_of(x).grantor.accepted_document().policy.texts
+            <= set(self.stored_texts[x.id])
+            for x in members
+            if x.id in voter_ids
         )
 
-    def _act(self, m: Member) -> None:
-        if not m.up:
+    def act(self, member: Member) -> None:
+        if not member.is_running:
             return
-        govern = self._govern(m)
-        p = m.register.document.policy
-        for ended in p.ended:
-            self.checker.became(ended.id, ended.version)
-        version = govern.lease.valid_version(m.clock(self.now))
+        policy_member = self.policy_member_of(member)
+        policy = member.register.document.policy
+        for ended in policy.ended:
+            self.checker.on_change_ended(ended.id, ended.version)
+        version = policy_member.lease.valid_version(member.elapsed_us(self.now))
         if version >= 0:
-            self.acts += 1
-            if p.stage:
-                self.checker.staged(p.stage.version, {n for n in self.names if p.stage.canary.includes(n)})
-            self.checker.acted(m.id, version, govern.texts.by_digest.get(p.digest_for(m.id), b""))
+            self.act_count += 1
+            if policy.stage:
+                self.checker.on_stage(
+                    policy.stage.version, {n for n in self.configured_ids if policy.stage.canary.includes(n)}
+                )
+            self.checker.on_act_under(
+                member.id, version, policy_member.texts.by_digest.get(policy.digest_for(member.id), b"")
+            )
 
     # The end: all is well again, and every change has an end
 
     def settle(self) -> None:
-        self.closed, self.stalled = (lambda a, b: False), ""
-        for m in self.members.values():
-            if not m.up:
-                memory = msgspec.msgpack.decode(m.disk, type=Memory) if m.disk else Memory()
-                self._again(m, memory, bool(m.disk))
-        until = self.now + SETTLED_US
-        while self.now < until:
-            self._calm()
-            for m in self.members.values():
-                self._act(m)
+        self.is_link_cut, self.stalled_disk = (lambda a, b: False), ""
+        for member in self.members.values():
+            if not member.is_running:
+                memory = (
+                    msgspec.msgpack.decode(member.stored_state, type=Memory)
+                    if member.stored_state
+                    else Memory()
+                )
+                self.restart(member, memory, bool(member.stored_state))
+        deadline = self.now + SETTLE_TIMEOUT_US
+        while self.now < deadline:
+            self.run_undisturbed()
+            for member in self.members.values():
+                self.act(member)
             self.now += ROUND_US
-            documents = [m.register.document for m in self.members.values()]
+            documents = [member.register.document for member in self.members.values()]
             if all(d.policy == documents[0].policy for d in documents) and not (
                 documents[0].policy.change or documents[0].policy.stage
             ):
-                struck = documents[0].policy.cancelled_members
+                cancelled_ids = documents[0].policy.cancelled_members
                 if all(
-                    self._govern(m).lease.valid_version(m.clock(self.now)) >= 0
-                    for m in self.members.values()
-                    if m.id not in struck
+                    self.policy_member_of(member).lease.valid_version(member.elapsed_us(self.now)) >= 0
+                    for member in self.members.values()
+                    if member.id not in cancelled_ids
                 ):
                     return
-        p = self.members["m0"].register.document.policy
-        raise Violation(
-            f"all is well for {SETTLED_US / 1e6:g} s, and the change has no end, or somebody may not act: {p}"
+        policy = self.members["m0"].register.document.policy
+        raise InvariantViolationError(
+            f"all is well for {SETTLE_TIMEOUT_US / 1e6:g} s, and the change has no end, "
+            f"or somebody may not act: {policy}"
         )
 
 
-def run(choices: list[int], members: int, seed: int, govern: type[PolicyMember] = PolicyMember) -> str:
+def run(
+    choices: list[int], members: int, seed: int, policy_member_type: type[PolicyMember] = PolicyMember
+) -> str:
     """What was violated, "" if nothing."""
-    world = PolicyWorld(members, seed, govern)
+    simulation = PolicySimulation(members, seed, policy_member_type)
     try:
         for choice in choices:
-            world.step(choice)
+            simulation.step(choice)
         if seed % 4 == 0:
-            world.settle()
-    except Violation as violation:
+            simulation.settle()
+    except InvariantViolationError as violation:
         return str(violation)
     return ""
 
 
 def schedule(seed: int) -> list[int]:
-    chance = random.Random(seed * 2654435761 + 7)
-    return [chance.randrange(10**7) for _ in range(STEPS)]
+    rng = random.Random(seed * 2654435761 + 7)
+    return [rng.randrange(10**7) for _ in range(STEPS_PER_SCHEDULE)]
 
 
 def explore(
-    schedules: int, first: int, members: int, govern: type[PolicyMember] = PolicyMember
-) -> tuple[int, list[Found]]:
+    schedules: int, first_seed: int, members: int, policy_member_type: type[PolicyMember] = PolicyMember
+) -> tuple[int, list[FailingSchedule]]:
     """(schedules run, the first that violates something)."""
-    for count, seed in enumerate(range(first, first + schedules), 1):
+    for count, seed in enumerate(range(first_seed, first_seed + schedules), 1):
         choices = schedule(seed)
-        if said := run(choices, members, seed, govern):
-            return count, [Found(seed, said, choices)]
+        if violation := run(choices, members, seed, policy_member_type):
+            return count, [FailingSchedule(seed, violation, choices)]
     return schedules, []
--- a/hopmill/explorer/policy_mutants.py
+++ b/hopmill/explorer/policy_mutants.py
@@ -14,74 +14,86 @@
 from hopmill.fleet.wire import DrainReply, LeaseGrant, LeaseRequest
 
 
-class GivesBeforeItIsChosen(LeaseGrantor):
-    def is_policy_chosen(self, known: RegisterDocument, voted: RegisterDocument) -> bool:
+class GrantsBeforePolicyIsChosen(LeaseGrantor):
+    def is_policy_chosen(self, known: RegisterDocument, accepted: RegisterDocument) -> bool:
         return True
 
 
-class GivesWhileClosing(LeaseGrantor):
+class GrantsWhileClosing(LeaseGrantor):
     def refuses_while_closing(self) -> bool:
         return False
 
 
-class GivesToThoseNotReady(LeaseGrantor):
-    def is_ready_for_change(self, p: Policy, request: LeaseRequest) -> bool:
+class GrantsToUnreadyMembers(LeaseGrantor):
+    def is_ready_for_change(self, policy: Policy, request: LeaseRequest) -> bool:
         return True
 
 
-class GivesAnyVersion(LeaseGrantor):
-    def is_version_in_force(self, p: Policy, sender: str, request: LeaseRequest) -> bool:
+class GrantsAnyVersion(LeaseGrantor):
+    def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
         return True
 
 
-class WaitsNoLeaseOut(LeaseGrantor):
+class SkipsLeaseEndWait(LeaseGrantor):
     def waits_full_lease(self) -> bool:
         return False
 
 
-class WaitsTooShort(LeaseGrantor):
+class WaitsLessThanLease(LeaseGrantor):
     def __init__(
-        self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
+        self,
+        me: str,
+        register: object,
+        length_us: int,
+        drift: float,
+        continues_alone: bool,
+        names: Iterable[str],
     ) -> None:
-        super().__init__(me, register, length_us, -drift, last, names)  # type: ignore[arg-type]
+        super().__init__(me, register, length_us, -drift, continues_alone, names)  # type: ignore[arg-type]
 
 
-class AnyStopCounts(LeaseGrantor):
-    def has_stopped(self, name: str, p: Policy) -> bool:
+class CountsOlderStops(LeaseGrantor):
+    def has_stopped(self, name: str, policy: Policy) -> bool:
         return name in self.stopped_epochs
 
 
-class ClearBeforeTheDisk(LeaseGrantor):
-    def send_drained(self, sender: str, answer: DrainReply) -> None:
-        self.outbox.append(Send(sender, answer))
+class ReportsDrainedBeforeDiskWrite(LeaseGrantor):
+    def send_drained(self, sender: str, reply: DrainReply) -> None:
+        self.outbox.append(Send(sender, reply))
 
 
-class ForgetsWhoIsAlone(LeaseGrantor):
+class ForgetsSilentMembers(LeaseGrantor):
     def __init__(
-        self, me: str, register: object, length_us: int, drift: float, last: bool, names: Iterable[str]
+        self,
+        me: str,
+        register: object,
+        length_us: int,
+        drift: float,
+        continues_alone: bool,
+        names: Iterable[str],
     ) -> None:
-        super().__init__(me, register, length_us, drift, last, ())  # type: ignore[arg-type]
+        super().__init__(me, register, length_us, drift, continues_alone, ())  # type: ignore[arg-type]
 
 
-class KeepsForEver(PolicyLease):
+class LeaseNeverExpires(PolicyLease):
     def valid_until(self) -> int:
         return NO_EXPIRY_US if super().valid_until() else 0
 
 
-class GoesOnWhileClosing(PolicyLease):
+class WorksWhileClosing(PolicyLease):
     """It says that it has stopped."""
 
     def valid_until(self) -> int:
-        kept, self.quiet = getattr(self, "kept", 0), True
-        self.kept = super().valid_until() or kept
-        return self.kept if self.applied_version == self.policy.version_for(self.me) else 0
+        last_valid_until, self.hides_closing = getattr(self, "last_valid_until", 0), True
+        self.last_valid_until = super().valid_until() or last_valid_until
+        return self.last_valid_until if self.applied_version == self.policy.version_for(self.me) else 0
 
     def must_stop(self) -> bool:
-        quiet, self.quiet = getattr(self, "quiet", False), False
-        return super().must_stop() and not quiet
+        hides_closing, self.hides_closing = getattr(self, "hides_closing", False), False
+        return super().must_stop() and not hides_closing
 
 
-class CountsFromTheAnswer(PolicyLease):
+class LeaseCountsFromReply(PolicyLease):
     def on_grant(self, sender: str, grant: LeaseGrant, now: int) -> None:
         before = self.granted_at.get(sender)
         super().on_grant(sender, grant, now)
@@ -89,60 +101,60 @@
             self.granted_at[sender] = now
 
 
-class AnyAnswerCounts(PolicyLease):
-    def matches_request(self, grant: LeaseGrant, asked: GrantRequest) -> bool:
+class CountsUnrequestedGrants(PolicyLease):
+    def matches_request(self, grant: LeaseGrant, request: GrantRequest) -> bool:
         return True
 
 
-class AnswersToAFormerLife(PolicyLease):
-    def matches_request(self, grant: LeaseGrant, asked: GrantRequest) -> bool:
-        return grant.seq == asked.seq
+class CountsGrantsOfEarlierGeneration(PolicyLease):
+    def matches_request(self, grant: LeaseGrant, request: GrantRequest) -> bool:
+        return grant.seq == request.seq
 
 
-class AddsUpTwoRosters(PolicyLease):
+class MixesVoterSets(PolicyLease):
     def has_same_voters(self, grant: LeaseGrant) -> bool:
         self.voter_set_version = self.register.document.voter_set_version
         return True
 
 
-class OneVoterIsClear(PolicyChangeCoordinator):
-    def all_leases_ended(self, d: RegisterDocument) -> bool:
-        return any(a.is_drained for a in self.replies.values())
+class DrainedByOneVoter(PolicyChangeCoordinator):
+    def all_leases_ended(self, document: RegisterDocument) -> bool:
+        return any(reply.is_drained for reply in self.replies.values())
 
 
 class CommitsAtAnyEpoch(PolicyChangeCoordinator):
     @staticmethod
     def commit(epoch: int) -> Step:
-        def step(ticket: str, document: RegisterDocument) -> RegisterDocument | None:
-            return commit(document.policy.epoch)(ticket, document)
+        def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
+            return commit(document.policy.epoch)(proposal_id, document)
 
         return step
 
 
-class VotesWithoutTheText(PolicyMember):
+class VotesWithoutText(PolicyMember):
     def _lacks_texts(self, document: RegisterDocument, sender: str) -> bool:
         return False
 
 
 PLANTED = {
-    "gives-before-it-is-chosen": GivesBeforeItIsChosen,
-    "gives-while-closing": GivesWhileClosing,
-    "gives-any-version": GivesAnyVersion,
-    "waits-no-lease-out": WaitsNoLeaseOut,
-    "waits-too-short": WaitsTooShort,
-    "any-stop-counts": AnyStopCounts,
-    "clear-before-the-disk": ClearBeforeTheDisk,
-    "forgets-who-is-alone": ForgetsWhoIsAlone,
-    "lease-for-ever": KeepsForEver,
-    "goes-on-while-closing": GoesOnWhileClosing,
-    "counts-from-answers": CountsFromTheAnswer,
-    "any-answer-counts": AnyAnswerCounts,
-    "answers-to-a-former-life": AnswersToAFormerLife,
-    "adds-up-two-rosters": AddsUpTwoRosters,
-    "one-voter-is-clear": OneVoterIsClear,
+    "gives-before-it-is-chosen": GrantsBeforePolicyIsChosen,
+    "gives-while-closing": GrantsWhileClosing,
+    "gives-any-version": GrantsAnyVersion,
+    "waits-no-lease-out": SkipsLeaseEndWait,
+    "waits-too-short": WaitsLessThanLease,
+    "any-stop-counts": CountsOlderStops,
+    "clear-before-the-disk": ReportsDrainedBeforeDiskWrite,
+    "forgets-who-is-alone": ForgetsSilentMembers,
+    "lease-for-ever": LeaseNeverExpires,
+    "goes-on-while-closing": WorksWhileClosing,
+    "counts-from-answers": LeaseCountsFromReply,
+    "any-answer-counts": CountsUnrequestedGrants,
+    "answers-to-a-former-life": CountsGrantsOfEarlierGeneration,
+    "adds-up-two-rosters": MixesVoterSets,
+    "one-voter-is-clear": DrainedByOneVoter,
     "commits-at-any-epoch": CommitsAtAnyEpoch,
-    "votes-without-the-text": VotesWithoutTheText,
-    "gives-to-those-not-ready": GivesToThoseNotReady,
+    "votes-without-the-text": VotesWithoutText,
+    "gives-to-those-not-ready": GrantsToUnreadyMembers,
 }
 
 
--- a/hopmill/explorer/search.py
+++ b/hopmill/explorer/search.py
@@ -7,87 +7,102 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from hopmill.explorer import known, policy, policy_known, policy_mutants
-from hopmill.explorer import world as explore
+from hopmill.explorer import known, policy, policy_known, policy_mutants, world
 from hopmill.explorer.mutants import planted
 from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.register import Register
 
-AT_ONCE = 2000  # schedules that a process runs before it reports
+SCHEDULES_PER_TASK = 2000  # schedules that a process runs before it reports
 
 
-def _run_policy(first: int, count: int, members: int, mutant: str) -> tuple[int, list[explore.Found]]:
-    return policy.explore(count, first, members, policy_mutants.planted(mutant) if mutant else PolicyMember)
+def _explore_policies(
+    first_seed: int, count: int, members: int, mutant: str
+) -> tuple[int, list[world.FailingSchedule]]:
+    return policy.explore(
+        count, first_seed, members, policy_mutants.planted(mutant) if mutant else PolicyMember
+    )
 
 
-def _run(first: int, count: int, members: int, mutant: str) -> tuple[int, list[explore.Found]]:
-    return explore.explore(count, first, members, planted(mutant) if mutant else Register)
+def _explore(
+    first_seed: int, count: int, members: int, mutant: str
+) -> tuple[int, list[world.FailingSchedule]]:
+    return world.explore(count, first_seed, members, planted(mutant) if mutant else Register)
 
 
 def search_policy(schedules: int, seed: int, members: int, cores: int, mutant: str) -> dict[str, Any]:
     """The same for changes of policy; a schedule that fails is told by its seed."""
-    govern = policy_mutants.planted(mutant) if mutant else PolicyMember
-    began, done, violations = time.monotonic(), 0, []
-    for name in policy_known.PLAYS:
-        done += 1
-        if said := policy_known.violated(name, govern):
-            violations.append({"known": name, "said": said})
+    policy_member_type = policy_mutants.planted(mutant) if mutant else PolicyMember
+    started_s, run_count, violations = time.monotonic(), 0, []
+    for name in policy_known.KNOWN_SCHEDULES:
+        run_count += 1
+        if violation := policy_known.find_violation(name, policy_member_type):
+            violations.append({"known": name, "said": violation})
             schedules = 0
             break
-    at_once = AT_ONCE // 20
-    rows = [(at, min(at_once, seed + schedules - at)) for at in range(seed, seed + schedules, at_once)]
+    schedules_per_task = SCHEDULES_PER_TASK // 20
+    tasks = [
+        (task_seed, min(schedules_per_task, seed + schedules - task_seed))
+        for task_seed in range(seed, seed + schedules, schedules_per_task)
+    ]
     with ProcessPoolExecutor(cores or os.cpu_count() or 1) as pool:
-        for count, found in (
-            pool.map(_run_policy, *zip(*rows, strict=True), [members] * len(rows), [mutant] * len(rows))
-            if rows
+        for count, failing in (
+            pool.map(
+                _explore_policies, *zip(*tasks, strict=True), [members] * len(tasks), [mutant] * len(tasks)
+            )
+            if tasks
             else ()
         ):
-            done += count
-            if found:
-                violations.append({"seed": found[0].seed, "said": found[0].violation})
+            run_count += count
+            if failing:
+                violations.append({"seed": failing[0].seed, "said": failing[0].violation})
                 pool.shutdown(cancel_futures=True)
                 break
     return {
-        "schedules": done,
+        "schedules": run_count,
         "members": members,
         "mutant": mutant or None,
         "violations": violations,
-        "seconds": round(time.monotonic() - began, 1),
+        "seconds": round(time.monotonic() - started_s, 1),
     }
 
 
 def search(schedules: int, seed: int, members: int, depth: int, cores: int, mutant: str) -> dict[str, Any]:
     """One line: what was run, and what was found with the shortest schedule that still fails."""
-    register = planted(mutant) if mutant else Register
-    began, done, states, violations = time.monotonic(), 0, 0, []
-    for name in known.PLAYS:
-        done += 1
-        if said := known.violated(name, register):
-            violations.append({"known": name, "said": said})
+    register_type = planted(mutant) if mutant else Register
+    started_s, run_count, states, violations = time.monotonic(), 0, 0, []
+    for name in known.KNOWN_SCHEDULES:
+        run_count += 1
+        if violation := known.find_violation(name, register_type):
+            violations.append({"known": name, "said": violation})
             schedules = depth = 0
             break
-    rows = [(at, min(AT_ONCE, seed + schedules - at)) for at in range(seed, seed + schedules, AT_ONCE)]
+    tasks = [
+        (task_seed, min(SCHEDULES_PER_TASK, seed + schedules - task_seed))
+        for task_seed in range(seed, seed + schedules, SCHEDULES_PER_TASK)
+    ]
     with ProcessPoolExecutor(cores or os.cpu_count() or 1) as pool:
-        for count, found in (
-            pool.map(_run, *zip(*rows, strict=True), [members] * len(rows), [mutant] * len(rows))
-            if rows
+        for count, failing in (
+            pool.map(_explore, *zip(*tasks, strict=True), [members] * len(tasks), [mutant] * len(tasks))
+            if tasks
             else ()
         ):
-            done += count
-            if found:
-                short = explore.shrink(found[0], members, register)
-                violations.append({"seed": short.seed, "said": short.violation, "choices": short.choices})
+            run_count += count
+            if failing:
+                shortest = world.shrink(failing[0], members, register_type)
+                violations.append(
+                    {"seed": shortest.seed, "said": shortest.violation, "choices": shortest.choices}
+                )
                 pool.shutdown(cancel_futures=True)
                 break
     if depth and not violations:
-        every, states, said = explore.every(depth, register)
-        done += every
-        violations += [{"depth": depth, "said": said}] if said else []
+        exhaustive_count, states, violation = world.explore_exhaustively(depth, register_type)
+        run_count += exhaustive_count
+        violations += [{"depth": depth, "said": violation}] if violation else []
     return {
-        "schedules": done,
+        "schedules": run_count,
         "states": states,
         "members": members,
         "mutant": mutant or None,
         "violations": violations,
-        "seconds": round(time.monotonic() - began, 1),
+        "seconds": round(time.monotonic() - started_s, 1),
     }
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -459,7 +459,7 @@
 # The explorer
 
 # Each planted fault with the members and the seed of a schedule that shows it, or the play written for it.
-FOUND = {
+FAILING_SEEDS = {
     "promises-anything": (3, 57),
     "accepts-anything": (3, 6),
     "trusts-a-copy": (3, 2295),
@@ -473,7 +473,7 @@
     "keeps-for-ever": (3, 268),
     "let-in-by-anyone": (3, 2295),
 }
-PLAYS = {
+KNOWN_SCHEDULES = {
     "counts-from-the-answer": "late-answer",
     "waits-no-longer": "two-clocks",
     "old-promises-stand": "forgotten-promise",
@@ -483,15 +483,17 @@
 
 
 def test_every_planted_fault_has_its_schedule():
-    assert {*FOUND, *PLAYS} == set(PLANTED) and set(PLAYS.values()) == set(known.PLAYS)
+    assert {*FAILING_SEEDS, *KNOWN_SCHEDULES} == set(PLANTED) and set(KNOWN_SCHEDULES.values()) == set(
+        known.KNOWN_SCHEDULES
+    )
 
 
-@pytest.mark.parametrize(("name", "play"), PLAYS.items())
-def test_each_written_play_needs_its_guard(name, play):
-    assert known.violated(play, planted(name)) and not known.violated(play)
+@pytest.mark.parametrize(("name", "schedule"), KNOWN_SCHEDULES.items())
+def test_each_written_play_needs_its_guard(name, schedule):
+    assert known.find_violation(schedule, planted(name)) and not known.find_violation(schedule)
 
 
-@pytest.mark.parametrize(("name", "at"), FOUND.items())
+@pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
 def test_each_guard_taken_away_is_found(name, at):
     count, seed = at
     assert explore.run(explore.schedule(seed), count, seed, planted(name))
@@ -512,5 +514,5 @@
 
 
 def test_every_schedule_up_to_a_depth_keeps_them():
-    schedules, states, said = explore.every(3)
+    schedules, states, said = explore.explore_exhaustively(3)
     assert states > 500 and schedules > states and not said
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -45,14 +45,14 @@
 # The explorer
 
 # Each planted fault with the members and the seed of a schedule that shows it, or the play written for it.
-FOUND = {
+FAILING_SEEDS = {
     "gives-before-it-is-chosen": (3, 112),
     "goes-on-while-closing": (3, 149),
     "votes-without-the-text": (3, 4),
     "gives-to-those-not-ready": (3, 16),
     "answers-to-a-former-life": (4, 252_172),
 }
-PLAYS = {
+KNOWN_SCHEDULES = {
     "waits-no-lease-out": "forgotten-leases",
     "waits-too-short": "drifting-clocks",
     "clear-before-the-disk": "unwritten-vote",
@@ -70,15 +70,17 @@
 
 
 def test_every_planted_fault_has_its_schedule():
-    assert {*FOUND, *PLAYS} == set(PLANTED) and set(PLAYS.values()) == set(known.PLAYS)
+    assert {*FAILING_SEEDS, *KNOWN_SCHEDULES} == set(PLANTED) and set(KNOWN_SCHEDULES.values()) == set(
+        known.KNOWN_SCHEDULES
+    )
 
 
-@pytest.mark.parametrize(("name", "play"), PLAYS.items())
-def test_each_written_play_needs_its_guard(name, play):
-    assert known.violated(play, planted(name)) and not known.violated(play)
+@pytest.mark.parametrize(("name", "schedule"), KNOWN_SCHEDULES.items())
+def test_each_written_play_needs_its_guard(name, schedule):
+    assert known.find_violation(schedule, planted(name)) and not known.find_violation(schedule)
 
 
-@pytest.mark.parametrize(("name", "at"), FOUND.items())
+@pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
 def test_each_guard_taken_away_is_found(name, at):
     count, seed = at
     assert explore.run(explore.schedule(seed), count, seed, planted(name))
@@ -98,14 +100,14 @@
 
 
 def test_a_folder_that_is_emptied_takes_its_texts_along():
-    world = explore.PolicyWorld(3, 0)
+    world = explore.PolicySimulation(3, 0)
     m = world.members["m0"]
-    world._offer(m, 1)
-    world._calm()
-    assert world.disks["m0"] and m.disk and not m.writes
-    life = m.life
-    world._put_back(m, 0)
-    assert not world.disks["m0"] and m.life == life + 1 and not m.register.voter.is_voting
+    world.propose_policy(m, 1)
+    world.run_undisturbed()
+    assert world.stored_texts["m0"] and m.stored_state and not m.pending_writes
+    generation = m.generation
+    world.reset_folder(m, 0)
+    assert not world.stored_texts["m0"] and m.generation == generation + 1 and not m.register.voter.is_voting
 
 
 def test_a_text_that_is_needed_again_outlasts_its_deletion():
@@ -306,7 +308,12 @@
 
     def __init__(self, members=5, loss=0.0, alone="hold"):
         self.fleet = Fleet(Plan(members, loss, 7, settings={"policy": PolicyRule(alone=alone)}))
-        self.fleet.look, self.checker, self.count, self.refusing_members = self.look, explore.Acts(), 0, set()
+        self.fleet.look, self.checker, self.count, self.refusing_members = (
+            self.look,
+            explore.PolicyChecker(),
+            0,
+            set(),
+        )
         self.fleet.after(0, self.poll)
         self.run(3.0)
 
@@ -323,7 +330,7 @@
         policy_member = self.fleet.nodes[n].policy_member
         p, version = policy_member.register.document.policy, policy_member.lease.valid_version(self.fleet.now)
         if version >= 0:
-            self.checker.acted(
+            self.checker.on_act_under(
                 policy_member.me,
                 version,
                 policy_member.texts.by_digest.get(p.digest_for(policy_member.me), b""),
@@ -399,7 +406,7 @@
     f.cut((0, 4), (1, 2, 3))
     f.propose(0)
     f.run(8.0)
-    assert f.checker.version == 0
+    assert f.checker.highest_version == 0
     return None
 
 
@@ -459,11 +466,14 @@
     f.propose(0)
     f.run(9.0)
     # Work continues under version 0.
-    assert f.checker.version == 0 and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
+    assert (
+        f.checker.highest_version == 0
+        and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
+    )
     f.fleet.nodes[0].policy_member.cancel_member("c4", True, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     f.run(4.0)
-    assert f.checker.version == 1
+    assert f.checker.highest_version == 1
     f.fleet.nodes[0].policy_member.cancel_member("c4", False, f.fleet.now, lambda outcome: None)
     f.fleet._pump(0)
     return 1
