--- a/hopmill/explorer/__init__.py
+++ b/hopmill/explorer/__init__.py
@@ -1,1 +1,1 @@
-"""The explorer: register and leases under every order of events that chance finds; docs/fleet.md."""
+"""The explorer: simulates members of a fleet under many orders of events and checks what they promise."""
--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -1,6 +1,6 @@
-"""What is promised of the register and its leases, checked by what was told to whom and when, by one clock.
+"""Checks the promises of the register and its leases, by the order of one clock.
 
-It knows nothing of how they work: it judges the outcomes that proposers were told, and the acts under leases.
+It does not depend on how they work: it judges the outcomes that proposers got, and the acts under leases.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class InvariantViolationError(Exception):
-    """A promise that was broken; the text says which."""
+    """A promise was broken; the text says which."""
 
 
 @dataclass
 class Operation:
-    """One change as its proposer saw it."""
+    """One proposed change as its proposer sees it. Times are us of the simulation."""
 
     proposal_id: str
     began_at: int
@@ -27,7 +27,10 @@
 
 
 class Checker:
-    """Outcomes and acts, in the order of one clock."""
+    """Checks that the register is linearizable and that fencing tokens of acts never go back.
+
+    The methods raise InvariantViolationError, and have to be called in the order of one clock.
+    """
 
     def __init__(self) -> None:
         self.encoded_documents: dict[int, bytes] = {}
@@ -35,6 +38,11 @@
         self.fencing_token, self.owner = 0, ""
 
     def on_outcome(self, operation: Operation, outcome: Outcome, now: int) -> None:
+        """Check the outcome of a change.
+
+        Each version is one document. A change is applied once. Whoever proposes after an outcome sees that
+        outcome's version or a later one, and a change that was made stays.
+        """
         if outcome.state not in ("done", "left") or outcome.document is None:
             return
         document = outcome.document
@@ -71,6 +79,7 @@
             operation.made_version = outcome.made_version
 
     def on_act(self, owner: str, fencing_token: int) -> None:
+        """Check an act under a lease: no later token, and no other owner of this token, has acted before."""
         if fencing_token < self.fencing_token or fencing_token == self.fencing_token and owner != self.owner:
             raise InvariantViolationError(
                 f"{owner} acted under fencing token {fencing_token} "
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -1,7 +1,7 @@
-"""Schedules that are known to be dangerous, written out, for chance finds them seldom.
+"""Schedules that are dangerous to register and leases, written out since random ones seldom hit them.
 
-Each is a play that a register has to survive, and that at least one planted fault does not. They are tried
-before the random ones.
+The register has to survive each of them, and at least one planted fault does not. They are tried before the
+random schedules.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
     kinds: tuple[type, ...],
     is_allowed: Callable[[str, str], bool] = lambda a, b: True,
 ) -> None:
-    """Let messages of these kinds arrive, where they may, and disks write, until none is left."""
+    """Deliver the messages of these kinds that are allowed, and complete writes, until none is left.
+
+    is_allowed: takes sender and receiver.
+    """
     for _ in range(MAX_DELIVERIES):
         for member in simulation.members.values():
             simulation.complete_writes(member, len(member.pending_writes))
@@ -41,7 +44,7 @@
 
 
 def run_only(simulation: Simulation, names: list[str], ticks: int = 4, wait_us: int = 0) -> None:
-    """These go on as ever, the others stand still."""
+    """Let these members run undisturbed while the others do nothing."""
     for _ in range(ticks):
         for name in names:
             simulation.tick(simulation.members[name])
@@ -60,7 +63,10 @@
 
 
 def _elect_holder(simulation: Simulation) -> tuple[Member, Member, list[str]]:
-    """(who holds the lease, who may take it later, all but the holder)."""
+    """Let the first member take the lease.
+
+    Returns the holder, the member that may take over later, and the ids of all but the holder.
+    """
     for name in simulation.member_ids[1:]:
         simulation.members[name].register.lease_holders[LEASE_NAME].wanted = False
     for _ in range(20):
@@ -82,7 +88,7 @@
 
 
 def _announce(simulation: Simulation, document: RegisterDocument, names: list[str]) -> None:
-    """These hear that it was chosen."""
+    """Let these members learn that the document was chosen."""
     for name in names:
         member = simulation.members[name]
         member.register.receive(name, ChosenDocument(doc.encode(document)), member.elapsed_us(simulation.now))
@@ -96,7 +102,7 @@
 
 
 def late_reply(simulation: Simulation) -> None:
-    """The answers to a renewal come after the lease has run out and another has taken it."""
+    """The replies to a renewal arrive after the lease has expired and another member has taken it."""
     holder, successor, others = _elect_holder(simulation)
     simulation.now += LEASE_US // 2
     simulation.tick(holder)
@@ -114,7 +120,7 @@
 
 
 def drifting_clocks(simulation: Simulation) -> None:
-    """The holder's clock is slow and the next one's fast, both within the drift."""
+    """The holder's clock is slow and its successor's fast, both within the drift."""
     holder, successor, others = _elect_holder(simulation)
     set_clock_rate(simulation, holder, 1 - 0.49 * DRIFT)
     set_clock_rate(simulation, successor, 1 + 0.49 * DRIFT)
@@ -130,7 +136,7 @@
 
 
 def forgotten_promise(simulation: Simulation) -> None:
-    """A voter promises, loses its folder and is let in again, and the promise is then made use of."""
+    """A voter promises, loses its folder and is readmitted; then a proposer uses the promise."""
     voter, proposer = simulation.members["m0"], simulation.members["m3"]
     proposer.register.proposer.round = 50  # as if many of its ballots had been rejected
     simulation.propose(proposer, say("x", "old"))
@@ -147,7 +153,7 @@
 
 
 def lost_vote(simulation: Simulation) -> None:
-    """A voter's answer counts, and it ends before its disk has the vote."""
+    """A voter is counted as having accepted, and crashes before the vote is on disk."""
     simulation.run_undisturbed()
     simulation.propose(simulation.members["m0"], say("x", "1"))
     deliver_only(simulation, (Prepare, Promise))
@@ -164,7 +170,7 @@
 
 
 def former_voter(simulation: Simulation) -> None:
-    """One that was a voter votes a change in, and those that still are know nothing of it."""
+    """A former voter votes for a change that the present voters do not know."""
     simulation.members["m1"].register.proposer.round = 50  # so that its first ballot is the highest
     simulation.propose(simulation.members["m1"], replace_voter("m0", "m2"))
     deliver_only(simulation, (Prepare, Promise))
@@ -184,7 +190,7 @@
 
 
 def find_violation(name: str, register_type: type[Register] = Register) -> str:
-    """What the play of this name violated, "" if nothing."""
+    """What this schedule violates, "" if nothing. Raises KeyError if there is none of this name."""
     run_schedule, members, seed = KNOWN_SCHEDULES[name]
     try:
         run_schedule(
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -1,7 +1,7 @@
-"""The explorer's world with a policy: couriers act under leases on its versions while changes are made.
+"""The simulation with a policy: couriers act under leases on its versions while changes are made.
 
-What is judged is what was done and when, by one clock: acts (who, under which version and text) and what each
-change was said to have become.
+It is judged, by one clock, who acted when under which version and text, and how each change is said to have
+ended.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PolicyChecker(Checker):
-    """On top of the register's: the promise of policy changes."""
+    """Checks the promises of policy changes on top of those of the register."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
         )
 
     def on_stage(self, version: int, canary_group: set[str]) -> None:
-        """For a while these few are to go by it, and the others by the one before."""
+        """Check that a staged version has one canary group. The other members keep the version before it."""
         if self.canary_groups.setdefault(version, canary_group) != canary_group:
             raise InvariantViolationError(
                 f"version {version} is staged for two canary groups: "
@@ -47,8 +47,11 @@
             )
 
     def on_act_under(self, member: str, version: int, text: bytes) -> None:
-        """The highest version that binds this courier is known by now: a staged one binds the others only
-        once one of them has acted under it."""
+        """Check that no act is under a version before the highest one that binds the member.
+
+        A staged version binds its canary group once one of the group has acted under it, and the others
+        only once one of them has.
+        """
         min_version = max(
             self.highest_version,
             self.highest_canary_version
@@ -67,6 +70,7 @@
             raise InvariantViolationError(f"version {version} has two different texts")
 
     def on_change_ended(self, change: str, version: int) -> None:
+        """Check that a change has one outcome only. version: that it put in force, 0 for none."""
         if self.versions_by_change.setdefault(change, version) != version:
             raise InvariantViolationError(
                 f"change {change} ended twice: with version {self.versions_by_change[change]} and {version}"
@@ -74,26 +78,29 @@
 
 
 class PolicyRegister(Register):
-    """A register that passes on what is the policy's; the world sets `govern`."""
+    """A register that hands the policy's messages to `policy_member`, which the simulation sets."""
 
     policy_member: PolicyMember | None = None
 
     def receive(self, sender: str, body: Body, now: int) -> None:
+        """Handle a message of the register's or the policy's protocol."""
         if not isinstance(body, POLICY_BODIES):
             super().receive(sender, body, now)
         elif self.policy_member:
             self.policy_member.receive(sender, body, now)
 
     def tick(self, now: int) -> int:
+        """Do everything that is due. Returns the time of the next call."""
         due = super().tick(now)
         return min(due, self.policy_member.tick(now)) if self.policy_member else due
 
     def take(self, now: int) -> list[Any]:
+        """Return the actions to do."""
         return [*super().take(now), *(self.policy_member.take() if self.policy_member else [])]
 
 
 class PolicySimulation(Simulation):
-    """`govern`: the part that is tried, perhaps with a fault planted."""
+    """Simulates members with a policy. `policy_member_type` may have a planted fault."""
 
     def __init__(
         self, members: int, seed: int, policy_member_type: type[PolicyMember] = PolicyMember
@@ -107,6 +114,7 @@
         self.is_bootstrapped = True
 
     def create_register(self, member: Member, memory: Memory, same_folder: bool) -> Register:
+        """Start the register and the policy part of a member. The texts on its disk are kept."""
         register = super().create_register(member, memory, same_folder)
         assert isinstance(register, PolicyRegister)
         others = [name for name in self.configured_ids if name != member.id]
@@ -125,6 +133,7 @@
         return register
 
     def event_kinds(self) -> list[tuple[Callable[[Member, int], None], int]]:
+        """Add the events of policy changes."""
         return [
             *super().event_kinds(),
             (self.propose_policy, 14),
@@ -133,13 +142,13 @@
         ]
 
     def _run_rounds(self, argument: int) -> None:
-        """Some steps of a change with nothing going wrong."""
+        """Run a few rounds in which nothing goes wrong, for a change to take some of its steps."""
         for _ in range(1 + argument % 6):
             self.run_undisturbed()
             self.now += ROUND_US
 
     def propose_policy(self, member: Member, argument: int) -> None:
-        """A change; now and then one that a member refuses, and one that was offered already."""
+        """Propose or withdraw a change. Some are refused by a member, and some were proposed already."""
         if not member.is_running:
             return
         policy_member = self.policy_member_of(member)
@@ -163,7 +172,7 @@
         self.collect_actions(member)
 
     def _cancel_or_restore_member(self, member: Member, argument: int) -> None:
-        """Staff strike off one that is down; or let back one that was struck."""
+        """An operator withdraws a member that does not run, or lets one back."""
         stopped_ids = [x.id for x in self.members.values() if not x.is_running]
         cancelled_ids = member.register.document.policy.cancelled_members
         if member.is_running and (cancelled_ids if argument % 2 else stopped_ids):
@@ -176,16 +185,19 @@
 
     @staticmethod
     def policy_member_of(member: Member) -> PolicyMember:
+        """The policy part of a member."""
         assert isinstance(member.register, PolicyRegister) and member.register.policy_member is not None
         return member.register.policy_member
 
     # The part of the courier that surrounds the member
 
     def collect_actions(self, member: Member) -> None:
+        """Do what the courier does after each call of its member, then collect the actions."""
         self._apply_policy(member)
         super().collect_actions(member)
 
     def _apply_policy(self, member: Member) -> None:
+        """Apply the version in force and check the pending change, if their texts are here."""
         if not self.is_bootstrapped:
             return
         policy_member, policy = self.policy_member_of(member), member.register.document.policy
@@ -203,6 +215,7 @@
             policy_member.lease.report_check(policy.change.id, "no" if refused else "")
 
     def complete_writes(self, member: Member, count: int) -> None:
+        """Complete writes and deletions of texts, then the first `count` writes of the register."""
         if member.id == self.stalled_disk:
             return
         if self.is_bootstrapped and (
@@ -222,12 +235,16 @@
         super().complete_writes(member, count)
 
     def empty_folder(self, member: Member) -> None:
+        """Lose the folder, with the texts in it."""
         super().empty_folder(member)
         self.stored_texts[member.id] = {}
 
     def may_lose_folder(self, member: Member) -> bool:
-        """One voter at a time, those included that a change which is under way names; and one that lost its
-        folder is whole again once it has its texts, too."""
+        """Whether no voter lacks memory or texts.
+
+        Voters that a change in progress names count, too. A voter that lost its folder is complete again once
+        it has its texts.
+        """
         members = list(self.members.values())
         voter_ids = set[str]().union(
             *(
@@ -245,6 +262,7 @@
         )
 
     def act(self, member: Member) -> None:
+        """Check outcomes that the member knows, and let it act under its lease, if it may."""
         if not member.is_running:
             return
         policy_member = self.policy_member_of(member)
@@ -265,6 +283,10 @@
     # Liveness: once all faults have ended, each change ends
 
     def settle(self) -> None:
+        """End all faults and run until every change has ended and every member may act.
+
+        Members that are withdrawn need not act. Raises InvariantViolationError if that takes too long.
+        """
         self.is_link_cut, self.stalled_disk = (lambda a, b: False), ""
         for member in self.members.values():
             if not member.is_running:
@@ -301,7 +323,7 @@
 def run(
     choices: list[int], members: int, seed: int, policy_member_type: type[PolicyMember] = PolicyMember
 ) -> str:
-    """What was violated, "" if nothing."""
+    """What the schedule violates, "" if nothing. Every fourth seed also has to settle at the end."""
     simulation = PolicySimulation(members, seed, policy_member_type)
     try:
         for choice in choices:
@@ -314,6 +336,7 @@
 
 
 def schedule(seed: int) -> list[int]:
+    """The random choices of this seed."""
     rng = random.Random(seed * 2654435761 + 7)
     return [rng.randrange(10**7) for _ in range(STEPS_PER_SCHEDULE)]
 
@@ -321,7 +344,7 @@
 def explore(
     schedules: int, first_seed: int, members: int, policy_member_type: type[PolicyMember] = PolicyMember
 ) -> tuple[int, list[FailingSchedule]]:
-    """(schedules run, the first that violates something)."""
+    """Run random schedules. Returns how many were run, and the first that violates a promise, if any."""
     for count, seed in enumerate(range(first_seed, first_seed + schedules), 1):
         choices = schedule(seed)
         if violation := run(choices, members, seed, policy_member_type):
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -1,4 +1,4 @@
-"""Schedules that are known to be dangerous to policy changes, written out, for chance finds them seldom."""
+"""Schedules that are dangerous to policy changes, written out since random ones seldom hit them."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def _prepare_change(simulation: PolicySimulation, by: str = "m0") -> None:
-    """All have their lease, and are ready for a change."""
+    """Let each member get a lease and become ready for a change."""
     _run_all(simulation)
     simulation.policy_member_of(simulation.members[by]).propose(
         "p1", b"policy p1", 0, simulation.members[by].elapsed_us(simulation.now), lambda outcome: None
@@ -66,7 +66,7 @@
 
 
 def _renew(simulation: PolicySimulation, names: list[str], grantors: list[str] | None = None) -> None:
-    """These ask for a lease anew, and get it from all or from some."""
+    """Let these members request their leases again, and get them from all grantors or from some."""
     for name in names:
         for request in simulation.policy_member_of(simulation.members[name]).lease.requests.values():
             request.next_send_at = 0
@@ -80,7 +80,7 @@
 
 
 def _restart(simulation: PolicySimulation, names: list[str]) -> None:
-    """And the first of them reads the register at once."""
+    """Restart these members from disk; the first of them then reads the register at once."""
     for name in names:
         member = simulation.members[name]
         member.pending_writes.clear()
@@ -93,7 +93,7 @@
 
 
 def forgotten_leases(simulation: PolicySimulation) -> None:
-    """Those that gave a lease are started anew, while who holds it hears of nothing."""
+    """Voters that granted a lease restart, and the holder receives nothing."""
     _prepare_change(simulation)
     run_only(simulation, ["m0", "m1"], 4, 1_000)
     _restart(simulation, ["m0", "m1"])
@@ -102,7 +102,7 @@
 
 
 def drifting_clocks(simulation: PolicySimulation) -> None:
-    """Who holds a lease has a slow clock and those who gave it fast ones, all within the drift."""
+    """The clock of a lease holder is slow and those of the grantors fast, all within the drift."""
     for name, rate in (("m0", 1 + 0.49 * DRIFT), ("m1", 1 + 0.49 * DRIFT), ("m2", 1 - 0.49 * DRIFT)):
         set_clock_rate(simulation, simulation.members[name], rate)
     _run_all(simulation)
@@ -114,7 +114,7 @@
 
 
 def unwritten_vote(simulation: PolicySimulation) -> None:
-    """A voter says that it is clear by a vote that its disk never had, and gives a lease once more."""
+    """A voter reports that it is drained by a vote that never got on its disk, and grants a lease again."""
     _run_all(simulation)
     simulation.now += 2 * LEASE_US
     _prepare_change(simulation, "m2")
@@ -134,7 +134,7 @@
 
 
 def late_lease_request(simulation: PolicySimulation) -> None:
-    """Voters have said that they are clear; then one that missed it all asks for a lease again."""
+    """Voters have reported that they are drained; then a member that missed it requests a lease again."""
     _run_all(simulation)
     simulation.now += 2 * LEASE_US
     _prepare_change(simulation, "m2")
@@ -151,7 +151,7 @@
 
 
 def _is_committing(simulation: PolicySimulation) -> bool:
-    """Whether whoever leads has begun to put the change in force."""
+    """Whether a coordinator has begun to put the change in force."""
     return any(
         simulation.policy_member_of(member).coordinator.is_proposing
         and member.register.document.policy.change
@@ -161,7 +161,7 @@
 
 
 def old_version(simulation: PolicySimulation) -> None:
-    """One that missed the change asks for a lease on the version before."""
+    """A member that missed the change requests a lease on the version before."""
     _prepare_change(simulation)
     simulation.now += 2 * LEASE_US
     run_only(simulation, ["m0", "m1"], 14, 2_000)
@@ -171,7 +171,7 @@
 
 
 def continue_alone(simulation: PolicySimulation) -> None:
-    """Where couriers go on alone: one does, and the voters have been started anew."""
+    """Couriers continue alone: one of them does so, and the voters have restarted."""
     _prepare_change(simulation)
     _restart(simulation, ["m0", "m1"])
     simulation.now += 3 * LEASE_US
@@ -180,16 +180,17 @@
 
 
 def late_grant(simulation: PolicySimulation) -> None:
-    """What voters gave comes nearly as late as it ends."""
+    """Grants arrive nearly as late as they expire."""
     _delay_grants(simulation, False)
 
 
 def requested_again(simulation: PolicySimulation) -> None:
-    """The same, and it has asked again meanwhile."""
+    """Grants arrive nearly as late as they expire, and the member has requested again meanwhile."""
     _delay_grants(simulation, True)
 
 
 def _delay_grants(simulation: PolicySimulation, sends_again: bool) -> None:
+    """Deliver grants late. sends_again: the member sends new requests before they arrive."""
     _run_all(simulation)
     simulation.now += 2 * LEASE_US
     _prepare_change(simulation)
@@ -213,7 +214,7 @@
 
 
 def two_voter_sets(simulation: PolicySimulation) -> None:
-    """One voter is replaced; it gives a lease to itself by the old set, and another does by the new."""
+    """A voter is replaced; it grants itself a lease by the old set, and another voter does so by the new."""
     _run_all(simulation)
     simulation.propose(simulation.members["m0"], replace_voter("m1", "m3"))
     live_names = ["m0", "m2", "m3"]
@@ -236,7 +237,7 @@
 
 
 def one_voter_drained(simulation: PolicySimulation) -> None:
-    """Two voters have given a lease, the third has not."""
+    """Two voters have granted a lease, the third has not."""
     _run_all(simulation)
     simulation.now += 2 * LEASE_US
     _prepare_change(simulation, "m2")
@@ -248,7 +249,7 @@
 
 
 def stale_commit(simulation: PolicySimulation) -> None:
-    """The change is opened again and closes anew, and who led it before goes on as if it had not."""
+    """The change is reopened and closes again; its former coordinator goes on as if it had not."""
     late_commit(simulation)
     _renew(simulation, ["m3"], ["m0", "m1"])
     late_messages = [row for row in simulation.in_flight if row[0] == "m2"]
@@ -263,6 +264,7 @@
 
 
 def late_commit(simulation: PolicySimulation) -> None:
+    """The change is reopened while the messages of its first coordinator are held back."""
     _run_all(simulation)
     simulation.now += 2 * LEASE_US
     _prepare_change(simulation, "m2")
@@ -294,7 +296,7 @@
 
 
 def stopped_before(simulation: PolicySimulation) -> None:
-    """One has stopped for a closing that was opened again; at the next it hears of nothing."""
+    """A member has stopped for a closing that was reopened; it receives nothing of the next one."""
     _prepare_change(simulation)
     m0 = simulation.members["m0"]
     for step in (close, reopen):
@@ -333,7 +335,7 @@
 
 
 def find_violation(name: str, policy_member_type: type[PolicyMember] = PolicyMember) -> str:
-    """What the play of this name violated, "" if nothing."""
+    """What this schedule violates, "" if nothing. Raises KeyError if there is none of this name."""
     run_schedule, members, seed = KNOWN_SCHEDULES[name]
     try:
         run_schedule(PolicySimulation(members, seed, policy_member_type))
--- a/hopmill/explorer/search.py
+++ b/hopmill/explorer/search.py
@@ -1,4 +1,4 @@
-"""The explorer on all cores, and its report."""
+"""Runs the explorer on several cores and reports what it found."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 def search_policy(schedules: int, seed: int, members: int, cores: int, mutant: str) -> dict[str, Any]:
-    """The same for changes of policy; a schedule that fails is told by its seed."""
+    """Explore changes of policy. A schedule that fails is reported by its seed, not shrunk.
+
+    cores: 0 for all. mutant: name of a planted fault, "" for none.
+    """
     policy_member_type = policy_mutants.planted(mutant) if mutant else PolicyMember
     started_s, run_count, violations = time.monotonic(), 0, []
     for name in policy_known.KNOWN_SCHEDULES:
@@ -67,7 +70,11 @@
 
 
 def search(schedules: int, seed: int, members: int, depth: int, cores: int, mutant: str) -> dict[str, Any]:
-    """One line: what was run, and what was found with the shortest schedule that still fails."""
+    """Explore register and leases. A schedule that fails is reported as short as it still fails.
+
+    depth: run all schedules of three members up to so many steps, too. cores: 0 for all. mutant: name of a
+    planted fault, "" for none.
+    """
     register_type = planted(mutant) if mutant else Register
     started_s, run_count, states, violations = time.monotonic(), 0, 0, []
     for name in known.KNOWN_SCHEDULES:
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -1,5 +1,7 @@
-"""The explorer: registers and leases on a network in memory, where every delivery, loss, repeat, crash, disk
-write and timer is a choice. Random schedules by seed, every schedule up to a depth, the shortest that fails.
+"""Simulates registers and leases on a network in memory, under many orders of events.
+
+Each delivery, loss and duplicate of a message, each crash, disk write and timer is a choice. Schedules of
+choices are random by a seed, or all of them up to a depth. A schedule that fails is shrunk.
 """
 
 from __future__ import annotations
@@ -43,11 +45,15 @@
     generation: int = 1
 
     def elapsed_us(self, now: int) -> int:
+        """This member's elapsed clock at a time of the simulation, in us."""
         return self.clock_offset_us + int(now * self.clock_rate)
 
 
 class Simulation:
-    """`choices` says what may happen next; `choose` lets it."""
+    """Members and the network between them. Times are us.
+
+    `step` makes one event happen, by a number. Violations of a promise are raised as InvariantViolationError.
+    """
 
     def __init__(
         self, members: int, seed: int, register_type: type[Register] = Register, has_leases: bool = True
@@ -85,13 +91,17 @@
         )
 
     def exchange_versions(self) -> None:
-        """As the members' datagrams do all the time."""
+        """Let members learn each other's document versions, as their datagrams do all the time."""
         for member in self.members.values():
             for other in self.members.values():
                 if member.is_running and other.is_running and not self.is_link_cut(member.id, other.id):
                     other.register.note_version(member.id, member.register.document.version)
 
     def create_register(self, member: Member, memory: Memory, same_folder: bool) -> Register:
+        """Start the register of a member from the memory on its disk.
+
+        same_folder: whether the folder is known to be its own, not emptied and not an older copy.
+        """
         register = self.register_type(
             member.id,
             member.generation,
@@ -105,7 +115,7 @@
         return register
 
     def _bootstrap(self) -> None:
-        """A new fleet, before anything goes wrong."""
+        """Start the fleet before anything goes wrong."""
         for _ in range(4):
             for member in self.members.values():
                 self.tick(member)
@@ -118,7 +128,10 @@
     # Events
 
     def step(self, choice: int) -> None:
-        """One thing, by a number of which any part may be used; what can't happen just now does not."""
+        """Make one event happen. Parts of the number choose its kind, the member and an argument.
+
+        An event that is impossible at the moment does nothing.
+        """
         kind = bisect.bisect_right(
             self.cumulative_weights, choice % 1000 * self.cumulative_weights[-1] // 1000
         )
@@ -129,7 +142,7 @@
             self.act(member)
 
     def event_kinds(self) -> list[tuple[Callable[[Member, int], None], int]]:
-        """What may happen, and how often it does in a world that favours nothing."""
+        """Each kind of event with its weight before the weights are varied by the seed."""
         return [
             (lambda member, argument: self.deliver(0 if argument % 4 else argument // 4), 40),
             (lambda member, argument: self.complete_writes(member, len(member.pending_writes)), 16),
@@ -156,6 +169,7 @@
         self.now += TIME_STEPS_US[argument % len(TIME_STEPS_US)]
 
     def drop_message(self, argument: int) -> None:
+        """Lose one message."""
         if self.in_flight:
             self.in_flight.pop(argument % len(self.in_flight))
 
@@ -164,7 +178,7 @@
             self.in_flight.append(self.in_flight[argument % len(self.in_flight)])
 
     def _partition(self, argument: int) -> None:
-        """From now on some ways are closed, or a disk stands still: what is under way there waits."""
+        """Cut some links, or stall a disk, from now on. Messages on cut links wait."""
         mode, argument = argument % 8, argument // 8
         name, mask = self.member_ids[argument % len(self.member_ids)], argument // len(self.member_ids)
         self.stalled_disk = name if mode == 2 else ""
@@ -177,7 +191,7 @@
             self.is_link_cut = lambda a, b: sides[a] != sides[b]
 
     def run_undisturbed(self, deliveries: int = 60) -> None:
-        """For a while whatever can happen does, and nothing is lost; a short one ends in the middle."""
+        """Let timers, writes and deliveries happen without loss. Few deliveries end it within a round."""
         self.exchange_versions()
         for member in self.members.values():
             self.tick(member)
@@ -188,6 +202,7 @@
                 break
 
     def collect_actions(self, member: Member) -> None:
+        """Put the messages of a member on the network and its writes on the queue of its disk."""
         for action in member.register.take(member.elapsed_us(self.now)):
             if isinstance(action, Send):
                 self.in_flight.append((member.id, action.to, action.body, member.register.document.version))
@@ -197,7 +212,10 @@
             del self.in_flight[: len(self.in_flight) - MAX_IN_FLIGHT]
 
     def deliver(self, index: int) -> bool:
-        """The first at or after this place whose way is open."""
+        """Deliver the first message at or after this index whose link is not cut.
+
+        Returns whether there was one.
+        """
         for n in range(len(self.in_flight)):
             sender, to, body, version = self.in_flight[(index + n) % len(self.in_flight)]
             if not self.is_link_cut(sender, to):
@@ -212,11 +230,13 @@
         return True
 
     def tick(self, member: Member) -> None:
+        """Run what is due at a member."""
         if member.is_running:
             member.register.tick(member.elapsed_us(self.now))
             self.collect_actions(member)
 
     def complete_writes(self, member: Member, count: int) -> None:
+        """Complete the first `count` writes of a member, and send what waits for them."""
         if member.id == self.stalled_disk:
             return
         for write in member.pending_writes[:count]:
@@ -230,6 +250,7 @@
         del member.pending_writes[:count]
 
     def propose_entry(self, member: Member, argument: int) -> None:
+        """Propose to store a text in the register."""
         self.proposal_count += 1
         self.propose(member, say("x", str(self.proposal_count)))
 
@@ -244,13 +265,14 @@
             )
 
     def _set_lease_wanted(self, member: Member, argument: int) -> None:
-        """Whether it tries to hold the lease: one that ends gives it up."""
+        """Choose whether the member tries to hold the lease; a holder that does not releases it."""
         if self.has_leases:
             member.register.lease_holders[LEASE_NAME].wanted = argument % 2 == 0
 
     def propose(
         self, member: Member, change: Callable[[str, RegisterDocument], RegisterDocument | None]
     ) -> None:
+        """Propose a change, and check its outcome."""
         if not member.is_running:
             return
         operation = Operation("", self.now)
@@ -264,7 +286,7 @@
         self.collect_actions(member)
 
     def act(self, member: Member) -> None:
-        """The lease is checked in the turn that acts."""
+        """Let the member act under the lease if it holds it. The lease is checked in the turn that acts."""
         if (
             member.is_running
             and self.has_leases
@@ -278,7 +300,10 @@
             self.checker.on_act(member.register.name, fencing_token)
 
     def _crash(self, member: Member, argument: int) -> None:
-        """What the disk has not done may be done or not; what waits on it is never sent."""
+        """Crash a member.
+
+        Its last writes may have reached the disk or not; messages that wait for them are never sent.
+        """
         with_writes = next((x for x in self.members.values() if x.pending_writes and x.is_running), member)
         member = with_writes if argument % 3 else member
         if member.is_running:
@@ -288,6 +313,7 @@
             member.pending_writes.clear()
 
     def restart_from_disk(self, member: Member) -> None:
+        """Start a crashed member, this one if none has crashed first."""
         member = next((x for x in self.members.values() if not x.is_running), member)
         if not member.is_running:
             memory = (
@@ -296,13 +322,16 @@
             self.restart(member, memory, bool(member.stored_state))
 
     def restart(self, member: Member, memory: Memory, same_folder: bool) -> None:
+        """Start a member in a new generation."""
         member.is_running, member.generation = True, member.generation + 1
         member.register = self.create_register(member, memory, same_folder)
         self.tick(member)
 
     def reset_folder(self, member: Member, argument: int) -> None:
-        """The folder is emptied, or an earlier copy put back, and the process starts anew. One voter at a
-        time: a majority that forgets is beyond what any register can bear."""
+        """Empty the folder of a member, or put an earlier copy back, and start the process anew.
+
+        One voter at a time: no register can work after a majority has lost its memory.
+        """
         if member.is_running and self.may_lose_folder(member):
             older_state = (
                 member.older_states[argument // 4 % len(member.older_states)]
@@ -317,9 +346,11 @@
                 self.run_undisturbed()
 
     def empty_folder(self, member: Member) -> None:
+        """Lose what is on the member's disk."""
         member.pending_writes, member.stored_state = [], b""
 
     def may_lose_folder(self, member: Member) -> bool:
+        """Whether all voters have their memory, so that one of them may lose it."""
         voters = member.register.document.all_voters | self.initial_document.all_voters
         return all(
             self.members[voter].register.voter.is_voting and self.members[voter].stored_state
@@ -327,7 +358,7 @@
         )
 
     def state(self) -> tuple[Any, ...]:
-        """All that the future depends on, for telling schedules that come to the same."""
+        """All that the future depends on, to recognize schedules with the same result."""
         rows = []
         for member in self.members.values():
             voter, proposer = member.register.voter, member.register.proposer
@@ -358,7 +389,7 @@
 
 
 def run(choices: list[int], members: int, seed: int, register_type: type[Register] = Register) -> str:
-    """What was violated, "" if nothing."""
+    """What the schedule violates, "" if nothing."""
     simulation = Simulation(members, seed, register_type)
     try:
         for choice in choices:
@@ -369,12 +400,15 @@
 
 
 def schedule(seed: int, steps: int = STEPS_PER_SCHEDULE) -> list[int]:
+    """The random choices of this seed."""
     rng = random.Random(seed * 2654435761 + 1)
     return [rng.randrange(10**7) for _ in range(steps)]
 
 
 @dataclass
 class FailingSchedule:
+    """A schedule that violates a promise."""
+
     seed: int
     violation: str
     choices: list[int]
@@ -388,7 +422,10 @@
     steps: int = STEPS_PER_SCHEDULE,
     stop_at_first: bool = True,
 ) -> tuple[int, list[FailingSchedule]]:
-    """(schedules run, what was found). stop: at the first."""
+    """Run random schedules of these seeds.
+
+    Returns how many were run, and those that violate a promise. stop_at_first: only the first of them.
+    """
     found, count = [], 0
     for seed in range(first_seed, first_seed + schedules):
         count += 1
@@ -401,7 +438,7 @@
 
 
 def shrink(found: FailingSchedule, members: int, register_type: type[Register] = Register) -> FailingSchedule:
-    """The same seed with as few choices as still fail, by leaving out ever smaller pieces."""
+    """Shrink a schedule that fails by leaving out ever smaller pieces of it. The seed stays."""
     choices, violation = found.choices, found.violation
     piece_size = max(1, len(choices) // 2)
     while True:
@@ -419,8 +456,11 @@
 
 
 def explore_exhaustively(depth: int, register_type: type[Register] = Register) -> tuple[int, int, str]:
-    """(schedules, states, violation) of all schedules of three members up to so many steps: two of them
-    change the register, and each delivery, loss, disk write, timer and crash is tried at each step."""
+    """Run all schedules of three members up to this many steps.
+
+    Two members change the register, and each delivery, loss, disk write, timer and crash is tried at each
+    step. Returns the number of schedules, the number of states, and a violation, "" if there is none.
+    """
     seen_states: set[int] = set()
     schedules = 0
 
