--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -15,13 +15,14 @@
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Accept, ChosenDocument, Prepare, Promise
 
+HIGH_ROUND = 50  # of a ballot: higher than any that the members have reached
 MAX_DELIVERIES = 200  # in one call of deliver_only
 
 
 def deliver_only(
     simulation: Simulation,
     kinds: tuple[type, ...],
-    is_allowed: Callable[[str, str], bool] = lambda a, b: True,
+    is_allowed: Callable[[str, str], bool] = lambda sender, receiver: True,
 ) -> None:
     """Deliver the messages of these kinds that are allowed, and complete writes, until none is left.
 
@@ -33,8 +34,8 @@
         index = next(
             (
                 n
-                for n, (a, b, body, _) in enumerate(simulation.in_flight)
-                if isinstance(body, kinds) and is_allowed(a, b)
+                for n, (sender, receiver, body, _) in enumerate(simulation.in_flight)
+                if isinstance(body, kinds) and is_allowed(sender, receiver)
             ),
             -1,
         )
@@ -52,7 +53,7 @@
                 simulation.members[other].register.note_version(
                     name, simulation.members[name].register.document.version
                 )
-        deliver_only(simulation, (object,), lambda a, b: a in names and b in names)
+        deliver_only(simulation, (object,), lambda sender, receiver: sender in names and receiver in names)
         simulation.now += wait_us
 
 
@@ -108,14 +109,14 @@
     simulation.tick(holder)
     deliver_only(simulation, (Prepare, Promise))
     deliver_only(simulation, (Accept,))
-    late_messages = [row for row in simulation.in_flight if row[1] == holder.id]
+    late_messages = [message for message in simulation.in_flight if message[1] == holder.id]
     simulation.in_flight.clear()
     successor.register.lease_holders[LEASE_NAME].wanted = True
     # The successor sees the renewal, waits, and takes the lease over.
     run_only(simulation, others, 12, LEASE_US // 2)
     act_all(simulation)
     simulation.in_flight[:] = late_messages
-    deliver_only(simulation, (object,), lambda a, b: b == holder.id)
+    deliver_only(simulation, (object,), lambda sender, receiver: receiver == holder.id)
     act_all(simulation)
 
 
@@ -128,7 +129,7 @@
     simulation.run_undisturbed()  # the holder renews its lease
     _announce(simulation, holder.register.document, others)
     successor.register.lease_holders[LEASE_NAME].wanted = True
-    successor.register.proposer.round = 50  # so that its first ballot is the highest
+    successor.register.proposer.round = HIGH_ROUND  # so that its first ballot is the highest
     simulation.now += int(0.9 * LEASE_US)
     run_only(simulation, others)
     act_all(simulation)
@@ -138,9 +139,9 @@
 def forgotten_promise(simulation: Simulation) -> None:
     """A voter promises, loses its folder and is readmitted; then a proposer uses the promise."""
     voter, proposer = simulation.members["m0"], simulation.members["m3"]
-    proposer.register.proposer.round = 50  # as if many of its ballots had been rejected
+    proposer.register.proposer.round = HIGH_ROUND  # as if many of its ballots had been rejected
     simulation.propose(proposer, say("x", "old"))
-    deliver_only(simulation, (Prepare, Promise), lambda a, b: {a, b} == {"m0", "m3"})
+    deliver_only(simulation, (Prepare, Promise), lambda sender, receiver: {sender, receiver} == {"m0", "m3"})
     simulation.in_flight.clear()
     voter.pending_writes.clear()
     simulation.restart(voter, Memory(), False)
@@ -149,7 +150,7 @@
     run_only(simulation, ["m0", "m1"])
     simulation.in_flight.clear()
     run_only(simulation, ["m2", "m3"], 4, 250_000)
-    deliver_only(simulation, (object,), lambda a, b: "m1" not in (a, b))
+    deliver_only(simulation, (object,), lambda sender, receiver: "m1" not in (sender, receiver))
 
 
 def lost_vote(simulation: Simulation) -> None:
@@ -158,7 +159,7 @@
     simulation.propose(simulation.members["m0"], say("x", "1"))
     deliver_only(simulation, (Prepare, Promise))
     simulation.stalled_disk = "m1"
-    deliver_only(simulation, (object,), lambda a, b: "m2" not in (a, b))
+    deliver_only(simulation, (object,), lambda sender, receiver: "m2" not in (sender, receiver))
     simulation.stalled_disk = ""
     simulation.members["m1"].is_running = False
     simulation.members["m1"].pending_writes.clear()
@@ -171,7 +172,7 @@
 
 def former_voter(simulation: Simulation) -> None:
     """A former voter votes for a change that the present voters do not know."""
-    simulation.members["m1"].register.proposer.round = 50  # so that its first ballot is the highest
+    simulation.members["m1"].register.proposer.round = HIGH_ROUND  # so that its first ballot is the highest
     simulation.propose(simulation.members["m1"], replace_voter("m0", "m2"))
     deliver_only(simulation, (Prepare, Promise))
     run_only(simulation, ["m1", "m2"])
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -248,17 +248,17 @@
         members = list(self.members.values())
         voter_ids = set[str]().union(
             *(
-                x.register.document.all_voters
-                | self.policy_member_of(x).grantor.accepted_document().all_voters
-                for x in members
+                other.register.document.all_voters
+                | self.policy_member_of(other).grantor.accepted_document().all_voters
+                for other in members
             )
         )
         return super().may_lose_folder(member) and all(
-            x.register.voter.is_voting
-            and self.policy_member_of(x).grantor.accepted_document().policy.texts
-            <= set(self.stored_texts[x.id])
-            for x in members
-            if x.id in voter_ids
+            other.register.voter.is_voting
+            and self.policy_member_of(other).grantor.accepted_document().policy.texts
+            <= set(self.stored_texts[other.id])
+            for other in members
+            if other.id in voter_ids
         )
 
     def act(self, member: Member) -> None:
@@ -287,7 +287,7 @@
 
         Members that are withdrawn need not act. Raises InvariantViolationError if that takes too long.
         """
-        self.is_link_cut, self.stalled_disk = (lambda a, b: False), ""
+        self.is_link_cut, self.stalled_disk = (lambda sender, receiver: False), ""
         for member in self.members.values():
             if not member.is_running:
                 memory = (
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from hopmill.explorer.known import act_all, run_only, deliver_only, set_clock_rate
+from hopmill.explorer.known import HIGH_ROUND, act_all, run_only, deliver_only, set_clock_rate
 from hopmill.explorer.policy import PolicySimulation
 from hopmill.explorer.world import DRIFT, LEASE_US, InvariantViolationError
 from hopmill.fleet import document as doc
@@ -30,6 +30,7 @@
     WorkStopped,
 )
 
+HIGHER_ROUND = 60  # of a ballot: higher than HIGH_ROUND and what follows it
 ALL_BODIES: tuple[type, ...] = (Body,) if isinstance(Body, type) else tuple(Body.__args__)
 # Without queries of the coordinator no change goes beyond prepared.
 BODIES_BEFORE_CLOSING = tuple(kind for kind in ALL_BODIES if kind not in (DrainQuery, DrainReply))
@@ -75,7 +76,9 @@
     deliver_only(
         simulation,
         (LeaseRequest, LeaseGrant),
-        lambda a, b: a in names and b in granting or a in granting and b in names,
+        lambda sender, receiver: (
+            sender in names and receiver in granting or sender in granting and receiver in names
+        ),
     )
 
 
@@ -87,7 +90,7 @@
         simulation.restart(member, msgspec.msgpack.decode(member.stored_state, type=Memory), True)
     deliver_only(simulation, (RecoveryRequest, RecoveryReply))
     first = simulation.members[names[0]]
-    first.register.proposer.round = 50
+    first.register.proposer.round = HIGH_ROUND
     first.register.propose(lambda proposal_id, document: None, first.elapsed_us(simulation.now))
     simulation.collect_actions(first)
 
@@ -143,7 +146,9 @@
         for name in ("m0", "m1", "m2"):
             simulation.tick(simulation.members[name])
         deliver_only(
-            simulation, ALL_BODIES, lambda a, b: "m3" not in (a, b) and not _is_committing(simulation)
+            simulation,
+            ALL_BODIES,
+            lambda sender, receiver: "m3" not in (sender, receiver) and not _is_committing(simulation),
         )
     _renew(simulation, ["m3"])
     run_only(simulation, ["m0", "m1", "m2"], 8, 500)
@@ -200,13 +205,13 @@
         request.next_send_at = 0
     simulation.tick(m2)
     deliver_only(simulation, (LeaseRequest,))
-    late_messages = [row for row in simulation.in_flight if isinstance(row[2], LeaseGrant)]
+    late_messages = [message for message in simulation.in_flight if isinstance(message[2], LeaseGrant)]
     simulation.in_flight.clear()
     simulation.now += int(0.86 * LEASE_US)
     if sends_again:
         simulation.tick(m2)  # the new requests are lost
     simulation.in_flight[:] = late_messages
-    deliver_only(simulation, (LeaseGrant,), lambda a, b: b == "m2")
+    deliver_only(simulation, (LeaseGrant,), lambda sender, receiver: receiver == "m2")
     simulation.in_flight.clear()
     simulation.now += int(0.3 * LEASE_US)
     run_only(simulation, ["m0", "m1"], 12, 3_000)
@@ -226,7 +231,7 @@
     _renew(simulation, ["m1"], ["m0", "m1"])
     simulation.in_flight.clear()
     m2 = simulation.members["m2"]
-    m2.register.proposer.round = 50
+    m2.register.proposer.round = HIGH_ROUND
     simulation.policy_member_of(m2).propose(
         "p1", b"policy p1", 0, m2.elapsed_us(simulation.now), lambda outcome: None
     )
@@ -252,12 +257,16 @@
     """The change is reopened and closes again; its former coordinator goes on as if it had not."""
     late_commit(simulation)
     _renew(simulation, ["m3"], ["m0", "m1"])
-    late_messages = [row for row in simulation.in_flight if row[0] == "m2"]
+    late_messages = [message for message in simulation.in_flight if message[0] == "m2"]
     simulation.in_flight.clear()
     m0 = simulation.members["m0"]
     m0.register.propose(close(m0.register.document.policy.epoch), m0.elapsed_us(simulation.now))
     simulation.collect_actions(m0)
-    deliver_only(simulation, (Prepare, Promise, Accept, Accepted), lambda a, b: "m2" not in (a, b))
+    deliver_only(
+        simulation,
+        (Prepare, Promise, Accept, Accepted),
+        lambda sender, receiver: "m2" not in (sender, receiver),
+    )
     simulation.in_flight[:] = late_messages
     run_only(simulation, ["m0", "m1", "m2"], 14, 4_000)
     act_all(simulation)
@@ -273,19 +282,21 @@
         for name in ("m0", "m1", "m2"):
             simulation.tick(simulation.members[name])
         deliver_only(
-            simulation, ALL_BODIES, lambda a, b: "m3" not in (a, b) and not _is_committing(simulation)
+            simulation,
+            ALL_BODIES,
+            lambda sender, receiver: "m3" not in (sender, receiver) and not _is_committing(simulation),
         )
     m0 = simulation.members["m0"]
     if (change := m0.register.document.policy.change) and change.closing:
-        late_messages = [row for row in simulation.in_flight if row[0] == "m2"]
+        late_messages = [message for message in simulation.in_flight if message[0] == "m2"]
         simulation.in_flight.clear()
-        m0.register.proposer.round = 60
+        m0.register.proposer.round = HIGHER_ROUND
         m0.register.propose(reopen(m0.register.document.policy.epoch), m0.elapsed_us(simulation.now))
         simulation.collect_actions(m0)
         deliver_only(
             simulation,
             (Prepare, Promise, Accept, Accepted, ChosenDocument, WorkStopped),
-            lambda a, b: "m2" not in (a, b),
+            lambda sender, receiver: "m2" not in (sender, receiver),
         )
         for name in ("m1", "m3"):
             other = simulation.members[name]
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -67,7 +67,7 @@
         self.in_flight: list[tuple[str, str, Body, int]] = []
         self.checker = Checker()
         self.members: dict[str, Member] = {}
-        self.is_link_cut: Callable[[str, str], bool] = lambda a, b: False
+        self.is_link_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.stalled_disk = ""  # the member whose disk does not complete writes
         for name in member_ids:
             rate = 1 + DRIFT * self.rng.choice((-0.49, 0.0, 0.49))  # two clocks differ by less than the drift
@@ -184,11 +184,15 @@
         self.stalled_disk = name if mode == 2 else ""
         sides = {each: mask >> n & 1 for n, each in enumerate(self.member_ids)}
         if mode < 3:
-            self.is_link_cut = lambda a, b: False
+            self.is_link_cut = lambda sender, receiver: False
         elif mode < 5:
-            self.is_link_cut = (lambda a, b: b == name) if mode == 3 else (lambda a, b: a == name)
+            self.is_link_cut = (
+                (lambda sender, receiver: receiver == name)
+                if mode == 3
+                else (lambda sender, receiver: sender == name)
+            )
         else:
-            self.is_link_cut = lambda a, b: sides[a] != sides[b]
+            self.is_link_cut = lambda sender, receiver: sides[sender] != sides[receiver]
 
     def run_undisturbed(self, deliveries: int = 60) -> None:
         """Let timers, writes and deliveries happen without loss. Few deliveries end it within a round."""
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "expected"),
     [
         ({}, ""),
         ({"voters": ("a", "b")}, "voters: must be one, three or five"),
@@ -55,9 +55,9 @@
         ({"probe_ms": 100.0}, "probe_ms: must be over period_ms"),
     ],
 )
-def test_what_is_wrong_with_members_is_named(changes, said):
+def test_what_is_wrong_with_members_is_named(changes, expected):
     found = list(problems(members(**changes)))
-    assert (len(found) == 1 and re.search(said, found[0])) if said else not found
+    assert (len(found) == 1 and re.search(expected, found[0])) if expected else not found
 
 
 def test_a_zone_with_a_majority_of_voters_is_warned_of():
@@ -175,10 +175,10 @@
 
 
 def test_a_dead_member_is_known_soon_and_a_slow_one_is_not_taken_for_dead():
-    told = detection(Plan(20, 0.1, 3), 4)
-    assert told["p99_ms"] < 3000 and told["p50_ms"] > 1500
-    told = calm(Plan(20, 0.1, 3), 30, stop_us=2_000_000)
-    assert told["false_deaths"] == 0 and told["suspected"] > 0
+    figures = detection(Plan(20, 0.1, 3), 4)
+    assert figures["p99_ms"] < 3000 and figures["p50_ms"] > 1500
+    figures = calm(Plan(20, 0.1, 3), 30, stop_us=2_000_000)
+    assert figures["false_deaths"] == 0 and figures["suspected"] > 0
 
 
 def test_the_cost_of_a_member_does_not_grow_with_the_fleet():
@@ -330,7 +330,7 @@
 # The register
 
 
-def outcomes(fleet, rows, n, change):
+def propose(fleet, rows, n, change):
     node = fleet.nodes[n]
     node.propose(change, fleet.now, rows.append)
     fleet._pump(n)
@@ -341,7 +341,7 @@
     fleet.run(3_000_000)
     for turn in range(20):
         for n in range(5):
-            outcomes(fleet, rows, n, say(f"w{n}", str(turn)))
+            propose(fleet, rows, n, say(f"w{n}", str(turn)))
     fleet.run(30_000_000)
     assert [r.state for r in rows] == ["done"] * 100 and sorted(r.made_version for r in rows) == list(
         range(1, 101)
@@ -352,7 +352,7 @@
 def test_all_are_killed_and_start_in_any_order(folders):
     fleet, rows = Fleet(Plan(3, 0.0, 5)), []
     fleet.run(2_000_000)
-    outcomes(fleet, rows, 0, say("w", "kept"))
+    propose(fleet, rows, 0, say("w", "kept"))
     fleet.run(3_000_000)
     for n in range(3):
         fleet.kill(n)
@@ -363,7 +363,7 @@
         fleet.start(n)
     fleet.run(fleet.now + 5_000_000)
     # Two with memory are a majority; the third is readmitted by them alone, for which both have to vote.
-    outcomes(fleet, rows, 2, lambda proposal_id, document: None)
+    propose(fleet, rows, 2, lambda proposal_id, document: None)
     fleet.run(fleet.now + 5_000_000)
     assert rows[1].document.entries == {"w": "kept"}
     assert [n.register.voter.is_voting for n in fleet.nodes] == [True] * 3
@@ -375,11 +375,11 @@
     groups = [0, 1, 2, 0, 1, 2, 0, 1, 2]  # of the five voters, two, two and one are in a group
     fleet.passes = lambda a, b: groups[a] == groups[b]
     for n in range(9):
-        outcomes(fleet, rows, n, say("w", str(n)))
+        propose(fleet, rows, n, say("w", str(n)))
     fleet.run(16_000_000)
     assert len(rows) == 9 and {r.state for r in rows} <= {"refused", "unknown"}
     fleet.passes = lambda a, b: True
-    outcomes(fleet, rows, 4, say("w", "healed"))
+    propose(fleet, rows, 4, say("w", "healed"))
     fleet.run(24_000_000)
     assert rows[-1].state == "done" and {n.register.document.version for n in fleet.nodes} == {
         rows[-1].document.version
@@ -390,10 +390,10 @@
 def test_a_member_that_does_not_answer_is_not_made_a_voter():
     fleet, rows = Fleet(Plan(5)), []
     fleet.run(2_000_000)
-    outcomes(fleet, rows, 0, replace_voter("c1", "c9"))
+    propose(fleet, rows, 0, replace_voter("c1", "c9"))
     fleet.run(13_000_000)
     assert [(r.state, r.why) for r in rows] == [("refused", "no vote from c9")]
-    outcomes(fleet, rows, 0, say("x", "on it goes"))
+    propose(fleet, rows, 0, say("x", "on it goes"))
     fleet.run(14_000_000)
     assert rows[-1].state == "done" and fleet.nodes[0].register.document.previous_voters == ()
 
@@ -403,14 +403,14 @@
     fleet.run(2_000_000)
     assert [n.register.voter.is_voting for n in fleet.nodes] == [True, True, True, False]
     fleet.kill(1)
-    outcomes(fleet, rows, 0, replace_voter("c1", "c3"))
-    outcomes(fleet, rows, 0, say("w", "meanwhile"))
+    propose(fleet, rows, 0, replace_voter("c1", "c3"))
+    propose(fleet, rows, 0, say("w", "meanwhile"))
     fleet.run(8_000_000)
     document = fleet.nodes[0].register.document
     assert [r.state for r in rows] == ["done", "done"] and document.previous_voters == ()
     assert set(document.voters) == {"c0", "c2", "c3"} and fleet.nodes[3].register.voter.is_voting
     fleet.kill(2)  # the two others are a majority
-    outcomes(fleet, rows, 0, say("w", "after"))
+    propose(fleet, rows, 0, say("w", "after"))
     fleet.run(12_000_000)
     assert rows[-1].state == "done"
 
@@ -490,12 +490,12 @@
 
 
 @pytest.mark.parametrize(("name", "schedule"), KNOWN_SCHEDULES.items())
-def test_each_written_play_needs_its_guard(name, schedule):
+def test_each_known_schedule_needs_its_guard(name, schedule):
     assert known.find_violation(schedule, planted(name)) and not known.find_violation(schedule)
 
 
 @pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
-def test_each_guard_taken_away_is_found(name, at):
+def test_each_planted_fault_is_found(name, at):
     count, seed = at
     assert explore.run(explore.schedule(seed), count, seed, planted(name))
     assert not explore.run(explore.schedule(seed), count, seed)
@@ -514,6 +514,6 @@
     assert explore.explore(400, first, count)[1] == []
 
 
-def test_every_schedule_up_to_a_depth_keeps_them():
-    schedules, states, said = explore.explore_exhaustively(3)
-    assert states > 500 and schedules > states and not said
+def test_every_schedule_up_to_a_depth_keeps_the_promises():
+    schedules, states, violation = explore.explore_exhaustively(3)
+    assert states > 500 and schedules > states and not violation
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -77,12 +77,12 @@
 
 
 @pytest.mark.parametrize(("name", "schedule"), KNOWN_SCHEDULES.items())
-def test_each_written_play_needs_its_guard(name, schedule):
+def test_each_known_schedule_needs_its_guard(name, schedule):
     assert known.find_violation(schedule, planted(name)) and not known.find_violation(schedule)
 
 
 @pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
-def test_each_guard_taken_away_is_found(name, at):
+def test_each_planted_fault_is_found(name, at):
     count, seed = at
     assert explore.run(explore.schedule(seed), count, seed, planted(name))
     assert not explore.run(explore.schedule(seed), count, seed)
@@ -103,14 +103,18 @@
 
 
 def test_a_folder_that_is_emptied_takes_its_texts_along():
-    world = explore.PolicySimulation(3, 0)
-    m = world.members["m0"]
-    world.propose_policy(m, 1)
-    world.run_undisturbed()
-    assert world.stored_texts["m0"] and m.stored_state and not m.pending_writes
-    generation = m.generation
-    world.reset_folder(m, 0)
-    assert not world.stored_texts["m0"] and m.generation == generation + 1 and not m.register.voter.is_voting
+    simulation = explore.PolicySimulation(3, 0)
+    member = simulation.members["m0"]
+    simulation.propose_policy(member, 1)
+    simulation.run_undisturbed()
+    assert simulation.stored_texts["m0"] and member.stored_state and not member.pending_writes
+    generation = member.generation
+    simulation.reset_folder(member, 0)
+    assert (
+        not simulation.stored_texts["m0"]
+        and member.generation == generation + 1
+        and not member.register.voter.is_voting
+    )
 
 
 def test_a_text_that_is_needed_again_outlasts_its_deletion():
@@ -127,42 +131,48 @@
 
 # The steps
 
-KINDS = st.sampled_from(
+STEP_NAMES = st.sampled_from(
     ["prepare", "canary", "close", "reopen", "commit", "end_change", "extend_to_rest", "roll_back", "cancel"]
 )
 
 
-@given(st.lists(st.tuples(KINDS, st.integers(0, 3), st.integers(0, 4)), max_size=40))
+@given(st.lists(st.tuples(STEP_NAMES, st.integers(0, 3), st.integers(0, 4)), max_size=40))
 def test_no_step_is_taken_on_an_older_epoch_and_versions_never_go_back(rows):
-    d, seen = doc.RegisterDocument(0, ("a", "b", "c")), {}
-    for n, (kind, ident, ago) in enumerate(rows):
-        p = d.policy
-        epoch = p.epoch - ago
+    document, seen = doc.RegisterDocument(0, ("a", "b", "c")), {}
+    for n, (step_name, change_id, ago) in enumerate(rows):
+        current = document.policy
+        epoch = current.epoch - ago
         canary = CanaryGroup(0.5, 1, 10)
         change = PolicyChange(
-            f"x{ident}", b"d%d" % ident, "a", False, *((STAGE, canary) if kind == "canary" else ())
+            f"x{change_id}",
+            b"d%d" % change_id,
+            "a",
+            False,
+            *((STAGE, canary) if step_name == "canary" else ()),
         )
-        if kind in ("prepare", "canary"):
-            step = steps.prepare(change, p.version)
-        elif kind == "cancel":
-            step = steps.cancel_member(f"m{ident}", ident % 2 == 0)
+        if step_name in ("prepare", "canary"):
+            step = steps.prepare(change, current.version)
+        elif step_name == "cancel":
+            step = steps.cancel_member(f"m{change_id}", change_id % 2 == 0)
         else:
-            step = getattr(steps, kind)(epoch, *(["why"] if kind in ("end_change", "roll_back") else []))
+            step = getattr(steps, step_name)(
+                epoch, *(["why"] if step_name in ("end_change", "roll_back") else [])
+            )
         try:
-            after = step(f"t{n}", d)
+            after = step(f"t{n}", document)
         except steps.ChangeRefusedError:
             continue
         if after is None:
             continue
-        q = after.policy
-        assert kind in ("prepare", "canary", "cancel") or ago == 0
-        assert q.epoch == p.epoch + 1 and q.version >= p.version
-        assert all(q.version_for(m) >= p.version_for(m) for m in "abc")
-        for m in "abc":  # a member whose version changes has stopped for it
-            assert q.version_for(m) == p.version_for(m) or p.closing_for(m)
-        for e in q.ended:  # an outcome never changes
-            assert seen.setdefault(e.id, e) == e or e.id in {x.id for x in p.ended}
-        d = after
+        following = after.policy
+        assert step_name in ("prepare", "canary", "cancel") or ago == 0
+        assert following.epoch == current.epoch + 1 and following.version >= current.version
+        assert all(following.version_for(member) >= current.version_for(member) for member in "abc")
+        for member in "abc":  # a member whose version changes has stopped for it
+            assert following.version_for(member) == current.version_for(member) or current.closing_for(member)
+        for ended in following.ended:  # an outcome never changes
+            assert seen.setdefault(ended.id, ended) == ended or ended.id in {x.id for x in current.ended}
+        document = after
 
 
 def test_the_largest_document_and_what_goes_with_it_fit_a_datagram():
@@ -204,12 +214,12 @@
         if digest in receiver.by_digest:
             break
         receiver.tick(round_ * texts.RETRY_US)
-        asked, receiver.outbox = receiver.outbox, []
-        for send in asked:
+        requests, receiver.outbox = receiver.outbox, []
+        for send in requests:
             source.on_text_request("receiver", send.body)
-        given_, source.outbox = source.outbox, []
-        rng.shuffle(given_)
-        for send in given_ + rng.sample(given_, len(given_) // 3):
+        pieces, source.outbox = source.outbox, []
+        rng.shuffle(pieces)
+        for send in pieces + rng.sample(pieces, len(pieces) // 3):
             if rng.random() >= loss:
                 receiver.on_piece("source", send.body, round_ * texts.RETRY_US)
     assert receiver.by_digest == {digest: text} and not receiver.fetches
@@ -232,7 +242,7 @@
 
 
 @pytest.mark.parametrize(
-    ("patch", "said"),
+    ("patch", "expected"),
     [
         ({}, "changes nothing"),
         ("x", "must be a table"),
@@ -251,15 +261,15 @@
         ({"held": 50, "ceilings": [{"partner": 7, "window": 3}], "left_out": {"zones": ["z"]}}, ""),
     ],
 )
-def test_a_patch_that_does_not_fit_is_named(patch, said):
+def test_a_patch_that_does_not_fit_is_named(patch, expected):
     document = overlay._minimal_document()
     try:
         flat, unset = overlay.read_patch(patch)
         changed = overlay.apply(document, overlay.merged({}, flat, unset))
     except ConfigError as error:
-        assert said and re.search(said, str(error)), error
+        assert expected and re.search(expected, str(error)), error
         return
-    assert not said and changed.held == 50 and changed.ceilings[0].window == 3
+    assert not expected and changed.held == 50 and changed.ceilings[0].window == 3
     assert [*overlay.overridden_paths(changed, {"held": 60, "retries.attempts": 9})] == ["held"]
 
 
@@ -274,7 +284,7 @@
 
 
 @given(st.lists(st.tuples(FIELDS, UNSET), max_size=12))
-def test_any_version_that_is_kept_can_be_gone_back_to(changes):
+def test_any_version_that_is_kept_can_be_reverted_to(changes):
     history, states = policy_history.PolicyHistory(), [{}]
     for n, (patch, unset) in enumerate(changes):
         history = history.with_change(f"x{n}", 0.0, "me", "why", patch, tuple(unset))
@@ -285,7 +295,7 @@
         assert overlay.merged(history.values, patch, unset) == values
 
 
-def test_a_book_drops_its_oldest_changes_and_says_what_it_no_longer_knows():
+def test_a_history_drops_its_oldest_changes_and_reports_that_they_are_gone():
     history = policy_history.PolicyHistory()
     for n in range(400):
         history = history.with_change(f"x{n}", 0.0, "me", "r" * 200, {"held": n + 1}, ())
@@ -331,30 +341,41 @@
 
     def act(self, n):
         policy_member = self.fleet.nodes[n].policy_member
-        p, version = policy_member.register.document.policy, policy_member.lease.valid_version(self.fleet.now)
+        current, version = (
+            policy_member.register.document.policy,
+            policy_member.lease.valid_version(self.fleet.now),
+        )
         if version >= 0:
             self.checker.on_act_under(
                 policy_member.me,
                 version,
-                policy_member.texts.by_digest.get(p.digest_for(policy_member.me), b""),
+                policy_member.texts.by_digest.get(current.digest_for(policy_member.me), b""),
             )
 
     def look(self, n):
         policy_member = self.fleet.nodes[n].policy_member
-        p, held = policy_member.register.document.policy, policy_member.texts.by_digest
-        if p.version != policy_member.lease.applied_version and (not p.digest or p.digest in held):
-            policy_member.lease.set_applied_version(p.version)
+        current, held = policy_member.register.document.policy, policy_member.texts.by_digest
+        if current.version != policy_member.lease.applied_version and (
+            not current.digest or current.digest in held
+        ):
+            policy_member.lease.set_applied_version(current.version)
             self.fleet.again(n)
-        if p.change and p.change.id != policy_member.lease.ready_for and p.change.digest in held:
-            policy_member.lease.report_check(p.change.id, "no room" if n in self.refusing_members else "")
+        if (
+            current.change
+            and current.change.id != policy_member.lease.ready_for
+            and current.change.digest in held
+        ):
+            policy_member.lease.report_check(
+                current.change.id, "no room" if n in self.refusing_members else ""
+            )
             self.fleet.again(n)
         self.act(n)
 
-    def propose(self, n, ident=""):
+    def propose(self, n, change_id=""):
         self.count += 1
         policy_member = self.fleet.nodes[n].policy_member
         policy_member.propose(
-            ident or f"x{self.count}",
+            change_id or f"x{self.count}",
             b"text %d" % self.count,
             policy_member.register.document.policy.version,
             self.fleet.now,
@@ -380,110 +401,110 @@
         return nodes[0].register.document.policy.version
 
 
-def half_are_down(f):
+def half_are_down(cluster):
     for n in (3, 4):
-        f.fleet.kill(n)
-    f.propose(0)
-    f.run(0.05)
-    f.fleet.start(3)  # restarted during the change
-    f.run(6.0)
+        cluster.fleet.kill(n)
+    cluster.propose(0)
+    cluster.run(0.05)
+    cluster.fleet.start(3)  # restarted during the change
+    cluster.run(6.0)
     return 1
 
 
-def proposer_dies(f):
-    f.propose(4)
-    f.run(0.03)
-    f.fleet.kill(4)
-    f.run(8.0)
+def proposer_dies(cluster):
+    cluster.propose(4)
+    cluster.run(0.03)
+    cluster.fleet.kill(4)
+    cluster.run(8.0)
     return None
 
 
-def stopped_before_its_check(f):
-    f.fleet.stop(4, 9_000_000)
-    f.propose(0)
-    f.run(9.5)
+def stopped_before_its_check(cluster):
+    cluster.fleet.stop(4, 9_000_000)
+    cluster.propose(0)
+    cluster.run(9.5)
     return 1
 
 
-def proposer_in_the_smaller_part(f):
-    f.cut((0, 4), (1, 2, 3))
-    f.propose(0)
-    f.run(8.0)
-    assert f.checker.highest_version == 0
+def proposer_in_the_smaller_part(cluster):
+    cluster.cut((0, 4), (1, 2, 3))
+    cluster.propose(0)
+    cluster.run(8.0)
+    assert cluster.checker.highest_version == 0
     return None
 
 
-def two_at_once(f):
-    f.propose(0)
-    f.propose(3)
-    f.run(2.0)
+def two_at_once(cluster):
+    cluster.propose(0)
+    cluster.propose(3)
+    cluster.run(2.0)
     return 1
 
 
-def proposed_again(f):
-    f.propose(0, "same")
-    f.run(0.2)
-    f.count -= 1
-    f.propose(1, "same")
-    f.run(4.0)
+def proposed_again(cluster):
+    cluster.propose(0, "same")
+    cluster.run(0.2)
+    cluster.count -= 1
+    cluster.propose(1, "same")
+    cluster.run(4.0)
     return 1
 
 
-def one_refuses(f):
-    f.refusing_members.add(3)
-    f.propose(0)
-    f.run(2.0)
-    assert "no room" in f.fleet.nodes[0].register.document.policy.ended[-1].why
+def one_refuses(cluster):
+    cluster.refusing_members.add(3)
+    cluster.propose(0)
+    cluster.run(2.0)
+    assert "no room" in cluster.fleet.nodes[0].register.document.policy.ended[-1].why
     return 0
 
 
-def one_missed_a_hundred(f):
-    f.fleet.kill(4)
+def one_missed_a_hundred(cluster):
+    cluster.fleet.kill(4)
     for n in range(100):
-        f.propose(0)
-        f.run(4.0 if n == 0 else 0.4)
-    f.fleet.start(4)
+        cluster.propose(0)
+        cluster.run(4.0 if n == 0 else 0.4)
+    cluster.fleet.start(4)
     return 100
 
 
-def a_voter_is_replaced_meanwhile(f):
-    f.fleet.nodes[0].propose(replace_voter("c1", "c5"), f.fleet.now, lambda outcome: None)
-    f.fleet._pump(0)
-    f.propose(3)
-    f.run(9.0)
+def a_voter_is_replaced_meanwhile(cluster):
+    cluster.fleet.nodes[0].propose(replace_voter("c1", "c5"), cluster.fleet.now, lambda outcome: None)
+    cluster.fleet._pump(0)
+    cluster.propose(3)
+    cluster.run(9.0)
     return 1
 
 
-def an_emptied_folder(f):
-    f.propose(0)
-    f.run(0.04)
-    f.fleet.kill(2)
-    f.fleet.disks[2], f.fleet.texts[2] = b"", {}
-    f.fleet.start(2)
-    f.run(9.0)
+def an_emptied_folder(cluster):
+    cluster.propose(0)
+    cluster.run(0.04)
+    cluster.fleet.kill(2)
+    cluster.fleet.disks[2], cluster.fleet.texts[2] = b"", {}
+    cluster.fleet.start(2)
+    cluster.run(9.0)
     return None
 
 
-def without_a_lost_member(f):
-    f.fleet.kill(4)
-    f.propose(0)
-    f.run(9.0)
+def without_a_lost_member(cluster):
+    cluster.fleet.kill(4)
+    cluster.propose(0)
+    cluster.run(9.0)
     # Work continues under version 0.
     assert (
-        f.checker.highest_version == 0
-        and f.fleet.nodes[0].policy_member.lease.valid_version(f.fleet.now) == 0
+        cluster.checker.highest_version == 0
+        and cluster.fleet.nodes[0].policy_member.lease.valid_version(cluster.fleet.now) == 0
     )
-    f.fleet.nodes[0].policy_member.cancel_member("c4", True, f.fleet.now, lambda outcome: None)
-    f.fleet._pump(0)
-    f.run(4.0)
-    assert f.checker.highest_version == 1
-    f.fleet.nodes[0].policy_member.cancel_member("c4", False, f.fleet.now, lambda outcome: None)
-    f.fleet._pump(0)
+    cluster.fleet.nodes[0].policy_member.cancel_member("c4", True, cluster.fleet.now, lambda outcome: None)
+    cluster.fleet._pump(0)
+    cluster.run(4.0)
+    assert cluster.checker.highest_version == 1
+    cluster.fleet.nodes[0].policy_member.cancel_member("c4", False, cluster.fleet.now, lambda outcome: None)
+    cluster.fleet._pump(0)
     return 1
 
 
 @pytest.mark.parametrize(
-    ("case", "more"),
+    ("case", "options"),
     [
         (half_are_down, {}),
         (proposer_dies, {}),
@@ -501,10 +522,10 @@
         (proposer_dies, {"alone": "last"}),
     ],
 )
-def test_a_hard_case_ends_everywhere_or_nowhere(case, more):
-    f = PolicyFleet(**more)
-    version = case(f)
-    assert f.settled() in ((0, 1) if version is None else (version,))
+def test_a_change_ends_at_all_members_or_at_none(case, options):
+    cluster = PolicyFleet(**options)
+    version = case(cluster)
+    assert cluster.settled() in ((0, 1) if version is None else (version,))
 
 
 # Watching a canary group
@@ -518,7 +539,7 @@
 
 
 @pytest.mark.parametrize(
-    ("canary", "rest", "said"),
+    ("canary", "rest", "expected"),
     [
         ([GOOD], [GOOD] * 4, ""),
         ([WORSE], [GOOD] * 4, "worth: -0.180"),
@@ -540,9 +561,9 @@
         ([WORSE], [], ""),
     ],
 )
-def test_a_canary_group_is_rolled_back_only_if_it_does_worse_beyond_chance(canary, rest, said):
+def test_a_canary_group_is_rolled_back_only_if_it_does_worse_beyond_chance(canary, rest, expected):
     found = watch.regression(canary, rest, 60)
-    assert found.startswith(said) and bool(found) is bool(said)
+    assert found.startswith(expected) and bool(found) is bool(expected)
 
 
 def test_a_stage_that_changes_nothing_is_seldom_rolled_back():
@@ -586,14 +607,14 @@
     assert host.courier.state.excluded_endpoints == {101}
 
 
-@pytest.mark.parametrize(("ceiling", "most"), [((0, 0.0), 6), ((2, 0.0), 2), ((0, 1.0), 1)])
-def test_a_ceiling_bounds_what_a_partner_gets(ceiling, most):
+@pytest.mark.parametrize(("ceiling", "max_sent"), [((0, 0.0), 6), ((2, 0.0), 2), ((0, 1.0), 1)])
+def test_a_ceiling_bounds_what_a_partner_gets(ceiling, max_sent):
     host = Host(endpoints=1)
     lane = next(iter(host.courier.state.destinations.values())).lanes[0]
     lane.window = 6.0
     host.do(policy(host, ceilings={1: ceiling}))
     done = host.do(*(MessageArrived(n, 0, 1, host.now + 10 * S) for n in range(12)))
-    assert len([a for a in done if isinstance(a, SendMessage)]) == most
+    assert len([a for a in done if isinstance(a, SendMessage)]) == max_sent
 
 
 def test_a_courier_that_holds_sends_nothing_and_answers_in_time():
@@ -612,18 +633,18 @@
 ONE = {"policy": {"alone": "hold"}, "leases": []}
 
 
-async def propose(fleet, ident, patch, **more):
-    body = json.dumps({"id": ident, "patch": patch, **more}).encode()
+async def propose(fleet, change_id, patch, **options):
+    body = json.dumps({"id": change_id, "patch": patch, **options}).encode()
     head = b"POST /fleet/policy HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n" % len(body)
     return await say(fleet.door, head + body)
 
 
-async def became(fleet, ident):
-    told = {"state": "under way"}
-    while told["state"] == "under way":
+async def became(fleet, change_id):
+    answer = {"state": "under way"}
+    while answer["state"] == "under way":
         await asyncio.sleep(0.01)
-        told = (await call(fleet.door, "GET", f"/fleet/policy/changes/{ident}"))[1]
-    return told
+        answer = (await call(fleet.door, "GET", f"/fleet/policy/changes/{change_id}"))[1]
+    return answer
 
 
 async def acts(fleet):
@@ -632,19 +653,19 @@
 
 
 @courier
-async def test_staff_change_the_policy_and_go_back(fleet):
+async def test_operators_change_the_policy_and_revert_it(fleet):
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
     with_members(fleet, **ONE)
     client = await fleet.outside()
     await bounded(acts(fleet))
-    for ident, patch, code, said in (
+    for change_id, patch, code, expected in (
         ("e", {}, 400, "changes nothing"),
         ("u", {"nonsense": 1}, 400, "no such field"),
         ("m", {"held": 10_000_000}, 409, "MiB"),
         ("n", {"left_out": {"zones": ["x" * 300]}}, 409, ""),
     ):
-        status, told = await propose(fleet, ident, patch)
-        assert status == code and said in told["error"]
+        status, answer = await propose(fleet, change_id, patch)
+        assert status == code and expected in answer["error"]
     assert (await propose(fleet, "big", {"held": 1, "unset": ["x" * 1_000_000]}))[0] in (0, 413)
     assert (await propose(fleet, "no id!", {"held": 1}))[0] == 400
     dry = await propose(fleet, "d", {"held": 30}, dry_run=True)
@@ -694,8 +715,8 @@
     )
     client = await fleet.outside()
     began = time.monotonic()
-    told = await client.put("m")
-    assert told.startswith("-BUSY ") and time.monotonic() - began < 2 and a.calls.empty()
+    answer = await client.put("m")
+    assert answer.startswith("-BUSY ") and time.monotonic() - began < 2 and a.calls.empty()
     assert (await call(fleet.door, "GET", "/fleet/policy"))[1]["not_given"]
     client.close()
 
@@ -713,8 +734,8 @@
     assert await bounded(fleet.former.wait()) == 0
     await healthy(fleet.door)
     assert await client.put("m") == "+OK" and (await b.call()) and a.calls.empty()
-    told = (await call(fleet.door, "GET", "/fleet/policy"))[1]
-    assert told["applied"] == 1 and told["may_act"]
+    answer = (await call(fleet.door, "GET", "/fleet/policy"))[1]
+    assert answer["applied"] == 1 and answer["may_act"]
     client.close()
 
 
@@ -740,7 +761,7 @@
 
 
 @courier
-async def test_the_commands_propose_and_tell(fleet):
+async def test_the_commands_propose_and_report(fleet):
     await fleet.endpoint("a")
     with_members(fleet, **ONE)
     await fleet.outside()
@@ -748,20 +769,20 @@
     patch, door = fleet.folder / "patch.toml", f"{DOOR}:{fleet.door}"
     patch.write_text('left_out = { endpoints = ["a"] }\n')
 
-    async def said(*words):
+    async def hopmill_fleet(*words):
         command = [sys.executable, "-m", "hopmill", "fleet", *words]
         return await asyncio.to_thread(subprocess.run, command, cwd=ROOT, capture_output=True, text=True)
 
-    done = await said("propose", door, str(patch), "--reason", "rewired", "--id", "x1")
+    done = await hopmill_fleet("propose", door, str(patch), "--reason", "rewired", "--id", "x1")
     assert done.returncode == 0 and 'own -> ["a"]' in done.stdout and "in force" in done.stdout
-    assert (await said("propose", door, str(patch))).returncode == 1  # it would change nothing
-    assert "rewired" in (await said("history", door)).stdout
-    assert (await said("revert", door, "0")).returncode == 0
-    assert (await said("change", door, "nobody")).returncode == 3
-    assert (await said("withdraw", door, "nobody", "--wait", "1")).returncode == 3
-    assert (await said("strike", door, "n7")).returncode == 0
+    assert (await hopmill_fleet("propose", door, str(patch))).returncode == 1  # it would change nothing
+    assert "rewired" in (await hopmill_fleet("history", door)).stdout
+    assert (await hopmill_fleet("revert", door, "0")).returncode == 0
+    assert (await hopmill_fleet("change", door, "nobody")).returncode == 3
+    assert (await hopmill_fleet("withdraw", door, "nobody", "--wait", "1")).returncode == 3
+    assert (await hopmill_fleet("strike", door, "n7")).returncode == 0
     patch.write_text("unset = [" + ", ".join(f'"ceilings[{n}].window"' for n in range(400)) + "]\n")
-    assert "propose it in parts" in (await said("propose", door, str(patch))).stderr
+    assert "propose it in parts" in (await hopmill_fleet("propose", door, str(patch))).stderr
 
 
 # The trial's rules
@@ -812,7 +833,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rows", "said"),
+    ("rows", "expected"),
     [
         ([A, B, act(10, 1), act(20, 2, "c1"), endpoint_call(11, "b"), endpoint_call(21, "a")], ""),
         ([A, B, act(20, 2, "c1"), act(30, 1)], "under version 1, having looked"),
@@ -832,11 +853,11 @@
         ([A, put_in_force(2, ["b"], True, "c1", ["z"]), act(10, 1), outcome("z", "in force nowhere")], ""),
     ],
 )
-def test_the_rules_of_policy_find_what_is_planted(rows, said):
+def test_the_rules_of_policy_find_what_is_planted(rows, expected):
     history = History()
     history.rows = rows
     found = policy_rules.violations(history)
-    assert (found and said in found[0]) if said else not found
+    assert (found and expected in found[0]) if expected else not found
 
 
 def test_a_late_call_is_counted_apart():
