--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members in virtual time and as objects: membership, datagrams, the register and its leases."""
+"""Members of a fleet, as objects and in virtual time: membership, datagrams, the register and its leases."""
 
 import random
 import re
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -116,7 +116,7 @@
 
 
 def carried_names() -> set[str]:
-    """What an upgrade hands on of an endpoint, as the next process reads it."""
+    """What an upgrade hands over of an endpoint, by the names that the next process reads."""
     settings = interface.Settings(classes=(interface.MessageClass("c", 1, 1),), slots=1, max_held=1)
     courier = hopmill.Courier(settings, seed=1)
     entry = interface.ListEntry(1, 1, interface.EndpointState.READY)
@@ -177,7 +177,7 @@
 
 @pytest.fixture(scope="module")
 def current() -> dict[str, list[str]]:
-    """From a process of its own: every module is imported, which other tests must not notice."""
+    """Read in a separate process, since that imports every module, which could affect other tests."""
     script = "import json, test_outer_names as t; print(json.dumps(t.current_names()))"
     paths = os.pathsep.join((str(ROOT), str(ROOT / "tests")))
     done = subprocess.run(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Changes of the fleet's policy: as objects, in the explorer, in the module, and in a process."""
+"""Changes of the fleet's policy: their steps, the explorer, the decision module, and whole processes."""
 
 import asyncio
 import dataclasses
@@ -313,7 +313,7 @@
             policy_history.decode(text)
 
 
-# Hard cases in virtual time: real members, and acts checked by one clock
+# Faults during a change, in virtual time: real members, whose acts are checked by one clock
 
 
 class PolicyFleet:
@@ -544,7 +544,7 @@
         ([GOOD], [GOOD] * 4, ""),
         ([WORSE], [GOOD] * 4, "worth: -0.180"),
         ([WORSE] * 2, [WORSE] * 4, ""),  # all members do: the change is not the cause
-        ([(totals(1000, 300), totals(1000, 300))], [GOOD] * 4, ""),  # it did so before the stage
+        ([(totals(1000, 300), totals(1000, 300))], [GOOD] * 4, ""),  # as bad before the stage
         ([(totals(10, 10), totals(10, 2))], [GOOD] * 4, ""),  # too few messages
         (
             [(totals(0, 0, 900, 0, 9), totals(0, 0, 900, 300, 9))],
@@ -628,7 +628,7 @@
     assert [a.message for a in host.do(Hold(False)) if isinstance(a, SendMessage)] == [2]
 
 
-# A process
+# Whole processes
 
 ONE = {"policy": {"alone": "hold"}, "leases": []}
 
@@ -785,7 +785,7 @@
     assert "propose it in parts" in (await hopmill_fleet("propose", door, str(patch))).stderr
 
 
-# The trial's rules
+# Rules that the trial checks its history by
 
 
 def act(at, version, who="c0", message="m", what="began", looked=None):
