--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -1,6 +1,6 @@
-"""What is promised of the register and its leases, checked by what was told to whom and when, by one clock.
+"""Checks the promises of the register and its leases, by the order of one clock.
 
-It knows nothing of how they work: it judges the outcomes that proposers were told, and the acts under leases.
+It does not depend on how they work: it judges the outcomes that proposers got, and the acts under leases.
 """
 
 from __future__ import annotations
@@ -11,49 +11,78 @@
 from hopmill.fleet.proposer import Outcome
 
 
-class Violation(Exception):
-    """A promise that was broken; the text says which."""
+class InvariantViolationError(Exception):
+    """A promise was broken; the text says which."""
 
 
 @dataclass
-class Op:
-    """One change as its proposer saw it."""
+class Operation:
+    """One proposed change as its proposer sees it. Times are us of the simulation."""
 
-    ticket: str
-    began: int
-    ended: int = -1
-    version: int = -1  # of the document that it was told
-    made: int = 0  # the version that it made, if it was done
+    proposal_id: str
+    began_at: int
+    ended_at: int = -1  # -1: it has not ended
+    seen_version: int = -1  # of the document in its outcome; -1: it has not ended
+    made_version: int = 0  # the version that it made; 0: none
 
 
 class Checker:
-    """Outcomes and acts, in the order of one clock."""
+    """Checks that the register is linearizable and that fencing tokens of acts never go back.
+
+    The methods raise InvariantViolationError, and have to be called in the order of one clock.
+    """
 
     def __init__(self) -> None:
-        self.contents: dict[int, bytes] = {}
-        self.ops: dict[str, Op] = {}
-        self.fence, self.owner = 0, ""
+        self.encoded_documents: dict[int, bytes] = {}
+        self.operations: dict[str, Operation] = {}
+        self.fencing_token, self.owner = 0, ""
+
+    def on_outcome(self, operation: Operation, outcome: Outcome, now: int) -> None:
+        """Check the outcome of a change.
 
-    def ended(self, op: Op, outcome: Outcome, now: int) -> None:
+        Each version is one document. A change is applied once. Whoever proposes after an outcome sees that
+        outcome's version or a later one, and a change that was made stays.
+        """
         if outcome.state not in ("done", "left") or outcome.document is None:
             return
-        d = outcome.document
-        content = doc.encode(d)
-        if self.contents.setdefault(d.version, content) != content:
-            raise Violation(f"version {d.version} is two documents")
-        op.ended, op.version = now, d.version
-        if outcome.state == "done" and d.recent_proposals.count(op.ticket) != 1:
-            raise Violation(f"{op.ticket} was done {d.recent_proposals.count(op.ticket)} times")
-        for other in self.ops.values():
-            if other.ended >= 0 and other.ended < op.began and other.version > d.version:
-                raise Violation(f"{op.ticket} saw version {d.version}, after {other.version} was told")
-            close = other.made and 0 <= d.version - other.made < doc.MAX_RECENT_PROPOSALS
-            if close and other.ticket not in d.recent_proposals:
-                raise Violation(f"{other.ticket} was done and is gone in version {d.version}")
+        document = outcome.document
+        encoded = doc.encode(document)
+        if self.encoded_documents.setdefault(document.version, encoded) != encoded:
+            raise InvariantViolationError(
+                f"version {document.version} was chosen with two different documents"
+            )
+        operation.ended_at, operation.seen_version = now, document.version
+        if outcome.state == "done" and document.recent_proposals.count(operation.proposal_id) != 1:
+            raise InvariantViolationError(
+                f"proposal {operation.proposal_id} was applied "
+                f"{document.recent_proposals.count(operation.proposal_id)} times"
+            )
+        for other in self.operations.values():
+            if (
+                other.ended_at >= 0
+                and other.ended_at < operation.began_at
+                and other.seen_version > document.version
+            ):
+                raise InvariantViolationError(
+                    f"proposal {operation.proposal_id} got version {document.version}, "
+                    f"after an earlier one had got version {other.seen_version}"
+                )
+            must_be_recent = (
+                other.made_version and 0 <= document.version - other.made_version < doc.MAX_RECENT_PROPOSALS
+            )
+            if must_be_recent and other.proposal_id not in document.recent_proposals:
+                raise InvariantViolationError(
+                    f"proposal {other.proposal_id} was applied, "
+                    f"but version {document.version} does not list it"
+                )
         if outcome.state == "done":
-            op.made = outcome.made_version
+            operation.made_version = outcome.made_version
 
-    def act(self, owner: str, fence: int) -> None:
-        if fence < self.fence or fence == self.fence and owner != self.owner:
-            raise Violation(f"{owner} acted under {fence} after {self.owner} had under {self.fence}")
-        self.fence, self.owner = fence, owner
+    def on_act(self, owner: str, fencing_token: int) -> None:
+        """Check an act under a lease: no later token, and no other owner of this token, has acted before."""
+        if fencing_token < self.fencing_token or fencing_token == self.fencing_token and owner != self.owner:
+            raise InvariantViolationError(
+                f"{owner} acted under fencing token {fencing_token} "
+                f"after {self.owner} had acted under {self.fencing_token}"
+            )
+        self.fencing_token, self.owner = fencing_token, owner
