--- a/hopmill/cli/trial.py
+++ b/hopmill/cli/trial.py
@@ -33,11 +33,11 @@
 
 def _one(scenario: object, couriers: int, seed: int, history: Path | None) -> int:
     from hopmill.trial import scenario as plan
-    from hopmill.trial.run import Ask, run
+    from hopmill.trial.run import TrialOptions, run
 
     assert isinstance(scenario, plan.Scenario)
     try:
-        told = run(Ask(scenario, couriers or plan.couriers(scenario, seed), seed, history))
+        told = run(TrialOptions(scenario, couriers or plan.draw_courier_count(scenario, seed), seed, history))
     except (KeyboardInterrupt, asyncio.CancelledError):
         raise SystemExit(130) from None
     except (OSError, TimeoutError) as error:
--- a/hopmill/trial/faults.py
+++ b/hopmill/trial/faults.py
@@ -11,97 +11,103 @@
 from hopmill.trial.relay import Relay
 from hopmill.trial.scenario import Fault
 
-STOPPED_MOST_S = 20.0
+MAX_STOPPED_S = 20.0
 
 
-class Hand:
+class FaultInjector:
     """Lets faults happen to couriers and to the ways between them."""
 
     def __init__(self, couriers: list[Courier], relay: Relay, history: History) -> None:
         self.couriers, self.relay, self.history = couriers, relay, history
-        self.killed = 0
+        self.killed_count = 0
         self.counts: Counter[str] = Counter()  # by kind; those of processes once for each of them
-        self.net = relay.loss, relay.repeat, relay.delay_s
+        self.usual_conditions = relay.loss, relay.repeat, relay.delay_s
 
-    async def carry_out(self, faults: list[Fault]) -> None:
+    async def inject(self, faults: list[Fault]) -> None:
         loop = asyncio.get_running_loop()
         start = loop.time()
         async with asyncio.TaskGroup() as group:
             for fault in faults:
-                await asyncio.sleep(max(0.0, start + fault.at - loop.time()))
-                group.create_task(self._fault(fault))
+                await asyncio.sleep(max(0.0, start + fault.at_s - loop.time()))
+                group.create_task(self._inject_fault(fault))
 
-    async def _fault(self, fault: Fault) -> None:
-        who = [self.couriers[n] for n in fault.who]
-        hit = [c.name for c in who] or [c.name for c in self.couriers]
+    async def _inject_fault(self, fault: Fault) -> None:
+        faulted = [self.couriers[number] for number in fault.couriers]
+        affected = [courier.name for courier in faulted] or [courier.name for courier in self.couriers]
         if fault.kind == "split":
-            hit = [c.name for c in self.couriers]
-        self.history.add("trial", "fault", kind=fault.kind, members=hit, detail=fault.detail, until_us=0)
+            affected = [courier.name for courier in self.couriers]
+        self.history.add("trial", "fault", kind=fault.kind, members=affected, detail=fault.detail, until_us=0)
         row = self.history.rows[-1]
-        row["until_us"] = row["at_us"] + int(fault.lasts * 1e6)
+        row["until_us"] = row["at_us"] + int(fault.duration_s * 1e6)
         if fault.kind in ("split", "oneway", "loss"):
             self.counts[fault.kind] += 1
-            await (self._loss(fault) if fault.kind == "loss" else self._cut(fault))
+            await (self._lose_datagrams(fault) if fault.kind == "loss" else self._cut_paths(fault))
         else:
-            await asyncio.gather(*(self._process(c, fault) for c in who))
-        row["until_us"] = max(row["until_us"], self.history.now())
+            await asyncio.gather(*(self._fault_process(courier, fault) for courier in faulted))
+        row["until_us"] = max(row["until_us"], self.history.now_us())
 
-    async def _process(self, c: Courier, fault: Fault) -> None:
-        if c.lock.locked():
+    async def _fault_process(self, courier: Courier, fault: Fault) -> None:
+        if courier.process_lock.locked():
             return  # something happens to it already
         self.counts[fault.kind] += 1
-        async with c.lock:
+        async with courier.process_lock:
             if fault.kind == "stop":
-                await self._stop(c, min(STOPPED_MOST_S, fault.lasts))
+                await self._stop(courier, min(MAX_STOPPED_S, fault.duration_s))
             elif fault.kind == "fulldisk":
-                c.limit_files(1)
-                await asyncio.sleep(fault.lasts)
-                c.limit_files(-1)
+                courier.limit_file_size(1)
+                await asyncio.sleep(fault.duration_s)
+                courier.limit_file_size(-1)
             elif fault.kind == "slowdisk":
-                c.slow(fault.detail["ms"])
-                await asyncio.sleep(fault.lasts)
-                c.slow(0)
+                courier.set_sync_delay(fault.detail["ms"])
+                await asyncio.sleep(fault.duration_s)
+                courier.set_sync_delay(0)
             elif fault.kind == "upgrade":
-                self.history.add(c.name, "upgrade", done=await c.upgrade())
+                self.history.add(courier.name, "upgrade", done=await courier.upgrade())
             else:
-                await self._end_and_start(c, fault)
+                await self._restart(courier, fault)
 
-    async def _stop(self, c: Courier, lasts: float) -> None:
-        c.stopped = True
-        c.signal(signal.SIGSTOP)
-        await asyncio.sleep(lasts)
-        c.signal(signal.SIGCONT)
-        c.stopped = False
+    async def _stop(self, courier: Courier, duration_s: float) -> None:
+        courier.is_stopped = True
+        courier.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(duration_s)
+        courier.send_signal(signal.SIGCONT)
+        courier.is_stopped = False
 
-    async def _end_and_start(self, c: Courier, fault: Fault) -> None:
-        self.killed += fault.kind != "restart"
-        await c.end(signal.SIGTERM if fault.kind == "restart" else signal.SIGKILL)
+    async def _restart(self, courier: Courier, fault: Fault) -> None:
+        self.killed_count += fault.kind != "restart"
+        await courier.end(signal.SIGTERM if fault.kind == "restart" else signal.SIGKILL)
         if fault.kind == "folder":
-            c.lose_fleet_files(fault.detail["back"])
-        await asyncio.sleep(fault.lasts)
-        await c.start()
-        self.history.add(c.name, "started")
+            courier.lose_fleet_files(fault.detail["back"])
+        await asyncio.sleep(fault.duration_s)
+        await courier.start()
+        self.history.add(courier.name, "started")
 
-    async def _cut(self, fault: Fault) -> None:
-        every = range(len(self.couriers))
+    async def _cut_paths(self, fault: Fault) -> None:
+        numbers = range(len(self.couriers))
         if fault.kind == "split":
             groups = fault.detail["groups"]
-            ways = [(a, b) for a in every for b in every if groups[a] != groups[b]]
+            paths = [
+                (first, second) for first in numbers for second in numbers if groups[first] != groups[second]
+            ]
         else:
-            a, b = (*fault.who, fault.who[0])[:2]
-            others = [n for n in every if n != a]
-            ways = {
-                "hears": [(a, n) for n in others],
-                "heard": [(n, a) for n in others],
-                "pair": [(a, b)],
-                "all but one": [(a, b), (b, a)],
+            first, second = (*fault.couriers, fault.couriers[0])[:2]
+            others = [other for other in numbers if other != first]
+            paths = {
+                "hears": [(first, other) for other in others],
+                "heard": [(other, first) for other in others],
+                "pair": [(first, second)],
+                "all but one": [(first, second), (second, first)],
             }[fault.detail["way"]]
-        self.relay.cut(ways, True)
-        await asyncio.sleep(fault.lasts)
-        self.relay.cut(ways, False)
+        self.relay.cut(paths, True)
+        await asyncio.sleep(fault.duration_s)
+        self.relay.cut(paths, False)
 
-    async def _loss(self, fault: Fault) -> None:
-        d = fault.detail
-        self.relay.loss, self.relay.repeat, self.relay.delay_s = d["loss"], d["repeat"], d["delay_ms"] / 1e3
-        await asyncio.sleep(fault.lasts)
-        self.relay.loss, self.relay.repeat, self.relay.delay_s = self.net
+    async def _lose_datagrams(self, fault: Fault) -> None:
+        conditions = fault.detail
+        self.relay.loss, self.relay.repeat, self.relay.delay_s = (
+            conditions["loss"],
+            conditions["repeat"],
+            conditions["delay_ms"] / 1e3,
+        )
+        await asyncio.sleep(fault.duration_s)
+        self.relay.loss, self.relay.repeat, self.relay.delay_s = self.usual_conditions
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -22,10 +22,10 @@
         self.rows.append({"at_us": elapsed_us(), "who": who, "what": what, **more})
 
     @staticmethod
-    def now() -> int:
+    def now_us() -> int:
         return elapsed_us()
 
-    def of(self, what: str) -> list[dict[str, Any]]:
+    def rows_of(self, what: str) -> list[dict[str, Any]]:
         return [row for row in self.rows if row["what"] == what]
 
     def write(self, path: Path) -> None:
@@ -34,14 +34,16 @@
                 file.write(json.dumps(row) + "\n")
 
 
-class Recorder(Ledger):
+class RecordingLedger(Ledger):
     """The ledger that also writes the stand-ins' own record of each call."""
 
     def __init__(self, history: History) -> None:
         super().__init__()
         self.history = history
-        self.names: dict[int, str] = {}  # of couriers, by their clients' port
-        self.given: dict[str, str] = {}  # message: the courier that has it, which alone delivers it
+        self.courier_names: dict[int, str] = {}  # of couriers, by their clients' port
+        self.courier_by_message: dict[
+            str, str
+        ] = {}  # message: the courier that has it, which alone delivers it
 
     def handed_in(self, ident: str, entry: Entry) -> None:
         super().handed_in(ident, entry)
@@ -52,10 +54,10 @@
         self.history.add("load", "answer", message=ident, answer=answer)
 
     def handed_to(self, ident: str, port: int) -> None:
-        self.given[ident] = self.names.get(port, "")
+        self.courier_by_message[ident] = self.courier_names.get(port, "")
 
     def began(self, endpoint: str, idents: list[str]) -> None:
-        courier = self.given.get(idents[0], "") if idents else ""
+        courier = self.courier_by_message.get(idents[0], "") if idents else ""
         self.history.add(endpoint, "call", courier=courier, messages=idents)
 
     def noted(self, line: dict[str, str]) -> None:
--- a/hopmill/trial/policies.py
+++ b/hopmill/trial/policies.py
@@ -10,72 +10,72 @@
 from hopmill.trial.couriers import Courier
 from hopmill.trial.history import History, elapsed_us
 
-OUTCOME_S = 12.0  # a change is asked after for so long
-AGAIN_S = 0.03
-REFUSED_HELD = 2600  # of messages: more than the one small machine has memory for
+OUTCOME_TIMEOUT_S = 12.0  # a change is asked after for so long
+POLL_INTERVAL_S = 0.03
+REFUSED_HELD_MESSAGES = 2600  # of messages: more than the one small machine has memory for
 
 
-class Policies:
+class PolicyProposer:
     def __init__(
-        self, couriers: list[Courier], history: History, chance: random.Random, endpoints: list[str]
+        self, couriers: list[Courier], history: History, rng: random.Random, endpoints: list[str]
     ) -> None:
-        self.couriers, self.history, self.chance, self.endpoints = couriers, history, chance, endpoints
-        self.asking: set[asyncio.Task[None]] = set()
-        self.count = 0
+        self.couriers, self.history, self.rng, self.endpoints = couriers, history, rng, endpoints
+        self.pending: set[asyncio.Task[None]] = set()
+        self.proposal_count = 0
 
-    async def go_on(self, per_s: float) -> None:
+    async def propose_forever(self, per_s: float) -> None:
         while True:
-            await asyncio.sleep(self.chance.expovariate(per_s))
-            for _ in range(2 if self.chance.random() < 0.1 else 1):  # two at once
-                self.count += 1
-                self._start(self._change(f"p{self.count}", self._patch()))
+            await asyncio.sleep(self.rng.expovariate(per_s))
+            for _ in range(2 if self.rng.random() < 0.1 else 1):  # two at once
+                self.proposal_count += 1
+                self._start_task(self._propose(f"p{self.proposal_count}", self._draw_patch()))
 
-    def _start(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self.asking.add(task)
-        task.add_done_callback(self.asking.discard)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self.pending.add(task)
+        task.add_done_callback(self.pending.discard)
 
-    async def end(self) -> None:
-        if self.asking:
-            await asyncio.wait(self.asking, timeout=OUTCOME_S)
+    async def finish(self) -> None:
+        if self.pending:
+            await asyncio.wait(self.pending, timeout=OUTCOME_TIMEOUT_S)
 
-    def _patch(self) -> dict[str, Any]:
-        if self.chance.random() < 0.08:
-            return {"held": REFUSED_HELD}
-        out = self.chance.sample(self.endpoints, 1 + (self.chance.random() < 0.3))
-        return {"left_out": {"endpoints": out}, "retries": {"attempts": self.chance.randrange(2, 5)}}
+    def _draw_patch(self) -> dict[str, Any]:
+        if self.rng.random() < 0.08:
+            return {"held": REFUSED_HELD_MESSAGES}
+        excluded = self.rng.sample(self.endpoints, 1 + (self.rng.random() < 0.3))
+        return {"left_out": {"endpoints": excluded}, "retries": {"attempts": self.rng.randrange(2, 5)}}
 
-    async def _change(self, ident: str, patch: dict[str, Any]) -> None:
+    async def _propose(self, ident: str, patch: dict[str, Any]) -> None:
         """Proposed at one courier, now and then at two, and asked after wherever somebody answers."""
-        began = elapsed_us()
-        c = self.chance.choice(self.couriers)
-        ask = {"id": ident, "patch": patch, "by": "trial"}
-        if self.chance.random() < 0.15:
-            ask |= {"share": 0.4, "watch_s": 1.0}
-        status, told = await c.ask("POST", "/fleet/policy", ask)
-        if self.chance.random() < 0.1:
-            await self.chance.choice(self.couriers).ask("POST", "/fleet/policy", ask)
-        if status >= 400:
-            self.history.add(c.name, "not proposed", change=ident, why=told.get("error", ""))
+        began_us = elapsed_us()
+        courier = self.rng.choice(self.couriers)
+        proposal = {"id": ident, "patch": patch, "by": "trial"}
+        if self.rng.random() < 0.15:
+            proposal |= {"share": 0.4, "watch_s": 1.0}
+        proposed_status, answer = await courier.request("POST", "/fleet/policy", proposal)
+        if self.rng.random() < 0.1:
+            await self.rng.choice(self.couriers).request("POST", "/fleet/policy", proposal)
+        if proposed_status >= 400:
+            self.history.add(courier.name, "not proposed", change=ident, why=answer.get("error", ""))
             return
-        until = time.monotonic() + OUTCOME_S
-        while time.monotonic() < until and told.get("state") not in ("in force", "in force nowhere"):
-            await asyncio.sleep(AGAIN_S)
-            asked, body = await c.ask("GET", f"/fleet/policy/changes/{ident}")
-            if asked == 200:
-                told = body
+        deadline = time.monotonic() + OUTCOME_TIMEOUT_S
+        while time.monotonic() < deadline and answer.get("state") not in ("in force", "in force nowhere"):
+            await asyncio.sleep(POLL_INTERVAL_S)
+            status, latest = await courier.request("GET", f"/fleet/policy/changes/{ident}")
+            if status == 200:
+                answer = latest
             else:
                 await asyncio.sleep(0.1)
-            if asked != 200 or body.get("state") == "not known":
-                c = self.chance.choice(self.couriers)
-        state = told.get("state", "no answer")
+            if status != 200 or latest.get("state") == "not known":
+                courier = self.rng.choice(self.couriers)
+        state = answer.get("state", "no answer")
         self.history.add(
-            c.name,
+            courier.name,
             "outcome",
             change=ident,
             state=state,
-            began_us=began,
-            staged="share" in ask,
-            why=told.get("why", ""),
-            version=told.get("version", 0),
+            began_us=began_us,
+            staged="share" in proposal,
+            why=answer.get("why", ""),
+            version=answer.get("version", 0),
         )
--- a/hopmill/trial/policy_rules.py
+++ b/hopmill/trial/policy_rules.py
@@ -16,15 +16,18 @@
 
 
 def violations(history: History) -> list[str]:
-    acts = sorted(history.of("began") + history.of("took"), key=lambda row: row["at_us"])
+    acts = sorted(history.rows_of("began") + history.rows_of("took"), key=lambda row: row["at_us"])
     if not acts:
         return []
-    return [*order(acts, staged(history)), *texts(history), *outcomes(history), *left_out(history, acts)[0]][
-        :20
-    ]
+    return [
+        *order_violations(acts, canary_members(history)),
+        *content_violations(history),
+        *outcome_violations(history),
+        *calls_to_excluded(history, acts)[0],
+    ][:20]
 
 
-def firsts(acts: list[Row]) -> tuple[list[int], list[int]]:
+def first_acts(acts: list[Row]) -> tuple[list[int], list[int]]:
     """(times, versions): from each time on, an act under that version or a later one is known."""
     times, versions = [], []
     for row in acts:
@@ -34,110 +37,130 @@
     return times, versions
 
 
-def staged(history: History) -> dict[int, set[str]]:
+def canary_members(history: History) -> dict[int, set[str]]:
     """Who went by a version while it was staged."""
-    few: dict[int, set[str]] = {}
-    for row in history.of("policy"):
+    members_by_version: dict[int, set[str]] = {}
+    for row in history.rows_of("policy"):
         if row["staged"]:
-            few.setdefault(row["version"], set()).add(row["who"])
-    return few
+            members_by_version.setdefault(row["version"], set()).add(row["who"])
+    return members_by_version
 
 
-def order(acts: list[Row], few: dict[int, set[str]]) -> Iterator[str]:
+def order_violations(acts: list[Row], canaries: dict[int, set[str]]) -> Iterator[str]:
     """Once any courier has acted under a version, none that looks later acts under one before. While a
     version is staged, what its few do binds those few alone."""
-    others = firsts([row for row in acts if row["who"] not in few.get(row["version"], ())])
-    every = firsts(acts)
+    others_first_acts = first_acts(
+        [row for row in acts if row["who"] not in canaries.get(row["version"], ())]
+    )
+    all_first_acts = first_acts(acts)
     for row in acts:
-        times, versions = every
-        at = bisect.bisect_left(times, row["looked_us"])
-        if at and versions[at - 1] in few and row["who"] not in few[versions[at - 1]]:
-            times, versions = others
-            at = bisect.bisect_left(times, row["looked_us"])
-        if at and versions[at - 1] > row["version"]:
+        times, versions = all_first_acts
+        position = bisect.bisect_left(times, row["looked_us"])
+        if (
+            position
+            and versions[position - 1] in canaries
+            and row["who"] not in canaries[versions[position - 1]]
+        ):
+            times, versions = others_first_acts
+            position = bisect.bisect_left(times, row["looked_us"])
+        if position and versions[position - 1] > row["version"]:
             yield (
-                f"{row['who']} {row['what']} {row['messages'][:1]} under version {row['version']}, having "
-                f"looked {row['looked_us'] - times[at - 1]} us after an act under {versions[at - 1]}"
+                f"{row['who']} {row['what']} {row['messages'][:1]} under version {row['version']}, "
+                f"having looked {row['looked_us'] - times[position - 1]} us after "
+                f"an act under {versions[position - 1]}"
             )
 
 
-def texts(history: History) -> Iterator[str]:
+def content_violations(history: History) -> Iterator[str]:
     """One version is one policy, at every courier."""
-    first: dict[int, Row] = {}
-    for row in history.of("policy"):
-        known = first.setdefault(row["version"], row)
-        if known["values"] != row["values"]:
-            yield f"version {row['version']} is {known['values']} at {known['who']}, not at {row['who']}"
+    first_rows: dict[int, Row] = {}
+    for row in history.rows_of("policy"):
+        first = first_rows.setdefault(row["version"], row)
+        if first["values"] != row["values"]:
+            yield f"version {row['version']} is {first['values']} at {first['who']}, not at {row['who']}"
 
 
-def outcomes(history: History) -> Iterator[str]:
+def outcome_violations(history: History) -> Iterator[str]:
     """What was said to be in force nowhere never was, but staged; what was said to be in force is, in every
     version from then on."""
-    versions = {row["version"]: set(row["changes"]) for row in history.of("policy") if not row["staged"]}
-    ever = set[str]().union(*versions.values()) if versions else set()
-    for row in history.of("outcome"):
-        if row["state"] == "in force nowhere" and row["change"] in ever:
+    changes_by_version = {
+        row["version"]: set(row["changes"]) for row in history.rows_of("policy") if not row["staged"]
+    }
+    ever_in_force = set[str]().union(*changes_by_version.values()) if changes_by_version else set()
+    for row in history.rows_of("outcome"):
+        if row["state"] == "in force nowhere" and row["change"] in ever_in_force:
             yield f"change {row['change']} was in force and was said to be so nowhere: {row['why']}"
         if row["state"] == "in force":
-            for version, changes in versions.items():
+            for version, changes in changes_by_version.items():
                 if version >= row["version"] and row["change"] not in changes:
                     yield f"version {version} lacks change {row['change']}, in force since {row['version']}"
 
 
-def left_out(history: History, acts: list[Row]) -> tuple[list[str], int]:
+def calls_to_excluded(history: History, acts: list[Row]) -> tuple[list[str], int]:
     """(violations, late calls) by the endpoints' own record: from the first act under a version that leaves
     an endpoint out, it gets no call. One whose courier had looked before that is late, and counted apart."""
-    out = {row["version"]: set(row["values"].get("left_out.endpoints", ())) for row in history.of("policy")}
-    looked: dict[str, list[Row]] = {}
+    excluded_by_version = {
+        row["version"]: set(row["values"].get("left_out.endpoints", ())) for row in history.rows_of("policy")
+    }
+    decisions_by_message: dict[str, list[Row]] = {}
     for row in acts:
         if row["what"] == "began":
             for message in row["messages"]:
-                looked.setdefault(message, []).append(row)
-    few = staged(history)
-    times, versions = firsts([row for row in acts if row["who"] not in few.get(row["version"], ())])
-    found, late = [], 0
-    for call in history.of("call"):
-        at = bisect.bisect_left(times, call["at_us"])
-        decided = (
-            [row for row in looked.get(call["messages"][0], ()) if row["looked_us"] <= call["at_us"]]
+                decisions_by_message.setdefault(message, []).append(row)
+    canaries = canary_members(history)
+    times, versions = first_acts([row for row in acts if row["who"] not in canaries.get(row["version"], ())])
+    unexpected_calls, late_calls = [], 0
+    for call in history.rows_of("call"):
+        position = bisect.bisect_left(times, call["at_us"])
+        decisions = (
+            [
+                row
+                for row in decisions_by_message.get(call["messages"][0], ())
+                if row["looked_us"] <= call["at_us"]
+            ]
             if call["messages"]
             else []
         )
-        by = max(decided, key=lambda row: row["looked_us"], default=None)
+        decision = max(decisions, key=lambda row: row["looked_us"], default=None)
         # A staged version is its few's before it binds the others.
-        version = max(versions[at - 1] if at else -1, by["version"] if by else -1)
-        if call["who"] not in out.get(version, ()):
+        version = max(versions[position - 1] if position else -1, decision["version"] if decision else -1)
+        if call["who"] not in excluded_by_version.get(version, ()):
             continue
-        if by and at and by["version"] < version and by["looked_us"] <= times[at - 1]:
-            late += 1
+        if (
+            decision
+            and position
+            and decision["version"] < version
+            and decision["looked_us"] <= times[position - 1]
+        ):
+            late_calls += 1
         else:
-            found.append(
+            unexpected_calls.append(
                 f"{call['who']} got a call of {call['courier']} that had looked "
-                f"at {by and by['looked_us']}, under version {version}, which leaves it out"
+                f"at {decision and decision['looked_us']}, under version {version}, which leaves it out"
             )
-    return found, late
+    return unexpected_calls, late_calls
 
 
 def figures(history: History) -> Row:
     """How many changes, how they ended, and how long each took and stopped new work."""
-    rows = history.of("outcome")
-    there = [r for r in rows if r["state"] == "in force"]
-    took = sorted((r["at_us"] - r["began_us"]) // 1000 for r in there if not r["staged"])
-    acts = sorted(history.of("began") + history.of("took"), key=lambda row: row["at_us"])
-    pauses = sorted(pause_ms for _, pause_ms in stops(history))
+    outcome_rows = history.rows_of("outcome")
+    in_force = [row for row in outcome_rows if row["state"] == "in force"]
+    durations_ms = sorted((row["at_us"] - row["began_us"]) // 1000 for row in in_force if not row["staged"])
+    acts = sorted(history.rows_of("began") + history.rows_of("took"), key=lambda row: row["at_us"])
+    pauses_ms = sorted(pause_ms for _, pause_ms in pauses(history))
     return {
-        "policies": len(rows),
-        "in_force": len(there),
-        "staged": sum(r["staged"] for r in there),
-        "nowhere": sum(r["state"] == "in force nowhere" for r in rows),
-        "not_ended": sum(r["state"] not in ("in force", "in force nowhere") for r in rows),
-        "versions": max((r["version"] for r in history.of("policy")), default=0),
-        "policy_p50_ms": quantile(took, 0.5),
-        "policy_p99_ms": quantile(took, 0.99),
-        "pause_p50_ms": quantile(pauses, 0.5),
-        "pause_p99_ms": quantile(pauses, 0.99),
+        "policies": len(outcome_rows),
+        "in_force": len(in_force),
+        "staged": sum(row["staged"] for row in in_force),
+        "nowhere": sum(row["state"] == "in force nowhere" for row in outcome_rows),
+        "not_ended": sum(row["state"] not in ("in force", "in force nowhere") for row in outcome_rows),
+        "versions": max((row["version"] for row in history.rows_of("policy")), default=0),
+        "policy_p50_ms": quantile(durations_ms, 0.5),
+        "policy_p99_ms": quantile(durations_ms, 0.99),
+        "pause_p50_ms": quantile(pauses_ms, 0.5),
+        "pause_p99_ms": quantile(pauses_ms, 0.99),
         "began": len(acts),
-        "late_calls": left_out(history, acts)[1] if acts else 0,
+        "late_calls": calls_to_excluded(history, acts)[1] if acts else 0,
     }
 
 
@@ -145,11 +168,11 @@
     return values[min(len(values) - 1, int(len(values) * share))] if values else None
 
 
-def stops(history: History) -> Iterator[tuple[str, int]]:
+def pauses(history: History) -> Iterator[tuple[str, int]]:
     """(courier, ms) of each time that one began nothing, from one change of its standing to the next."""
-    since: dict[str, int] = {}
-    for row in sorted(history.of("holds"), key=lambda row: row["at_us"]):
+    held_since_us: dict[str, int] = {}
+    for row in sorted(history.rows_of("holds"), key=lambda row: row["at_us"]):
         if row["on"]:
-            since[row["who"]] = row["at_us"]
-        elif row["who"] in since:
-            yield row["who"], (row["at_us"] - since.pop(row["who"])) // 1000
+            held_since_us[row["who"]] = row["at_us"]
+        elif row["who"] in held_since_us:
+            yield row["who"], (row["at_us"] - held_since_us.pop(row["who"])) // 1000
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -16,25 +16,25 @@
 from typing import Any
 
 
-def wrong_clock(off_s: float) -> None:
-    real, real_ns = time.time, time.time_ns
-    time.time = lambda: real() + off_s
-    time.time_ns = lambda: real_ns() + int(off_s * 1e9)
+def shift_wall_clock(offset_s: float) -> None:
+    real_time, real_time_ns = time.time, time.time_ns
+    time.time = lambda: real_time() + offset_s
+    time.time_ns = lambda: real_time_ns() + int(offset_s * 1e9)
 
 
-def slow_disk(path: str) -> None:
-    def slowed(sync: Callable[[int], Any]) -> Callable[[int], Any]:
-        def slow(fd: int) -> None:
+def delay_disk_syncs(path: str) -> None:
+    def delayed(sync: Callable[[int], Any]) -> Callable[[int], Any]:
+        def delayed_sync(fd: int) -> None:
             with contextlib.suppress(OSError, ValueError), open(path) as file:
                 time.sleep(float(file.read() or 0) / 1e3)
             sync(fd)
 
-        return slow
+        return delayed_sync
 
-    os.fsync, os.fdatasync = slowed(os.fsync), slowed(os.fdatasync)
+    os.fsync, os.fdatasync = delayed(os.fsync), delayed(os.fdatasync)
 
 
-def record(path: str) -> None:
+def record_decisions(path: str) -> None:
     """A JSON object a line, written before the act goes on: a killed process has said what it did."""
     import json
 
@@ -44,8 +44,8 @@
     from hopmill.net.peers import elapsed_us
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-    looked = [0]
-    may_act, begin, take, set_up, hold = (
+    looked_at_us = [0]
+    may_act, record_attempts, accept, apply, set_holding = (
         ActivePolicy.may_act,
         Host._record_attempts,
         Intake.accept,
@@ -53,54 +53,68 @@
         ActivePolicy._set_holding,
     )
 
-    def say(what: str, **more: Any) -> None:
+    def write_row(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
             os.write(fd, json.dumps({"what": what, "at_us": elapsed_us(), **more}).encode() + b"\n")
 
-    def looks(self: ActivePolicy) -> bool:
-        looked[0] = elapsed_us()
+    def recording_may_act(self: ActivePolicy) -> bool:
+        looked_at_us[0] = elapsed_us()
         return may_act(self)
 
-    def begins(self: Host, items: Any) -> bool:
-        ids = [item.id for item in items]
-        yes = begin(self, items)
-        if yes and self.active_policy:
-            say("began", looked_us=looked[0], version=self.active_policy.applied_version, messages=ids)
-        return yes
-
-    def takes(self: Intake, m: Any, replies: Any) -> None:
-        take(self, m, replies)
-        if self.host.active_policy and m.number in self.host.journal.messages:
-            say("took", looked_us=looked[0], version=self.host.active_policy.applied_version, messages=[m.id])
+    def recording_record_attempts(self: Host, items: Any) -> bool:
+        identifiers = [item.id for item in items]
+        is_recorded = record_attempts(self, items)
+        if is_recorded and self.active_policy:
+            write_row(
+                "began",
+                looked_us=looked_at_us[0],
+                version=self.active_policy.applied_version,
+                messages=identifiers,
+            )
+        return is_recorded
+
+    def recording_accept(self: Intake, message: Any, replies: Any) -> None:
+        accept(self, message, replies)
+        if self.host.active_policy and message.number in self.host.journal.messages:
+            write_row(
+                "took",
+                looked_us=looked_at_us[0],
+                version=self.host.active_policy.applied_version,
+                messages=[message.id],
+            )
 
-    def sets_up(self: ActivePolicy, version: int, text: bytes) -> None:
-        set_up(self, version, text)
+    def recording_apply(self: ActivePolicy, version: int, text: bytes) -> None:
+        apply(self, version, text)
         if self.applied_version == version:
             stage = self.member_transport.node.register.document.policy.stage
-            say(
+            write_row(
                 "policy",
                 version=version,
                 values=self.history.values,
-                changes=[e.id for e in self.history.entries],
+                changes=[entry.id for entry in self.history.entries],
                 staged=bool(stage and stage.version == version),
             )
 
-    def holds(self: ActivePolicy, on: bool) -> None:
-        if on is not self.is_holding:
-            say("holds", on=on, version=self.applied_version)
-        hold(self, on)
+    def recording_set_holding(self: ActivePolicy, is_holding: bool) -> None:
+        if is_holding is not self.is_holding:
+            write_row("holds", on=is_holding, version=self.applied_version)
+        set_holding(self, is_holding)
 
-    ActivePolicy.may_act, Host._record_attempts, Intake.accept = looks, begins, takes  # type: ignore[method-assign]
-    ActivePolicy._apply, ActivePolicy._set_holding = sets_up, holds  # type: ignore[method-assign]
+    ActivePolicy.may_act, Host._record_attempts, Intake.accept = (
+        recording_may_act,
+        recording_record_attempts,
+        recording_accept,
+    )  # type: ignore[method-assign]
+    ActivePolicy._apply, ActivePolicy._set_holding = recording_apply, recording_set_holding  # type: ignore[method-assign]
 
 
 def main() -> int:
-    if off := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
-        wrong_clock(float(off))
+    if offset_s := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
+        shift_wall_clock(float(offset_s))
     if path := os.environ.get("HOPMILL_TRIAL_DISK"):
-        slow_disk(path)
+        delay_disk_syncs(path)
     if path := os.environ.get("HOPMILL_TRIAL_RECORD"):
-        record(path)
+        record_decisions(path)
     from hopmill.__main__ import main as program
 
     return program()
--- a/hopmill/trial/relay.py
+++ b/hopmill/trial/relay.py
@@ -11,65 +11,65 @@
 from hopmill.standin.server import HOST
 
 # Where couriers hear: a port that is free there is taken by nobody else meanwhile, nor by another trial.
-THERE = f"127.{2 + os.getpid() // 250 % 250}.{os.getpid() % 250}.2"
-AT_ONCE = 256
+COURIER_HOST = f"127.{2 + os.getpid() // 250 % 250}.{os.getpid() % 250}.2"
+MAX_DATAGRAMS_PER_WAKEUP = 256
 BUFFER_BYTES = 1 << 20
 
 
 class Relay:
     """One socket a receiver: whoever sends to it is known by the address that it sends from."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
-        self.inner: list[int] = []  # the members' own ports
-        self.ports: list[int] = []  # where each is to be written to by the others
-        self.socks: list[socket.socket] = []
-        self.senders: dict[int, int] = {}
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
+        self.member_ports: list[int] = []  # the members' own ports
+        self.relay_ports: list[int] = []  # where each is to be written to by the others
+        self.sockets: list[socket.socket] = []
+        self.sender_by_port: dict[int, int] = {}
         self.loss = self.repeat = self.delay_s = 0.0
-        self.cuts: Counter[tuple[int, int]] = Counter()  # ways (from, to), and how many faults cut each
+        self.cut_counts: Counter[tuple[int, int]] = Counter()  # ways (from, to), and how many faults cut each
         self.passed = self.dropped = 0
 
     def open(self, ports: list[int]) -> None:
-        self.inner = ports
+        self.member_ports = ports
         loop = asyncio.get_running_loop()
         for number, port in enumerate(ports):
-            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
-            sock.bind((HOST, 0))
-            self.socks.append(sock)
-            self.ports.append(sock.getsockname()[1])
-            self.senders[port] = number
-            loop.add_reader(sock, self._readable, number)
+            receiver_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+            receiver_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
+            receiver_socket.bind((HOST, 0))
+            self.sockets.append(receiver_socket)
+            self.relay_ports.append(receiver_socket.getsockname()[1])
+            self.sender_by_port[port] = number
+            loop.add_reader(receiver_socket, self._readable, number)
 
-    def _readable(self, to: int) -> None:
-        for _ in range(AT_ONCE):
+    def _readable(self, receiver: int) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
-                data, (_, port) = self.socks[to].recvfrom(2048)
+                data, (_, port) = self.sockets[receiver].recvfrom(2048)
             except OSError:
                 return
-            sender = self.senders.get(port, -1)
-            if self.cuts[sender, to] > 0 or self.chance.random() < self.loss:
+            sender = self.sender_by_port.get(port, -1)
+            if self.cut_counts[sender, receiver] > 0 or self.rng.random() < self.loss:
                 self.dropped += 1
                 continue
-            for _ in range(1 + (self.chance.random() < self.repeat)):
+            for _ in range(1 + (self.rng.random() < self.repeat)):
                 self.passed += 1
                 if self.delay_s:
-                    late = self.chance.uniform(0, self.delay_s)
-                    asyncio.get_running_loop().call_later(late, self._send, to, data)
+                    delay_s = self.rng.uniform(0, self.delay_s)
+                    asyncio.get_running_loop().call_later(delay_s, self._send, receiver, data)
                 else:
-                    self._send(to, data)
+                    self._send(receiver, data)
 
-    def _send(self, to: int, data: bytes) -> None:
+    def _send(self, receiver: int, data: bytes) -> None:
         try:
-            self.socks[to].sendto(data, (THERE, self.inner[to]))
+            self.sockets[receiver].sendto(data, (COURIER_HOST, self.member_ports[receiver]))
         except OSError:  # nobody is there: a datagram that is lost
             self.dropped += 1
 
-    def cut(self, ways: list[tuple[int, int]], on: bool) -> None:
-        for way in ways:
-            self.cuts[way] += 1 if on else -1
+    def cut(self, paths: list[tuple[int, int]], is_cut: bool) -> None:
+        for path in paths:
+            self.cut_counts[path] += 1 if is_cut else -1
 
     def close(self) -> None:
-        for sock in self.socks:
-            asyncio.get_running_loop().remove_reader(sock)
-            sock.close()
+        for receiver_socket in self.sockets:
+            asyncio.get_running_loop().remove_reader(receiver_socket)
+            receiver_socket.close()
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -19,24 +19,29 @@
 from hopmill.standin.scene import KINDS, Options, courier_toml, plans
 from hopmill.trial import policy_rules, rules
 from hopmill.trial.couriers import LEASE, Courier, free_udp_ports, members_toml
-from hopmill.trial.faults import Hand
-from hopmill.trial.history import History, Recorder, elapsed_us
-from hopmill.trial.policies import Policies
+from hopmill.trial.faults import FaultInjector
+from hopmill.trial.history import History, RecordingLedger, elapsed_us
+from hopmill.trial.policies import PolicyProposer
 from hopmill.trial.relay import Relay
-from hopmill.trial.scenario import Scenario, draw
+from hopmill.trial.scenario import Scenario, draw_faults
 
-AGREE_S = 12.0  # after the last fault all couriers take all for alive and know one version within this
-LAST_ENDS_S = 12.0  # and every message that was taken on has its end
-VIEW_S, VIEWS_PER_S = 0.5, 20  # between two looks at a courier's view; of all couriers together
-MOST_S = 90.0  # that a trial may take on top of its own time
-SMALL = "limits = {disk_mb = 16, memory_mb = 160}"  # one machine that can't take every change
-OUTCOME_S = 12.0  # a change has its outcome within this
-STARTING = 8  # couriers that start at once
+AGREEMENT_TIMEOUT_S = (
+    12.0  # after the last fault all couriers take all for alive and know one version within this
+)
+LAST_MESSAGES_TIMEOUT_S = 12.0  # and every message that was taken on has its end
+MIN_VIEW_INTERVAL_S, MAX_VIEWS_PER_S = (
+    0.5,
+    20,
+)  # between two looks at a courier's view; of all couriers together
+MAX_EXTRA_S = 90.0  # that a trial may take on top of its own time
+SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"  # one machine that can't take every change
+OUTCOME_TIMEOUT_S = 12.0  # a change has its outcome within this
+MAX_STARTING = 8  # couriers that start at once
 DEATH_SLACK_US = 6_000_000  # after a fault, a death that it caused may still be told
 
 
 @dataclass(frozen=True)
-class Ask:
+class TrialOptions:
     scenario: Scenario
     couriers: int
     seed: int
@@ -44,275 +49,303 @@
 
 
 class Trial:
-    def __init__(self, ask: Ask, folder: Path) -> None:
-        self.ask, self.s, self.folder = ask, ask.scenario, folder
-        self.chance = random.Random(f"trial {self.s.name} {ask.seed}")
+    def __init__(self, options: TrialOptions, folder: Path) -> None:
+        self.options, self.scenario, self.folder = options, options.scenario, folder
+        self.rng = random.Random(f"trial {self.scenario.name} {options.seed}")
         self.history = History()
-        self.ledger = Recorder(self.history)
+        self.ledger = RecordingLedger(self.history)
         self.discovery = Discovery(self.ledger.noted)
         self.partners: list[Partner] = []
         self.couriers: list[Courier] = []
-        self.relay = Relay(random.Random(f"relay {ask.seed}"))
-        self.voters = 5 if ask.couriers >= 7 else 3 if ask.couriers >= 3 else 1
-        self.faults = draw(self.s, ask.seed, ask.couriers, self.voters)
-        self.hand: Hand
-        self.wall_us = int(time.time() * 1e6) - elapsed_us()
+        self.relay = Relay(random.Random(f"relay {options.seed}"))
+        self.voters = 5 if options.couriers >= 7 else 3 if options.couriers >= 3 else 1
+        self.faults = draw_faults(self.scenario, options.seed, options.couriers, self.voters)
+        self.fault_injector: FaultInjector
+        self.wall_clock_offset_us = int(time.time() * 1e6) - elapsed_us()
         self.agreed_s = -1.0
-        self.texts = 0
-        self.asking: set[asyncio.Task[None]] = set()
+        self.text_count = 0
+        self.pending_changes: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, Any]:
         began = time.monotonic()
         try:
-            async with asyncio.timeout(self.s.seconds + MOST_S):
+            async with asyncio.timeout(self.scenario.seconds + MAX_EXTRA_S):
                 await self._start()
-                await self._play()
+                await self._run_load_and_faults()
         finally:
             await self._end()
-        for c in self.couriers:
-            self.history.rows += c.recorded()
-        found = rules.violations(self.history, self.ledger) + policy_rules.violations(self.history)
+        for courier in self.couriers:
+            self.history.rows += courier.read_records()
+        violations = rules.violations(self.history, self.ledger) + policy_rules.violations(self.history)
         if self.agreed_s < 0:
-            found.append(f"the couriers did not agree within {AGREE_S:g} s after the last fault")
-        return self._told(found, time.monotonic() - began)
+            violations.append(
+                f"the couriers did not agree within {AGREEMENT_TIMEOUT_S:g} s after the last fault"
+            )
+        return self._summary(violations, time.monotonic() - began)
 
     async def _start(self) -> None:
-        loop, o = (
+        loop, scene_options = (
             asyncio.get_running_loop(),
-            Options(self.s.seconds, self.s.rate_per_s, self.ask.couriers, seed=self.ask.seed),
+            Options(
+                self.scenario.seconds, self.scenario.rate_per_s, self.options.couriers, seed=self.options.seed
+            ),
         )
         await self.discovery.start()
-        for plan in plans(self.s.rate_per_s):
-            partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.chance, loop.time())
+        for plan in plans(self.scenario.rate_per_s):
+            partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.rng, loop.time())
             self.partners.append(partner)
-            for m in partner.machines:
-                await m.start()
+            for machine in partner.machines:
+                await machine.start()
                 self.discovery.target(
-                    m.uid, m.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=m.zone
+                    machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
                 )
-        net = self.s.net
-        self.relay.loss, self.relay.repeat, self.relay.delay_s = net.loss, net.repeat, net.delay_ms / 1e3
-        self.relay.open(free_udp_ports(self.ask.couriers))
-        for n in range(self.ask.couriers):
-            text = (
-                courier_toml(self.discovery.port, o, n, KINDS)
+        network = self.scenario.net
+        self.relay.loss, self.relay.repeat, self.relay.delay_s = (
+            network.loss,
+            network.repeat,
+            network.delay_ms / 1e3,
+        )
+        self.relay.open(free_udp_ports(self.options.couriers))
+        for number in range(self.options.couriers):
+            configuration = (
+                courier_toml(self.discovery.port, scene_options, number, KINDS)
                 + "\n"
-                + members_toml(n, self.ask.couriers, self.voters, self.relay, self.s.alone)
+                + members_toml(number, self.options.couriers, self.voters, self.relay, self.scenario.alone)
             )
-            if self.s.alone and n == 1:
-                text = text.replace("limits = {disk_mb = 16}", SMALL)
-            off = self.chance.uniform(-1, 1) * self.s.clocks_off_s
-            self.couriers.append(Courier(n, self.folder, text, off, bool(self.s.alone)))
-        self.ledger.names = {c.port: c.name for c in self.couriers}
-        self.hand = Hand(self.couriers, self.relay, self.history)
-        starting = asyncio.Semaphore(STARTING)
+            if self.scenario.alone and number == 1:
+                configuration = configuration.replace("limits = {disk_mb = 16}", SMALL_LIMITS)
+            clock_offset_s = self.rng.uniform(-1, 1) * self.scenario.clocks_off_s
+            self.couriers.append(
+                Courier(number, self.folder, configuration, clock_offset_s, bool(self.scenario.alone))
+            )
+        self.ledger.courier_names = {courier.port: courier.name for courier in self.couriers}
+        self.fault_injector = FaultInjector(self.couriers, self.relay, self.history)
+        starting = asyncio.Semaphore(MAX_STARTING)
 
-        async def start(c: Courier) -> None:
+        async def start(courier: Courier) -> None:
             async with starting:
-                await c.start()
+                await courier.start()
 
         async with asyncio.TaskGroup() as group:  # if one can't, no other is started after the end
-            for c in self.couriers:
-                group.create_task(start(c))
-        if not await self._agree(AGREE_S):
+            for courier in self.couriers:
+                group.create_task(start(courier))
+        if not await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
             raise TimeoutError("the couriers did not find one another")
-        for c in self.couriers:
-            c.copy_fleet_files()
+        for courier in self.couriers:
+            courier.back_up_fleet_files()
 
-    async def _play(self) -> None:
+    async def _run_load_and_faults(self) -> None:
         loop = asyncio.get_running_loop()
         load = Load(
             self.ledger,
             KINDS,
-            [p.plan.number for p in self.partners],
-            lambda: [c.port for c in self.couriers if c.taking],
-            random.Random(f"load {self.ask.seed}"),
+            [partner.plan.number for partner in self.partners],
+            lambda: [courier.port for courier in self.couriers if courier.taking],
+            random.Random(f"load {self.options.seed}"),
         )
-        watching = [loop.create_task(self._watch(c)) for c in self.couriers]
-        watching += [loop.create_task(self._changes())]
-        policies = Policies(
-            self.couriers, self.history, self.chance, [m.uid for p in self.partners for m in p.machines]
+        background_tasks = [loop.create_task(self._watch(courier)) for courier in self.couriers]
+        background_tasks += [loop.create_task(self._change_forever())]
+        policy_proposer = PolicyProposer(
+            self.couriers,
+            self.history,
+            self.rng,
+            [machine.uid for partner in self.partners for machine in partner.machines],
         )
-        if self.s.policies_per_s:
-            watching.append(loop.create_task(policies.go_on(self.s.policies_per_s)))
+        if self.scenario.policies_per_s:
+            background_tasks.append(
+                loop.create_task(policy_proposer.propose_forever(self.scenario.policies_per_s))
+            )
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(load.run(self.s.rate_per_s, self.s.seconds))
-                group.create_task(self.hand.carry_out(self.faults))
-            healed = loop.time()
-            for c in self.couriers:  # one that ended unasked comes back, as the platform would start it
-                if not c.pid:
-                    self.history.add(c.name, "ended unasked")
-                    await c.start()
-            if await self._agree(AGREE_S):
-                self.agreed_s = loop.time() - healed
-            until = loop.time() + LAST_ENDS_S
-            while self._open() and loop.time() < until:
+                group.create_task(load.run(self.scenario.rate_per_s, self.scenario.seconds))
+                group.create_task(self.fault_injector.inject(self.faults))
+            faults_ended_at = loop.time()
+            for courier in self.couriers:  # one that ended unasked comes back, as the platform would start it
+                if not courier.pid:
+                    self.history.add(courier.name, "ended unasked")
+                    await courier.start()
+            if await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
+                self.agreed_s = loop.time() - faults_ended_at
+            deadline = loop.time() + LAST_MESSAGES_TIMEOUT_S
+            while self._unfinished_messages() and loop.time() < deadline:
                 await asyncio.sleep(0.1)
         finally:
-            for task in watching:
+            for task in background_tasks:
                 task.cancel()
-            await asyncio.gather(*watching, return_exceptions=True)
-            await policies.end()
-            if self.asking:
-                await asyncio.wait(self.asking, timeout=OUTCOME_S)
+            await asyncio.gather(*background_tasks, return_exceptions=True)
+            await policy_proposer.finish()
+            if self.pending_changes:
+                await asyncio.wait(self.pending_changes, timeout=OUTCOME_TIMEOUT_S)
             load.close()
 
-    def _open(self) -> int:
+    def _unfinished_messages(self) -> int:
         return sum(
-            e.answer == "taken" and not e.delivered_at and not e.notice for e in self.ledger.entries.values()
+            entry.answer == "taken" and not entry.delivered_at and not entry.notice
+            for entry in self.ledger.entries.values()
         )
 
-    async def _agree(self, within: float) -> bool:
+    async def _wait_for_agreement(self, timeout_s: float) -> bool:
         """All doors answer, take all for alive and know one version, the same words."""
-        until = time.monotonic() + within
-        while time.monotonic() < until:
-            views = await asyncio.gather(*(c.ask("GET", "/fleet") for c in self.couriers))
-            well = all(
-                code == 200
-                and self._settled(body)
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
+            views = await asyncio.gather(*(courier.request("GET", "/fleet") for courier in self.couriers))
+            is_agreed = all(
+                status == 200
+                and self._policy_is_settled(body)
                 and body["started"]
-                and all(m["state"] == "alive" for m in body["members"])
-                for code, body in views
+                and all(member["state"] == "alive" for member in body["members"])
+                for status, body in views
             )
-            if well and len({repr(sorted(body["words"].items())) for _, body in views}) == 1:
+            if is_agreed and len({repr(sorted(body["words"].items())) for _, body in views}) == 1:
                 return True
             await asyncio.sleep(0.1)
         return False
 
-    def _settled(self, body: dict[str, Any]) -> bool:
+    def _policy_is_settled(self, body: dict[str, Any]) -> bool:
         """Where there is a policy: no change is under way, and it may act."""
         policy = body.get("policy")
-        return not self.s.alone or bool(policy and policy["may_act"] and not policy["change"])
+        return not self.scenario.alone or bool(policy and policy["may_act"] and not policy["change"])
 
     # What is watched
 
-    async def _watch(self, c: Courier) -> None:
+    async def _watch(self, courier: Courier) -> None:
         """Its view now and then, and often whether it may act under the lease."""
         loop = asyncio.get_running_loop()
-        looked = 0.0
+        viewed_at = 0.0
         while True:
-            if c.pid and not c.stopped:
-                status, body = await c.ask("GET", f"/fleet/leases/{LEASE}")
+            if courier.pid and not courier.is_stopped:
+                status, body = await courier.request("GET", f"/fleet/leases/{LEASE}")
                 if status == 200 and body["fence"]:
                     self.history.add(
-                        c.name, "act", fence=body["fence"], owner=body["owner"], looked_us=body["at_us"]
+                        courier.name, "act", fence=body["fence"], owner=body["owner"], looked_us=body["at_us"]
                     )
-                if loop.time() - looked >= max(VIEW_S, len(self.couriers) / VIEWS_PER_S):
-                    looked = loop.time()
-                    status, body = await c.ask("GET", "/fleet")
+                if loop.time() - viewed_at >= max(MIN_VIEW_INTERVAL_S, len(self.couriers) / MAX_VIEWS_PER_S):
+                    viewed_at = loop.time()
+                    status, body = await courier.request("GET", "/fleet")
                     if status == 200:
                         self.history.add(
-                            c.name,
+                            courier.name,
                             "view",
                             version=body["version"],
                             life=body["life"],
                             incarnation=body["members"][0]["incarnation"],
                             health=body["health"],
                         )
-            each = len(self.couriers) / max(1.0, self.s.acts_per_s)
-            await asyncio.sleep(self.chance.uniform(0.5, 1.5) * each)
+            mean_interval_s = len(self.couriers) / max(1.0, self.scenario.acts_per_s)
+            await asyncio.sleep(self.rng.uniform(0.5, 1.5) * mean_interval_s)
 
-    async def _changes(self) -> None:
-        while self.s.changes_per_s:
-            await asyncio.sleep(self.chance.expovariate(self.s.changes_per_s))
-            task = asyncio.get_running_loop().create_task(self._change(self.chance.choice(self.couriers)))
-            self.asking.add(task)
-            task.add_done_callback(self.asking.discard)
+    async def _change_forever(self) -> None:
+        while self.scenario.changes_per_s:
+            await asyncio.sleep(self.rng.expovariate(self.scenario.changes_per_s))
+            task = asyncio.get_running_loop().create_task(self._change(self.rng.choice(self.couriers)))
+            self.pending_changes.add(task)
+            task.add_done_callback(self.pending_changes.discard)
 
-    async def _change(self, c: Courier) -> None:
+    async def _change(self, courier: Courier) -> None:
         """A word into the register, or a reading of it, and what was told of it."""
-        self.texts += 1
-        text = str(self.texts) if self.chance.random() < 0.7 else ""
-        began, life = elapsed_us(), c.pid
-        status, told = await c.ask("POST", f"/fleet/words/x/{text}" if text else "/fleet/read")
-        until = time.monotonic() + OUTCOME_S
-        while status == 202 and told["state"] == "under way" and time.monotonic() < until and c.pid == life:
+        self.text_count += 1
+        text = str(self.text_count) if self.rng.random() < 0.7 else ""
+        began_us, pid = elapsed_us(), courier.pid
+        status, answer = await courier.request("POST", f"/fleet/words/x/{text}" if text else "/fleet/read")
+        deadline = time.monotonic() + OUTCOME_TIMEOUT_S
+        while (
+            status == 202
+            and answer["state"] == "under way"
+            and time.monotonic() < deadline
+            and courier.pid == pid
+        ):
             await asyncio.sleep(0.03)
-            asked, body = await c.ask(
-                "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}"
+            poll_status, body = await courier.request(
+                "GET", f"/fleet/changes/{answer['ticket'].replace('#', '%23').replace('/', '%2F')}"
             )
-            told = body if asked == 200 else told
-        if status == 202 and told["state"] in ("done", "left"):
-            self.history.add(c.name, "change", began_us=began, text=text, **told)
+            answer = body if poll_status == 200 else answer
+        if status == 202 and answer["state"] in ("done", "left"):
+            self.history.add(courier.name, "change", began_us=began_us, text=text, **answer)
         else:
             self.history.add(
-                c.name, "unknown", began_us=began, text=text, state=told.get("state", "no answer")
+                courier.name, "unknown", began_us=began_us, text=text, state=answer.get("state", "no answer")
             )
 
     # The end
 
     async def _end(self) -> None:
-        for c in self.couriers:
-            c.signal(signal.SIGCONT)
-            c.kill()
-        for c in self.couriers:
-            if c.process is not None:
+        for courier in self.couriers:
+            courier.send_signal(signal.SIGCONT)
+            courier.kill()
+        for courier in self.couriers:
+            if courier.process is not None:
                 with contextlib.suppress(ProcessLookupError):
-                    await c.process.wait()
-            c.listening.close()
+                    await courier.process.wait()
+            courier.listening.close()
         self.relay.close()
-        for server in (self.discovery, *(m for p in self.partners for m in p.machines)):
+        for server in (
+            self.discovery,
+            *(machine for partner in self.partners for machine in partner.machines),
+        ):
             await server.stop()
 
-    def _told(self, found: list[str], seconds: float) -> dict[str, Any]:
-        result = self.ledger.result().counts
-        deaths = [(at - self.wall_us, who, c.name) for c in self.couriers for at, who in c.deaths()]
-        wrong = rules.false_deaths(self.history, deaths, DEATH_SLACK_US)
-        changes = self.history.of("change")
-        took = sorted((r["at_us"] - r["began_us"]) // 1000 for r in changes)
+    def _summary(self, violations: list[str], duration_s: float) -> dict[str, Any]:
+        counts = self.ledger.result().counts
+        reported_deaths = [
+            (at_us - self.wall_clock_offset_us, member, courier.name)
+            for courier in self.couriers
+            for at_us, member in courier.reported_deaths()
+        ]
+        false_deaths = rules.false_deaths(self.history, reported_deaths, DEATH_SLACK_US)
+        changes = self.history.rows_of("change")
+        durations_ms = sorted((change["at_us"] - change["began_us"]) // 1000 for change in changes)
         return {
-            "scenario": self.s.name,
-            "seed": self.ask.seed,
-            "couriers": self.ask.couriers,
-            "faults": dict(sorted(self.hand.counts.items())),
-            "killed": self.hand.killed,
-            "messages": result["taken"],
-            "lost": self._open(),
-            "twice": result["twice"],
-            "in_time": round(result["in_time"] / max(1, result["handed_in"]), 4),
-            "changes": sum(r["state"] == "done" for r in changes),
-            "unknown": len(self.history.of("unknown")),
-            "change_p99_ms": took[int(len(took) * 0.99)] if took else None,
-            "acts": len(self.history.of("act")),
+            "scenario": self.scenario.name,
+            "seed": self.options.seed,
+            "couriers": self.options.couriers,
+            "faults": dict(sorted(self.fault_injector.counts.items())),
+            "killed": self.fault_injector.killed_count,
+            "messages": counts["taken"],
+            "lost": self._unfinished_messages(),
+            "twice": counts["twice"],
+            "in_time": round(counts["in_time"] / max(1, counts["handed_in"]), 4),
+            "changes": sum(change["state"] == "done" for change in changes),
+            "unknown": len(self.history.rows_of("unknown")),
+            "change_p99_ms": durations_ms[int(len(durations_ms) * 0.99)] if durations_ms else None,
+            "acts": len(self.history.rows_of("act")),
             "agreed_s": round(self.agreed_s, 1),
-            **(policy_rules.figures(self.history) if self.s.alone else {}),
-            "false_deaths": len(wrong),
-            "violations": found,
-            "seconds": round(seconds, 1),
+            **(policy_rules.figures(self.history) if self.scenario.alone else {}),
+            "false_deaths": len(false_deaths),
+            "violations": violations,
+            "seconds": round(duration_s, 1),
         }
 
 
-def run(ask: Ask) -> dict[str, Any]:
+def run(options: TrialOptions) -> dict[str, Any]:
     """The line of this seed. Where something is violated its folder is kept, and named."""
     folder = Path(tempfile.mkdtemp(prefix="hopmill-trial-"))
-    trial = Trial(ask, folder)
-    kept = ask.history
+    trial = Trial(options, folder)
+    history_folder = options.history
     try:
         try:
-            told = asyncio.run(_until_told(trial))
+            summary = asyncio.run(_run_until_signal(trial))
         except BaseExceptionGroup as group:
             raise group.exceptions[0] from None
-        if told["violations"] and kept is None:
-            kept = Path(tempfile.gettempdir()) / f"trial-{ask.scenario.name}-{ask.seed}"
-            told["kept"] = str(kept)
-        if kept is not None:
-            _keep(trial, folder, kept / f"{ask.scenario.name}-{ask.seed}")
-        return told
+        if summary["violations"] and history_folder is None:
+            history_folder = Path(tempfile.gettempdir()) / f"trial-{options.scenario.name}-{options.seed}"
+            summary["kept"] = str(history_folder)
+        if history_folder is not None:
+            _save_history(trial, folder, history_folder / f"{options.scenario.name}-{options.seed}")
+        return summary
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def _keep(trial: Trial, folder: Path, to: Path) -> None:
-    to.mkdir(parents=True, exist_ok=True)
-    trial.history.write(to / "history.jsonl")
-    for log in folder.glob("*.log"):
-        shutil.copy(log, to / log.name)
+def _save_history(trial: Trial, folder: Path, destination_folder: Path) -> None:
+    destination_folder.mkdir(parents=True, exist_ok=True)
+    trial.history.write(destination_folder / "history.jsonl")
+    for log_file in folder.glob("*.log"):
+        shutil.copy(log_file, destination_folder / log_file.name)
 
 
-async def _until_told(trial: Trial) -> dict[str, Any]:
+async def _run_until_signal(trial: Trial) -> dict[str, Any]:
     task = asyncio.current_task()
     assert task is not None
-    for how in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):  # all end it the same way
-        asyncio.get_running_loop().add_signal_handler(how, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):  # all end it the same way
+        asyncio.get_running_loop().add_signal_handler(signal_number, task.cancel)
     return await trial.run()
--- a/hopmill/trial/scenario.py
+++ b/hopmill/trial/scenario.py
@@ -12,8 +12,8 @@
 
 from hopmill.fields import ConfigError, NotNegative, Positive, Share, Strict
 
-FOLDER = Path(__file__).parent / "scenarios"
-KINDS = (
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
+FAULT_KINDS = (
     "kill",
     "stop",
     "split",
@@ -26,7 +26,7 @@
     "upgrade",
     "half",
 )
-QUIET_S = 1.0  # before the first fault, and between a fault's end and the end of the trial at least
+FAULT_FREE_S = 1.0  # before the first fault, and between a fault's end and the end of the trial at least
 
 
 class Net(Strict):
@@ -57,20 +57,20 @@
 class Fault:
     """At `at` seconds, for `lasts` seconds."""
 
-    at: float
+    at_s: float
     kind: str
-    lasts: float
-    who: tuple[int, ...]
+    duration_s: float
+    couriers: tuple[int, ...]
     detail: dict[str, Any] = field(default_factory=dict)
 
 
 def names() -> list[str]:
-    return sorted(path.stem for path in FOLDER.glob("*.toml"))
+    return sorted(path.stem for path in SCENARIO_FOLDER.glob("*.toml"))
 
 
 def read(name: str) -> Scenario:
     """One that comes along, by its name, or a file. ConfigError: what is wrong, in a line."""
-    path = Path(name) if name.endswith(".toml") else FOLDER / f"{name}.toml"
+    path = Path(name) if name.endswith(".toml") else SCENARIO_FOLDER / f"{name}.toml"
     try:
         scenario = msgspec.convert(tomllib.loads(path.read_text()), Scenario)
     except FileNotFoundError:
@@ -78,68 +78,68 @@
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
     for kind in scenario.faults:
-        if kind not in KINDS:
-            raise ConfigError(f"{path}: faults.{kind}: no such kind; there are {', '.join(KINDS)}")
+        if kind not in FAULT_KINDS:
+            raise ConfigError(f"{path}: faults.{kind}: no such kind; there are {', '.join(FAULT_KINDS)}")
     return scenario
 
 
-def couriers(scenario: Scenario, seed: int) -> int:
+def draw_courier_count(scenario: Scenario, seed: int) -> int:
     return random.Random(f"couriers {seed}").randint(*scenario.couriers)
 
 
-def draw(scenario: Scenario, seed: int, members: int, voters: int) -> list[Fault]:
+def draw_faults(scenario: Scenario, seed: int, members: int, voters: int) -> list[Fault]:
     """All faults of the trial, in order. Only one folder at a time is lost: more is beyond any register."""
-    chance = random.Random(f"faults {scenario.name} {seed}")
+    rng = random.Random(f"faults {scenario.name} {seed}")
     faults: list[Fault] = []
     if not scenario.every_s or not scenario.faults:
         return faults
-    kinds, often = list(scenario.faults), list(scenario.faults.values())
-    at, folder_until = QUIET_S, 0.0
-    while (at := at + chance.expovariate(1 / scenario.every_s)) < scenario.seconds - QUIET_S:
-        kind = chance.choices(kinds, often)[0]
-        most = max(0.2, scenario.seconds - QUIET_S - at)
-        lasts = min(most, LASTS.get(kind, lambda c: 0.0)(chance))
-        who = chance.sample(range(members), members)
+    kinds, weights = list(scenario.faults), list(scenario.faults.values())
+    at_s, folder_until = FAULT_FREE_S, 0.0
+    while (at_s := at_s + rng.expovariate(1 / scenario.every_s)) < scenario.seconds - FAULT_FREE_S:
+        kind = rng.choices(kinds, weights)[0]
+        longest_s = max(0.2, scenario.seconds - FAULT_FREE_S - at_s)
+        duration_s = min(longest_s, DURATIONS_S.get(kind, lambda rng: 0.0)(rng))
+        chosen = rng.sample(range(members), members)
         detail: dict[str, Any] = {}
         if kind == "folder":
-            if at < folder_until:
+            if at_s < folder_until:
                 continue
-            folder_until = at + 6.0
-            detail["back"] = chance.random() < 0.5
-            who = [chance.randrange(voters if chance.random() < 0.7 else members)]
+            folder_until = at_s + 6.0
+            detail["back"] = rng.random() < 0.5
+            chosen = [rng.randrange(voters if rng.random() < 0.7 else members)]
         elif kind == "half":
-            who = who[: max(1, members // 2)]
+            chosen = chosen[: max(1, members // 2)]
         elif kind == "split":
-            detail["groups"] = [chance.randrange(chance.choice((2, 3))) for _ in range(members)]
+            detail["groups"] = [rng.randrange(rng.choice((2, 3))) for _ in range(members)]
         elif kind == "oneway":
-            detail["way"] = chance.choice(("hears", "heard", "pair", "all but one"))
-            who = who[:2]
+            detail["way"] = rng.choice(("hears", "heard", "pair", "all but one"))
+            chosen = chosen[:2]
         elif kind == "loss":
             detail |= {
-                "loss": chance.choice((0.1, 0.3)),
-                "repeat": chance.choice((0.0, 0.2)),
-                "delay_ms": chance.choice((1.0, 20.0, 200.0)),
+                "loss": rng.choice((0.1, 0.3)),
+                "repeat": rng.choice((0.0, 0.2)),
+                "delay_ms": rng.choice((1.0, 20.0, 200.0)),
             }
-            who = []
+            chosen = []
         elif kind == "slowdisk":
-            detail["ms"] = chance.choice((10.0, 100.0, 1000.0))
-            who = who[: chance.choice((1, members))]
+            detail["ms"] = rng.choice((10.0, 100.0, 1000.0))
+            chosen = chosen[: rng.choice((1, members))]
         else:
-            who = who[:1]
-        faults.append(Fault(round(at, 3), kind, round(lasts, 3), tuple(who), detail))
+            chosen = chosen[:1]
+        faults.append(Fault(round(at_s, 3), kind, round(duration_s, 3), tuple(chosen), detail))
     return faults
 
 
-LASTS = {
-    "kill": lambda c: c.uniform(0.1, 3.0),
-    "half": lambda c: c.uniform(0.1, 3.0),
-    "restart": lambda c: 0.3,
-    "stop": lambda c: c.choice((c.uniform(0.1, 1.0), c.uniform(1.0, 20.0))),
-    "split": lambda c: c.uniform(0.5, 5.0),
-    "oneway": lambda c: c.uniform(0.5, 5.0),
-    "loss": lambda c: c.uniform(1.0, 5.0),
-    "folder": lambda c: c.uniform(0.1, 1.0),
-    "slowdisk": lambda c: c.uniform(0.5, 5.0),
-    "upgrade": lambda c: 1.0,
-    "fulldisk": lambda c: c.uniform(0.5, 3.0),
+DURATIONS_S = {
+    "kill": lambda rng: rng.uniform(0.1, 3.0),
+    "half": lambda rng: rng.uniform(0.1, 3.0),
+    "restart": lambda rng: 0.3,
+    "stop": lambda rng: rng.choice((rng.uniform(0.1, 1.0), rng.uniform(1.0, 20.0))),
+    "split": lambda rng: rng.uniform(0.5, 5.0),
+    "oneway": lambda rng: rng.uniform(0.5, 5.0),
+    "loss": lambda rng: rng.uniform(1.0, 5.0),
+    "folder": lambda rng: rng.uniform(0.1, 1.0),
+    "slowdisk": lambda rng: rng.uniform(0.5, 5.0),
+    "upgrade": lambda rng: 1.0,
+    "fulldisk": lambda rng: rng.uniform(0.5, 3.0),
 }
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -364,11 +364,11 @@
 
 def test_the_same_seed_draws_the_same_faults_and_one_folder_at_a_time():
     storm = scenario.read("storm")
-    drawn = [scenario.draw(storm, seed, 8, 5) for seed in range(200)]
-    assert drawn == [scenario.draw(storm, seed, 8, 5) for seed in range(200)]
+    drawn = [scenario.draw_faults(storm, seed, 8, 5) for seed in range(200)]
+    assert drawn == [scenario.draw_faults(storm, seed, 8, 5) for seed in range(200)]
     assert {f.kind for faults in drawn for f in faults} == set(storm.faults)
     for faults in drawn:
-        lost = [f.at for f in faults if f.kind == "folder"]
+        lost = [f.at_s for f in faults if f.kind == "folder"]
         assert all(b - a >= 6.0 for a, b in zip(lost, lost[1:], strict=False))
 
 
