--- a/hopmill/trial/couriers.py
+++ b/hopmill/trial/couriers.py
@@ -66,12 +66,12 @@
         """clock_s: how far its wall clock is off, always. governed: its decisions are recorded."""
         super().__init__(f"c{number}", folder, text)
         self.door = free_port(COURIER_HOST)
-        # The trial holds the clients' socket, as the platform does, so that a process can take over.
+        # The trial holds the clients' socket, as the platform does, so that a new process can take over.
         self.listening = socket.create_server((HOST, self.port), backlog=512)
         self.clock_offset_s, self.sync_delay_file = clock_offset_s, folder / f"c{number}.disk"
         self.number = number
         self.record_file = folder / f"c{number}.record" if has_policy else None
-        self.process_lock = asyncio.Lock()  # one fault of its process at a time
+        self.process_lock = asyncio.Lock()  # held during a fault: one fault of the process at a time
         self.is_stopped = False
         self.backups: list[Path] = []
 
@@ -169,7 +169,7 @@
         encoded = b"" if content is None else json.dumps(content).encode()
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError, ValueError, IndexError):
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                # From another address: a port that is free there stays free for a door.
+                # Bind to HOST, so that no port of COURIER_HOST that is free for an operator API is taken.
                 reader, writer = await asyncio.open_connection(COURIER_HOST, self.door, local_addr=(HOST, 0))
                 try:
                     head = f"{method} {path} HTTP/1.1\r\nHost: d\r\nContent-Length: {len(encoded)}\r\n\r\n"
--- a/hopmill/trial/faults.py
+++ b/hopmill/trial/faults.py
@@ -20,7 +20,7 @@
     def __init__(self, couriers: list[Courier], relay: Relay, history: History) -> None:
         self.couriers, self.relay, self.history = couriers, relay, history
         self.killed_count = 0
-        self.counts: Counter[str] = Counter()  # by kind; those of processes once for each of them
+        self.counts: Counter[str] = Counter()  # by kind; a fault of several processes counts once for each
         self.usual_conditions = relay.loss, relay.repeat, relay.delay_s
 
     async def inject(self, faults: list[Fault]) -> None:
@@ -48,7 +48,7 @@
 
     async def _fault_process(self, courier: Courier, fault: Fault) -> None:
         if courier.process_lock.locked():
-            return  # something happens to it already
+            return  # it has another fault already
         self.counts[fault.kind] += 1
         async with courier.process_lock:
             if fault.kind == "stop":
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -40,10 +40,10 @@
     def __init__(self, history: History) -> None:
         super().__init__()
         self.history = history
-        self.courier_names: dict[int, str] = {}  # of couriers, by their clients' port
+        self.courier_names: dict[int, str] = {}  # by the port for clients
         self.courier_by_message: dict[
             str, str
-        ] = {}  # message: the courier that has it, which alone delivers it
+        ] = {}  # the courier that holds the message; only it delivers it
 
     def handed_in(self, ident: str, entry: Entry) -> None:
         super().handed_in(ident, entry)
--- a/hopmill/trial/policies.py
+++ b/hopmill/trial/policies.py
@@ -10,9 +10,9 @@
 from hopmill.trial.couriers import Courier
 from hopmill.trial.history import History, elapsed_us
 
-OUTCOME_TIMEOUT_S = 12.0  # a change is asked after for so long
+OUTCOME_TIMEOUT_S = 12.0  # for how long the outcome of a change is polled
 POLL_INTERVAL_S = 0.03
-REFUSED_HELD_MESSAGES = 2600  # of messages: more than the one small machine has memory for
+REFUSED_HELD_MESSAGES = 2600  # more than the courier with small limits has memory for
 
 
 class PolicyProposer:
@@ -26,7 +26,7 @@
     async def propose_forever(self, per_s: float) -> None:
         while True:
             await asyncio.sleep(self.rng.expovariate(per_s))
-            for _ in range(2 if self.rng.random() < 0.1 else 1):  # two at once
+            for _ in range(2 if self.rng.random() < 0.1 else 1):  # sometimes two concurrently
                 self.proposal_count += 1
                 self._start_task(self._propose(f"p{self.proposal_count}", self._draw_patch()))
 
--- a/hopmill/trial/policy_rules.py
+++ b/hopmill/trial/policy_rules.py
@@ -66,7 +66,7 @@
         if position and versions[position - 1] > row["version"]:
             yield (
                 f"{row['who']} {row['what']} {row['messages'][:1]} under version {row['version']}, "
-                f"having looked {row['looked_us'] - times[position - 1]} us after "
+                f"having checked {row['looked_us'] - times[position - 1]} us after "
                 f"an act under {versions[position - 1]}"
             )
 
@@ -89,7 +89,7 @@
     ever_in_force = set[str]().union(*changes_by_version.values()) if changes_by_version else set()
     for row in history.rows_of("outcome"):
         if row["state"] == "in force nowhere" and row["change"] in ever_in_force:
-            yield f"change {row['change']} was in force and was said to be so nowhere: {row['why']}"
+            yield f"change {row['change']} was in force but was reported to be so nowhere: {row['why']}"
         if row["state"] == "in force":
             for version, changes in changes_by_version.items():
                 if version >= row["version"] and row["change"] not in changes:
@@ -122,7 +122,7 @@
             else []
         )
         decision = max(decisions, key=lambda row: row["looked_us"], default=None)
-        # A staged version is its few's before it binds the others.
+        # A staged version binds its canary group before it binds the others.
         version = max(versions[position - 1] if position else -1, decision["version"] if decision else -1)
         if call["who"] not in excluded_by_version.get(version, ()):
             continue
@@ -135,8 +135,8 @@
             late_calls += 1
         else:
             unexpected_calls.append(
-                f"{call['who']} got a call of {call['courier']} that had looked "
-                f"at {decision and decision['looked_us']}, under version {version}, which leaves it out"
+                f"{call['who']} got a call of {call['courier']} that had checked "
+                f"at {decision and decision['looked_us']}, under version {version}, which excludes it"
             )
     return unexpected_calls, late_calls
 
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -23,6 +23,7 @@
 
 
 def delay_disk_syncs(path: str) -> None:
+
     def delayed(sync: Callable[[int], Any]) -> Callable[[int], Any]:
         def delayed_sync(fd: int) -> None:
             with contextlib.suppress(OSError, ValueError), open(path) as file:
--- a/hopmill/trial/relay.py
+++ b/hopmill/trial/relay.py
@@ -10,7 +10,8 @@
 
 from hopmill.standin.server import HOST
 
-# Where couriers hear: a port that is free there is taken by nobody else meanwhile, nor by another trial.
+# The address that couriers listen at. No other program or parallel trial uses it, so that a port that was
+# free when it was drawn is still free when the courier binds it.
 COURIER_HOST = f"127.{2 + os.getpid() // 250 % 250}.{os.getpid() % 250}.2"
 MAX_DATAGRAMS_PER_WAKEUP = 256
 BUFFER_BYTES = 1 << 20
@@ -21,12 +22,14 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.member_ports: list[int] = []  # the members' own ports
-        self.relay_ports: list[int] = []  # where each is to be written to by the others
+        self.member_ports: list[int] = []  # at which members listen
+        self.relay_ports: list[int] = []  # to which the others send for each member
         self.sockets: list[socket.socket] = []
         self.sender_by_port: dict[int, int] = {}
         self.loss = self.repeat = self.delay_s = 0.0
-        self.cut_counts: Counter[tuple[int, int]] = Counter()  # ways (from, to), and how many faults cut each
+        self.cut_counts: Counter[tuple[int, int]] = (
+            Counter()
+        )  # (sender, receiver): number of faults that cut it
         self.passed = self.dropped = 0
 
     def open(self, ports: list[int]) -> None:
@@ -62,7 +65,7 @@
     def _send(self, receiver: int, data: bytes) -> None:
         try:
             self.sockets[receiver].sendto(data, (COURIER_HOST, self.member_ports[receiver]))
-        except OSError:  # nobody is there: a datagram that is lost
+        except OSError:  # the member is down: the datagram is lost
             self.dropped += 1
 
     def cut(self, paths: list[tuple[int, int]], is_cut: bool) -> None:
--- a/hopmill/trial/rules.py
+++ b/hopmill/trial/rules.py
@@ -27,7 +27,7 @@
     """One final answer each, and no unsafe effect twice."""
     for ident, entry in ledger.entries.items():
         if entry.answer == "taken" and not entry.delivered_at and not entry.notice:
-            yield f"message {ident} was taken on and has no end"
+            yield f"message {ident} was taken on but neither delivered nor ended by a notice"
         if entry.unsafe and entry.effects > 1:
             yield f"message {ident} took effect {entry.effects} times"
 
@@ -35,26 +35,26 @@
 def register_violations(history: History) -> Iterator[str]:
     """One document a version; whoever begins after another was told sees what that one saw, or later."""
     first_row_by_version: dict[int, Row] = {}
-    reported: list[tuple[int, int, str]] = []  # ended, version, ticket
+    reported: list[tuple[int, int, str]] = []  # at_us, version, ticket
     for row in sorted(history.rows_of("change"), key=lambda change: change["at_us"]):
         if row["state"] not in ("done", "left"):
             continue
         first = first_row_by_version.setdefault(row["version"], row)
         if (first["words"], first["voters"]) != (row["words"], row["voters"]):
-            yield f"version {row['version']} is {first['words']} and {row['words']}"
+            yield f"version {row['version']} is {first['words']} and also {row['words']}"
         if row["state"] == "done" and row["made"] == row["version"] and row["words"].get("x") != row["text"]:
-            yield f"{row['ticket']} put {row['text']} and was told version {row['version']} without it"
+            yield f"{row['ticket']} wrote {row['text']}, but version {row['version']} was reported without it"
         reported.append((row["at_us"], row["version"], row["ticket"]))
     for row in history.rows_of("change"):
         if row["state"] in ("done", "left"):
             for reported_at_us, version, ticket in reported:
                 if reported_at_us < row["began_us"] and version > row["version"]:
-                    yield f"{row['ticket']} saw version {row['version']} after {ticket} was told {version}"
+                    yield f"{row['ticket']} saw version {row['version']} after {ticket} had seen {version}"
                     break
     tickets: dict[int, str] = {}
     for row in history.rows_of("change"):
         if row["state"] == "done" and tickets.setdefault(row["made"], row["ticket"]) != row["ticket"]:
-            yield f"version {row['made']} is the change of {tickets[row['made']]} and of {row['ticket']}"
+            yield f"version {row['made']} was made by {tickets[row['made']]} and by {row['ticket']}"
 
 
 def lease_violations(history: History) -> Iterator[str]:
@@ -63,7 +63,7 @@
     last_token, last_owner = 0, ""
     for row in sorted(history.rows_of("act"), key=lambda act: act["looked_us"]):
         if row["fence"] < last_token or row["fence"] == last_token and row["owner"] != last_owner:
-            yield f"{row['owner']} acts under {row['fence']} after {last_owner} did under {last_token}"
+            yield f"{row['owner']} acts under token {row['fence']} after {last_owner} did under {last_token}"
         last_token, last_owner = row["fence"], row["owner"]
 
 
@@ -83,7 +83,7 @@
     for row in history.rows_of("view"):
         member_incarnation = row["who"], row["incarnation"]
         if generation_by_incarnation.setdefault(member_incarnation, row["life"]) != row["life"]:
-            yield f"{row['who']} used incarnation {row['incarnation']} in two lives"
+            yield f"{row['who']} used incarnation {row['incarnation']} in two generations"
 
 
 def false_deaths(history: History, deaths: list[tuple[int, str, str]], slack_us: int) -> list[str]:
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -25,19 +25,17 @@
 from hopmill.trial.relay import Relay
 from hopmill.trial.scenario import Scenario, draw_faults
 
-AGREEMENT_TIMEOUT_S = (
-    12.0  # after the last fault all couriers take all for alive and know one version within this
-)
-LAST_MESSAGES_TIMEOUT_S = 12.0  # and every message that was taken on has its end
+AGREEMENT_TIMEOUT_S = 12.0  # from the last fault until all members are alive to all, at one version
+LAST_MESSAGES_TIMEOUT_S = 12.0  # from agreement until every message taken on has ended
 MIN_VIEW_INTERVAL_S, MAX_VIEWS_PER_S = (
     0.5,
     20,
-)  # between two looks at a courier's view; of all couriers together
-MAX_EXTRA_S = 90.0  # that a trial may take on top of its own time
-SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"  # one machine that can't take every change
-OUTCOME_TIMEOUT_S = 12.0  # a change has its outcome within this
-MAX_STARTING = 8  # couriers that start at once
-DEATH_SLACK_US = 6_000_000  # after a fault, a death that it caused may still be told
+)  # between two views of one courier; over all couriers
+MAX_EXTRA_S = 90.0  # on top of the scenario's duration
+SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"  # one courier that must refuse some policy changes
+OUTCOME_TIMEOUT_S = 12.0  # a change has its outcome within this time
+MAX_STARTING = 8  # couriers starting at the same time
+DEATH_SLACK_US = 6_000_000  # a death that a fault caused may be declared this long after its end
 
 
 @dataclass(frozen=True)
@@ -45,7 +43,9 @@
     scenario: Scenario
     couriers: int
     seed: int
-    history: Path | None = None  # a folder for history and logs; else kept only where a promise was broken
+    history: Path | None = (
+        None  # folder for history and logs; without one they are kept only after a violation
+    )
 
 
 class Trial:
@@ -126,11 +126,11 @@
             async with starting:
                 await courier.start()
 
-        async with asyncio.TaskGroup() as group:  # if one can't, no other is started after the end
+        async with asyncio.TaskGroup() as group:  # if one fails to start, the rest are cancelled
             for courier in self.couriers:
                 group.create_task(start(courier))
         if not await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
-            raise TimeoutError("the couriers did not find one another")
+            raise TimeoutError(f"the couriers did not agree within {AGREEMENT_TIMEOUT_S:g} s after the start")
         for courier in self.couriers:
             courier.back_up_fleet_files()
 
@@ -160,7 +160,7 @@
                 group.create_task(load.run(self.scenario.rate_per_s, self.scenario.seconds))
                 group.create_task(self.fault_injector.inject(self.faults))
             faults_ended_at = loop.time()
-            for courier in self.couriers:  # one that ended unasked comes back, as the platform would start it
+            for courier in self.couriers:  # restart one that exited by itself, as the platform would
                 if not courier.pid:
                     self.history.add(courier.name, "ended unasked")
                     await courier.start()
@@ -206,7 +206,7 @@
         policy = body.get("policy")
         return not self.scenario.alone or bool(policy and policy["may_act"] and not policy["change"])
 
-    # What is watched
+    # Background requests
 
     async def _watch(self, courier: Courier) -> None:
         """Its view now and then, and often whether it may act under the lease."""
@@ -266,8 +266,6 @@
                 courier.name, "unknown", began_us=began_us, text=text, state=answer.get("state", "no answer")
             )
 
-    # The end
-
     async def _end(self) -> None:
         for courier in self.couriers:
             courier.send_signal(signal.SIGCONT)
@@ -346,6 +344,10 @@
 async def _run_until_signal(trial: Trial) -> dict[str, Any]:
     task = asyncio.current_task()
     assert task is not None
-    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):  # all end it the same way
+    for signal_number in (
+        signal.SIGINT,
+        signal.SIGTERM,
+        signal.SIGHUP,
+    ):  # each cancels the trial, which ends its processes
         asyncio.get_running_loop().add_signal_handler(signal_number, task.cancel)
     return await trial.run()
--- a/hopmill/trial/scenario.py
+++ b/hopmill/trial/scenario.py
@@ -26,7 +26,7 @@
     "upgrade",
     "half",
 )
-FAULT_FREE_S = 1.0  # before the first fault, and between a fault's end and the end of the trial at least
+FAULT_FREE_S = 1.0  # before the first fault, and at least between the end of the last fault and of the trial
 
 
 class Net(Strict):
@@ -34,23 +34,23 @@
 
     loss: Share = 0.0
     repeat: Share = 0.0
-    delay_ms: NotNegative = 0.0  # at most; drawn evenly, so that datagrams overtake one another
+    delay_ms: NotNegative = 0.0  # maximum; drawn uniformly for each datagram, so that some overtake others
 
 
 class Scenario(Strict, kw_only=True):
     name: str
     what: str = ""
-    couriers: tuple[int, int] = (5, 12)  # drawn from, where none is asked for
+    couriers: tuple[int, int] = (5, 12)  # range to draw from where no number is given
     seconds: Positive = 10.0
     rate_per_s: Positive = 60.0
     changes_per_s: NotNegative = 5.0
-    policies_per_s: NotNegative = 0.0  # changes of policy that staff propose
-    alone: Literal["", "hold", "last"] = ""  # what couriers do without a lease; empty: no policy
-    acts_per_s: NotNegative = 80.0  # askings, of all couriers together, whether one holds the lease
+    policies_per_s: NotNegative = 0.0  # policy changes that operators propose
+    alone: Literal["", "hold", "last"] = ""  # what couriers do without a policy lease; empty: no policy
+    acts_per_s: NotNegative = 80.0  # checks whether a courier holds the lease, over all couriers
     net: Net = Net()
-    clocks_off_s: NotNegative = 0.0  # wall clocks are wrong by up to so much, either way
+    clocks_off_s: NotNegative = 0.0  # maximum error of wall clocks, either way
     every_s: NotNegative = 0.0  # mean time between two faults; 0: none
-    faults: dict[str, NotNegative] = {}  # how often each kind, against the others
+    faults: dict[str, NotNegative] = {}  # relative weight of each kind
 
 
 @dataclass(frozen=True)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -336,12 +336,12 @@
         ),
         ([change(5, 1, 1, "a"), change(9, 2, 1, "b", "left", 0)], "version 1 is"),
         ([change(5, 1, 2, "a"), change(9, 6, 1, "b")], "saw version 1 after"),
-        ([change(5, 1, 2, "a", ticket="p"), change(9, 2, 2, "a", ticket="q")], "is the change of p and of q"),
-        ([{**change(5, 1, 2, "a"), "words": {"x": "b"}}], "was told version 2 without it"),
-        ([act(1, 2, "a"), act(2, 1, "b")], "acts under 1 after a did under 2"),
-        ([act(1, 2, "a"), act(2, 2, "b")], "b acts under 2 after a"),
+        ([change(5, 1, 2, "a", ticket="p"), change(9, 2, 2, "a", ticket="q")], "was made by p and by q"),
+        ([{**change(5, 1, 2, "a"), "words": {"x": "b"}}], "but version 2 was reported without it"),
+        ([act(1, 2, "a"), act(2, 1, "b")], "acts under token 1 after a did under 2"),
+        ([act(1, 2, "a"), act(2, 2, "b")], "b acts under token 2 after a"),
         ([view("c", 1, 4), view("c", 1, 3)], "back to 3"),
-        ([view("c", 1, 4), view("c", 2, 4)], "used incarnation 1 in two lives"),
+        ([view("c", 1, 4), view("c", 2, 4)], "used incarnation 1 in two generations"),
     ],
 )
 def test_the_rules_find_what_is_planted(rows, said):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -791,7 +791,7 @@
     ("rows", "said"),
     [
         ([A, B, act(10, 1), act(20, 2, "c1"), endpoint_call(11, "b"), endpoint_call(21, "a")], ""),
-        ([A, B, act(20, 2, "c1"), act(30, 1)], "under version 1, having looked"),
+        ([A, B, act(20, 2, "c1"), act(30, 1)], "under version 1, having checked"),
         ([A, B, act(20, 2, "c1"), act(30, 1, looked=19)], ""),  # it had looked before
         ([A, B, act(20, 2, "c1"), act(30, 1, what="took")], "c0 took"),
         ([A, put_in_force(1, ["b"], who="c1"), act(10, 1)], "version 1 is"),
