--- a/hopmill/trial/__init__.py
+++ b/hopmill/trial/__init__.py
@@ -1,1 +1,1 @@
-"""Trials: many courier processes, a load, and faults between them; docs/fleet.md."""
+"""Trials: many courier processes, a load, and injected faults; docs/fleet.md."""
--- a/hopmill/trial/couriers.py
+++ b/hopmill/trial/couriers.py
@@ -1,4 +1,4 @@
-"""The couriers of a trial: processes with a folder, a door, and a place among the members."""
+"""The couriers of a trial: processes with a state folder, an operator API and a place in the fleet."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def free_udp_ports(count: int) -> list[int]:
-    """All different."""
+    """UDP ports that are free on COURIER_HOST, all different."""
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
@@ -40,7 +40,11 @@
 
 
 def members_toml(number: int, count: int, voters: int, relay: Relay, alone: str = "") -> str:
-    """Its own address is its own; every other is reached through the relay. alone: with a policy."""
+    """The `members` tables of one courier's configuration.
+
+    It listens at its own port and reaches all others through the relay. alone: what it does without a policy
+    lease; empty for no policy.
+    """
     names = ", ".join(f'"c{other}"' for other in range(voters))
     sections = [
         f'[members]\nfleet = "trial"\nid = "c{number}"\n'
@@ -58,12 +62,12 @@
 
 
 class Courier(CourierProcess):
-    """One that faults may happen to. `up` says that it should be running and hearing."""
+    """A courier process that faults can be injected into."""
 
     def __init__(
         self, number: int, folder: Path, text: str, clock_offset_s: float, has_policy: bool = False
     ) -> None:
-        """clock_s: how far its wall clock is off, always. governed: its decisions are recorded."""
+        """clock_offset_s: error of its wall clock. has_policy: record its decisions under the policy."""
         super().__init__(f"c{number}", folder, text)
         self.door = free_port(COURIER_HOST)
         # The trial holds the clients' socket, as the platform does, so that a new process can take over.
@@ -78,6 +82,7 @@
     async def launch(
         self, module: str = "", fds: tuple[int, ...] = (), **env: str
     ) -> asyncio.subprocess.Process:
+        """Starts `hopmill.trial.process` with this courier's socket and the trial's environment."""
         listening_fd = self.listening.fileno()
         if self.record_file:
             env |= {"HOPMILL_TRIAL_RECORD": str(self.record_file)}
@@ -92,7 +97,7 @@
         )
 
     async def upgrade(self) -> bool:
-        """A second process takes over from the first. False if it did not, and the first goes on."""
+        """Starts a second process to take over from the first. False if it did not, and the first goes on."""
         former_process, former_door = self.process, self.door
         assert former_process is not None
         self.door = free_port(COURIER_HOST)
@@ -116,23 +121,27 @@
         return False
 
     def set_sync_delay(self, ms: float) -> None:
+        """Delays each sync of the disk by so long; 0: no delay."""
         self.sync_delay_file.write_text(str(ms))
 
     @property
     def state_folder(self) -> Path:
+        """The folder with the journal and the fleet files."""
         return self.folder / f"{self.name}.state"
 
     @property
     def pid(self) -> int:
+        """The running process; 0 if there is none."""
         return self.process.pid if self.process and self.process.returncode is None else 0
 
     def send_signal(self, signal_number: signal.Signals) -> None:
+        """Sends the signal to the process, if it runs."""
         if self.pid:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, signal_number)
 
     def limit_file_size(self, max_bytes: int) -> None:
-        """No file of it can be written past so many bytes: the disk is full. -1: it has room again."""
+        """Simulates a full disk: the process can write no file past that size. -1: no limit."""
         if self.pid:
             with contextlib.suppress(ProcessLookupError, OSError):
                 _, hard_limit = resource.prlimit(self.pid, resource.RLIMIT_FSIZE)
@@ -141,6 +150,7 @@
                 )
 
     def back_up_fleet_files(self) -> None:
+        """Copies the files of the fleet's voter state."""
         backup = self.folder / f"{self.name}.copy{len(self.backups)}"
         backup.mkdir()
         for name in (STATE, ANCHOR):
@@ -149,14 +159,14 @@
         self.backups.append(backup)
 
     def lose_fleet_files(self, restore: bool) -> None:
-        """Emptied; or an earlier copy put back."""
+        """Deletes the files of the fleet's voter state; restore: puts the first backup in their place."""
         for name in (STATE, ANCHOR):
             (self.state_folder / name).unlink(missing_ok=True)
             if restore and self.backups and (self.backups[0] / name).exists():
                 shutil.copy2(self.backups[0] / name, self.state_folder / name)
 
     def read_records(self) -> list[dict[str, Any]]:
-        """Its own record of its decisions; the last line may be half written."""
+        """The history rows that the process recorded; a last line that is only half written is skipped."""
         rows = []
         if self.record_file and self.record_file.exists():
             for line in self.record_file.read_bytes().splitlines():
@@ -165,7 +175,7 @@
         return rows
 
     async def request(self, method: str, path: str, content: Any = None) -> tuple[int, dict[str, Any]]:
-        """(status, body) of its door; (0, {}) where nobody answers in time. told: as JSON."""
+        """(status, body) from its operator API; (0, {}) without an answer in time. content: sent as JSON."""
         encoded = b"" if content is None else json.dumps(content).encode()
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError, ValueError, IndexError):
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -182,7 +192,7 @@
         return 0, {}
 
     def reported_deaths(self) -> list[tuple[int, str]]:
-        """(when, whom) it took for dead, from its log; when: us of the wall clock."""
+        """(us by the wall clock, member) for each member that it declared dead, from its log."""
         found = []
         with self.log.open("rb") as file:
             for line in file:
--- a/hopmill/trial/faults.py
+++ b/hopmill/trial/faults.py
@@ -1,4 +1,4 @@
-"""Faults, carried out: each begins, lasts, and ends with everything as it was."""
+"""Injects faults: each begins, lasts for a time, and then everything is as it was."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FaultInjector:
-    """Lets faults happen to couriers and to the ways between them."""
+    """Injects faults into couriers and into the network paths between them."""
 
     def __init__(self, couriers: list[Courier], relay: Relay, history: History) -> None:
         self.couriers, self.relay, self.history = couriers, relay, history
@@ -24,6 +24,7 @@
         self.usual_conditions = relay.loss, relay.repeat, relay.delay_s
 
     async def inject(self, faults: list[Fault]) -> None:
+        """Injects each at its time, counted from now; returns when all have ended."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         async with asyncio.TaskGroup() as group:
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -1,4 +1,4 @@
-"""What happened, by one clock: JSON lines of who, when (us of elapsed time) and what."""
+"""The history of a trial, as JSON lines: who, when (us since boot, the same in all processes), what."""
 
 from __future__ import annotations
 
@@ -11,31 +11,38 @@
 
 
 def elapsed_us() -> int:
+    """Time since boot, the same in all processes of the machine and not affected by the wall clock."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class History:
+    """Rows in the order in which they were added; couriers' own records are appended at the end."""
+
     def __init__(self) -> None:
         self.rows: list[dict[str, Any]] = []
 
     def add(self, who: str, what: str, **more: Any) -> None:
+        """Adds a row at the present time. more: the fields of this kind of row."""
         self.rows.append({"at_us": elapsed_us(), "who": who, "what": what, **more})
 
     @staticmethod
     def now_us() -> int:
+        """The time by the clock of the rows."""
         return elapsed_us()
 
     def rows_of(self, what: str) -> list[dict[str, Any]]:
+        """The rows of one kind."""
         return [row for row in self.rows if row["what"] == what]
 
     def write(self, path: Path) -> None:
+        """Writes one JSON object per line."""
         with path.open("w") as file:
             for row in self.rows:
                 file.write(json.dumps(row) + "\n")
 
 
 class RecordingLedger(Ledger):
-    """The ledger that also writes the stand-ins' own record of each call."""
+    """A ledger that also records in the history what load, endpoints and discovery see."""
 
     def __init__(self, history: History) -> None:
         super().__init__()
@@ -46,20 +53,25 @@
         ] = {}  # the courier that holds the message; only it delivers it
 
     def handed_in(self, ident: str, entry: Entry) -> None:
+        """The load sends a message."""
         super().handed_in(ident, entry)
         self.history.add("load", "put", message=ident, cls=entry.cls)
 
     def answered(self, ident: str, answer: str) -> None:
+        """The load got an answer, or none in time."""
         super().answered(ident, answer)
         self.history.add("load", "answer", message=ident, answer=answer)
 
     def handed_to(self, ident: str, port: int) -> None:
+        """The load chose the courier that listens at this port."""
         self.courier_by_message[ident] = self.courier_names.get(port, "")
 
     def began(self, endpoint: str, idents: list[str]) -> None:
+        """A call with these messages reached an endpoint."""
         courier = self.courier_by_message.get(idents[0], "") if idents else ""
         self.history.add(endpoint, "call", courier=courier, messages=idents)
 
     def noted(self, line: dict[str, str]) -> None:
+        """Discovery got the notice of a message's end."""
         super().noted(line)
         self.history.add("discovery", "notice", message=line["id"], status=line["status"])
--- a/hopmill/trial/policies.py
+++ b/hopmill/trial/policies.py
@@ -1,4 +1,4 @@
-"""Staff of a trial who change the policy all the time: at any courier, twice, at once, or for nothing."""
+"""Operators of a trial that keep changing the policy: at any courier, twice, concurrently, or refused."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class PolicyProposer:
+    """Proposes random policy changes and records their outcomes in the history."""
+
     def __init__(
         self, couriers: list[Courier], history: History, rng: random.Random, endpoints: list[str]
     ) -> None:
@@ -24,6 +26,7 @@
         self.proposal_count = 0
 
     async def propose_forever(self, per_s: float) -> None:
+        """Proposes changes at that mean rate until cancelled."""
         while True:
             await asyncio.sleep(self.rng.expovariate(per_s))
             for _ in range(2 if self.rng.random() < 0.1 else 1):  # sometimes two concurrently
@@ -36,6 +39,7 @@
         task.add_done_callback(self.pending.discard)
 
     async def finish(self) -> None:
+        """Waits for the outcomes of changes that are under way."""
         if self.pending:
             await asyncio.wait(self.pending, timeout=OUTCOME_TIMEOUT_S)
 
@@ -46,7 +50,7 @@
         return {"left_out": {"endpoints": excluded}, "retries": {"attempts": self.rng.randrange(2, 5)}}
 
     async def _propose(self, ident: str, patch: dict[str, Any]) -> None:
-        """Proposed at one courier, now and then at two, and asked after wherever somebody answers."""
+        """Proposes a change at one courier or two, and polls for its outcome at any that answers."""
         began_us = elapsed_us()
         courier = self.rng.choice(self.couriers)
         proposal = {"id": ident, "patch": patch, "by": "trial"}
--- a/hopmill/trial/policy_rules.py
+++ b/hopmill/trial/policy_rules.py
@@ -1,7 +1,8 @@
-"""What is promised of policy changes, checked against what each courier and each endpoint recorded.
+"""Checks the guarantees of policy changes against what each courier and each endpoint recorded.
 
-By one clock, and with no word from the parts that keep the promise. A courier's record of an act has two
-times: before it looked whether it may, and after. Only what is certain is a violation.
+All records use one clock, and none comes from the code that keeps the guarantees. A courier's record of an
+act has two times: when it checked that it may act (`looked_us`) and when it had acted (`at_us`). The order
+in between is not known, so only what is certain counts as a violation.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 
 
 def violations(history: History) -> list[str]:
+    """One line for each violated guarantee; at most 20."""
     acts = sorted(history.rows_of("began") + history.rows_of("took"), key=lambda row: row["at_us"])
     if not acts:
         return []
@@ -28,7 +30,7 @@
 
 
 def first_acts(acts: list[Row]) -> tuple[list[int], list[int]]:
-    """(times, versions): from each time on, an act under that version or a later one is known."""
+    """(times in us, versions): from each time on, an act under that version or a later one is known."""
     times, versions = [], []
     for row in acts:
         if not versions or row["version"] > versions[-1]:
@@ -38,7 +40,7 @@
 
 
 def canary_members(history: History) -> dict[int, set[str]]:
-    """Who went by a version while it was staged."""
+    """By version: the couriers that applied it while it was staged, which are its canary group."""
     members_by_version: dict[int, set[str]] = {}
     for row in history.rows_of("policy"):
         if row["staged"]:
@@ -47,8 +49,10 @@
 
 
 def order_violations(acts: list[Row], canaries: dict[int, set[str]]) -> Iterator[str]:
-    """Once any courier has acted under a version, none that looks later acts under one before. While a
-    version is staged, what its few do binds those few alone."""
+    """Once a courier has acted under a version, no courier that checks later acts under an earlier one.
+
+    While a version is staged, acts of its canary group bind that group only.
+    """
     others_first_acts = first_acts(
         [row for row in acts if row["who"] not in canaries.get(row["version"], ())]
     )
@@ -72,7 +76,7 @@
 
 
 def content_violations(history: History) -> Iterator[str]:
-    """One version is one policy, at every courier."""
+    """A version means the same policy at every courier."""
     first_rows: dict[int, Row] = {}
     for row in history.rows_of("policy"):
         first = first_rows.setdefault(row["version"], row)
@@ -81,8 +85,11 @@
 
 
 def outcome_violations(history: History) -> Iterator[str]:
-    """What was said to be in force nowhere never was, but staged; what was said to be in force is, in every
-    version from then on."""
+    """The reported outcome of each change is true.
+
+    A change reported as in force nowhere never was, except while staged. A change reported as in force is
+    part of that version and of every later one.
+    """
     changes_by_version = {
         row["version"]: set(row["changes"]) for row in history.rows_of("policy") if not row["staged"]
     }
@@ -97,8 +104,11 @@
 
 
 def calls_to_excluded(history: History, acts: list[Row]) -> tuple[list[str], int]:
-    """(violations, late calls) by the endpoints' own record: from the first act under a version that leaves
-    an endpoint out, it gets no call. One whose courier had looked before that is late, and counted apart."""
+    """(violations, number of late calls), by the endpoints' own records.
+
+    From the first act under a version that excludes an endpoint, the endpoint gets no call. A call whose
+    courier had checked before that act is late: it is allowed, and counted separately.
+    """
     excluded_by_version = {
         row["version"]: set(row["values"].get("left_out.endpoints", ())) for row in history.rows_of("policy")
     }
@@ -142,7 +152,7 @@
 
 
 def figures(history: History) -> Row:
-    """How many changes, how they ended, and how long each took and stopped new work."""
+    """The policy part of the result line: changes by outcome, their durations, and pauses of new work."""
     outcome_rows = history.rows_of("outcome")
     in_force = [row for row in outcome_rows if row["state"] == "in force"]
     durations_ms = sorted((row["at_us"] - row["began_us"]) // 1000 for row in in_force if not row["staged"])
@@ -165,11 +175,12 @@
 
 
 def quantile(values: list[int], share: float) -> int | None:
+    """The value at that share of a sorted list; None if it is empty."""
     return values[min(len(values) - 1, int(len(values) * share))] if values else None
 
 
 def pauses(history: History) -> Iterator[tuple[str, int]]:
-    """(courier, ms) of each time that one began nothing, from one change of its standing to the next."""
+    """(courier, duration in ms) of each pause in which a courier without a policy lease began no new work."""
     held_since_us: dict[str, int] = {}
     for row in sorted(history.rows_of("holds"), key=lambda row: row["at_us"]):
         if row["on"]:
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -1,9 +1,9 @@
-"""A courier of a trial: the program as it is, on a machine with a slow disk at times and a wrong wall clock.
+"""Runs a courier of a trial: the unchanged program with a wrong wall clock and, at times, a slow disk.
 
-What the machine is like comes from the trial: HOPMILL_TRIAL_CLOCK_S, how far the wall clock is off; and
-HOPMILL_TRIAL_DISK, a file that holds how many ms each sync of the disk takes now. HOPMILL_TRIAL_RECORD is
-where the courier's own decisions under a policy go: each call begun and each message taken on, under which
-version, and when it had looked whether it may.
+The trial sets environment variables: HOPMILL_TRIAL_CLOCK_S, the error of the wall clock in seconds;
+HOPMILL_TRIAL_DISK, a file with the present delay of each disk sync in ms; HOPMILL_TRIAL_RECORD, a file to
+which the courier's decisions under a policy are written: each call begun and each message taken on, the
+policy version, and when the courier checked that it may act.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 
 
 def shift_wall_clock(offset_s: float) -> None:
+    """Replaces `time.time` and `time.time_ns` by clocks that are off by offset_s."""
     real_time, real_time_ns = time.time, time.time_ns
     time.time = lambda: real_time() + offset_s
     time.time_ns = lambda: real_time_ns() + int(offset_s * 1e9)
 
 
 def delay_disk_syncs(path: str) -> None:
+    """Makes `os.fsync` and `os.fdatasync` wait first for as many ms as the file at path says."""
 
     def delayed(sync: Callable[[int], Any]) -> Callable[[int], Any]:
         def delayed_sync(fd: int) -> None:
@@ -36,7 +38,10 @@
 
 
 def record_decisions(path: str) -> None:
-    """A JSON object a line, written before the act goes on: a killed process has said what it did."""
+    """Replaces methods of the host so that its decisions are written to path, one JSON object per line.
+
+    Rows are written without a buffer, before the act goes on: a killed process has recorded what it did.
+    """
     import json
 
     from hopmill.net.host import Host
@@ -110,6 +115,7 @@
 
 
 def main() -> int:
+    """Applies what the environment asks for and runs the program; its exit status."""
     if offset_s := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
         shift_wall_clock(float(offset_s))
     if path := os.environ.get("HOPMILL_TRIAL_DISK"):
--- a/hopmill/trial/relay.py
+++ b/hopmill/trial/relay.py
@@ -1,4 +1,4 @@
-"""Between every pair of members: datagrams that are lost, late, doubled, overtaken or cut off, by a seed."""
+"""Relays datagrams between all pairs of members; drops, delays, duplicates and reorders them by a seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Relay:
-    """One socket a receiver: whoever sends to it is known by the address that it sends from."""
+    """Has one socket for each receiver and recognises the sender by its source port."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -33,6 +33,7 @@
         self.passed = self.dropped = 0
 
     def open(self, ports: list[int]) -> None:
+        """ports: at which each member listens."""
         self.member_ports = ports
         loop = asyncio.get_running_loop()
         for number, port in enumerate(ports):
@@ -69,10 +70,12 @@
             self.dropped += 1
 
     def cut(self, paths: list[tuple[int, int]], is_cut: bool) -> None:
+        """Cuts or restores paths (sender, receiver); one that several faults cut opens with the last."""
         for path in paths:
             self.cut_counts[path] += 1 if is_cut else -1
 
     def close(self) -> None:
+        """Closes all sockets."""
         for receiver_socket in self.sockets:
             asyncio.get_running_loop().remove_reader(receiver_socket)
             receiver_socket.close()
--- a/hopmill/trial/rules.py
+++ b/hopmill/trial/rules.py
@@ -1,4 +1,4 @@
-"""What is promised, checked against a history. Nothing here knows how the couriers keep it."""
+"""Checks a trial's history against the guarantees of the fleet, without knowing how couriers keep them."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 
 def violations(history: History, ledger: Ledger) -> list[str]:
+    """One line for each violated guarantee; at most 20."""
     found = [
         *message_violations(ledger),
         *register_violations(history),
@@ -24,7 +25,7 @@
 
 
 def message_violations(ledger: Ledger) -> Iterator[str]:
-    """One final answer each, and no unsafe effect twice."""
+    """Each message ends exactly once, and an unsafe message takes effect at most once."""
     for ident, entry in ledger.entries.items():
         if entry.answer == "taken" and not entry.delivered_at and not entry.notice:
             yield f"message {ident} was taken on but neither delivered nor ended by a notice"
@@ -33,7 +34,10 @@
 
 
 def register_violations(history: History) -> Iterator[str]:
-    """One document a version; whoever begins after another was told sees what that one saw, or later."""
+    """One document per version; no request sees an older version than one that ended before it began.
+
+    At most one change makes a version, and the version that a change reports contains it.
+    """
     first_row_by_version: dict[int, Row] = {}
     reported: list[tuple[int, int, str]] = []  # at_us, version, ticket
     for row in sorted(history.rows_of("change"), key=lambda change: change["at_us"]):
@@ -58,8 +62,10 @@
 
 
 def lease_violations(history: History) -> Iterator[str]:
-    """By the time at which each courier looked whether it may act: a later act never has a lower number, and
-    one number is never two couriers'."""
+    """Fencing tokens never decrease, and no two couriers act under the same one.
+
+    Acts are ordered by the time at which the courier checked its lease.
+    """
     last_token, last_owner = 0, ""
     for row in sorted(history.rows_of("act"), key=lambda act: act["looked_us"]):
         if row["fence"] < last_token or row["fence"] == last_token and row["owner"] != last_owner:
@@ -68,7 +74,7 @@
 
 
 def view_violations(history: History) -> Iterator[str]:
-    """What a courier knows of the document never grows older within its life."""
+    """The register version that a courier knows never decreases within one generation of it."""
     latest_version: dict[tuple[str, int], int] = {}
     for row in history.rows_of("view"):
         generation = row["who"], row["life"]
@@ -78,7 +84,7 @@
 
 
 def generation_violations(history: History) -> Iterator[str]:
-    """No incarnation is used by two lives of a member."""
+    """No incarnation number is used by two generations of a member."""
     generation_by_incarnation: dict[tuple[str, int], int] = {}
     for row in history.rows_of("view"):
         member_incarnation = row["who"], row["incarnation"]
@@ -87,7 +93,10 @@
 
 
 def false_deaths(history: History, deaths: list[tuple[int, str, str]], slack_us: int) -> list[str]:
-    """Members taken for dead that had run without any fault to them for as long as that takes."""
+    """Members declared dead although neither they nor the observer had a fault that explains it.
+
+    deaths: (at_us, observer, member). slack_us: how long after its end a fault may still cause a declaration.
+    """
     fault_times: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for row in history.rows_of("fault"):
         for member in row["members"]:
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -1,4 +1,4 @@
-"""One trial: couriers, stand-ins, a load and faults; then everything is well, and the history is judged."""
+"""Runs one trial: couriers, stand-ins, a load and faults; then the faults end and the history is checked."""
 
 from __future__ import annotations
 
@@ -40,6 +40,8 @@
 
 @dataclass(frozen=True)
 class TrialOptions:
+    """What to run: a scenario, the number of couriers, and the seed of faults and load."""
+
     scenario: Scenario
     couriers: int
     seed: int
@@ -49,6 +51,8 @@
 
 
 class Trial:
+    """The processes and servers of one trial, its load and its history."""
+
     def __init__(self, options: TrialOptions, folder: Path) -> None:
         self.options, self.scenario, self.folder = options, options.scenario, folder
         self.rng = random.Random(f"trial {self.scenario.name} {options.seed}")
@@ -67,6 +71,7 @@
         self.pending_changes: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, Any]:
+        """Runs the trial, ends its processes and returns the result line. TimeoutError: it took too long."""
         began = time.monotonic()
         try:
             async with asyncio.timeout(self.scenario.seconds + MAX_EXTRA_S):
@@ -185,7 +190,7 @@
         )
 
     async def _wait_for_agreement(self, timeout_s: float) -> bool:
-        """All doors answer, take all for alive and know one version, the same words."""
+        """Waits until all couriers report all members alive and the same entries. False on timeout."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             views = await asyncio.gather(*(courier.request("GET", "/fleet") for courier in self.couriers))
@@ -202,14 +207,14 @@
         return False
 
     def _policy_is_settled(self, body: dict[str, Any]) -> bool:
-        """Where there is a policy: no change is under way, and it may act."""
+        """No policy change is under way and the courier may act; True where the trial has no policy."""
         policy = body.get("policy")
         return not self.scenario.alone or bool(policy and policy["may_act"] and not policy["change"])
 
     # Background requests
 
     async def _watch(self, courier: Courier) -> None:
-        """Its view now and then, and often whether it may act under the lease."""
+        """Records the courier's view of the fleet at intervals, and more often whether it holds the lease."""
         loop = asyncio.get_running_loop()
         viewed_at = 0.0
         while True:
@@ -242,7 +247,7 @@
             task.add_done_callback(self.pending_changes.discard)
 
     async def _change(self, courier: Courier) -> None:
-        """A word into the register, or a reading of it, and what was told of it."""
+        """Writes an entry into the register, or reads it, and records the reported outcome."""
         self.text_count += 1
         text = str(self.text_count) if self.rng.random() < 0.7 else ""
         began_us, pid = elapsed_us(), courier.pid
@@ -315,7 +320,11 @@
 
 
 def run(options: TrialOptions) -> dict[str, Any]:
-    """The line of this seed. Where something is violated its folder is kept, and named."""
+    """Runs a trial in a temporary folder and returns its result line.
+
+    After a violation history and logs are kept, and `kept` names their folder. OSError or TimeoutError if the
+    couriers do not start.
+    """
     folder = Path(tempfile.mkdtemp(prefix="hopmill-trial-"))
     trial = Trial(options, folder)
     history_folder = options.history
--- a/hopmill/trial/scenario.py
+++ b/hopmill/trial/scenario.py
@@ -1,4 +1,4 @@
-"""What a trial is like, and the faults that a seed draws for it."""
+"""Scenarios of trials, and the faults that a seed draws for them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Net(Strict):
-    """Of every pair of members, all the time."""
+    """Permanent conditions on the path between every pair of members."""
 
     loss: Share = 0.0
     repeat: Share = 0.0
@@ -38,6 +38,8 @@
 
 
 class Scenario(Strict, kw_only=True):
+    """A trial as its TOML file describes it."""
+
     name: str
     what: str = ""
     couriers: tuple[int, int] = (5, 12)  # range to draw from where no number is given
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """At `at` seconds, for `lasts` seconds."""
+    """One fault of a trial; times in seconds from the start of the load."""
 
     at_s: float
     kind: str
@@ -65,11 +67,12 @@
 
 
 def names() -> list[str]:
+    """The scenarios that come with the program."""
     return sorted(path.stem for path in SCENARIO_FOLDER.glob("*.toml"))
 
 
 def read(name: str) -> Scenario:
-    """One that comes along, by its name, or a file. ConfigError: what is wrong, in a line."""
+    """A scenario by its name, or from a TOML file. ConfigError, one line, if it is missing or not valid."""
     path = Path(name) if name.endswith(".toml") else SCENARIO_FOLDER / f"{name}.toml"
     try:
         scenario = msgspec.convert(tomllib.loads(path.read_text()), Scenario)
@@ -84,11 +87,15 @@
 
 
 def draw_courier_count(scenario: Scenario, seed: int) -> int:
+    """The number of couriers where the caller gives none."""
     return random.Random(f"couriers {seed}").randint(*scenario.couriers)
 
 
 def draw_faults(scenario: Scenario, seed: int, members: int, voters: int) -> list[Fault]:
-    """All faults of the trial, in order. Only one folder at a time is lost: more is beyond any register."""
+    """All faults of the trial, in order of time.
+
+    Folders are lost one at a time: the register cannot survive the loss of several voters' state at once.
+    """
     rng = random.Random(f"faults {scenario.name} {seed}")
     faults: list[Fault] = []
     if not scenario.every_s or not scenario.faults:
