--- a/hopmill/trial/faults.py
+++ b/hopmill/trial/faults.py
@@ -105,10 +105,8 @@
 
     async def _lose_datagrams(self, fault: Fault) -> None:
         conditions = fault.detail
-        self.relay.loss, self.relay.repeat, self.relay.delay_s = (
-            conditions["loss"],
-            conditions["repeat"],
-            conditions["delay_ms"] / 1e3,
-        )
+        self.relay.loss = conditions["loss"]
+        self.relay.repeat = conditions["repeat"]
+        self.relay.delay_s = conditions["delay_ms"] / 1e3
         await asyncio.sleep(fault.duration_s)
         self.relay.loss, self.relay.repeat, self.relay.delay_s = self.usual_conditions
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -48,9 +48,8 @@
         super().__init__()
         self.history = history
         self.courier_names: dict[int, str] = {}  # by the port for clients
-        self.courier_by_message: dict[
-            str, str
-        ] = {}  # the courier that holds the message; only it delivers it
+        # The courier that holds each message; only it delivers it.
+        self.courier_by_message: dict[str, str] = {}
 
     def handed_in(self, ident: str, entry: Entry) -> None:
         """The load sends a message."""
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -51,13 +51,11 @@
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     looked_at_us = [0]
-    may_act, record_attempts, accept, apply, set_holding = (
-        ActivePolicy.may_act,
-        Host._record_attempts,
-        Intake.accept,
-        ActivePolicy._apply,
-        ActivePolicy._set_holding,
-    )
+    may_act = ActivePolicy.may_act
+    record_attempts = Host._record_attempts
+    accept = Intake.accept
+    apply = ActivePolicy._apply
+    set_holding = ActivePolicy._set_holding
 
     def write_row(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
@@ -106,12 +104,11 @@
             write_row("holds", on=is_holding, version=self.applied_version)
         set_holding(self, is_holding)
 
-    ActivePolicy.may_act, Host._record_attempts, Intake.accept = (
-        recording_may_act,
-        recording_record_attempts,
-        recording_accept,
-    )  # type: ignore[method-assign]
-    ActivePolicy._apply, ActivePolicy._set_holding = recording_apply, recording_set_holding  # type: ignore[method-assign]
+    ActivePolicy.may_act = recording_may_act  # type: ignore[method-assign]
+    Host._record_attempts = recording_record_attempts  # type: ignore[method-assign]
+    Intake.accept = recording_accept  # type: ignore[method-assign]
+    ActivePolicy._apply = recording_apply  # type: ignore[method-assign]
+    ActivePolicy._set_holding = recording_set_holding  # type: ignore[method-assign]
 
 
 def main() -> int:
--- a/hopmill/trial/relay.py
+++ b/hopmill/trial/relay.py
@@ -27,9 +27,8 @@
         self.sockets: list[socket.socket] = []
         self.sender_by_port: dict[int, int] = {}
         self.loss = self.repeat = self.delay_s = 0.0
-        self.cut_counts: Counter[tuple[int, int]] = (
-            Counter()
-        )  # (sender, receiver): number of faults that cut it
+        # (sender, receiver): number of faults that cut the path
+        self.cut_counts: Counter[tuple[int, int]] = Counter()
         self.passed = self.dropped = 0
 
     def open(self, ports: list[int]) -> None:
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -27,10 +27,8 @@
 
 AGREEMENT_TIMEOUT_S = 12.0  # from the last fault until all members are alive to all, at one version
 LAST_MESSAGES_TIMEOUT_S = 12.0  # from agreement until every message taken on has ended
-MIN_VIEW_INTERVAL_S, MAX_VIEWS_PER_S = (
-    0.5,
-    20,
-)  # between two views of one courier; over all couriers
+MIN_VIEW_INTERVAL_S = 0.5  # between two views of one courier
+MAX_VIEWS_PER_S = 20  # over all couriers
 MAX_EXTRA_S = 90.0  # on top of the scenario's duration
 SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"  # one courier that must refuse some policy changes
 OUTCOME_TIMEOUT_S = 12.0  # a change has its outcome within this time
@@ -45,9 +43,7 @@
     scenario: Scenario
     couriers: int
     seed: int
-    history: Path | None = (
-        None  # folder for history and logs; without one they are kept only after a violation
-    )
+    history: Path | None = None  # folder for history and logs; None: kept only after a violation
 
 
 class Trial:
@@ -89,11 +85,9 @@
         return self._summary(violations, time.monotonic() - began)
 
     async def _start(self) -> None:
-        loop, scene_options = (
-            asyncio.get_running_loop(),
-            Options(
-                self.scenario.seconds, self.scenario.rate_per_s, self.options.couriers, seed=self.options.seed
-            ),
+        loop = asyncio.get_running_loop()
+        scene_options = Options(
+            self.scenario.seconds, self.scenario.rate_per_s, self.options.couriers, seed=self.options.seed
         )
         await self.discovery.start()
         for plan in plans(self.scenario.rate_per_s):
@@ -105,11 +99,9 @@
                     machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
                 )
         network = self.scenario.net
-        self.relay.loss, self.relay.repeat, self.relay.delay_s = (
-            network.loss,
-            network.repeat,
-            network.delay_ms / 1e3,
-        )
+        self.relay.loss = network.loss
+        self.relay.repeat = network.repeat
+        self.relay.delay_s = network.delay_ms / 1e3
         self.relay.open(free_udp_ports(self.options.couriers))
         for number in range(self.options.couriers):
             configuration = (
@@ -353,10 +345,7 @@
 async def _run_until_signal(trial: Trial) -> dict[str, Any]:
     task = asyncio.current_task()
     assert task is not None
-    for signal_number in (
-        signal.SIGINT,
-        signal.SIGTERM,
-        signal.SIGHUP,
-    ):  # each cancels the trial, which ends its processes
+    # Each cancels the trial, which ends its processes.
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         asyncio.get_running_loop().add_signal_handler(signal_number, task.cancel)
     return await trial.run()
