--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -17,7 +17,7 @@
 )
 app.add_typer(journal_app, name="journal")
 
-ACTIONS = {
+OPERATOR_ACTIONS = {
     "health": ("GET", "/healthcheck"),
     "drain": ("POST", "/healthcheck/fail"),
     "undrain": ("POST", "/healthcheck/ok"),
@@ -30,17 +30,28 @@
     "zone-out": ("POST", "/zones/{}/maint"),
     "zone-back": ("POST", "/zones/{}/ready"),
 }
-FAST = ("serve", "check", "schema", "demo", "ctl", "top", "journal", "fleet", "trial", "--version")
+COMMANDS_WITHOUT_LAB = (
+    "serve",
+    "check",
+    "schema",
+    "demo",
+    "ctl",
+    "top",
+    "journal",
+    "fleet",
+    "trial",
+    "--version",
+)
 JsonOption = Annotated[bool, typer.Option("--json", help="Machine-readable.")]
 
 
-def fail(text: str, status: int = 2) -> typer.Exit:
+def error_exit(text: str, status: int = 2) -> typer.Exit:
     print(f"hopmill: {text}", file=sys.stderr)
     return typer.Exit(status)
 
 
-def _version(asked: bool) -> None:
-    if asked:
+def _print_version(is_requested: bool) -> None:
+    if is_requested:
         try:
             print(f"hopmill {version('hopmill')}")
         except PackageNotFoundError:
@@ -50,8 +61,8 @@
 
 @app.callback()
 def root(
-    show: Annotated[
-        bool, typer.Option("--version", callback=_version, is_eager=True, help="Say which and end.")
+    show_version: Annotated[
+        bool, typer.Option("--version", callback=_print_version, is_eager=True, help="Say which and end.")
     ] = False,
 ) -> None:
     """A courier: takes messages, each for one outside partner, and delivers each by a call.
@@ -72,20 +83,20 @@
 @app.command(epilog="Example: hopmill check deploy/courier.example.toml")
 def check(file: Path, as_json: JsonOption = False) -> None:
     """Read a configuration, say what holds and what is off. A bad value: one line, exit 2."""
-    from hopmill import document as doc
+    from hopmill import document as document_module
 
     try:
-        document = doc.read_toml(file)
-    except doc.ConfigError as error:
-        raise fail(str(error)) from None
-    rows, off = doc.flatten(document), doc.disabled_options(document)
+        document = document_module.read_toml(file)
+    except document_module.ConfigError as error:
+        raise error_exit(str(error)) from None
+    values, disabled = document_module.flatten(document), document_module.disabled_options(document)
     if as_json:
-        print(json.dumps({"holds": rows, "off": off}, default=str))
+        print(json.dumps({"holds": values, "off": disabled}, default=str))
         return
-    for path, value in rows.items():
+    for path, value in values.items():
         print(f"{path} = {json.dumps(value, default=str)}")
-    for text in off:
-        print(f"off: {text}")
+    for option in disabled:
+        print(f"off: {option}")
 
 
 @app.command(epilog="Example: hopmill schema > courier.schema.json")
@@ -111,29 +122,31 @@
     from hopmill.cli.demo import run
     from hopmill.standin.scene import TROUBLES, Options
 
-    _one_of(trouble, TROUBLES, "trouble")
+    _require_choice(trouble, TROUBLES, "trouble")
     raise typer.Exit(run(Options(seconds, rate, couriers, trouble, seed), as_json))
 
 
 @app.command(epilog="Example: hopmill ctl 127.0.0.1:8600 zone-out hall-a")
 def ctl(
     address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")],
-    action: Annotated[str, typer.Argument(help=", ".join(ACTIONS), autocompletion=lambda: list(ACTIONS))],
+    action: Annotated[
+        str, typer.Argument(help=", ".join(OPERATOR_ACTIONS), autocompletion=lambda: list(OPERATOR_ACTIONS))
+    ],
     name: Annotated[str, typer.Argument(help="Of an endpoint or a zone.")] = "",
     as_json: JsonOption = False,
 ) -> None:
     """Ask a courier at its operators' door, or tell it something. A no from the courier: exit 1."""
-    from hopmill.cli.door import DoorError, call, lines
+    from hopmill.cli.door import OperatorApiError, call, format_lines
 
-    _one_of(action, tuple(ACTIONS), "action")
-    method, path = ACTIONS[action]
+    _require_choice(action, tuple(OPERATOR_ACTIONS), "action")
+    method, path = OPERATOR_ACTIONS[action]
     if ("{}" in path) != bool(name):
-        raise fail(f"{action} takes {'a name' if '{}' in path else 'no name'}")
+        raise error_exit(f"{action} takes {'a name' if '{}' in path else 'no name'}")
     try:
         status, body = call(address, method, path, name)
-    except DoorError as error:
-        raise fail(str(error), 1) from None
-    print(json.dumps(body) if as_json else "\n".join(lines(body)))
+    except OperatorApiError as error:
+        raise error_exit(str(error), 1) from None
+    print(json.dumps(body) if as_json else "\n".join(format_lines(body)))
     raise typer.Exit(0 if 200 <= status < 300 else 1)
 
 
@@ -180,12 +193,12 @@
     raise typer.Exit(verify(folder, as_json))
 
 
-def _one_of(given: str, names: tuple[str, ...], what: str) -> None:
-    if given not in names:
-        near: Any = difflib.get_close_matches(given, names, 1)
-        raise fail(
-            f"no such {what}: {given}"
-            + (f"; did you mean {near[0]}?" if near else f"; there are {', '.join(names)}")
+def _require_choice(value: str, choices: tuple[str, ...], kind: str) -> None:
+    if value not in choices:
+        matches: Any = difflib.get_close_matches(value, choices, 1)
+        raise error_exit(
+            f"no such {kind}: {value}"
+            + (f"; did you mean {matches[0]}?" if matches else f"; there are {', '.join(choices)}")
         )
 
 
@@ -201,7 +214,7 @@
         @app.command("lab")
         def missing() -> None:
             """The laboratory (not installed: pip install 'hopmill[lab]')."""
-            raise fail("the laboratory needs its extra: pip install 'hopmill[lab]'", 1)
+            raise error_exit("the laboratory needs its extra: pip install 'hopmill[lab]'", 1)
     else:
         from hopmill.cli.lab import lab, load
 
@@ -218,11 +231,13 @@
 
 
 def main() -> int:
-    if sys.argv[1:2] and sys.argv[1] not in FAST:  # the others need no look for the laboratory
+    if (
+        sys.argv[1:2] and sys.argv[1] not in COMMANDS_WITHOUT_LAB
+    ):  # the others need no look for the laboratory
         _add_lab()
     _add_fleet()
     try:
         app(prog_name="hopmill")
-    except SystemExit as end:
-        return end.code if isinstance(end.code, int) else 1
+    except SystemExit as system_exit:
+        return system_exit.code if isinstance(system_exit.code, int) else 1
     return 0
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -17,8 +17,8 @@
 from hopmill.standin.ledger import Result
 from hopmill.standin.scene import Options, Progress, Scene
 
-PLAIN_EVERY_S = 2.0  # between two lines where there is no terminal
-ROWS = (
+PLAIN_INTERVAL_S = 2.0  # between two lines where there is no terminal
+COUNT_ROWS = (
     ("handed in", "handed_in"),
     ("taken on", "taken"),
     ("refused: come again", "refused"),
@@ -34,40 +34,41 @@
 
 def account(result: Result, restarts: int) -> Table:
     table = Table("", "count", title="What became of the messages", title_justify="left")
-    for text, name in ROWS:
+    for text, name in COUNT_ROWS:
         table.add_row(text, str(result.counts[name]))
     for share in (0.5, 0.9, 0.99):
         table.add_row(f"latency p{share * 100:g}", f"{result.percentile_ms(share):.0f} ms")
-    told = result.as_json()
+    result_fields = result.as_json()
     for text, name in (
         ("calls", "calls"),
         ("calls refused", "calls_refused"),
         ("connections", "connections"),
         ("cold partners pushed over", "pushed_over"),
     ):
-        table.add_row(text, str(told[name]))
+        table.add_row(text, str(result_fields[name]))
     table.add_row("couriers restarted", str(restarts))
     return table
 
 
-def _line(p: Progress) -> str:
-    c = p.result.counts
+def _line(progress: Progress) -> str:
+    counts = progress.result.counts
     return (
-        f"{p.second:5.1f} s  {p.note:<28.60}  in {c['handed_in']}  taken {c['taken']}  "
-        f"delivered {c['delivered']}  refused {c['refused']}  p99 {p.result.percentile_ms(0.99):.0f} ms"
+        f"{progress.second:5.1f} s  {progress.note:<28.60}  in {counts['handed_in']}  "
+        f"taken {counts['taken']}  delivered {counts['delivered']}  refused {counts['refused']}  "
+        f"p99 {progress.result.percentile_ms(0.99):.0f} ms"
     )
 
 
-class Plain:
+class PlainProgress:
     """A line each two seconds, and at each change of the world."""
 
     def __init__(self, console: Console) -> None:
-        self.console, self.said_at, self.note = console, -PLAIN_EVERY_S, ""
+        self.console, self.printed_at, self.note = console, -PLAIN_INTERVAL_S, ""
 
-    def __call__(self, p: Progress) -> None:
-        if p.second - self.said_at >= PLAIN_EVERY_S or p.note != self.note:
-            self.said_at, self.note = p.second, p.note
-            self.console.print(_line(p), highlight=False, soft_wrap=True)
+    def __call__(self, progress: Progress) -> None:
+        if progress.second - self.printed_at >= PLAIN_INTERVAL_S or progress.note != self.note:
+            self.printed_at, self.note = progress.second, progress.note
+            self.console.print(_line(progress), highlight=False, soft_wrap=True)
 
 
 def run(options: Options, as_json: bool) -> int:
@@ -96,15 +97,15 @@
 
 def _watch(scene: Scene, console: Console) -> Result:
     if not console.is_terminal:
-        return asyncio.run(_run(scene, Plain(console)))
+        return asyncio.run(_run(scene, PlainProgress(console)))
     with Live(console=console, transient=True) as live:
-        return asyncio.run(_run(scene, lambda p: live.update(_line(p))))
+        return asyncio.run(_run(scene, lambda shown: live.update(_line(shown))))
 
 
 async def _run(scene: Scene, progress: Callable[[Progress], None]) -> Result:
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
-    for how in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):  # all end it the same way
-        loop.add_signal_handler(how, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):  # all end it the same way
+        loop.add_signal_handler(signal_number, task.cancel)
     return await scene.run(progress)
--- a/hopmill/cli/door.py
+++ b/hopmill/cli/door.py
@@ -11,10 +11,10 @@
 from hopmill.document import ConfigError
 from hopmill.net.config import parse_address
 
-PATIENCE_S = 3.0  # an answer is owed within one
+ANSWER_TIMEOUT_S = 3.0  # an answer is owed within one
 
 
-class DoorError(Exception):
+class OperatorApiError(Exception):
     """No answer that can be read; the text is one line."""
 
 
@@ -25,32 +25,32 @@
     try:
         host, port = parse_address(address, "ADDRESS")
     except ConfigError as error:
-        raise DoorError(str(error)) from None
-    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE_S)
+        raise OperatorApiError(str(error)) from None
+    connection = http.client.HTTPConnection(host, port, timeout=ANSWER_TIMEOUT_S)
     try:
         connection.request(method, path.format(quote(name, safe="")), body)
-        answer = connection.getresponse()
-        return answer.status, json.loads(answer.read())
+        response = connection.getresponse()
+        return response.status, json.loads(response.read())
     except (OSError, http.client.HTTPException, ValueError) as error:
-        raise DoorError(f"{address}: no answer: {error}") from None
+        raise OperatorApiError(f"{address}: no answer: {error}") from None
     finally:
         connection.close()
 
 
-def lines(body: dict[str, Any]) -> Iterator[str]:
+def format_lines(body: dict[str, Any]) -> Iterator[str]:
     """For people: a table for rows, else a field a line."""
     for name, value in body.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
-            yield from table([dict(row) for row in value])
+            yield from format_table([dict(row) for row in value])
         else:
             yield f"{name}: {_text(value)}"
 
 
-def table(rows: list[dict[str, Any]]) -> Iterator[str]:
+def format_table(rows: list[dict[str, Any]]) -> Iterator[str]:
     names = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [names] + [[_text(row.get(name)) for name in names] for row in rows]
-    widths = [max(len(row[at]) for row in cells) for at in range(len(names))]
-    for row in cells:
+    rows_of_cells = [names] + [[_text(row.get(name)) for name in names] for row in rows]
+    widths = [max(len(row[column]) for row in rows_of_cells) for column in range(len(names))]
+    for row in rows_of_cells:
         yield "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
 
 
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -8,25 +8,25 @@
 
 import typer
 
-from hopmill.cli.app import JsonOption, fail
-from hopmill.cli.door import DoorError, call, lines, table
+from hopmill.cli.app import JsonOption, error_exit
+from hopmill.cli.door import OperatorApiError, call, format_lines, format_table
 
 fleet = typer.Typer(
     help="Couriers that know one another: members, the register, its leases.", no_args_is_help=True
 )
-Door = Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")]
-Wait = Annotated[float, typer.Option(min=0, help="Seconds to wait for a majority.")]
-Seeds = Annotated[str, typer.Option("--seed", help="As 1-20 or 3,5,9.")]
-AGAIN_S = 0.02
+OperatorAddress = Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")]
+WaitOption = Annotated[float, typer.Option(min=0, help="Seconds to wait for a majority.")]
+SeedsOption = Annotated[str, typer.Option("--seed", help="As 1-20 or 3,5,9.")]
+POLL_INTERVAL_S = 0.02
 
 
-def _ask(address: str, method: str, path: str) -> dict[str, Any]:
+def _request(address: str, method: str, path: str) -> dict[str, Any]:
     try:
         status, body = call(address, method, path)
-    except DoorError as error:
-        raise fail(str(error), 1) from None
+    except OperatorApiError as error:
+        raise error_exit(str(error), 1) from None
     if status >= 400:
-        raise fail(f"{address}: {body.get('error', status)}", 1)
+        raise error_exit(f"{address}: {body.get('error', status)}", 1)
     return body
 
 
@@ -36,16 +36,16 @@
     as_json: JsonOption = False,
 ) -> None:
     """Who each takes for alive, the voters, the document's version, leases. One that is silent: exit 1."""
-    silent = 0
+    failed_count = 0
     for door in doors:
         try:
-            code, body = call(door, "GET", "/fleet")
-        except DoorError as error:
-            code, body = 0, {"error": str(error)}
-        silent += code != 200
+            status_code, body = call(door, "GET", "/fleet")
+        except OperatorApiError as error:
+            status_code, body = 0, {"error": str(error)}
+        failed_count += status_code != 200
         if as_json:
             print(json.dumps({"door": door, **body}))
-        elif code != 200:
+        elif status_code != 200:
             print(f"{door}: {body.get('error')}")
         else:
             print(
@@ -53,54 +53,60 @@
                 f"{', '.join(body['voters'])}, {'votes' if body['votes'] else 'does not vote'}, "
                 f"health {body['health']}, disk {body['disk']}"
             )
-            print("\n".join(table(body["members"])))
+            print("\n".join(format_table(body["members"])))
             if body["leases"]:
-                print("\n".join(table(body["leases"])))
-    raise typer.Exit(int(bool(silent)))
+                print("\n".join(format_table(body["leases"])))
+    raise typer.Exit(int(bool(failed_count)))
 
 
-def change(door: str, path: str, wait: float, as_json: bool) -> None:
+def _change_register(door: str, path: str, wait: float, as_json: bool) -> None:
     """Begin it and wait for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
-    told = _ask(door, "POST", path)
-    until = time.monotonic() + wait
-    while told["state"] == "under way" and time.monotonic() < until:
-        time.sleep(AGAIN_S)
-        told = _ask(door, "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}")
-    print(json.dumps(told) if as_json else "\n".join(lines(told)))
-    raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(told["state"], 3))
+    outcome = _request(door, "POST", path)
+    deadline = time.monotonic() + wait
+    while outcome["state"] == "under way" and time.monotonic() < deadline:
+        time.sleep(POLL_INTERVAL_S)
+        outcome = _request(
+            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
+        )
+    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(outcome["state"], 3))
 
 
 @fleet.command("say", epilog="Example: hopmill fleet say 127.0.0.1:8600 note 'hall-b is being rewired'")
 def say(
-    door: Door,
+    door: OperatorAddress,
     name: str,
     text: Annotated[str, typer.Argument(help="Empty: taken away.")] = "",
-    wait: Wait = 10.0,
+    wait: WaitOption = 10.0,
     as_json: JsonOption = False,
 ) -> None:
     """Put a word into the register, for all couriers and staff to see."""
     from urllib.parse import quote
 
-    path = "/".join(quote(word, safe="") for word in (name, text) if word)
-    change(door, f"/fleet/words/{path}", wait, as_json)
+    path = "/".join(quote(part, safe="") for part in (name, text) if part)
+    _change_register(door, f"/fleet/words/{path}", wait, as_json)
 
 
 @fleet.command("read", epilog="Example: hopmill fleet read 127.0.0.1:8600 --json")
-def read(door: Door, wait: Wait = 10.0, as_json: JsonOption = False) -> None:
+def read(door: OperatorAddress, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
     """What a majority of the voters holds now."""
-    told = _ask(door, "POST", "/fleet/read")
-    until = time.monotonic() + wait
-    while told["state"] == "under way" and time.monotonic() < until:
-        time.sleep(AGAIN_S)
-        told = _ask(door, "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}")
-    print(json.dumps(told) if as_json else "\n".join(lines(told)))
-    raise typer.Exit(0 if told["state"] == "left" else 3)
+    outcome = _request(door, "POST", "/fleet/read")
+    deadline = time.monotonic() + wait
+    while outcome["state"] == "under way" and time.monotonic() < deadline:
+        time.sleep(POLL_INTERVAL_S)
+        outcome = _request(
+            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
+        )
+    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    raise typer.Exit(0 if outcome["state"] == "left" else 3)
 
 
 @fleet.command("replace-voter", epilog="Example: hopmill fleet replace-voter 127.0.0.1:8600 n2 n7")
-def replace_voter(door: Door, old: str, new: str, wait: Wait = 10.0, as_json: JsonOption = False) -> None:
+def replace_voter(
+    door: OperatorAddress, old: str, new: str, wait: WaitOption = 10.0, as_json: JsonOption = False
+) -> None:
     """One voter for another while the fleet works; the second step follows by itself. One at a time."""
-    change(door, f"/fleet/voters/{old}/{new}", wait, as_json)
+    _change_register(door, f"/fleet/voters/{old}/{new}", wait, as_json)
 
 
 @fleet.command("detect", epilog="Example: hopmill fleet detect --members 60 --loss 0.1 --seed 1-5")
@@ -110,21 +116,21 @@
     kills: int = 20,
     seconds: Annotated[float, typer.Option(help="Of calm; one member stops at times.")] = 60.0,
     stop: Annotated[float, typer.Option(help="Seconds that it stands still in every ten.")] = 2.0,
-    seeds: Seeds = "1",
+    seeds: SeedsOption = "1",
 ) -> None:
     """Members in virtual time: how soon a dead one is known, false deaths, and cost; a line a seed."""
     from hopmill.cli.seeds import seeds_of
     from hopmill.lab.members import Plan, calm, detection
 
-    wrong = 0
+    false_deaths = 0
     for seed in seeds_of(seeds):
-        told = {"seed": seed}
+        result = {"seed": seed}
         if kills:
-            told |= detection(Plan(members, loss, seed), kills)
-        told |= calm(Plan(members, loss, seed), seconds, int(stop * 1e6))
-        wrong += told["false_deaths"]
-        print(json.dumps(told), flush=True)
-    raise typer.Exit(int(bool(wrong)))
+            result |= detection(Plan(members, loss, seed), kills)
+        result |= calm(Plan(members, loss, seed), seconds, int(stop * 1e6))
+        false_deaths += result["false_deaths"]
+        print(json.dumps(result), flush=True)
+    raise typer.Exit(int(bool(false_deaths)))
 
 
 @fleet.command("explore", epilog="Example: hopmill fleet explore --schedules 10000 --members 3 --json")
@@ -141,22 +147,22 @@
 ) -> None:
     """The register and its leases under every order of events that chance finds. A violation: exit 1."""
     from hopmill.explorer.mutants import PLANTED
-    from hopmill.explorer.policy_mutants import PLANTED as OF_POLICY
+    from hopmill.explorer.policy_mutants import PLANTED as POLICY_PLANTED
     from hopmill.explorer.search import search, search_policy
 
-    planted = list(OF_POLICY if policy else PLANTED)
+    planted = list(POLICY_PLANTED if policy else PLANTED)
     if mutants:
         print("\n".join(planted))
         return
     if mutant and mutant not in planted:
-        raise fail(f"no such mutant: {mutant}; there are {', '.join(planted)}")
-    told = (
+        raise error_exit(f"no such mutant: {mutant}; there are {', '.join(planted)}")
+    result = (
         search_policy(schedules, seed, members, cores, mutant)
         if policy
         else search(schedules, seed, members, depth, cores, mutant)
     )
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(result))
     else:
-        print("\n".join(lines(told)))
-    raise typer.Exit(int(bool(told["violations"])))
+        print("\n".join(format_lines(result)))
+    raise typer.Exit(int(bool(result["violations"])))
--- a/hopmill/cli/journal.py
+++ b/hopmill/cli/journal.py
@@ -9,32 +9,32 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill.cli.door import table
+from hopmill.cli.door import format_table
 from hopmill.net.state import JOURNAL_FILE, RECORD_HEADER, JournalContents, parse_records
 
-KINDS = {"take", "try", "miss", "over", "final", "drain", "hand", "zone", "known", "clock"}
-MOST_ROWS = 200
+KNOWN_KINDS = {"take", "try", "miss", "over", "final", "drain", "hand", "zone", "known", "clock"}
+MAX_ROWS = 200
 
 
-class NoJournal(Exception):
+class NoJournalError(Exception):
     """The folder holds none; the text is one line."""
 
 
 @dataclass
 class Reading:
     contents: JournalContents
-    records: Counter[str]
-    unknown: Counter[str]  # kinds of a version that is not known here
-    unusable: int
-    size: int
-    tail: int  # bytes after the last whole record
+    record_counts: Counter[str]
+    unknown_counts: Counter[str]  # kinds of a version that is not known here
+    unusable_count: int
+    size_bytes: int
+    tail_bytes: int  # bytes after the last whole record
 
     @property
-    def damaged(self) -> bool:
+    def is_damaged(self) -> bool:
         """More than the record that a courier may be writing just now, or may have been."""
-        return bool(self.unknown or self.unusable) or self.tail > 0 and not self.torn
+        return bool(self.unknown_counts or self.unusable_count) or self.tail_bytes > 0 and not self.is_torn
 
-    torn: bool = False  # the tail may be one record that is not whole
+    is_torn: bool = False  # the tail may be one record that is not whole
 
 
 def read(folder: Path) -> Reading:
@@ -42,21 +42,21 @@
     try:
         data = path.read_bytes()
     except (FileNotFoundError, NotADirectoryError):
-        raise NoJournal(f"{folder}: holds no journal ({JOURNAL_FILE})") from None
+        raise NoJournalError(f"{folder}: holds no journal ({JOURNAL_FILE})") from None
     except OSError as error:
-        raise NoJournal(f"{path}: cannot be read: {error.strerror}") from None
+        raise NoJournalError(f"{path}: cannot be read: {error.strerror}") from None
     records, end = parse_records(data)
     reading = Reading(JournalContents(), Counter(), Counter(), 0, len(data), len(data) - end)
-    reading.torn = _is_torn(data[end:])
+    reading.is_torn = _is_torn(data[end:])
     for record in records:
-        if not isinstance(record, list) or not record or record[0] not in KINDS:
-            reading.unknown[str(record[0]) if isinstance(record, list) and record else "?"] += 1
+        if not isinstance(record, list) or not record or record[0] not in KNOWN_KINDS:
+            reading.unknown_counts[str(record[0]) if isinstance(record, list) and record else "?"] += 1
             continue
-        reading.records[record[0]] += 1
+        reading.record_counts[record[0]] += 1
         try:
             reading.contents.apply(record)
         except (TypeError, ValueError, LookupError, AttributeError):
-            reading.unusable += 1
+            reading.unusable_count += 1
     return reading
 
 
@@ -71,63 +71,63 @@
 def show(folder: Path, as_json: bool) -> int:
     try:
         reading = read(folder)
-    except NoJournal as error:
+    except NoJournalError as error:
         print(f"hopmill: {error}", file=sys.stderr)
         return 1
-    held, now = reading.contents.messages.values(), reading.contents.scale.now()
+    messages, now = reading.contents.messages.values(), reading.contents.scale.now()
     rows = [
         {
-            "message": m.id,
-            "class": m.class_index,
-            "partner": m.destination,
-            "state": m.status or "open",
-            "attempts": m.attempts,
-            "may_have_run": bool(m.may_have_run_at),
-            "left_s": round(m.expires_at - now, 1),
-            "bytes": len(m.body),
+            "message": message.id,
+            "class": message.class_index,
+            "partner": message.destination,
+            "state": message.status or "open",
+            "attempts": message.attempts,
+            "may_have_run": bool(message.may_have_run_at),
+            "left_s": round(message.expires_at - now, 1),
+            "bytes": len(message.body),
         }
-        for m in held
+        for message in messages
     ]
-    told: dict[str, Any] = {
-        "bytes": reading.size,
-        "open": sum(not m.status for m in held),
-        "notices_owed": sum(bool(m.status) for m in held),
+    summary: dict[str, Any] = {
+        "bytes": reading.size_bytes,
+        "open": sum(not message.status for message in messages),
+        "notices_owed": sum(bool(message.status) for message in messages),
         "over_remembered": len(reading.contents.ended_ids),
         "drained": reading.contents.drained,
         "endpoints_out": sorted(reading.contents.excluded_endpoints),
         "zones_out": sorted(reading.contents.excluded_zones),
-        "tail_bytes": reading.tail,
+        "tail_bytes": reading.tail_bytes,
     }
     if as_json:
-        print(json.dumps(told | {"messages": rows}))
+        print(json.dumps(summary | {"messages": rows}))
         return 0
-    for name, value in told.items():
+    for name, value in summary.items():
         print(f"{name}: {json.dumps(value)}")
     if rows:
-        print("\n".join(table(rows[:MOST_ROWS])))
-    if len(rows) > MOST_ROWS:
-        print(f"and {len(rows) - MOST_ROWS} more")
+        print("\n".join(format_table(rows[:MAX_ROWS])))
+    if len(rows) > MAX_ROWS:
+        print(f"and {len(rows) - MAX_ROWS} more")
     return 0
 
 
 def verify(folder: Path, as_json: bool) -> int:
     try:
         reading = read(folder)
-    except NoJournal as error:
+    except NoJournalError as error:
         print(f"hopmill: {error}", file=sys.stderr)
         return 1
-    told = {
-        "whole": not reading.damaged,
-        "bytes": reading.size,
-        "records": dict(reading.records),
-        "unknown_records": dict(reading.unknown),
-        "unusable_records": reading.unusable,
-        "tail_bytes": reading.tail,
-        "tail_is_torn": bool(reading.tail and reading.torn),
+    summary = {
+        "whole": not reading.is_damaged,
+        "bytes": reading.size_bytes,
+        "records": dict(reading.record_counts),
+        "unknown_records": dict(reading.unknown_counts),
+        "unusable_records": reading.unusable_count,
+        "tail_bytes": reading.tail_bytes,
+        "tail_is_torn": bool(reading.tail_bytes and reading.is_torn),
     }
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(summary))
     else:
-        for name, value in told.items():
+        for name, value in summary.items():
             print(f"{name}: {json.dumps(value)}")
-    return int(reading.damaged)
+    return int(reading.is_damaged)
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -9,63 +9,67 @@
 
 import typer
 
-from hopmill.cli.app import JsonOption, fail
+from hopmill.cli.app import JsonOption, error_exit
 from hopmill.cli.seeds import seeds_of
 
 lab = typer.Typer(
     help="The laboratory: a fleet in virtual time. Installed with the extra `lab`.", no_args_is_help=True
 )
-Couriers = Annotated[int, typer.Option(min=0, help="Scales fleet and traffic; 0: as the scenario says.")]
-Seeds = Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")]
-Cores = Annotated[int, typer.Option(min=0, help="0: all.")]
-
-
-def _changes(given: list[str]) -> dict[str, Any]:
-    rows = {}
-    for word in given:
-        name, found, value = word.partition("=")
-        if not found:
-            raise fail(f"--set: must be NAME=VALUE, not {word}")
+CouriersOption = Annotated[
+    int, typer.Option(min=0, help="Scales fleet and traffic; 0: as the scenario says.")
+]
+SeedsOption = Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")]
+CoresOption = Annotated[int, typer.Option(min=0, help="0: all.")]
+
+
+def _parse_changes(assignments: list[str]) -> dict[str, Any]:
+    changes = {}
+    for assignment in assignments:
+        name, has_value, value = assignment.partition("=")
+        if not has_value:
+            raise error_exit(f"--set: must be NAME=VALUE, not {assignment}")
         try:
-            rows[name] = json.loads(value)
+            changes[name] = json.loads(value)
         except ValueError:
-            rows[name] = value
-    return rows
+            changes[name] = value
+    return changes
 
 
-def _progress(done: int, of: int) -> None:
-    print(f"\r{done} of {of}", end="" if done < of else "\n", file=sys.stderr, flush=True)
+def _print_progress(done: int, total: int) -> None:
+    print(f"\r{done} of {total}", end="" if done < total else "\n", file=sys.stderr, flush=True)
 
 
-Set = Annotated[list[str] | None, typer.Option("--set", help="Of the scenario, as load.rate_per_s=800.")]
+SetOption = Annotated[
+    list[str] | None, typer.Option("--set", help="Of the scenario, as load.rate_per_s=800.")
+]
 
 
 @lab.command("run", epilog="Example: hopmill lab run calm --couriers 60 --seeds 1-20 --json")
 def run_(
     scenario: str,
-    couriers: Couriers = 0,
-    seeds: Seeds = "1-8",
+    couriers: CouriersOption = 0,
+    seeds: SeedsOption = "1-8",
     build: str = ".",
-    change: Set = None,
-    cores: Cores = 0,
+    change: SetOption = None,
+    cores: CoresOption = 0,
     members: Annotated[bool, typer.Option("--members", help="Couriers that know one another.")] = False,
     as_json: JsonOption = False,
 ) -> None:
     """Play seeds of a scenario: a line each, in order, the same on every run."""
     from hopmill.lab import farm
 
-    with _plain_errors(), farm.build(build) as what:
-        changes = _changes(change or []) | ({"fleet.members": True} if members else {})
-        job = farm.Job(what, scenario, couriers, changes)
-        broken = 0
-        for row in farm.run([(job, seed) for seed in seeds_of(seeds)], _progress, cores):
-            broken += "broken" in row
+    with _OneLineErrors(), farm.build(build) as build_used:
+        changes = _parse_changes(change or []) | ({"fleet.members": True} if members else {})
+        job = farm.Job(build_used, scenario, couriers, changes)
+        broken_count = 0
+        for row in farm.run([(job, seed) for seed in seeds_of(seeds)], _print_progress, cores):
+            broken_count += "broken" in row
             text = (
                 f"seed {row['seed']}: G {row['g']:.4f}  served {row['served']:.4f}  "
                 f"worst {row['worst_window']:.4f}  refused {row['refused_calls']}  {row.get('text', '')}"
             )
             print(json.dumps(row) if as_json else text, flush=True)
-    raise typer.Exit(int(broken > 0))
+    raise typer.Exit(int(broken_count > 0))
 
 
 @lab.command(epilog="Example: hopmill lab compare HEAD~3 . --scenario calm,zone --couriers 60")
@@ -73,21 +77,21 @@
     a: str,
     b: str,
     scenario: Annotated[str, typer.Option(help="Names with commas.")] = "calm",
-    couriers: Couriers = 0,
-    seeds: Seeds = "1-64",
+    couriers: CouriersOption = 0,
+    seeds: SeedsOption = "1-64",
     goal: Annotated[float, typer.Option(help="End once the interval of G is ± this; 0: never.")] = 0.005,
-    cores: Cores = 0,
+    cores: CoresOption = 0,
     as_json: JsonOption = False,
 ) -> None:
     """A and B: revisions, folders, or settings as policy.pacing.GROW=0.2. B minus A on the same seeds."""
-    from hopmill.lab import compare as c
+    from hopmill.lab import compare as comparison
     from hopmill.lab import farm
 
-    with _plain_errors(), farm.build(a) as one, farm.build(b) as two:
+    with _OneLineErrors(), farm.build(a) as build_a, farm.build(b) as build_b:
         for name in scenario.split(","):
-            found, *_ = c.compare(
-                one,
-                two,
+            differences, *_ = comparison.compare(
+                build_a,
+                build_b,
                 name,
                 couriers,
                 seeds_of(seeds),
@@ -95,22 +99,23 @@
                 lambda text: print(text, file=sys.stderr, flush=True),
                 cores,
             )
-            for d in found:
+            for difference in differences:
                 row = {
                     "scenario": name,
-                    "part": d.part,
-                    "seeds": d.seeds,
-                    "a": d.a,
-                    "b": d.b,
-                    "difference": d.mean,
-                    "low": d.low,
-                    "high": d.high,
+                    "part": difference.part,
+                    "seeds": difference.seeds,
+                    "a": difference.a,
+                    "b": difference.b,
+                    "difference": difference.mean,
+                    "low": difference.low,
+                    "high": difference.high,
                 }
                 print(
                     json.dumps(row)
                     if as_json
-                    else f"{name:<9} {d.part:<13} {d.a:.4f} -> {d.b:.4f}  {d.mean:+.4f} "
-                    f"[{d.low:+.4f}, {d.high:+.4f}]  {d.seeds} seeds",
+                    else f"{name:<9} {difference.part:<13} {difference.a:.4f} -> {difference.b:.4f}  "
+                    f"{difference.mean:+.4f} [{difference.low:+.4f}, {difference.high:+.4f}]  "
+                    f"{difference.seeds} seeds",
                     flush=True,
                 )
 
@@ -120,17 +125,17 @@
     name: str,
     values: str,
     scenario: str = "calm",
-    couriers: Couriers = 0,
-    seeds: Seeds = "1-16",
-    cores: Cores = 0,
+    couriers: CouriersOption = 0,
+    seeds: SeedsOption = "1-16",
+    cores: CoresOption = 0,
 ) -> None:
     """Each value of a module's name against this build as it is, on the same seeds."""
-    from hopmill.lab import compare as c
+    from hopmill.lab import compare as comparison
     from hopmill.lab import farm
 
-    with _plain_errors():
+    with _OneLineErrors():
         for value in values.split(","):
-            found, *_ = c.compare(
+            differences, *_ = comparison.compare(
                 farm.Build(),
                 farm.Build(override={name: value}),
                 scenario,
@@ -138,14 +143,18 @@
                 seeds_of(seeds),
                 cores=cores,
             )
-            d = found[0]
-            print(f"{name}={value:<8} G {d.b:.4f}  {d.mean:+.4f} [{d.low:+.4f}, {d.high:+.4f}]", flush=True)
+            difference = differences[0]
+            print(
+                f"{name}={value:<8} G {difference.b:.4f}  {difference.mean:+.4f} "
+                f"[{difference.low:+.4f}, {difference.high:+.4f}]",
+                flush=True,
+            )
 
 
 @lab.command(epilog="Example: hopmill lab search zone --couriers 40 --tries 40 --shrink")
 def search(
     scenario: str,
-    couriers: Couriers = 40,
+    couriers: CouriersOption = 40,
     tries: int = 32,
     seed: int = 1,
     build: str = ".",
@@ -153,62 +162,66 @@
 ) -> None:
     """Random days around a scenario, the worst first."""
     from hopmill.lab import farm
-    from hopmill.lab import search as s
+    from hopmill.lab import search as search_module
 
-    with _plain_errors(), farm.build(build) as what:
-        rows = s.worst(what, scenario, couriers, tries, seed, _progress)
+    with _OneLineErrors(), farm.build(build) as build_used:
+        rows = search_module.worst(build_used, scenario, couriers, tries, seed, _print_progress)
         for row in rows[:8]:
             print(json.dumps({k: row[k] for k in ("seed", "g", "changes")} | {"broken": row.get("broken")}))
         if shrink and rows:
             print(
                 json.dumps(
-                    s.shrink(what, scenario, couriers, rows[0], lambda text: print(text, file=sys.stderr))
+                    search_module.shrink(
+                        build_used, scenario, couriers, rows[0], lambda text: print(text, file=sys.stderr)
+                    )
                 )
             )
 
 
 @lab.command(epilog="Example: hopmill lab record calm turns.jsonl --couriers 40 --courier 3")
-def record(scenario: str, file: Path, couriers: Couriers = 40, seed: int = 1, courier: int = 0) -> None:
+def record(scenario: str, file: Path, couriers: CouriersOption = 40, seed: int = 1, courier: int = 0) -> None:
     """Write the events and actions of one courier, for `replay`."""
-    from hopmill.lab import replay as r
+    from hopmill.lab import replay as replay_module
     from hopmill.lab.scenario import load
 
-    with _plain_errors():
-        print(f"{r.record(load(scenario, couriers), seed, courier, file)} turns")
+    with _OneLineErrors():
+        print(f"{replay_module.record(load(scenario, couriers), seed, courier, file)} turns")
 
 
 @lab.command(epilog="Example: hopmill lab replay turns.jsonl")
 def replay(file: Path) -> None:
     """Play recorded events through this build; names the first action that differs (exit 1)."""
-    from hopmill.lab import replay as r
+    from hopmill.lab import replay as replay_module
 
-    found = r.first_difference(file)
-    print(found or "all actions are the same")
-    raise typer.Exit(int(found is not None))
+    first_difference = replay_module.first_difference(file)
+    print(first_difference or "all actions are the same")
+    raise typer.Exit(int(first_difference is not None))
 
 
 @lab.command(epilog="Example: hopmill lab report zone report.html --couriers 60 --seeds 1-4")
 def report(
     scenario: str,
     file: Path,
-    couriers: Couriers = 60,
-    seeds: Seeds = "1-4",
+    couriers: CouriersOption = 60,
+    seeds: SeedsOption = "1-4",
     build: str = ".",
     against: Annotated[str, typer.Option(help="A build to compare with.")] = "",
 ) -> None:
     """An HTML page with plots: worth, calls by lane, couriers, latency, causes, differences."""
-    from hopmill.lab import compare as c
+    from hopmill.lab import compare as comparison
     from hopmill.lab import farm
     from hopmill.lab import report as pages
 
-    with _plain_errors(), farm.build(build) as what:
-        job = farm.Job(what, scenario, couriers, more=True)
-        rows = list(farm.run([(job, seed) for seed in seeds_of(seeds)], _progress))
-        found: list[Any] = []
+    with _OneLineErrors(), farm.build(build) as build_used:
+        job = farm.Job(build_used, scenario, couriers, more=True)
+        rows = list(farm.run([(job, seed) for seed in seeds_of(seeds)], _print_progress))
+        differences: list[Any] = []
         if against:
-            with farm.build(against) as other:
-                found, *_ = c.compare(other, what, scenario, couriers, seeds_of(seeds))
-        file.write_text(pages.page(f"{scenario}, {rows[0]['couriers']} couriers", rows, found))
+            with farm.build(against) as other_build:
+                differences, *_ = comparison.compare(
+                    other_build, build_used, scenario, couriers, seeds_of(seeds)
+                )
+        file.write_text(pages.page(f"{scenario}, {rows[0]['couriers']} couriers", rows, differences))
     print(file)
 
 
@@ -223,10 +236,10 @@
     """A scenario of some couriers in real time: stand-ins, sockets and real processes."""
     from hopmill.lab.live import run
 
-    with _plain_errors():
-        told = run(scenario, couriers, seconds, seed)
-    print(json.dumps(told) if as_json else "\n".join(f"{k}: {v}" for k, v in told.items()))
-    raise typer.Exit(int(bool(told["lost"] or told["twice"])))
+    with _OneLineErrors():
+        result = run(scenario, couriers, seconds, seed)
+    print(json.dumps(result) if as_json else "\n".join(f"{k}: {v}" for k, v in result.items()))
+    raise typer.Exit(int(bool(result["lost"] or result["twice"])))
 
 
 def load(
@@ -247,18 +260,18 @@
     from hopmill.lab import loadtool
     from hopmill.net.config import parse_address
 
-    with _plain_errors():
+    with _OneLineErrors():
         try:
-            where = parse_address(address, "ADDRESS")
+            parsed_address = parse_address(address, "ADDRESS")
             numbers = tuple(int(n) for n in partners.split(","))
         except (ConfigError, ValueError) as error:
-            raise fail(str(error)) from None
+            raise error_exit(str(error)) from None
         names = tuple(classes.split(","))
         plan = loadtool.Plan(rate, seconds, clients, names, numbers, tenant, clumps=clumps, seed=seed)
-        print(json.dumps(asyncio.run(loadtool.run(where, plan)).as_json()))
+        print(json.dumps(asyncio.run(loadtool.run(parsed_address, plan)).as_json()))
 
 
-class _plain_errors:
+class _OneLineErrors:
     """What a person has to know is one line; Ctrl-C keeps the seeds that are done."""
 
     def __enter__(self) -> None:
@@ -269,7 +282,7 @@
         from hopmill.lab.scenario import ScenarioError
 
         if isinstance(error, (LabError, ScenarioError)):
-            raise fail(str(error)) from None
+            raise error_exit(str(error)) from None
         if isinstance(error, KeyboardInterrupt):
             print("\nended early: what is above is done", file=sys.stderr)
             raise typer.Exit(130) from None
--- a/hopmill/cli/policy.py
+++ b/hopmill/cli/policy.py
@@ -13,85 +13,89 @@
 
 import typer
 
-from hopmill.cli.app import JsonOption, fail
-from hopmill.cli.door import DoorError, call, lines
-from hopmill.cli.fleet import AGAIN_S, Door, Wait, fleet
+from hopmill.cli.app import JsonOption, error_exit
+from hopmill.cli.door import OperatorApiError, call, format_lines
+from hopmill.cli.fleet import POLL_INTERVAL_S, OperatorAddress, WaitOption, fleet
 
-IN_FORCE, NOWHERE, NOT_KNOWN = 0, 1, 3  # exit statuses
-Reason = Annotated[str, typer.Option(help="For the history.")]
-Id = Annotated[str, typer.Option("--id", help="Of an earlier try whose answer was lost: the same change.")]
-IfVersion = Annotated[int, typer.Option(help="Only on top of this version; -1: whichever is in force.")]
-MOST_BODY = 7000  # bytes; the door reads no longer call
+IN_FORCE, IN_FORCE_NOWHERE, NOT_KNOWN = 0, 1, 3  # exit statuses
+ReasonOption = Annotated[str, typer.Option(help="For the history.")]
+IdOption = Annotated[
+    str, typer.Option("--id", help="Of an earlier try whose answer was lost: the same change.")
+]
+IfVersionOption = Annotated[int, typer.Option(help="Only on top of this version; -1: whichever is in force.")]
+MAX_BODY_BYTES = 7000  # bytes; the door reads no longer call
 
 
-def _told(door: str, method: str, path: str, body: bytes | None = None) -> dict[str, Any]:
+def _request(door: str, method: str, path: str, body: bytes | None = None) -> dict[str, Any]:
     try:
-        status, told = call(door, method, path, body=body)
-    except DoorError as error:
-        raise fail(str(error), 1) from None
+        status, answer = call(door, method, path, body=body)
+    except OperatorApiError as error:
+        raise error_exit(str(error), 1) from None
     if status >= 400:
-        raise fail(f"{door}: {told.get('error', status)}", 1)
-    return told
+        raise error_exit(f"{door}: {answer.get('error', status)}", 1)
+    return answer
 
 
-def _wait(door: str, ident: str, told: dict[str, Any], wait: float, as_json: bool) -> None:
+def _wait_for_outcome(door: str, ident: str, outcome: dict[str, Any], wait: float, as_json: bool) -> None:
     """Says whom the change waits for, while it does. Exit 0: in force; 1: in force nowhere; 3: not known."""
-    until, said = time.monotonic() + wait, None
-    while told["state"] == "under way" and time.monotonic() < until:
-        time.sleep(AGAIN_S)
+    deadline, printed_waits = time.monotonic() + wait, None
+    while outcome["state"] == "under way" and time.monotonic() < deadline:
+        time.sleep(POLL_INTERVAL_S)
         try:
-            _, told = call(door, "GET", f"/fleet/policy/changes/{ident}")
-        except DoorError:
-            told = {"state": "under way", "waits": {}}
-        if (waits := told.get("waits")) and waits != said and not as_json:
-            said = waits
+            _, outcome = call(door, "GET", f"/fleet/policy/changes/{ident}")
+        except OperatorApiError:
+            outcome = {"state": "under way", "waits": {}}
+        if (waits := outcome.get("waits")) and waits != printed_waits and not as_json:
+            printed_waits = waits
             typer.echo("waits for " + ", ".join(f"{who} ({why})" for who, why in sorted(waits.items())))
-    told.setdefault("id", ident)
-    if told["state"] == "under way":
-        told["ask"] = f"hopmill fleet change {door} {ident}"
-    print(json.dumps(told) if as_json else "\n".join(lines(told)))
-    raise typer.Exit({"in force": IN_FORCE, "in force nowhere": NOWHERE}.get(told["state"], NOT_KNOWN))
-
-
-def _propose(door: str, ask: dict[str, Any], wait: float, as_json: bool) -> None:
-    body = json.dumps(ask).encode()
-    if len(body) > MOST_BODY:
-        raise fail(f"the patch: {len(body)} bytes, at most {MOST_BODY}; propose it in parts", 1)
-    told = _told(door, "POST", "/fleet/policy", body)
-    if ask.get("dry_run"):
-        print(json.dumps(told) if as_json else "\n".join(_changes(told["changes"])))
+    outcome.setdefault("id", ident)
+    if outcome["state"] == "under way":
+        outcome["ask"] = f"hopmill fleet change {door} {ident}"
+    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    raise typer.Exit(
+        {"in force": IN_FORCE, "in force nowhere": IN_FORCE_NOWHERE}.get(outcome["state"], NOT_KNOWN)
+    )
+
+
+def _propose(door: str, proposal: dict[str, Any], wait: float, as_json: bool) -> None:
+    body = json.dumps(proposal).encode()
+    if len(body) > MAX_BODY_BYTES:
+        raise error_exit(f"the patch: {len(body)} bytes, at most {MAX_BODY_BYTES}; propose it in parts", 1)
+    outcome = _request(door, "POST", "/fleet/policy", body)
+    if proposal.get("dry_run"):
+        print(json.dumps(outcome) if as_json else "\n".join(_format_changes(outcome["changes"])))
         return
     if not as_json:
-        typer.echo("\n".join(_changes(told.get("changes", []))))
-    _wait(door, ask["id"], told, wait, as_json)
+        typer.echo("\n".join(_format_changes(outcome.get("changes", []))))
+    _wait_for_outcome(door, proposal["id"], outcome, wait, as_json)
 
 
-def _changes(rows: list[list[Any]]) -> list[str]:
+def _format_changes(changes: list[list[Any]]) -> list[str]:
     def text(value: Any) -> str:
         return "each courier's own" if value is None else json.dumps(value)
 
-    return [f"{path}: {text(before)} -> {text(after)}" for path, before, after in rows]
+    return [f"{path}: {text(before)} -> {text(after)}" for path, before, after in changes]
 
 
 @fleet.command("propose", epilog="Example: hopmill fleet propose 127.0.0.1:8600 patch.toml --reason 'hall-b'")
 def propose(
-    door: Door,
+    door: OperatorAddress,
     file: Annotated[Path, typer.Argument(help="TOML, in the configuration's tables.")],
-    if_version: IfVersion = -1,
-    wait: Wait = 30.0,
-    reason: Reason = "",
+    if_version: IfVersionOption = -1,
+    wait: WaitOption = 30.0,
+    reason: ReasonOption = "",
     dry_run: Annotated[bool, typer.Option("--dry-run", help="Only checked here.")] = False,
     share: Annotated[float, typer.Option(help="Of the couriers, that go first, watched.")] = 1.0,
     watch: Annotated[float, typer.Option(help="Seconds, before the rest follows.")] = 60.0,
-    ident: Id = "",
+    ident: IdOption = "",
     as_json: JsonOption = False,
 ) -> None:
     """A change of policy, in force at every courier or at none. Exit 0: in force, 1: nowhere, 3: unknown."""
     try:
         patch = tomllib.loads(file.read_text())
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise fail(f"{file}: {error}", 1) from None
-    ask = {
+        raise error_exit(f"{file}: {error}", 1) from None
+    proposal = {
         "id": ident or secrets.token_hex(6),
         "patch": patch,
         "by": getpass.getuser(),
@@ -101,16 +105,16 @@
         "share": share,
         "watch_s": watch,
     }
-    _propose(door, ask, wait + (watch if share < 1 else 0.0), as_json)
+    _propose(door, proposal, wait + (watch if share < 1 else 0.0), as_json)
 
 
 @fleet.command("revert", epilog="Example: hopmill fleet revert 127.0.0.1:8600 41")
 def revert(
-    door: Door,
+    door: OperatorAddress,
     version: int,
-    wait: Wait = 30.0,
-    reason: Reason = "",
-    ident: Id = "",
+    wait: WaitOption = 30.0,
+    reason: ReasonOption = "",
+    ident: IdOption = "",
     as_json: JsonOption = False,
 ) -> None:
     """A new version with what was in force at an earlier one. Exit statuses as for propose."""
@@ -128,45 +132,52 @@
 
 
 @fleet.command("change", epilog="Example: hopmill fleet change 127.0.0.1:8600 3f9a10c2be77")
-def change(door: Door, ident: str, wait: Wait = 0.0, as_json: JsonOption = False) -> None:
+def change(door: OperatorAddress, ident: str, wait: WaitOption = 0.0, as_json: JsonOption = False) -> None:
     """What became of a proposal. Exit statuses as for propose."""
-    _wait(door, ident, _told(door, "GET", f"/fleet/policy/changes/{ident}"), wait, as_json)
+    _wait_for_outcome(door, ident, _request(door, "GET", f"/fleet/policy/changes/{ident}"), wait, as_json)
 
 
 @fleet.command("policy", epilog="Example: hopmill fleet policy 127.0.0.1:8600 --json")
-def policy(door: Door, as_json: JsonOption = False) -> None:
+def policy(door: OperatorAddress, as_json: JsonOption = False) -> None:
     """What is in force at a courier, whether it may act, and what is under way."""
-    told = _told(door, "GET", "/fleet/policy")
-    print(json.dumps(told) if as_json else "\n".join(lines(told)))
+    state = _request(door, "GET", "/fleet/policy")
+    print(json.dumps(state) if as_json else "\n".join(format_lines(state)))
 
 
 @fleet.command("history", epilog="Example: hopmill fleet history 127.0.0.1:8600")
-def history(door: Door, as_json: JsonOption = False) -> None:
+def history(door: OperatorAddress, as_json: JsonOption = False) -> None:
     """Who changed what and when, why, and what became of it."""
-    told = _told(door, "GET", "/fleet/policy/history")
+    answer = _request(door, "GET", "/fleet/policy/history")
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(answer))
         return
-    for row in told["changes"]:
-        if row["outcome"] != "in force":
-            print(f"-  {row['id']}  in force nowhere: {row['why']}")
+    for change in answer["changes"]:
+        if change["outcome"] != "in force":
+            print(f"-  {change['id']}  in force nowhere: {change['why']}")
             continue
-        at = datetime.datetime.fromtimestamp(row["at_s"], datetime.UTC).strftime("%Y-%m-%d %H:%M:%SZ")
-        print(f"{row['version']}  {at}  {row['id']}  {row['by']}: {row['reason'] or 'no reason told'}")
-        print("\n".join("   " + line for line in _changes(row["changes"])))
+        put_in_force_at = datetime.datetime.fromtimestamp(change["at_s"], datetime.UTC).strftime(
+            "%Y-%m-%d %H:%M:%SZ"
+        )
+        print(
+            f"{change['version']}  {put_in_force_at}  {change['id']}  "
+            f"{change['by']}: {change['reason'] or 'no reason told'}"
+        )
+        print("\n".join("   " + line for line in _format_changes(change["changes"])))
 
 
 @fleet.command("strike", epilog="Example: hopmill fleet strike 127.0.0.1:8600 c17")
 def strike(
-    door: Door, member: str, back: Annotated[bool, typer.Option("--back", help="It may work again.")] = False
+    door: OperatorAddress,
+    member: str,
+    back: Annotated[bool, typer.Option("--back", help="It may work again.")] = False,
 ) -> None:
     """Say that a courier does not run, so that no change waits for it. One that runs would break the promise
     where couriers go on alone."""
-    _told(door, "POST", f"/fleet/policy/{'let-back' if back else 'strike'}/{member}")
+    _request(door, "POST", f"/fleet/policy/{'let-back' if back else 'strike'}/{member}")
 
 
 @fleet.command("withdraw", epilog="Example: hopmill fleet withdraw 127.0.0.1:8600 3f9a10c2be77")
-def withdraw(door: Door, ident: str, wait: Wait = 10.0, as_json: JsonOption = False) -> None:
+def withdraw(door: OperatorAddress, ident: str, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
     """End a change that is under way: it is in force nowhere, unless it is in force already."""
-    _told(door, "POST", f"/fleet/policy/changes/{ident}/withdraw")
-    _wait(door, ident, {"state": "under way"}, wait, as_json)
+    _request(door, "POST", f"/fleet/policy/changes/{ident}/withdraw")
+    _wait_for_outcome(door, ident, {"state": "under way"}, wait, as_json)
--- a/hopmill/cli/seeds.py
+++ b/hopmill/cli/seeds.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from hopmill.cli.app import fail
+from hopmill.cli.app import error_exit
 
 
 def seeds_of(text: str) -> list[int]:
     """As 1-20 or 3,5,9."""
     try:
-        rows = []
-        for word in text.split(","):
-            first, dash, last = word.partition("-")
-            rows += range(int(first), int(last) + 1) if dash else [int(first)]
-        return rows
+        seeds = []
+        for part in text.split(","):
+            first, is_range, last = part.partition("-")
+            seeds += range(int(first), int(last) + 1) if is_range else [int(first)]
+        return seeds
     except ValueError:
-        raise fail(f"--seeds: must be as 1-20 or 3,5,9, not {text}") from None
+        raise error_exit(f"--seeds: must be as 1-20 or 3,5,9, not {text}") from None
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -312,7 +312,7 @@
     for n in range(20):
         assert await client.put(f"m{n}", dest=9) == "+OK"
         got = journal.read(fleet.folder / "state")
-        assert not got.damaged and len(got.contents.messages) == n + 1
+        assert not got.is_damaged and len(got.contents.messages) == n + 1
 
 
 # The demo
