--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -13,7 +13,8 @@
 
 app = typer.Typer(no_args_is_help=False, rich_markup_mode="rich", pretty_exceptions_enable=False)
 journal_app = typer.Typer(
-    help="What a courier's folder holds; read only, also beside a running courier.", no_args_is_help=True
+    help="Read a courier's state folder, also while the courier runs; nothing is written.",
+    no_args_is_help=True,
 )
 app.add_typer(journal_app, name="journal")
 
@@ -42,7 +43,7 @@
     "trial",
     "--version",
 )
-JsonOption = Annotated[bool, typer.Option("--json", help="Machine-readable.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
 def error_exit(text: str, status: int = 2) -> typer.Exit:
@@ -62,7 +63,8 @@
 @app.callback()
 def root(
     show_version: Annotated[
-        bool, typer.Option("--version", callback=_print_version, is_eager=True, help="Say which and end.")
+        bool,
+        typer.Option("--version", callback=_print_version, is_eager=True, help="Print the version and exit."),
     ] = False,
 ) -> None:
     """A courier: takes messages, each for one outside partner, and delivers each by a call.
@@ -72,7 +74,10 @@
 
 @app.command(epilog="Example: hopmill serve deploy/courier.example.toml")
 def serve(
-    file: Annotated[Path | None, typer.Argument(help="TOML; else the platform's environment.")] = None,
+    file: Annotated[
+        Path | None,
+        typer.Argument(help="Configuration in TOML; without one, the platform's environment variables."),
+    ] = None,
 ) -> None:
     """Serve. Where the platform's environment speaks too, it wins."""
     from hopmill.serve import run
@@ -111,11 +116,13 @@
 
 @app.command(epilog="Example: hopmill demo --seconds 5 --trouble zone --json")
 def demo(
-    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages come.")] = 10.0,
-    rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages a second.")] = 100.0,
-    trouble: Annotated[str, typer.Option(help="none, down, silent, shut, restart or zone.")] = "down",
+    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages are sent.")] = 10.0,
+    rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages per second.")] = 100.0,
+    trouble: Annotated[
+        str, typer.Option(help="Fault to inject: none, down, silent, shut, restart or zone.")
+    ] = "down",
     couriers: Annotated[int, typer.Option(min=1, max=8)] = 2,
-    seed: Annotated[int, typer.Option(help="Of the load and the world.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of load and partners.")] = 1,
     as_json: JsonOption = False,
 ) -> None:
     """Partners, discovery, couriers and a load on this machine: the main job, from start to account."""
@@ -128,11 +135,11 @@
 
 @app.command(epilog="Example: hopmill ctl 127.0.0.1:8600 zone-out hall-a")
 def ctl(
-    address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")],
+    address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's operator API.")],
     action: Annotated[
         str, typer.Argument(help=", ".join(OPERATOR_ACTIONS), autocompletion=lambda: list(OPERATOR_ACTIONS))
     ],
-    name: Annotated[str, typer.Argument(help="Of an endpoint or a zone.")] = "",
+    name: Annotated[str, typer.Argument(help="Name of an endpoint or a zone.")] = "",
     as_json: JsonOption = False,
 ) -> None:
     """Ask a courier at its operators' door, or tell it something. A no from the courier: exit 1."""
@@ -152,9 +159,9 @@
 
 @app.command(epilog="Example: hopmill top 127.0.0.1:8600 127.0.0.1:8601 --times 3")
 def top(
-    addresses: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
-    every: Annotated[float, typer.Option(min=0.1, help="Seconds between two looks.")] = 1.0,
-    times: Annotated[int, typer.Option(min=0, help="Looks; 0: until Ctrl-C.")] = 0,
+    addresses: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's operator API.")],
+    every: Annotated[float, typer.Option(min=0.1, help="Seconds between two updates.")] = 1.0,
+    times: Annotated[int, typer.Option(min=0, help="Number of updates; 0: until Ctrl-C.")] = 0,
 ) -> None:
     """Several couriers live, by partner and zone."""
     from hopmill.cli.top import run
@@ -164,11 +171,13 @@
 
 @app.command(epilog="Example: hopmill trial storm --seed 1-5")
 def trial(
-    scenario: Annotated[str, typer.Argument(help="By name, or a TOML file; or all of them.")],
-    couriers: Annotated[int, typer.Option(min=0, max=200, help="0: drawn by the seed.")] = 0,
-    seed: Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")] = "1",
-    history: Annotated[Path | None, typer.Option(help="Folder for histories and logs.")] = None,
-    at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials side by side.")] = 1,
+    scenario: Annotated[str, typer.Argument(help="Name of a scenario, a TOML file, or all.")],
+    couriers: Annotated[
+        int, typer.Option(min=0, max=200, help="Number of couriers; 0: drawn by the seed.")
+    ] = 0,
+    seed: Annotated[str, typer.Option(help="Seeds, such as 1-20 or 3,5,9.")] = "1",
+    history: Annotated[Path | None, typer.Option(help="Folder to keep histories and logs in.")] = None,
+    at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials that run at the same time.")] = 1,
     as_json: JsonOption = True,
 ) -> None:
     """Many couriers as processes, a load, and faults between them; a line a seed. A violation: exit 1."""
@@ -214,7 +223,7 @@
         @app.command("lab")
         def missing() -> None:
             """The laboratory (not installed: pip install 'hopmill[lab]')."""
-            raise error_exit("the laboratory needs its extra: pip install 'hopmill[lab]'", 1)
+            raise error_exit("this command needs the extra: pip install 'hopmill[lab]'", 1)
     else:
         from hopmill.cli.lab import lab, load
 
@@ -223,7 +232,7 @@
 
 
 def _add_fleet() -> None:
-    from hopmill.cli import policy  # its commands are the fleet's
+    from hopmill.cli import policy  # adds its commands to `fleet`
     from hopmill.cli.fleet import fleet
 
     assert policy.fleet is fleet
@@ -231,9 +240,7 @@
 
 
 def main() -> int:
-    if (
-        sys.argv[1:2] and sys.argv[1] not in COMMANDS_WITHOUT_LAB
-    ):  # the others need no look for the laboratory
+    if sys.argv[1:2] and sys.argv[1] not in COMMANDS_WITHOUT_LAB:  # the search for its packages takes time
         _add_lab()
     _add_fleet()
     try:
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -17,11 +17,11 @@
 from hopmill.standin.ledger import Result
 from hopmill.standin.scene import Options, Progress, Scene
 
-PLAIN_INTERVAL_S = 2.0  # between two lines where there is no terminal
+PLAIN_INTERVAL_S = 2.0  # between two lines without a terminal
 COUNT_ROWS = (
     ("handed in", "handed_in"),
     ("taken on", "taken"),
-    ("refused: come again", "refused"),
+    ("refused, to be sent again", "refused"),
     ("no answer in time", "failed"),
     ("delivered in time", "in_time"),
     ("delivered late", "late"),
@@ -43,7 +43,7 @@
         ("calls", "calls"),
         ("calls refused", "calls_refused"),
         ("connections", "connections"),
-        ("cold partners pushed over", "pushed_over"),
+        ("cold partners overloaded", "pushed_over"),
     ):
         table.add_row(text, str(result_fields[name]))
     table.add_row("couriers restarted", str(restarts))
@@ -84,7 +84,7 @@
         try:
             result = _watch(scene, console)
         except (KeyboardInterrupt, asyncio.CancelledError):
-            console.print("ended early: no account", highlight=False)
+            console.print("ended early: no summary", highlight=False)
             return 130
         except (OSError, TimeoutError) as error:
             print(f"hopmill: {error or 'a courier was not ready in time'}", file=sys.stderr)
@@ -106,6 +106,7 @@
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
-    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):  # all end it the same way
+    # Each cancels the demo, which ends its processes.
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         loop.add_signal_handler(signal_number, task.cancel)
     return await scene.run(progress)
--- a/hopmill/cli/door.py
+++ b/hopmill/cli/door.py
@@ -11,7 +11,7 @@
 from hopmill.document import ConfigError
 from hopmill.net.config import parse_address
 
-ANSWER_TIMEOUT_S = 3.0  # an answer is owed within one
+ANSWER_TIMEOUT_S = 3.0  # couriers answer within 1 s
 
 
 class OperatorApiError(Exception):
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -12,11 +12,11 @@
 from hopmill.cli.door import OperatorApiError, call, format_lines, format_table
 
 fleet = typer.Typer(
-    help="Couriers that know one another: members, the register, its leases.", no_args_is_help=True
+    help="A fleet of couriers: its members, the replicated register, its leases.", no_args_is_help=True
 )
-OperatorAddress = Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")]
-WaitOption = Annotated[float, typer.Option(min=0, help="Seconds to wait for a majority.")]
-SeedsOption = Annotated[str, typer.Option("--seed", help="As 1-20 or 3,5,9.")]
+OperatorAddress = Annotated[str, typer.Argument(help="HOST:PORT of a courier's operator API.")]
+WaitOption = Annotated[float, typer.Option(min=0, help="Seconds to wait for the outcome.")]
+SeedsOption = Annotated[str, typer.Option("--seed", help="Seeds, such as 1-20 or 3,5,9.")]
 POLL_INTERVAL_S = 0.02
 
 
@@ -32,7 +32,7 @@
 
 @fleet.command("status", epilog="Example: hopmill fleet status 127.0.0.1:8600 127.0.0.1:8601")
 def status(
-    doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
+    doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's operator API.")],
     as_json: JsonOption = False,
 ) -> None:
     """Who each takes for alive, the voters, the document's version, leases. One that is silent: exit 1."""
@@ -76,7 +76,7 @@
 def say(
     door: OperatorAddress,
     name: str,
-    text: Annotated[str, typer.Argument(help="Empty: taken away.")] = "",
+    text: Annotated[str, typer.Argument(help="Text of the entry; empty: remove it.")] = "",
     wait: WaitOption = 10.0,
     as_json: JsonOption = False,
 ) -> None:
@@ -114,8 +114,10 @@
     members: Annotated[int, typer.Option(min=2, max=2000)] = 60,
     loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.1,
     kills: int = 20,
-    seconds: Annotated[float, typer.Option(help="Of calm; one member stops at times.")] = 60.0,
-    stop: Annotated[float, typer.Option(help="Seconds that it stands still in every ten.")] = 2.0,
+    seconds: Annotated[
+        float, typer.Option(help="Seconds without kills, in which one member stops at times.")
+    ] = 60.0,
+    stop: Annotated[float, typer.Option(help="Seconds that it is stopped in every ten.")] = 2.0,
     seeds: SeedsOption = "1",
 ) -> None:
     """Members in virtual time: how soon a dead one is known, false deaths, and cost; a line a seed."""
@@ -135,14 +137,16 @@
 
 @fleet.command("explore", epilog="Example: hopmill fleet explore --schedules 10000 --members 3 --json")
 def explore(
-    schedules: Annotated[int, typer.Option(min=0, help="Random ones.")] = 10_000,
-    seed: Annotated[int, typer.Option(help="Of the first.")] = 1,
+    schedules: Annotated[int, typer.Option(min=0, help="Number of random schedules.")] = 10_000,
+    seed: Annotated[int, typer.Option(help="Seed of the first schedule.")] = 1,
     members: Annotated[int, typer.Option(min=1, max=9)] = 3,
-    depth: Annotated[int, typer.Option(min=0, max=30, help="And all of three members so deep.")] = 0,
-    cores: Annotated[int, typer.Option(min=0, help="0: all.")] = 0,
-    mutant: Annotated[str, typer.Option(help="A planted fault, by its name.")] = "",
+    depth: Annotated[
+        int, typer.Option(min=0, max=30, help="Also explore all schedules of three members to this depth.")
+    ] = 0,
+    cores: Annotated[int, typer.Option(min=0, help="Processor cores to use; 0: all.")] = 0,
+    mutant: Annotated[str, typer.Option(help="Name of a planted fault to run with.")] = "",
     mutants: Annotated[bool, typer.Option("--mutants", help="List the planted faults.")] = False,
-    policy: Annotated[bool, typer.Option("--policy", help="Changes of policy on top.")] = False,
+    policy: Annotated[bool, typer.Option("--policy", help="Explore policy changes as well.")] = False,
     as_json: JsonOption = False,
 ) -> None:
     """The register and its leases under every order of events that chance finds. A violation: exit 1."""
--- a/hopmill/cli/journal.py
+++ b/hopmill/cli/journal.py
@@ -24,17 +24,17 @@
 class Reading:
     contents: JournalContents
     record_counts: Counter[str]
-    unknown_counts: Counter[str]  # kinds of a version that is not known here
+    unknown_counts: Counter[str]  # by kind: records of kinds that this version does not know
     unusable_count: int
     size_bytes: int
-    tail_bytes: int  # bytes after the last whole record
+    tail_bytes: int  # after the last complete record
 
     @property
     def is_damaged(self) -> bool:
         """More than the record that a courier may be writing just now, or may have been."""
         return bool(self.unknown_counts or self.unusable_count) or self.tail_bytes > 0 and not self.is_torn
 
-    is_torn: bool = False  # the tail may be one record that is not whole
+    is_torn: bool = False  # the tail may be one incomplete record
 
 
 def read(folder: Path) -> Reading:
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -13,13 +13,13 @@
 from hopmill.cli.seeds import seeds_of
 
 lab = typer.Typer(
-    help="The laboratory: a fleet in virtual time. Installed with the extra `lab`.", no_args_is_help=True
+    help="Simulate a fleet in virtual time. Installed with the extra `lab`.", no_args_is_help=True
 )
 CouriersOption = Annotated[
-    int, typer.Option(min=0, help="Scales fleet and traffic; 0: as the scenario says.")
+    int, typer.Option(min=0, help="Number of couriers, scales the traffic too; 0: as in the scenario.")
 ]
-SeedsOption = Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")]
-CoresOption = Annotated[int, typer.Option(min=0, help="0: all.")]
+SeedsOption = Annotated[str, typer.Option(help="Seeds, such as 1-20 or 3,5,9.")]
+CoresOption = Annotated[int, typer.Option(min=0, help="Processor cores to use; 0: all.")]
 
 
 def _parse_changes(assignments: list[str]) -> dict[str, Any]:
@@ -40,7 +40,8 @@
 
 
 SetOption = Annotated[
-    list[str] | None, typer.Option("--set", help="Of the scenario, as load.rate_per_s=800.")
+    list[str] | None,
+    typer.Option("--set", help="Change a field of the scenario, such as load.rate_per_s=800."),
 ]
 
 
@@ -52,7 +53,9 @@
     build: str = ".",
     change: SetOption = None,
     cores: CoresOption = 0,
-    members: Annotated[bool, typer.Option("--members", help="Couriers that know one another.")] = False,
+    members: Annotated[
+        bool, typer.Option("--members", help="Couriers form a fleet with membership.")
+    ] = False,
     as_json: JsonOption = False,
 ) -> None:
     """Play seeds of a scenario: a line each, in order, the same on every run."""
@@ -76,10 +79,12 @@
 def compare(
     a: str,
     b: str,
-    scenario: Annotated[str, typer.Option(help="Names with commas.")] = "calm",
+    scenario: Annotated[str, typer.Option(help="Names, separated by commas.")] = "calm",
     couriers: CouriersOption = 0,
     seeds: SeedsOption = "1-64",
-    goal: Annotated[float, typer.Option(help="End once the interval of G is ± this; 0: never.")] = 0.005,
+    goal: Annotated[
+        float, typer.Option(help="Stop once the confidence interval of G is ± this; 0: never.")
+    ] = 0.005,
     cores: CoresOption = 0,
     as_json: JsonOption = False,
 ) -> None:
@@ -158,7 +163,9 @@
     tries: int = 32,
     seed: int = 1,
     build: str = ".",
-    shrink: Annotated[bool, typer.Option(help="Reduce the worst to the smallest that shows it.")] = False,
+    shrink: Annotated[
+        bool, typer.Option(help="Reduce the worst scenario to the fewest changes that show it.")
+    ] = False,
 ) -> None:
     """Random days around a scenario, the worst first."""
     from hopmill.lab import farm
@@ -205,7 +212,7 @@
     couriers: CouriersOption = 60,
     seeds: SeedsOption = "1-4",
     build: str = ".",
-    against: Annotated[str, typer.Option(help="A build to compare with.")] = "",
+    against: Annotated[str, typer.Option(help="Build to compare with.")] = "",
 ) -> None:
     """An HTML page with plots: worth, calls by lane, couriers, latency, causes, differences."""
     from hopmill.lab import compare as comparison
@@ -244,13 +251,15 @@
 
 def load(
     address: str,
-    rate: Annotated[float, typer.Option(help="Requests a second.")] = 100.0,
+    rate: Annotated[float, typer.Option(help="Requests per second.")] = 100.0,
     seconds: float = 10.0,
-    clients: Annotated[int, typer.Option(help="Connections.")] = 20,
-    classes: Annotated[str, typer.Option(help="Names with commas.")] = "safe",
-    partners: Annotated[str, typer.Option(help="Numbers with commas.")] = "1",
+    clients: Annotated[int, typer.Option(help="Number of connections.")] = 20,
+    classes: Annotated[str, typer.Option(help="Names, separated by commas.")] = "safe",
+    partners: Annotated[str, typer.Option(help="Numbers, separated by commas.")] = "1",
     tenant: str = "t",
-    clumps: Annotated[float, typer.Option(min=0, max=1, help="Share that comes ten at a time.")] = 0.0,
+    clumps: Annotated[
+        float, typer.Option(min=0, max=1, help="Share of requests that come in bursts of ten.")
+    ] = 0.0,
     seed: int = 1,
 ) -> None:
     """An open-loop load on a courier on this machine; latency counts from when each request was due."""
@@ -284,6 +293,6 @@
         if isinstance(error, (LabError, ScenarioError)):
             raise error_exit(str(error)) from None
         if isinstance(error, KeyboardInterrupt):
-            print("\nended early: what is above is done", file=sys.stderr)
+            print("\nended early: the results above are complete", file=sys.stderr)
             raise typer.Exit(130) from None
         return False
--- a/hopmill/cli/policy.py
+++ b/hopmill/cli/policy.py
@@ -18,12 +18,17 @@
 from hopmill.cli.fleet import POLL_INTERVAL_S, OperatorAddress, WaitOption, fleet
 
 IN_FORCE, IN_FORCE_NOWHERE, NOT_KNOWN = 0, 1, 3  # exit statuses
-ReasonOption = Annotated[str, typer.Option(help="For the history.")]
+ReasonOption = Annotated[str, typer.Option(help="Reason, for the history.")]
 IdOption = Annotated[
-    str, typer.Option("--id", help="Of an earlier try whose answer was lost: the same change.")
+    str,
+    typer.Option(
+        "--id", help="Identifier of an earlier attempt whose answer was lost; names the same change."
+    ),
 ]
-IfVersionOption = Annotated[int, typer.Option(help="Only on top of this version; -1: whichever is in force.")]
-MAX_BODY_BYTES = 7000  # bytes; the door reads no longer call
+IfVersionOption = Annotated[
+    int, typer.Option(help="Apply only on top of this version; -1: on whichever is in force.")
+]
+MAX_BODY_BYTES = 7000  # the operator API reads no longer request
 
 
 def _request(door: str, method: str, path: str, body: bytes | None = None) -> dict[str, Any]:
@@ -80,13 +85,17 @@
 @fleet.command("propose", epilog="Example: hopmill fleet propose 127.0.0.1:8600 patch.toml --reason 'hall-b'")
 def propose(
     door: OperatorAddress,
-    file: Annotated[Path, typer.Argument(help="TOML, in the configuration's tables.")],
+    file: Annotated[Path, typer.Argument(help="Patch in TOML, in the tables of the configuration.")],
     if_version: IfVersionOption = -1,
     wait: WaitOption = 30.0,
     reason: ReasonOption = "",
-    dry_run: Annotated[bool, typer.Option("--dry-run", help="Only checked here.")] = False,
-    share: Annotated[float, typer.Option(help="Of the couriers, that go first, watched.")] = 1.0,
-    watch: Annotated[float, typer.Option(help="Seconds, before the rest follows.")] = 60.0,
+    dry_run: Annotated[bool, typer.Option("--dry-run", help="Only check the patch at this courier.")] = False,
+    share: Annotated[
+        float, typer.Option(help="Share of couriers that apply it first, as a canary group.")
+    ] = 1.0,
+    watch: Annotated[
+        float, typer.Option(help="Seconds to watch the canary group before the rest follows.")
+    ] = 60.0,
     ident: IdOption = "",
     as_json: JsonOption = False,
 ) -> None:
@@ -160,7 +169,7 @@
         )
         print(
             f"{change['version']}  {put_in_force_at}  {change['id']}  "
-            f"{change['by']}: {change['reason'] or 'no reason told'}"
+            f"{change['by']}: {change['reason'] or 'no reason given'}"
         )
         print("\n".join("   " + line for line in _format_changes(change["changes"])))
 
@@ -169,7 +178,7 @@
 def strike(
     door: OperatorAddress,
     member: str,
-    back: Annotated[bool, typer.Option("--back", help="It may work again.")] = False,
+    back: Annotated[bool, typer.Option("--back", help="Undo: the courier may work again.")] = False,
 ) -> None:
     """Say that a courier does not run, so that no change waits for it. One that runs would break the promise
     where couriers go on alone."""
--- a/hopmill/cli/seeds.py
+++ b/hopmill/cli/seeds.py
@@ -14,4 +14,4 @@
             seeds += range(int(first), int(last) + 1) if is_range else [int(first)]
         return seeds
     except ValueError:
-        raise error_exit(f"--seeds: must be as 1-20 or 3,5,9, not {text}") from None
+        raise error_exit(f"--seeds: must be like 1-20 or 3,5,9, not {text}") from None
--- a/hopmill/cli/top.py
+++ b/hopmill/cli/top.py
@@ -36,7 +36,8 @@
             is_first_lane = lane["partner"] not in seen_partners
             seen_partners.add(lane["partner"])
             row["couriers"] += is_first_lane
-            row["queued"] += lane["queued"] if is_first_lane else 0  # each route names the whole partner's
+            # Each route reports the queue of the whole partner.
+            row["queued"] += lane["queued"] if is_first_lane else 0
             row["waiting"] += lane["wait_ms"] > 0
             for name in ("out", "pace", "part"):
                 row[name] += lane[name]
