--- a/hopmill/cli/__init__.py
+++ b/hopmill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands. app.py names them; each reads the rest when it runs."""
+"""The commands: app.py defines them, and each imports the rest only when it runs."""
--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -1,4 +1,4 @@
-"""The commands. Each reads what it needs when it runs: serving must stay lean."""
+"""The commands. Each imports what it needs only when it runs, which keeps serving small in memory."""
 
 from __future__ import annotations
 
@@ -47,6 +47,7 @@
 
 
 def error_exit(text: str, status: int = 2) -> typer.Exit:
+    """Prints an error line and returns the exception that ends the command with that status."""
     print(f"hopmill: {text}", file=sys.stderr)
     return typer.Exit(status)
 
@@ -67,9 +68,9 @@
         typer.Option("--version", callback=_print_version, is_eager=True, help="Print the version and exit."),
     ] = False,
 ) -> None:
-    """A courier: takes messages, each for one outside partner, and delivers each by a call.
+    """A courier: accepts messages for outside partners and delivers each by an HTTP call.
 
-    Without a command it serves under the platform's environment."""
+    Without a command it serves, configured by the platform's environment variables."""
 
 
 @app.command(epilog="Example: hopmill serve deploy/courier.example.toml")
@@ -79,7 +80,7 @@
         typer.Argument(help="Configuration in TOML; without one, the platform's environment variables."),
     ] = None,
 ) -> None:
-    """Serve. Where the platform's environment speaks too, it wins."""
+    """Run a courier. The platform's environment variables take precedence over the file."""
     from hopmill.serve import run
 
     raise typer.Exit(run(file))
@@ -87,7 +88,7 @@
 
 @app.command(epilog="Example: hopmill check deploy/courier.example.toml")
 def check(file: Path, as_json: JsonOption = False) -> None:
-    """Read a configuration, say what holds and what is off. A bad value: one line, exit 2."""
+    """Check a configuration; print the values that apply and the features that are off. Not valid: exit 2."""
     from hopmill import document as document_module
 
     try:
@@ -106,7 +107,7 @@
 
 @app.command(epilog="Example: hopmill schema > courier.schema.json")
 def schema() -> None:
-    """The JSON schema of the configuration."""
+    """Print the JSON schema of the configuration."""
     import msgspec
 
     from hopmill.document import Document
@@ -125,7 +126,7 @@
     seed: Annotated[int, typer.Option(help="Seed of load and partners.")] = 1,
     as_json: JsonOption = False,
 ) -> None:
-    """Partners, discovery, couriers and a load on this machine: the main job, from start to account."""
+    """Run partners, discovery, couriers and a load on this machine, and print what became of each message."""
     from hopmill.cli.demo import run
     from hopmill.standin.scene import TROUBLES, Options
 
@@ -142,7 +143,7 @@
     name: Annotated[str, typer.Argument(help="Name of an endpoint or a zone.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Ask a courier at its operators' door, or tell it something. A no from the courier: exit 1."""
+    """Query or control a courier through its operator API. Exit 1 if the courier refuses."""
     from hopmill.cli.door import OperatorApiError, call, format_lines
 
     _require_choice(action, tuple(OPERATOR_ACTIONS), "action")
@@ -163,7 +164,7 @@
     every: Annotated[float, typer.Option(min=0.1, help="Seconds between two updates.")] = 1.0,
     times: Annotated[int, typer.Option(min=0, help="Number of updates; 0: until Ctrl-C.")] = 0,
 ) -> None:
-    """Several couriers live, by partner and zone."""
+    """Show several couriers live, by partner and zone."""
     from hopmill.cli.top import run
 
     raise typer.Exit(run(addresses, every, times))
@@ -180,7 +181,7 @@
     at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials that run at the same time.")] = 1,
     as_json: JsonOption = True,
 ) -> None:
-    """Many couriers as processes, a load, and faults between them; a line a seed. A violation: exit 1."""
+    """Run courier processes under load and injected faults; one line per seed. Exit 1 after a violation."""
     from hopmill.cli.trial import trial as run
 
     raise typer.Exit(run(scenario, couriers, seed, history, at_once))
@@ -188,7 +189,7 @@
 
 @journal_app.command("show", epilog="Example: hopmill journal show /var/lib/hopmill")
 def journal_show(folder: Path, as_json: JsonOption = False) -> None:
-    """The messages that are held, the notices owed, and what staff have left out."""
+    """Show the messages held, the notices owed, and what operators have excluded."""
     from hopmill.cli.journal import show
 
     raise typer.Exit(show(folder, as_json))
@@ -196,7 +197,7 @@
 
 @journal_app.command("verify", epilog="Example: hopmill journal verify /var/lib/hopmill")
 def journal_verify(folder: Path, as_json: JsonOption = False) -> None:
-    """Read every record. Damage, or records of a version that is not known: exit 1."""
+    """Read every record. Exit 1 if some are damaged or of an unknown kind."""
     from hopmill.cli.journal import verify
 
     raise typer.Exit(verify(folder, as_json))
@@ -212,7 +213,7 @@
 
 
 def _add_lab() -> None:
-    """Where the extra is not installed the command says so, and the rest works."""
+    """Adds the lab's commands; without the extra `lab`, a command that says how to install it."""
     try:
         import importlib.util
 
@@ -222,7 +223,7 @@
 
         @app.command("lab")
         def missing() -> None:
-            """The laboratory (not installed: pip install 'hopmill[lab]')."""
+            """The simulator (not installed: pip install 'hopmill[lab]')."""
             raise error_exit("this command needs the extra: pip install 'hopmill[lab]'", 1)
     else:
         from hopmill.cli.lab import lab, load
@@ -240,6 +241,7 @@
 
 
 def main() -> int:
+    """Runs the command line and returns its exit status."""
     if sys.argv[1:2] and sys.argv[1] not in COMMANDS_WITHOUT_LAB:  # the search for its packages takes time
         _add_lab()
     _add_fleet()
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo on a screen: progress while it runs, the account at its end."""
+"""`hopmill demo`: prints progress while it runs and a summary at its end."""
 
 from __future__ import annotations
 
@@ -33,6 +33,7 @@
 
 
 def account(result: Result, restarts: int) -> Table:
+    """The summary as a table: what became of each message, latency, calls."""
     table = Table("", "count", title="What became of the messages", title_justify="left")
     for text, name in COUNT_ROWS:
         table.add_row(text, str(result.counts[name]))
@@ -60,19 +61,20 @@
 
 
 class PlainProgress:
-    """A line each two seconds, and at each change of the world."""
+    """Prints a line every two seconds, and at each change of the fault."""
 
     def __init__(self, console: Console) -> None:
         self.console, self.printed_at, self.note = console, -PLAIN_INTERVAL_S, ""
 
     def __call__(self, progress: Progress) -> None:
+        """Prints a line if one is due."""
         if progress.second - self.printed_at >= PLAIN_INTERVAL_S or progress.note != self.note:
             self.printed_at, self.note = progress.second, progress.note
             self.console.print(_line(progress), highlight=False, soft_wrap=True)
 
 
 def run(options: Options, as_json: bool) -> int:
-    """Exit status: 1 if anything was lost or took effect twice though it may not, 130 after Ctrl-C."""
+    """Exit status: 1 if a message was lost or an unsafe one took effect twice, 130 after Ctrl-C."""
     console = Console(stderr=as_json)
     with tempfile.TemporaryDirectory(prefix="hopmill-demo-") as folder:
         scene = Scene(options, Path(folder))
--- a/hopmill/cli/door.py
+++ b/hopmill/cli/door.py
@@ -1,4 +1,4 @@
-"""A client of the operators' door."""
+"""A client of a courier's operator API."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class OperatorApiError(Exception):
-    """No answer that can be read; the text is one line."""
+    """No valid answer; the text is one line."""
 
 
 def call(
     address: str, method: str, path: str, name: str = "", body: bytes | None = None
 ) -> tuple[int, dict[str, Any]]:
-    """(status, body). DoorError where nobody answers."""
+    """(status, body) of a request. OperatorApiError if there is no valid answer."""
     try:
         host, port = parse_address(address, "ADDRESS")
     except ConfigError as error:
@@ -38,7 +38,7 @@
 
 
 def format_lines(body: dict[str, Any]) -> Iterator[str]:
-    """For people: a table for rows, else a field a line."""
+    """Readable text: a table for a list of rows, one line for any other field."""
     for name, value in body.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
             yield from format_table([dict(row) for row in value])
@@ -47,6 +47,7 @@
 
 
 def format_table(rows: list[dict[str, Any]]) -> Iterator[str]:
+    """A header and a line per row, in aligned columns."""
     names = list(dict.fromkeys(name for row in rows for name in row))
     rows_of_cells = [names] + [[_text(row.get(name)) for name in names] for row in rows]
     widths = [max(len(row[column]) for row in rows_of_cells) for column in range(len(names))]
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`hopmill fleet ...`: the members of a fleet, from the doors of its couriers."""
+"""`hopmill fleet ...`: the members of a fleet, through the operator APIs of its couriers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's operator API.")],
     as_json: JsonOption = False,
 ) -> None:
-    """Who each takes for alive, the voters, the document's version, leases. One that is silent: exit 1."""
+    """Show each courier's view: members, voters, register version, leases. Exit 1 if one does not answer."""
     failed_count = 0
     for door in doors:
         try:
@@ -60,7 +60,7 @@
 
 
 def _change_register(door: str, path: str, wait: float, as_json: bool) -> None:
-    """Begin it and wait for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
+    """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
     outcome = _request(door, "POST", path)
     deadline = time.monotonic() + wait
     while outcome["state"] == "under way" and time.monotonic() < deadline:
@@ -80,7 +80,7 @@
     wait: WaitOption = 10.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Put a word into the register, for all couriers and staff to see."""
+    """Store a short text in the register, for all couriers and operators to see."""
     from urllib.parse import quote
 
     path = "/".join(quote(part, safe="") for part in (name, text) if part)
@@ -89,7 +89,7 @@
 
 @fleet.command("read", epilog="Example: hopmill fleet read 127.0.0.1:8600 --json")
 def read(door: OperatorAddress, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
-    """What a majority of the voters holds now."""
+    """Read the register from a majority of the voters."""
     outcome = _request(door, "POST", "/fleet/read")
     deadline = time.monotonic() + wait
     while outcome["state"] == "under way" and time.monotonic() < deadline:
@@ -105,7 +105,7 @@
 def replace_voter(
     door: OperatorAddress, old: str, new: str, wait: WaitOption = 10.0, as_json: JsonOption = False
 ) -> None:
-    """One voter for another while the fleet works; the second step follows by itself. One at a time."""
+    """Replace a voter while the fleet runs, one at a time; the second step follows by itself."""
     _change_register(door, f"/fleet/voters/{old}/{new}", wait, as_json)
 
 
@@ -120,7 +120,7 @@
     stop: Annotated[float, typer.Option(help="Seconds that it is stopped in every ten.")] = 2.0,
     seeds: SeedsOption = "1",
 ) -> None:
-    """Members in virtual time: how soon a dead one is known, false deaths, and cost; a line a seed."""
+    """Simulate failure detection: time to detect, false deaths, and cost; one line per seed."""
     from hopmill.cli.seeds import seeds_of
     from hopmill.lab.members import Plan, calm, detection
 
@@ -149,7 +149,7 @@
     policy: Annotated[bool, typer.Option("--policy", help="Explore policy changes as well.")] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """The register and its leases under every order of events that chance finds. A violation: exit 1."""
+    """Check the register and its leases under random orders of events. Exit 1 after a violation."""
     from hopmill.explorer.mutants import PLANTED
     from hopmill.explorer.policy_mutants import PLANTED as POLICY_PLANTED
     from hopmill.explorer.search import search, search_policy
--- a/hopmill/cli/journal.py
+++ b/hopmill/cli/journal.py
@@ -1,4 +1,4 @@
-"""A look into a courier's folder. Nothing is written, locked or cut: a courier may be running beside it."""
+"""Reads a courier's state folder. Writes and locks nothing, since the courier may be running."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 
 
 class NoJournalError(Exception):
-    """The folder holds none; the text is one line."""
+    """The folder has no readable journal; the text is one line."""
 
 
 @dataclass
 class Reading:
+    """What a journal file contains."""
+
     contents: JournalContents
     record_counts: Counter[str]
     unknown_counts: Counter[str]  # by kind: records of kinds that this version does not know
@@ -31,13 +33,14 @@
 
     @property
     def is_damaged(self) -> bool:
-        """More than the record that a courier may be writing just now, or may have been."""
+        """More is unreadable than one last record, which a courier writes now or did when it ended."""
         return bool(self.unknown_counts or self.unusable_count) or self.tail_bytes > 0 and not self.is_torn
 
     is_torn: bool = False  # the tail may be one incomplete record
 
 
 def read(folder: Path) -> Reading:
+    """Reads the journal of a state folder. NoJournalError if there is none."""
     path = folder / JOURNAL_FILE
     try:
         data = path.read_bytes()
@@ -61,7 +64,7 @@
 
 
 def _is_torn(tail: bytes) -> bool:
-    """Fewer bytes than the tail's own head promises."""
+    """The tail is shorter than its record header says."""
     return (
         len(tail) < RECORD_HEADER.size
         or 0 < len(tail) - RECORD_HEADER.size < RECORD_HEADER.unpack_from(tail)[0]
@@ -69,6 +72,7 @@
 
 
 def show(folder: Path, as_json: bool) -> int:
+    """Prints the messages that the journal holds; the exit status."""
     try:
         reading = read(folder)
     except NoJournalError as error:
@@ -111,6 +115,7 @@
 
 
 def verify(folder: Path, as_json: bool) -> int:
+    """Prints counts of good and bad records; exit status 1 if there are bad ones or no journal."""
     try:
         reading = read(folder)
     except NoJournalError as error:
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -1,4 +1,4 @@
-"""`hopmill lab`: plays, comparisons, sweeps, searches, replays and reports. Needs the extra `lab`."""
+"""`hopmill lab`: simulations, comparisons, sweeps, searches, replays and reports. Needs the extra `lab`."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     ] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """Play seeds of a scenario: a line each, in order, the same on every run."""
+    """Simulate a scenario: one line per seed, in order, the same on every run."""
     from hopmill.lab import farm
 
     with _OneLineErrors(), farm.build(build) as build_used:
@@ -88,7 +88,7 @@
     cores: CoresOption = 0,
     as_json: JsonOption = False,
 ) -> None:
-    """A and B: revisions, folders, or settings as policy.pacing.GROW=0.2. B minus A on the same seeds."""
+    """Compare B with A on the same seeds: revisions, folders, or settings as policy.pacing.GROW=0.2."""
     from hopmill.lab import compare as comparison
     from hopmill.lab import farm
 
@@ -134,7 +134,7 @@
     seeds: SeedsOption = "1-16",
     cores: CoresOption = 0,
 ) -> None:
-    """Each value of a module's name against this build as it is, on the same seeds."""
+    """Compare each value of a constant with this build as it is, on the same seeds."""
     from hopmill.lab import compare as comparison
     from hopmill.lab import farm
 
@@ -167,7 +167,7 @@
         bool, typer.Option(help="Reduce the worst scenario to the fewest changes that show it.")
     ] = False,
 ) -> None:
-    """Random days around a scenario, the worst first."""
+    """Search random variants of a scenario; print the worst first."""
     from hopmill.lab import farm
     from hopmill.lab import search as search_module
 
@@ -187,7 +187,7 @@
 
 @lab.command(epilog="Example: hopmill lab record calm turns.jsonl --couriers 40 --courier 3")
 def record(scenario: str, file: Path, couriers: CouriersOption = 40, seed: int = 1, courier: int = 0) -> None:
-    """Write the events and actions of one courier, for `replay`."""
+    """Record the events and actions of one courier, for `replay`."""
     from hopmill.lab import replay as replay_module
     from hopmill.lab.scenario import load
 
@@ -197,7 +197,7 @@
 
 @lab.command(epilog="Example: hopmill lab replay turns.jsonl")
 def replay(file: Path) -> None:
-    """Play recorded events through this build; names the first action that differs (exit 1)."""
+    """Replay recorded events through this build; print the first action that differs (exit 1)."""
     from hopmill.lab import replay as replay_module
 
     first_difference = replay_module.first_difference(file)
@@ -214,7 +214,7 @@
     build: str = ".",
     against: Annotated[str, typer.Option(help="Build to compare with.")] = "",
 ) -> None:
-    """An HTML page with plots: worth, calls by lane, couriers, latency, causes, differences."""
+    """Write an HTML page with plots: worth, calls by lane, couriers, latency, causes, differences."""
     from hopmill.lab import compare as comparison
     from hopmill.lab import farm
     from hopmill.lab import report as pages
@@ -240,7 +240,7 @@
     seed: int = 1,
     as_json: JsonOption = False,
 ) -> None:
-    """A scenario of some couriers in real time: stand-ins, sockets and real processes."""
+    """Run a scenario in real time, with courier processes, sockets and stand-ins."""
     from hopmill.lab.live import run
 
     with _OneLineErrors():
@@ -262,7 +262,7 @@
     ] = 0.0,
     seed: int = 1,
 ) -> None:
-    """An open-loop load on a courier on this machine; latency counts from when each request was due."""
+    """Put an open-loop load on a courier; latency counts from the time at which each request was due."""
     import asyncio
 
     from hopmill.document import ConfigError
@@ -281,7 +281,7 @@
 
 
 class _OneLineErrors:
-    """What a person has to know is one line; Ctrl-C keeps the seeds that are done."""
+    """Turns errors of the lab into one line; after Ctrl-C the results so far stay printed."""
 
     def __enter__(self) -> None:
         return None
--- a/hopmill/cli/policy.py
+++ b/hopmill/cli/policy.py
@@ -1,4 +1,4 @@
-"""`hopmill fleet propose|history|revert|strike|...`: the fleet's policy, from a courier's door."""
+"""`hopmill fleet propose|history|revert|strike|...`: the fleet's policy, through a courier's operator API."""
 
 from __future__ import annotations
 
@@ -42,7 +42,10 @@
 
 
 def _wait_for_outcome(door: str, ident: str, outcome: dict[str, Any], wait: float, as_json: bool) -> None:
-    """Says whom the change waits for, while it does. Exit 0: in force; 1: in force nowhere; 3: not known."""
+    """Polls until the outcome is known; prints which couriers the change waits for.
+
+    Exit 0: in force; 1: in force nowhere; 3: not known.
+    """
     deadline, printed_waits = time.monotonic() + wait, None
     while outcome["state"] == "under way" and time.monotonic() < deadline:
         time.sleep(POLL_INTERVAL_S)
@@ -99,7 +102,7 @@
     ident: IdOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """A change of policy, in force at every courier or at none. Exit 0: in force, 1: nowhere, 3: unknown."""
+    """Change the policy at every courier or at none. Exit 0: in force, 1: nowhere, 3: unknown."""
     try:
         patch = tomllib.loads(file.read_text())
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -126,7 +129,7 @@
     ident: IdOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """A new version with what was in force at an earlier one. Exit statuses as for propose."""
+    """Make a new version with the policy of an earlier one. Exit statuses as for propose."""
     _propose(
         door,
         {
@@ -142,20 +145,20 @@
 
 @fleet.command("change", epilog="Example: hopmill fleet change 127.0.0.1:8600 3f9a10c2be77")
 def change(door: OperatorAddress, ident: str, wait: WaitOption = 0.0, as_json: JsonOption = False) -> None:
-    """What became of a proposal. Exit statuses as for propose."""
+    """Show the outcome of a proposal. Exit statuses as for propose."""
     _wait_for_outcome(door, ident, _request(door, "GET", f"/fleet/policy/changes/{ident}"), wait, as_json)
 
 
 @fleet.command("policy", epilog="Example: hopmill fleet policy 127.0.0.1:8600 --json")
 def policy(door: OperatorAddress, as_json: JsonOption = False) -> None:
-    """What is in force at a courier, whether it may act, and what is under way."""
+    """Show the policy in force at a courier, whether it may act, and the change under way."""
     state = _request(door, "GET", "/fleet/policy")
     print(json.dumps(state) if as_json else "\n".join(format_lines(state)))
 
 
 @fleet.command("history", epilog="Example: hopmill fleet history 127.0.0.1:8600")
 def history(door: OperatorAddress, as_json: JsonOption = False) -> None:
-    """Who changed what and when, why, and what became of it."""
+    """Show past changes: who, when, what, why, and the outcome."""
     answer = _request(door, "GET", "/fleet/policy/history")
     if as_json:
         print(json.dumps(answer))
@@ -180,13 +183,14 @@
     member: str,
     back: Annotated[bool, typer.Option("--back", help="Undo: the courier may work again.")] = False,
 ) -> None:
-    """Say that a courier does not run, so that no change waits for it. One that runs would break the promise
-    where couriers go on alone."""
+    """Declare that a courier does not run, so that no change waits for it.
+
+    If it does run and couriers act without a lease, it may act under an old version."""
     _request(door, "POST", f"/fleet/policy/{'let-back' if back else 'strike'}/{member}")
 
 
 @fleet.command("withdraw", epilog="Example: hopmill fleet withdraw 127.0.0.1:8600 3f9a10c2be77")
 def withdraw(door: OperatorAddress, ident: str, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
-    """End a change that is under way: it is in force nowhere, unless it is in force already."""
+    """Cancel a change that is under way; it ends in force nowhere, unless it is in force already."""
     _request(door, "POST", f"/fleet/policy/changes/{ident}/withdraw")
     _wait_for_outcome(door, ident, {"state": "under way"}, wait, as_json)
--- a/hopmill/cli/seeds.py
+++ b/hopmill/cli/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds as staff write them."""
+"""Parses lists of seeds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def seeds_of(text: str) -> list[int]:
-    """As 1-20 or 3,5,9."""
+    """The seeds of a text such as 1-20 or 3,5,9. Exit 2 if it is neither."""
     try:
         seeds = []
         for part in text.split(","):
--- a/hopmill/cli/top.py
+++ b/hopmill/cli/top.py
@@ -1,4 +1,4 @@
-"""Several couriers at a glance, by partner and zone, until Ctrl-C."""
+"""`hopmill top`: shows several couriers, by partner and zone, until Ctrl-C."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def fetch_report(address: str) -> dict[str, Any]:
-    """What one courier says of itself; {"error": ...} if it does not answer."""
+    """The answers of one courier's operator API; {"error": ...} if it does not answer."""
     try:
         return {
             path: call(address, "GET", f"/{path}")[1]
@@ -27,7 +27,7 @@
 
 
 def by_partner(reports: list[dict[str, Any]]) -> dict[int, dict[str, float]]:
-    """Summed over couriers and routes."""
+    """Sums over couriers and routes, by partner number."""
     rows: dict[int, dict[str, float]] = defaultdict(lambda: dict.fromkeys(PARTNER_COLUMNS, 0))
     for report in reports:
         seen_partners = set()
@@ -45,7 +45,7 @@
 
 
 def by_zone(reports: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """How many couriers have each zone in which state, and the mean share."""
+    """By zone: the number of couriers that have it in each state, and the mean share."""
     rows: dict[str, dict[str, Any]] = {}
     for report in reports:
         for zone in report.get("zones", {}).get("zones", []):
@@ -62,6 +62,7 @@
 
 
 def render(addresses: list[str], reports: list[dict[str, Any]]) -> Group:
+    """Tables of couriers, partners and zones."""
     couriers = Table("courier", "clients", "messages", "connections", "idle", "state")
     for address, report in zip(addresses, reports, strict=True):
         if "error" in report:
@@ -88,7 +89,7 @@
 
 
 def run(addresses: list[str], interval_s: float, times: int) -> int:
-    """times: looks, 0 for no end. Returns 1 if no courier answered the last look."""
+    """times: number of updates, 0 for no end. Returns 1 if no courier answered the last one."""
     console, reports = Console(), [fetch_report(address) for address in addresses]
     count = 1
     try:
--- a/hopmill/cli/trial.py
+++ b/hopmill/cli/trial.py
@@ -1,4 +1,4 @@
-"""`hopmill trial`: many courier processes under faults, a line a seed."""
+"""`hopmill trial`: courier processes under faults, one line per seed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def trial(scenario: str, couriers: int, seeds: str, history: Path | None, at_once: int) -> int:
-    """Exit status: 1 for a violation, 130 after Ctrl-C."""
+    """Runs the trials. Exit status: 1 after a violation, 130 after Ctrl-C."""
     from hopmill.fields import ConfigError
     from hopmill.trial import scenario as scenarios
 
@@ -53,7 +53,7 @@
 def _run_side_by_side(
     names: list[str], couriers: int, seeds: list[int], history: Path | None, at_once: int
 ) -> int:
-    """Each trial in a process of its own; those end with this one."""
+    """Runs each trial in a process of its own; those end with this one."""
     from hopmill.standin.courier import end_with_parent
 
     running: set[subprocess.Popen[str]] = set()
