--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -1,4 +1,4 @@
-"""The commands. Each reads what it needs when it runs: serving must stay lean."""
+"""The commands. Each imports what it needs only when it runs, which keeps serving small in memory."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 app = typer.Typer(no_args_is_help=False, rich_markup_mode="rich", pretty_exceptions_enable=False)
 journal_app = typer.Typer(
-    help="What a courier's folder holds; read only, also beside a running courier.", no_args_is_help=True
+    help="Read a courier's state folder, also while the courier runs; nothing is written.",
+    no_args_is_help=True,
 )
 app.add_typer(journal_app, name="journal")
 
-ACTIONS = {
+OPERATOR_ACTIONS = {
     "health": ("GET", "/healthcheck"),
     "drain": ("POST", "/healthcheck/fail"),
     "undrain": ("POST", "/healthcheck/ok"),
@@ -30,17 +31,29 @@
     "zone-out": ("POST", "/zones/{}/maint"),
     "zone-back": ("POST", "/zones/{}/ready"),
 }
-FAST = ("serve", "check", "schema", "demo", "ctl", "top", "journal", "fleet", "trial", "--version")
-JsonOption = Annotated[bool, typer.Option("--json", help="Machine-readable.")]
+COMMANDS_WITHOUT_LAB = (
+    "serve",
+    "check",
+    "schema",
+    "demo",
+    "ctl",
+    "top",
+    "journal",
+    "fleet",
+    "trial",
+    "--version",
+)
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
-def fail(text: str, status: int = 2) -> typer.Exit:
+def error_exit(text: str, status: int = 2) -> typer.Exit:
+    """Prints an error line and returns the exception that ends the command with that status."""
     print(f"hopmill: {text}", file=sys.stderr)
     return typer.Exit(status)
 
 
-def _version(asked: bool) -> None:
-    if asked:
+def _print_version(is_requested: bool) -> None:
+    if is_requested:
         try:
             print(f"hopmill {version('hopmill')}")
         except PackageNotFoundError:
@@ -50,20 +63,24 @@
 
 @app.callback()
 def root(
-    show: Annotated[
-        bool, typer.Option("--version", callback=_version, is_eager=True, help="Say which and end.")
+    show_version: Annotated[
+        bool,
+        typer.Option("--version", callback=_print_version, is_eager=True, help="Print the version and exit."),
     ] = False,
 ) -> None:
-    """A courier: takes messages, each for one outside partner, and delivers each by a call.
+    """A courier: accepts messages for outside partners and delivers each by an HTTP call.
 
-    Without a command it serves under the platform's environment."""
+    Without a command it serves, configured by the platform's environment variables."""
 
 
 @app.command(epilog="Example: hopmill serve deploy/courier.example.toml")
 def serve(
-    file: Annotated[Path | None, typer.Argument(help="TOML; else the platform's environment.")] = None,
+    file: Annotated[
+        Path | None,
+        typer.Argument(help="Configuration in TOML; without one, the platform's environment variables."),
+    ] = None,
 ) -> None:
-    """Serve. Where the platform's environment speaks too, it wins."""
+    """Run a courier. The platform's environment variables take precedence over the file."""
     from hopmill.serve import run
 
     raise typer.Exit(run(file))
@@ -71,26 +88,26 @@
 
 @app.command(epilog="Example: hopmill check deploy/courier.example.toml")
 def check(file: Path, as_json: JsonOption = False) -> None:
-    """Read a configuration, say what holds and what is off. A bad value: one line, exit 2."""
-    from hopmill import document as doc
+    """Check a configuration; print the values that apply and the features that are off. Not valid: exit 2."""
+    from hopmill import document as document_module
 
     try:
-        document = doc.read_toml(file)
-    except doc.ConfigError as error:
-        raise fail(str(error)) from None
-    rows, off = doc.flatten(document), doc.disabled_options(document)
+        document = document_module.read_toml(file)
+    except document_module.ConfigError as error:
+        raise error_exit(str(error)) from None
+    values, disabled = document_module.flatten(document), document_module.disabled_options(document)
     if as_json:
-        print(json.dumps({"holds": rows, "off": off}, default=str))
+        print(json.dumps({"holds": values, "off": disabled}, default=str))
         return
-    for path, value in rows.items():
+    for path, value in values.items():
         print(f"{path} = {json.dumps(value, default=str)}")
-    for text in off:
-        print(f"off: {text}")
+    for option in disabled:
+        print(f"off: {option}")
 
 
 @app.command(epilog="Example: hopmill schema > courier.schema.json")
 def schema() -> None:
-    """The JSON schema of the configuration."""
+    """Print the JSON schema of the configuration."""
     import msgspec
 
     from hopmill.document import Document
@@ -100,50 +117,54 @@
 
 @app.command(epilog="Example: hopmill demo --seconds 5 --trouble zone --json")
 def demo(
-    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages come.")] = 10.0,
-    rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages a second.")] = 100.0,
-    trouble: Annotated[str, typer.Option(help="none, down, silent, shut, restart or zone.")] = "down",
+    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages are sent.")] = 10.0,
+    rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages per second.")] = 100.0,
+    trouble: Annotated[
+        str, typer.Option(help="Fault to inject: none, down, silent, shut, restart or zone.")
+    ] = "down",
     couriers: Annotated[int, typer.Option(min=1, max=8)] = 2,
-    seed: Annotated[int, typer.Option(help="Of the load and the world.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of load and partners.")] = 1,
     as_json: JsonOption = False,
 ) -> None:
-    """Partners, discovery, couriers and a load on this machine: the main job, from start to account."""
+    """Run partners, discovery, couriers and a load on this machine, and print what became of each message."""
     from hopmill.cli.demo import run
     from hopmill.standin.scene import TROUBLES, Options
 
-    _one_of(trouble, TROUBLES, "trouble")
+    _require_choice(trouble, TROUBLES, "trouble")
     raise typer.Exit(run(Options(seconds, rate, couriers, trouble, seed), as_json))
 
 
 @app.command(epilog="Example: hopmill ctl 127.0.0.1:8600 zone-out hall-a")
 def ctl(
-    address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")],
-    action: Annotated[str, typer.Argument(help=", ".join(ACTIONS), autocompletion=lambda: list(ACTIONS))],
-    name: Annotated[str, typer.Argument(help="Of an endpoint or a zone.")] = "",
+    address: Annotated[str, typer.Argument(help="HOST:PORT of a courier's operator API.")],
+    action: Annotated[
+        str, typer.Argument(help=", ".join(OPERATOR_ACTIONS), autocompletion=lambda: list(OPERATOR_ACTIONS))
+    ],
+    name: Annotated[str, typer.Argument(help="Name of an endpoint or a zone.")] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Ask a courier at its operators' door, or tell it something. A no from the courier: exit 1."""
-    from hopmill.cli.door import DoorError, call, lines
+    """Query or control a courier through its operator API. Exit 1 if the courier refuses."""
+    from hopmill.cli.door import OperatorApiError, call, format_lines
 
-    _one_of(action, tuple(ACTIONS), "action")
-    method, path = ACTIONS[action]
+    _require_choice(action, tuple(OPERATOR_ACTIONS), "action")
+    method, path = OPERATOR_ACTIONS[action]
     if ("{}" in path) != bool(name):
-        raise fail(f"{action} takes {'a name' if '{}' in path else 'no name'}")
+        raise error_exit(f"{action} takes {'a name' if '{}' in path else 'no name'}")
     try:
         status, body = call(address, method, path, name)
-    except DoorError as error:
-        raise fail(str(error), 1) from None
-    print(json.dumps(body) if as_json else "\n".join(lines(body)))
+    except OperatorApiError as error:
+        raise error_exit(str(error), 1) from None
+    print(json.dumps(body) if as_json else "\n".join(format_lines(body)))
     raise typer.Exit(0 if 200 <= status < 300 else 1)
 
 
 @app.command(epilog="Example: hopmill top 127.0.0.1:8600 127.0.0.1:8601 --times 3")
 def top(
-    addresses: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
-    every: Annotated[float, typer.Option(min=0.1, help="Seconds between two looks.")] = 1.0,
-    times: Annotated[int, typer.Option(min=0, help="Looks; 0: until Ctrl-C.")] = 0,
+    addresses: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's operator API.")],
+    every: Annotated[float, typer.Option(min=0.1, help="Seconds between two updates.")] = 1.0,
+    times: Annotated[int, typer.Option(min=0, help="Number of updates; 0: until Ctrl-C.")] = 0,
 ) -> None:
-    """Several couriers live, by partner and zone."""
+    """Show several couriers live, by partner and zone."""
     from hopmill.cli.top import run
 
     raise typer.Exit(run(addresses, every, times))
@@ -151,14 +172,16 @@
 
 @app.command(epilog="Example: hopmill trial storm --seed 1-5")
 def trial(
-    scenario: Annotated[str, typer.Argument(help="By name, or a TOML file; or all of them.")],
-    couriers: Annotated[int, typer.Option(min=0, max=200, help="0: drawn by the seed.")] = 0,
-    seed: Annotated[str, typer.Option(help="As 1-20 or 3,5,9.")] = "1",
-    history: Annotated[Path | None, typer.Option(help="Folder for histories and logs.")] = None,
-    at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials side by side.")] = 1,
+    scenario: Annotated[str, typer.Argument(help="Name of a scenario, a TOML file, or all.")],
+    couriers: Annotated[
+        int, typer.Option(min=0, max=200, help="Number of couriers; 0: drawn by the seed.")
+    ] = 0,
+    seed: Annotated[str, typer.Option(help="Seeds, such as 1-20 or 3,5,9.")] = "1",
+    history: Annotated[Path | None, typer.Option(help="Folder to keep histories and logs in.")] = None,
+    at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials that run at the same time.")] = 1,
     as_json: JsonOption = True,
 ) -> None:
-    """Many couriers as processes, a load, and faults between them; a line a seed. A violation: exit 1."""
+    """Run courier processes under load and injected faults; one line per seed. Exit 1 after a violation."""
     from hopmill.cli.trial import trial as run
 
     raise typer.Exit(run(scenario, couriers, seed, history, at_once))
@@ -166,7 +189,7 @@
 
 @journal_app.command("show", epilog="Example: hopmill journal show /var/lib/hopmill")
 def journal_show(folder: Path, as_json: JsonOption = False) -> None:
-    """The messages that are held, the notices owed, and what staff have left out."""
+    """Show the messages held, the notices owed, and what operators have excluded."""
     from hopmill.cli.journal import show
 
     raise typer.Exit(show(folder, as_json))
@@ -174,23 +197,23 @@
 
 @journal_app.command("verify", epilog="Example: hopmill journal verify /var/lib/hopmill")
 def journal_verify(folder: Path, as_json: JsonOption = False) -> None:
-    """Read every record. Damage, or records of a version that is not known: exit 1."""
+    """Read every record. Exit 1 if some are damaged or of an unknown kind."""
     from hopmill.cli.journal import verify
 
     raise typer.Exit(verify(folder, as_json))
 
 
-def _one_of(given: str, names: tuple[str, ...], what: str) -> None:
-    if given not in names:
-        near: Any = difflib.get_close_matches(given, names, 1)
-        raise fail(
-            f"no such {what}: {given}"
-            + (f"; did you mean {near[0]}?" if near else f"; there are {', '.join(names)}")
+def _require_choice(value: str, choices: tuple[str, ...], kind: str) -> None:
+    if value not in choices:
+        matches: Any = difflib.get_close_matches(value, choices, 1)
+        raise error_exit(
+            f"no such {kind}: {value}"
+            + (f"; did you mean {matches[0]}?" if matches else f"; there are {', '.join(choices)}")
         )
 
 
 def _add_lab() -> None:
-    """Where the extra is not installed the command says so, and the rest works."""
+    """Adds the lab's commands; without the extra `lab`, a command that says how to install it."""
     try:
         import importlib.util
 
@@ -200,8 +223,8 @@
 
         @app.command("lab")
         def missing() -> None:
-            """The laboratory (not installed: pip install 'hopmill[lab]')."""
-            raise fail("the laboratory needs its extra: pip install 'hopmill[lab]'", 1)
+            """The simulator (not installed: pip install 'hopmill[lab]')."""
+            raise error_exit("this command needs the extra: pip install 'hopmill[lab]'", 1)
     else:
         from hopmill.cli.lab import lab, load
 
@@ -210,7 +233,7 @@
 
 
 def _add_fleet() -> None:
-    from hopmill.cli import policy  # its commands are the fleet's
+    from hopmill.cli import policy  # adds its commands to `fleet`
     from hopmill.cli.fleet import fleet
 
     assert policy.fleet is fleet
@@ -218,11 +241,12 @@
 
 
 def main() -> int:
-    if sys.argv[1:2] and sys.argv[1] not in FAST:  # the others need no look for the laboratory
+    """Runs the command line and returns its exit status."""
+    if sys.argv[1:2] and sys.argv[1] not in COMMANDS_WITHOUT_LAB:  # the search for its packages takes time
         _add_lab()
     _add_fleet()
     try:
         app(prog_name="hopmill")
-    except SystemExit as end:
-        return end.code if isinstance(end.code, int) else 1
+    except SystemExit as system_exit:
+        return system_exit.code if isinstance(system_exit.code, int) else 1
     return 0
