--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -114,14 +114,14 @@
 ) -> None:
     """Members in virtual time: how soon a dead one is known, false deaths, and cost; a line a seed."""
     from hopmill.cli.seeds import seeds_of
-    from hopmill.lab.members import Plan, calm, detection
+    from hopmill.lab.members import Plan, measure_false_alarms, measure_detection
 
     wrong = 0
     for seed in seeds_of(seeds):
         told = {"seed": seed}
         if kills:
-            told |= detection(Plan(members, loss, seed), kills)
-        told |= calm(Plan(members, loss, seed), seconds, int(stop * 1e6))
+            told |= measure_detection(Plan(members, loss, seed), kills)
+        told |= measure_false_alarms(Plan(members, loss, seed), seconds, int(stop * 1e6))
         wrong += told["false_deaths"]
         print(json.dumps(told), flush=True)
     raise typer.Exit(int(bool(wrong)))
--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -5,244 +5,296 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hopmill.lab import partners as p
-from hopmill.lab.links import Link, Links
+from hopmill.lab import partners
+from hopmill.lab.links import Connection, IdleConnections
 
 if TYPE_CHECKING:
     from hopmill.lab.courier import CourierModel
 
-UNRUN = (p.FULL, p.CONNECT_FAILED, "moot")
+NOT_RUN = (partners.FULL, partners.CONNECT_FAILED, "moot")
 
 
 @dataclass
-class Held:
+class HeldMessage:
     """A message as its courier's journal knows it."""
 
     number: int
-    origin: int
-    cls: int
-    dest: int
+    request_number: int
+    class_index: int
+    destination: int
     tenant: int
-    until: int
-    works: tuple[float, ...]  # by attempt
+    valid_until_us: int
+    work_us: tuple[float, ...]  # by attempt
     resubmitted: bool = False
-    given_up: bool = False  # its client has left before the answer
-    tries: int = 0
-    trying_at: int = -1
-    ran_at: int = -1
-    effects: int = 0
-    taken_at: int = 0
-    ended: str = ""  # delivered, deferred, undeliverable
+    client_left: bool = False  # its client has left before the answer
+    attempts: int = 0
+    attempt_started_us: int = -1
+    earlier_attempt_us: int = -1
+    executions: int = 0
+    taken_on_us: int = 0
+    outcome: str = ""  # delivered, deferred, undeliverable
 
     @property
-    def may_have_run_at(self) -> int:
-        return self.ran_at if self.ran_at >= 0 else self.trying_at
+    def may_have_run_us(self) -> int:
+        return self.earlier_attempt_us if self.earlier_attempt_us >= 0 else self.attempt_started_us
 
 
-class Out:
+class OutgoingCall:
     """A call that is out, from this side."""
 
-    def __init__(self, endpoint: p.Endpoint, now: int, items: list[tuple[Held, int]]) -> None:
-        self.endpoint, self.sent_at = endpoint, now
+    def __init__(self, endpoint: partners.Endpoint, now: int, items: list[tuple[HeldMessage, int]]) -> None:
+        self.endpoint, self.sent_us = endpoint, now
         self.items = items  # with their attempt numbers
-        self.link: Link | None = None
-        self.call: p.Call | None = None
+        self.connection: Connection | None = None
+        self.endpoint_call: partners.Call | None = None
         self.idle_us = -1
-        self.done = False
+        self.is_done = False
 
 
 class Calls:
     """Those of one life of a courier."""
 
     def __init__(self, courier: CourierModel) -> None:
-        self.c, self.world, self.number = courier, courier.world, courier.number
+        self.courier, self.simulation, self.number = courier, courier.simulation, courier.number
         self.clock, self.dialect, self.rules = courier.clock, courier.dialect, courier.rules
         self.settings = courier.settings
-        self.by_attempt: dict[tuple[int, int], Out] = {}  # by message and attempt
-        self.links = Links(self.clock, self.settings.connection_idle_us)
-        self.waits: dict[int, int] = {}  # told ones, by lane: until when
-        self.out = 0
+        self.by_attempt: dict[tuple[int, int], OutgoingCall] = {}  # by message and attempt
+        self.connections = IdleConnections(self.clock, self.settings.connection_idle_us)
+        self.retry_after_until_us: dict[int, int] = {}  # told ones, by lane: until when
+        self.calls_out = 0
 
-    def all(self) -> list[Out]:
-        return list({id(out): out for out in self.by_attempt.values()}.values())
+    def outstanding(self) -> list[OutgoingCall]:
+        return list({id(outgoing): outgoing for outgoing in self.by_attempt.values()}.values())
 
-    def lost(self) -> None:
+    def process_died(self) -> None:
         """The process has died: those that are out may have run."""
-        for out in self.all():
-            out.done = True
-            if out.call:
-                out.call.gone = True
-            self.links.close(out.link)
-        self.links.close_all()
+        for outgoing in self.outstanding():
+            outgoing.is_done = True
+            if outgoing.endpoint_call:
+                outgoing.endpoint_call.is_abandoned = True
+            self.connections.close(outgoing.connection)
+        self.connections.close_all()
 
     def cancel(self, message: int, attempt: int) -> None:
-        out = self.by_attempt.get((message, attempt))
-        if out and len(out.items) == 1:
-            self._give_up(out, "cancelled")
-
-    def send(self, number: int, items: list[tuple[Held, int, int]]) -> None:
-        now, endpoint = self.clock.now, self.world.endpoints[number]
-        out = Out(endpoint, self.clock.now, [(m, attempt) for m, attempt, _ in items])
-        for m, attempt, _ in items:
-            m.tries = attempt + 1
-            self.by_attempt[(m.number, attempt)] = out
-            self.rules.note(now, self.number, m.number, m.dest, f"attempt {attempt} to", number)
-        self.out += 1
-        if self.out > self.settings.slots:
-            raise self.rules.broken(
-                "slots", now, f"courier {self.number} has {self.out} calls out", items[0][0].number
+        outgoing = self.by_attempt.get((message, attempt))
+        if outgoing and len(outgoing.items) == 1:
+            self._abandon(outgoing, "cancelled")
+
+    def send(self, number: int, items: list[tuple[HeldMessage, int, int]]) -> None:
+        now, endpoint = self.clock.now, self.simulation.endpoints[number]
+        outgoing = OutgoingCall(
+            endpoint, self.clock.now, [(message, attempt) for message, attempt, _ in items]
+        )
+        for message, attempt, _ in items:
+            message.attempts = attempt + 1
+            self.by_attempt[(message.number, attempt)] = outgoing
+            self.rules.record(
+                now, self.number, message.number, message.destination, f"attempt {attempt} to", number
             )
-        since = self.c.told_gone.get(number)
-        if since is not None and now > since + self.settings.drain_grace_us:
-            raise self.rules.broken(
+        self.calls_out += 1
+        if self.calls_out > self.settings.slots:
+            raise self.rules.violation(
+                "slots", now, f"courier {self.number} has {self.calls_out} calls out", items[0][0].number
+            )
+        leaving_since_us = self.courier.leaving_since_us.get(number)
+        if leaving_since_us is not None and now > leaving_since_us + self.settings.drain_grace_us:
+            raise self.rules.violation(
                 "drains",
                 now,
-                f"courier {self.number} sends to endpoint {number} {(now - since) / 1e3:.0f} ms after word",
+                f"courier {self.number} sends to endpoint {number} "
+                f"{(now - leaving_since_us) / 1e3:.0f} ms after word",
                 items[0][0].number,
                 number,
             )
-        self.clock.after(max(t for _, _, t in items), self._late, out)
-        if link := self.links.lend(number):
-            out.link, out.idle_us = link, now - link.idle_at
-            self._begin(out)
+        self.clock.after(max(t for _, _, t in items), self._time_out, outgoing)
+        if connection := self.connections.check_out(number):
+            outgoing.connection, outgoing.idle_us = connection, now - connection.idle_since_us
+            self._start_call(outgoing)
             return
-        self.world.counts["connections"] += 1
-        delay = self.world.delay(self.c, endpoint)
-        self.clock.after(delay, self._connects, out, delay)
+        self.simulation.counts["connections"] += 1
+        delay_us = self.simulation.network_delay_us(self.courier, endpoint)
+        self.clock.after(delay_us, self._reach_endpoint, outgoing, delay_us)
 
-    def _connects(self, out: Out, delay: int) -> None:
-        if out.done:
+    def _reach_endpoint(self, outgoing: OutgoingCall, delay_us: int) -> None:
+        if outgoing.is_done:
             return
-        met = out.endpoint.connect()
-        if met in (p.OK, p.FULL):
-            out.link = Link(out.endpoint, over=met == p.FULL)
-            self.clock.after(delay + self.world.handshake_us, self._up, out)
-        elif met == p.CONNECT_FAILED:
-            self.clock.after(delay, self._answered, out, p.CONNECT_FAILED, 0, ())
+        result = outgoing.endpoint.connect()
+        if result in (partners.OK, partners.FULL):
+            outgoing.connection = Connection(outgoing.endpoint, over_limit=result == partners.FULL)
+            self.clock.after(delay_us + self.simulation.handshake_us, self._connected, outgoing)
+        elif result == partners.CONNECT_FAILED:
+            self.clock.after(delay_us, self._answer_arrived, outgoing, partners.CONNECT_FAILED, 0, ())
         else:
-            left = out.sent_at + self.settings.connect_timeout_us - self.clock.now
-            self.clock.after(max(0, left), self._answered, out, p.CONNECT_FAILED, 0, ())
+            remaining_us = outgoing.sent_us + self.settings.connect_timeout_us - self.clock.now
+            self.clock.after(
+                max(0, remaining_us), self._answer_arrived, outgoing, partners.CONNECT_FAILED, 0, ()
+            )
 
-    def _up(self, out: Out) -> None:
+    def _connected(self, outgoing: OutgoingCall) -> None:
         """The connection stands; news that came meanwhile holds for the call that waits for it."""
-        if out.done:
+        if outgoing.is_done:
             return
-        number = out.endpoint.number
-        if number in self.c.told_gone or self.waits.get(self.world.lane(number), 0) > self.clock.now:
-            self._finish(out, "moot", 0, ())
+        number = outgoing.endpoint.number
+        if (
+            number in self.courier.leaving_since_us
+            or self.retry_after_until_us.get(self.simulation.lane_of(number), 0) > self.clock.now
+        ):
+            self._finish(outgoing, "moot", 0, ())
         else:
-            self._begin(out)
+            self._start_call(outgoing)
 
-    def _begin(self, out: Out) -> None:
+    def _start_call(self, outgoing: OutgoingCall) -> None:
         """Its first byte is written: from here on it may run."""
         now = self.clock.now
-        for m, _ in out.items:
-            m.ran_at = m.may_have_run_at
-            m.trying_at = now
-        works = tuple(m.works[min(attempt, len(m.works) - 1)] for m, attempt in out.items)
-        life = self.c.life
-
-        def answer(outcome: str, wait: int, report: tuple[float, ...]) -> None:
-            if wait and life == self.c.life and not out.done:
-                self.rules.told_wait(self.number, self.world.lane(out.endpoint.number), self.clock.now, wait)
-            if outcome == p.OK and life == self.c.life and not out.done:
-                for m, _ in out.items:
-                    self.world.clients.delivered(m)
-            if self.world.answer_lost():
+        for message, _ in outgoing.items:
+            message.earlier_attempt_us = message.may_have_run_us
+            message.attempt_started_us = now
+        work_us = tuple(
+            message.work_us[min(attempt, len(message.work_us) - 1)] for message, attempt in outgoing.items
+        )
+        generation = self.courier.generation
+
+        def answer(outcome: str, retry_after_us: int, report: tuple[float, ...]) -> None:
+            if retry_after_us and generation == self.courier.generation and not outgoing.is_done:
+                self.rules.retry_after_announced(
+                    self.number,
+                    self.simulation.lane_of(outgoing.endpoint.number),
+                    self.clock.now,
+                    retry_after_us,
+                )
+            if outcome == partners.OK and generation == self.courier.generation and not outgoing.is_done:
+                for message, _ in outgoing.items:
+                    self.simulation.clients.message_delivered(message)
+            if self.simulation.is_answer_lost():
                 return
-            delay = self.world.delay(self.c, out.endpoint)
-            self.clock.after(delay, self._answered, out, outcome, wait, report)
-
-        def ran() -> None:
-            for m, _ in out.items:
-                m.effects += 1
-                if m.effects > 1 and self.settings.classes[m.cls].effect is self.dialect.i.Effect.UNSAFE:
-                    raise self.rules.broken(
-                        "duplicates", self.clock.now, f"message {m.number} took effect twice", m.number
+            delay_us = self.simulation.network_delay_us(self.courier, outgoing.endpoint)
+            self.clock.after(delay_us, self._answer_arrived, outgoing, outcome, retry_after_us, report)
+
+        def executed() -> None:
+            for message, _ in outgoing.items:
+                message.executions += 1
+                if (
+                    message.executions > 1
+                    and self.settings.classes[message.class_index].effect is self.dialect.i.Effect.UNSAFE
+                ):
+                    raise self.rules.violation(
+                        "duplicates",
+                        self.clock.now,
+                        f"message {message.number} took effect twice",
+                        message.number,
                     )
 
-        out.call = p.Call(self.number, tuple(m.number for m, _ in out.items), works, answer, ran)
-        out.call.over = out.link is not None and out.link.over
-        self.clock.after(self.world.delay(self.c, out.endpoint), self._arrives, out, life)
-
-    def _arrives(self, out: Out, life: int) -> None:
-        assert out.call is not None
-        self.world.counts["calls"] += 1
-        if life == self.c.life:
-            self.rules.call_arrives(
-                self.number, self.world.lane(out.endpoint.number), self.clock.now, out.items[0][0].number
+        outgoing.endpoint_call = partners.Call(
+            self.number, tuple(message.number for message, _ in outgoing.items), work_us, answer, executed
+        )
+        outgoing.endpoint_call.over_limit = outgoing.connection is not None and outgoing.connection.over_limit
+        self.clock.after(
+            self.simulation.network_delay_us(self.courier, outgoing.endpoint),
+            self._arrive,
+            outgoing,
+            generation,
+        )
+
+    def _arrive(self, outgoing: OutgoingCall, generation: int) -> None:
+        assert outgoing.endpoint_call is not None
+        self.simulation.counts["calls"] += 1
+        if generation == self.courier.generation:
+            self.rules.check_call(
+                self.number,
+                self.simulation.lane_of(outgoing.endpoint.number),
+                self.clock.now,
+                outgoing.items[0][0].number,
             )
-        out.endpoint.arrives(out.call)
-        self.world.after_arrival(out.endpoint)
-
-    def _late(self, out: Out) -> None:
-        if not out.done:
-            self._give_up(out, "timeout" if out.call else p.CONNECT_FAILED)
-
-    def _give_up(self, out: Out, result: str) -> None:
-        if out.call:
-            out.call.gone = True
-        link, out.link = out.link, None
-        self.links.close(link)
-        self._finish(out, result, 0, ())
-
-    def _answered(self, out: Out, outcome: str, wait: int, report: tuple[float, ...]) -> None:
-        if out.done:
+        outgoing.endpoint.receive(outgoing.endpoint_call)
+        self.simulation.check_for_collapse(outgoing.endpoint)
+
+    def _time_out(self, outgoing: OutgoingCall) -> None:
+        if not outgoing.is_done:
+            self._abandon(outgoing, "timeout" if outgoing.endpoint_call else partners.CONNECT_FAILED)
+
+    def _abandon(self, outgoing: OutgoingCall, result: str) -> None:
+        if outgoing.endpoint_call:
+            outgoing.endpoint_call.is_abandoned = True
+        connection, outgoing.connection = outgoing.connection, None
+        self.connections.close(connection)
+        self._finish(outgoing, result, 0, ())
+
+    def _answer_arrived(
+        self, outgoing: OutgoingCall, outcome: str, retry_after_us: int, report: tuple[float, ...]
+    ) -> None:
+        if outgoing.is_done:
             return
-        if wait:
-            lane = self.world.lane(out.endpoint.number)
-            self.waits[lane] = max(self.waits.get(lane, 0), self.clock.now + wait)
-        if outcome in (p.RESET, p.CONNECT_FAILED) or out.link and out.link.over:
-            link, out.link = out.link, None
-            self.links.close(link)
-        self._finish(out, outcome, wait, report)
-
-    def _finish(self, out: Out, outcome: str, wait: int, report: tuple[float, ...]) -> None:
-        i, now = self.dialect.i, self.clock.now
-        out.done = True
-        self.out -= 1
-        if out.link:
-            self._rest(out.link)
-        result = i.Result(outcome)
-        self.world.counts[f"outcome {outcome}"] += 1
-        for m, attempt in out.items:
-            self.by_attempt.pop((m.number, attempt), None)
-            over = outcome == p.OK
-            if over and not m.ended:
-                self.c.ended(m, "delivered")
-            elif outcome in UNRUN:
-                m.trying_at = -1
-            self.rules.note(now, self.number, m.number, m.dest, f"attempt {attempt}: {outcome}", wait or "")
-            self.c.tell(
+        if retry_after_us:
+            lane = self.simulation.lane_of(outgoing.endpoint.number)
+            self.retry_after_until_us[lane] = max(
+                self.retry_after_until_us.get(lane, 0), self.clock.now + retry_after_us
+            )
+        if (
+            outcome in (partners.RESET, partners.CONNECT_FAILED)
+            or outgoing.connection
+            and outgoing.connection.over_limit
+        ):
+            connection, outgoing.connection = outgoing.connection, None
+            self.connections.close(connection)
+        self._finish(outgoing, outcome, retry_after_us, report)
+
+    def _finish(
+        self, outgoing: OutgoingCall, outcome: str, retry_after_us: int, report: tuple[float, ...]
+    ) -> None:
+        interface, now = self.dialect.i, self.clock.now
+        outgoing.is_done = True
+        self.calls_out -= 1
+        if outgoing.connection:
+            self._check_in(outgoing.connection)
+        result = interface.Result(outcome)
+        self.simulation.counts[f"outcome {outcome}"] += 1
+        for message, attempt in outgoing.items:
+            self.by_attempt.pop((message.number, attempt), None)
+            is_delivered = outcome == partners.OK
+            if is_delivered and not message.outcome:
+                self.courier.record_end(message, "delivered")
+            elif outcome in NOT_RUN:
+                message.attempt_started_us = -1
+            self.rules.record(
+                now,
+                self.number,
+                message.number,
+                message.destination,
+                f"attempt {attempt}: {outcome}",
+                retry_after_us or "",
+            )
+            self.courier.add_event(
                 self.dialect.make(
                     "AttemptEnded",
-                    message=m.number,
+                    message=message.number,
                     attempt=attempt,
-                    endpoint=out.endpoint.number,
+                    endpoint=outgoing.endpoint.number,
                     result=result,
-                    latency_us=max(1, now - out.sent_at),
-                    closed=over or bool(m.ended),
-                    retry_after_us=wait,
+                    latency_us=max(1, now - outgoing.sent_us),
+                    closed=is_delivered or bool(message.outcome),
+                    retry_after_us=retry_after_us,
                     report=report,
-                    idle_us=out.idle_us,
+                    idle_us=outgoing.idle_us,
                 )
             )
-        self.c.maybe_exit()
+        self.courier.exit_if_idle()
 
     # Connections
 
-    def _rest(self, link: Link) -> None:
-        if not link.open or link.endpoint.number in self.c.told_gone:
-            self.links.close(link)
+    def _check_in(self, connection: Connection) -> None:
+        if not connection.is_open or connection.endpoint.number in self.courier.leaving_since_us:
+            self.connections.close(connection)
         else:
-            self.links.rest(link)
+            self.connections.check_in(connection)
 
-    def reset_by(self, endpoint: p.Endpoint) -> None:
+    def reset_connections(self, endpoint: partners.Endpoint) -> None:
         """Its machine went down or came back: what was open there is reset."""
-        self.links.close_idle(endpoint.number)
-        for out in [o for o in self.all() if o.endpoint is endpoint and o.link]:
-            link, out.link = out.link, None
-            self.links.close(link)
-            if out.call:
-                out.call.gone = True
-            self._finish(out, p.RESET if out.call else p.CONNECT_FAILED, 0, ())
+        self.connections.close_idle(endpoint.number)
+        for outgoing in [o for o in self.outstanding() if o.endpoint is endpoint and o.connection]:
+            connection, outgoing.connection = outgoing.connection, None
+            self.connections.close(connection)
+            if outgoing.endpoint_call:
+                outgoing.endpoint_call.is_abandoned = True
+            self._finish(
+                outgoing, partners.RESET if outgoing.endpoint_call else partners.CONNECT_FAILED, 0, ()
+            )
--- a/hopmill/lab/chance.py
+++ b/hopmill/lab/chance.py
@@ -20,22 +20,22 @@
     return weights / weights.sum()
 
 
-def lognormal(chance: np.random.Generator, mean: float, cv: float, size: int | None = None):
+def lognormal(rng: np.random.Generator, mean: float, cv: float, size: int | None = None):
     """Log-normal with this mean and coefficient of variation."""
     sigma = math.sqrt(math.log(1 + cv * cv))
-    return chance.lognormal(math.log(mean) - sigma * sigma / 2, sigma, size)
+    return rng.lognormal(math.log(mean) - sigma * sigma / 2, sigma, size)
 
 
-class Pool:
+class UniformBuffer:
     """Numbers drawn ahead in blocks, for a caller that needs them one at a time."""
 
-    def __init__(self, chance: np.random.Generator, block: int = 1024) -> None:
-        self.chance, self.block = chance, block
+    def __init__(self, rng: np.random.Generator, block: int = 1024) -> None:
+        self.rng, self.block = rng, block
         self.uniforms: Sequence[float] = ()
         self.at = 0
 
     def uniform(self) -> float:
         if self.at >= len(self.uniforms):
-            self.uniforms, self.at = self.chance.random(self.block).tolist(), 0
+            self.uniforms, self.at = self.rng.random(self.block).tolist(), 0
         self.at += 1
         return self.uniforms[self.at - 1]
--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -9,203 +9,219 @@
 
 import numpy as np
 
-from hopmill.lab.chance import Pool, lognormal, stream, zipf_weights
-from hopmill.lab.calls import Held
+from hopmill.lab.chance import UniformBuffer, lognormal, stream, zipf_weights
+from hopmill.lab.calls import HeldMessage
 
 if TYPE_CHECKING:
-    from hopmill.lab.world import World
+    from hopmill.lab.world import Simulation
 
-ATTEMPTS = 6  # whose work is drawn ahead for each message
+DRAWN_ATTEMPTS = 6  # whose work is drawn ahead for each message
 NOISE_CV = 0.25  # of an attempt's work, around its message's
 
 
 @dataclass
-class Origin:
+class ClientRequest:
     """What a client wants delivered, however often it is handed in. Times in us."""
 
     number: int
-    born: int
-    cls: int
+    created_us: int
+    class_index: int
     tenant: int
-    dest: int
-    where: float  # from 0 to 1, over the couriers' shares
-    works: tuple[float, ...]
+    destination: int
+    courier_position: float  # from 0 to 1, over the couriers' shares
+    work_us: tuple[float, ...]
     worth: float
-    habits: tuple[float, ...] = ()  # uniforms that decide what this client does
-    tries: int = 0
-    courier: int = 0  # that it was handed in at last
-    delivered_at: int = -1
-    fate: str = ""  # of its last handing in
-    refused_by: Counter[str] = field(default_factory=Counter)
+    habit_draws: tuple[float, ...] = ()  # uniforms that decide what this client does
+    submissions: int = 0
+    last_courier: int = 0  # that it was handed in at last
+    delivered_us: int = -1
+    status: str = ""  # of its last handing in
+    rejections: Counter[str] = field(default_factory=Counter)
 
 
 class Clients:
     """Arrivals are drawn ahead, so they are the same for every build."""
 
-    def __init__(self, world: World) -> None:
-        self.world, self.s = world, world.scenario
-        self.origins: list[Origin] = []
-        self.numbers = 0
-        self.handed_in: Counter[int] = Counter()  # by courier
-        self.chance = Pool(stream(world.seed, "clients"))
-        self.front = Front(world)
-        self._draw()
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation, self.scenario = simulation, simulation.scenario
+        self.requests: list[ClientRequest] = []
+        self.last_message_number = 0
+        self.submissions_by_courier: Counter[int] = Counter()  # by courier
+        self.rng = UniformBuffer(stream(simulation.seed, "clients"))
+        self.load_balancer = LoadBalancer(simulation)
+        self._draw_arrivals()
 
     # What comes
 
-    def _draw(self) -> None:
-        s, seed = self.s, self.world.seed
-        load, length = s.load, s.seconds
-        chance = stream(seed, "arrivals")
-        count = chance.poisson(load.rate_per_s * load.factor * load.burst * length)
-        times = np.sort(chance.random(count) * length)
-        inside = (times >= load.burst_from * length) & (times < load.burst_to * length)
-        times = times[inside | (chance.random(count) < 1 / load.burst)]
-        n = len(times)
-        shares = np.array([p.share for p in self.world.partners])
-        dests = stream(seed, "destinations").choice(len(shares), n, p=shares / shares.sum())
-        self._clump(times, dests)
-        weights = np.array([c.share for c in s.classes])
-        classes = stream(seed, "classes").choice(len(weights), n, p=weights / weights.sum())
-        tenants = np.zeros(n, int)
-        if s.tenants:
-            parts = np.array([t.share for t in s.tenants])
-            tenants = stream(seed, "tenants").choice(len(parts), n, p=parts / parts.sum())
-        where, habits = stream(seed, "couriers").random(n), stream(seed, "habits").random((n, 4))
-        noise = lognormal(stream(seed, "attempts"), 1.0, NOISE_CV, n * ATTEMPTS).reshape(n, ATTEMPTS)
-        base = stream(seed, "work").standard_normal(n)
-        quota = [[t.quota, 0.0, 0.0] for t in s.tenants]
+    def _draw_arrivals(self) -> None:
+        scenario, seed = self.scenario, self.simulation.seed
+        load, length = scenario.load, scenario.seconds
+        rng = stream(seed, "arrivals")
+        count = rng.poisson(load.rate_per_s * load.factor * load.burst * length)
+        times = np.sort(rng.random(count) * length)
+        in_burst = (times >= load.burst_from * length) & (times < load.burst_to * length)
+        times = times[in_burst | (rng.random(count) < 1 / load.burst)]
+        arrival_count = len(times)
+        shares = np.array([p.share for p in self.simulation.partners])
+        destinations = stream(seed, "destinations").choice(
+            len(shares), arrival_count, p=shares / shares.sum()
+        )
+        self._cluster_arrivals(times, destinations)
+        weights = np.array([message_class.share for message_class in scenario.classes])
+        classes = stream(seed, "classes").choice(len(weights), arrival_count, p=weights / weights.sum())
+        tenants = np.zeros(arrival_count, int)
+        if scenario.tenants:
+            tenant_shares = np.array([t.share for t in scenario.tenants])
+            tenants = stream(seed, "tenants").choice(
+                len(tenant_shares), arrival_count, p=tenant_shares / tenant_shares.sum()
+            )
+        positions, habit_draws = (
+            stream(seed, "couriers").random(arrival_count),
+            stream(seed, "habits").random((arrival_count, 4)),
+        )
+        noise = lognormal(stream(seed, "attempts"), 1.0, NOISE_CV, arrival_count * DRAWN_ATTEMPTS).reshape(
+            arrival_count, DRAWN_ATTEMPTS
+        )
+        work_draws = stream(seed, "work").standard_normal(arrival_count)
+        quotas = [[t.quota, 0.0, 0.0] for t in scenario.tenants]
         order = np.argsort(times, kind="stable")
-        for at in order.tolist():
-            c = s.classes[classes[at]]
-            sigma = float(np.sqrt(np.log(1 + c.cv * c.cv)))
-            work = c.work_ms * 1e3 * float(np.exp(sigma * base[at] - sigma * sigma / 2))
-            worth = c.worth * self._within(quota, int(tenants[at]), float(times[at]))
-            self.origins.append(
-                Origin(
-                    len(self.origins),
-                    int(times[at] * 1e6),
-                    int(classes[at]),
-                    int(tenants[at]),
-                    self.world.partners[dests[at]].number,
-                    float(where[at]),
-                    tuple((work * noise[at]).tolist()),
+        for index in order.tolist():
+            message_class = scenario.classes[classes[index]]
+            sigma = float(np.sqrt(np.log(1 + message_class.cv * message_class.cv)))
+            work = message_class.work_ms * 1e3 * float(np.exp(sigma * work_draws[index] - sigma * sigma / 2))
+            worth = message_class.worth * self._quota_factor(quotas, int(tenants[index]), float(times[index]))
+            self.requests.append(
+                ClientRequest(
+                    len(self.requests),
+                    int(times[index] * 1e6),
+                    int(classes[index]),
+                    int(tenants[index]),
+                    self.simulation.partners[destinations[index]].number,
+                    float(positions[index]),
+                    tuple((work * noise[index]).tolist()),
                     worth,
-                    tuple(habits[at].tolist()),
+                    tuple(habit_draws[index].tolist()),
                 )
             )
-        for origin in self.origins:
-            self.world.clock.at(origin.born, self.hand_in, origin, False)
+        for request in self.requests:
+            self.simulation.clock.at(request.created_us, self.submit, request, False)
 
-    def _clump(self, times: np.ndarray, dests: np.ndarray) -> None:
+    def _cluster_arrivals(self, times: np.ndarray, destinations: np.ndarray) -> None:
         """Some messages come all at once, for one partner: as many as it takes in clump_s."""
-        load, chance = self.s.load, stream(self.world.seed, "clumps")
-        left = int(load.clumps * len(times))
-        while left > 0:
-            at = int(chance.integers(len(times)))
-            dest = int(chance.integers(len(self.world.partners)))
-            size = min(left, max(2, int(self.world.partners[dest].rate_per_s * load.clump_s)))
-            chosen = chance.integers(len(times), size=size)
-            times[chosen], dests[chosen] = times[at], dest
-            left -= size
-
-    def _within(self, quota: list[list[float]], tenant: int, now: float) -> float:
+        load, rng = self.scenario.load, stream(self.simulation.seed, "clumps")
+        remaining = int(load.clumps * len(times))
+        while remaining > 0:
+            index = int(rng.integers(len(times)))
+            destination = int(rng.integers(len(self.simulation.partners)))
+            size = min(
+                remaining, max(2, int(self.simulation.partners[destination].rate_per_s * load.clump_s))
+            )
+            chosen = rng.integers(len(times), size=size)
+            times[chosen], destinations[chosen] = times[index], destination
+            remaining -= size
+
+    def _quota_factor(self, quotas: list[list[float]], tenant: int, now_s: float) -> float:
         """1 inside a tenant's share, else what messages over it count for."""
-        if not quota:
+        if not quotas:
             return 1.0
-        q = quota[tenant]
-        q[1], q[2] = min(max(1.0, q[0]), q[1] + q[0] * (now - q[2])), now
-        if q[1] < 1:
-            return self.s.over_share_worth
-        q[1] -= 1
+        bucket = quotas[tenant]
+        bucket[1], bucket[2] = min(max(1.0, bucket[0]), bucket[1] + bucket[0] * (now_s - bucket[2])), now_s
+        if bucket[1] < 1:
+            return self.scenario.over_share_worth
+        bucket[1] -= 1
         return 1.0
 
     # What they do
 
-    def hand_in(self, origin: Origin, resubmitted: bool) -> None:
-        now, s = self.world.clock.now, self.s
-        until = origin.born + int(s.classes[origin.cls].deadline_ms * 1e3)
-        if until - now < s.fleet.tick_ms * 4e3:
-            origin.fate = origin.fate or "too late"
+    def submit(self, request: ClientRequest, resubmitted: bool) -> None:
+        now, scenario = self.simulation.clock.now, self.scenario
+        valid_until_us = request.created_us + int(scenario.classes[request.class_index].deadline_ms * 1e3)
+        if valid_until_us - now < scenario.fleet.tick_ms * 4e3:
+            request.status = request.status or "too late"
             return
-        courier = self.front.courier(origin.where)
+        courier = self.load_balancer.choose_courier(request.courier_position)
         if courier is None:
-            origin.fate = "no courier"
-            self.world.clock.after(int(s.front.again_ms * 1e3), self.hand_in, origin, resubmitted)
+            request.status = "no courier"
+            self.simulation.clock.after(int(scenario.front.again_ms * 1e3), self.submit, request, resubmitted)
             return
-        self.numbers += 1
-        self.handed_in[courier.number] += 1
-        m = Held(
-            self.numbers,
-            origin.number,
-            origin.cls,
-            origin.dest,
-            origin.tenant,
-            until,
-            origin.works,
+        self.last_message_number += 1
+        self.submissions_by_courier[courier.number] += 1
+        message = HeldMessage(
+            self.last_message_number,
+            request.number,
+            request.class_index,
+            request.destination,
+            request.tenant,
+            valid_until_us,
+            request.work_us,
             resubmitted,
         )
-        m.given_up = origin.tries == 0 and origin.habits[3] < s.clients.gives_up
-        origin.tries, origin.courier = origin.tries + 1, courier.number
-        courier.put(m, lambda end, wait: self._answered(m, origin, end, wait))
-
-    def _answered(self, m: Held, origin: Origin, end: str, wait: int) -> None:
-        if end == "taken":
-            origin.fate = "open"
-        elif end == "gone":  # its courier died: it finds another one in a moment
-            origin.fate = "gone"
-            again = int(self.s.front.again_ms * 1e3 * (0.5 + self.chance.uniform()))
-            self.world.clock.after(again, self.hand_in, origin, False)
+        message.client_left = request.submissions == 0 and request.habit_draws[3] < scenario.clients.gives_up
+        request.submissions, request.last_courier = request.submissions + 1, courier.number
+        courier.submit(
+            message,
+            lambda end, retry_after_us: self._submission_answered(message, request, end, retry_after_us),
+        )
+
+    def _submission_answered(
+        self, message: HeldMessage, request: ClientRequest, answer: str, retry_after_us: int
+    ) -> None:
+        if answer == "taken":
+            request.status = "open"
+        elif answer == "gone":  # its courier died: it finds another one in a moment
+            request.status = "gone"
+            delay_us = int(self.scenario.front.again_ms * 1e3 * (0.5 + self.rng.uniform()))
+            self.simulation.clock.after(delay_us, self.submit, request, False)
         else:
-            origin.refused_by[end] += 1
-            self._comes_again(origin, end, wait)
+            request.rejections[answer] += 1
+            self._submit_again(request, answer, retry_after_us)
 
-    def ended(self, m: Held, how: str, wait: int) -> None:
+    def message_ended(self, message: HeldMessage, outcome: str, retry_after_us: int) -> None:
         """A notice: deferred or undeliverable."""
-        origin = self.origins[m.origin]
-        origin.refused_by[how] += 1
-        if how == "deferred":
-            self._comes_again(origin, how, wait)
+        request = self.requests[message.request_number]
+        request.rejections[outcome] += 1
+        if outcome == "deferred":
+            self._submit_again(request, outcome, retry_after_us)
         else:
-            origin.fate = how
+            request.status = outcome
 
-    def _comes_again(self, origin: Origin, how: str, wait: int) -> None:
-        c, (heeds, spread, impatient, _) = self.s.clients, origin.habits
-        origin.fate = how
-        turns = origin.refused_by.total()
-        if how == "failed" or turns > round(c.retries) + (impatient < c.impatient):
+    def _submit_again(self, request: ClientRequest, outcome: str, retry_after_us: int) -> None:
+        habits, (honour_draw, backoff_draw, impatience_draw, _) = self.scenario.clients, request.habit_draws
+        request.status = outcome
+        rejections = request.rejections.total()
+        if outcome == "failed" or rejections > round(habits.retries) + (impatience_draw < habits.impatient):
             return
-        if not wait or heeds >= c.honour:
-            wait = int(c.backoff_ms * 1e3 * turns * (0.5 + spread))
-        if impatient < c.impatient:
-            wait //= 10
-        self.world.clock.after(max(1, wait), self.hand_in, origin, True)
+        if not retry_after_us or honour_draw >= habits.honour:
+            retry_after_us = int(habits.backoff_ms * 1e3 * rejections * (0.5 + backoff_draw))
+        if impatience_draw < habits.impatient:
+            retry_after_us //= 10
+        self.simulation.clock.after(max(1, retry_after_us), self.submit, request, True)
 
-    def delivered(self, m: Held) -> None:
-        origin = self.origins[m.origin]
-        if origin.delivered_at < 0:
-            origin.delivered_at = self.world.clock.now
-            origin.fate = "delivered"
+    def message_delivered(self, message: HeldMessage) -> None:
+        request = self.requests[message.request_number]
+        if request.delivered_us < 0:
+            request.delivered_us = self.simulation.clock.now
+            request.status = "delivered"
 
 
-class Front:
+class LoadBalancer:
     """Hands clients to couriers, by shares of the traffic; hears late of the dead."""
 
-    def __init__(self, world: World) -> None:
-        s, chance = world.scenario, stream(world.seed, "front")
-        self.world = world
-        shares = zipf_weights(s.fleet.couriers, s.load.zipf)
-        first, second = chance.permutation(shares), chance.permutation(shares)
-        self.sums = [np.cumsum(first).tolist(), np.cumsum(second).tolist()]
-        self.shift_us = int(s.load.shift_at * s.seconds * 1e6)
-        self.believed = [True] * s.fleet.couriers
+    def __init__(self, simulation: Simulation) -> None:
+        scenario, rng = simulation.scenario, stream(simulation.seed, "front")
+        self.simulation = simulation
+        shares = zipf_weights(scenario.fleet.couriers, scenario.load.zipf)
+        first, second = rng.permutation(shares), rng.permutation(shares)
+        self.cumulative_shares = [np.cumsum(first).tolist(), np.cumsum(second).tolist()]
+        self.shift_us = int(scenario.load.shift_at * scenario.seconds * 1e6)
+        self.believed_alive = [True] * scenario.fleet.couriers
 
-    def courier(self, where: float):
+    def choose_courier(self, position: float):
         """By the share of the traffic; the next one that is believed to live."""
-        now, count = self.world.clock.now, len(self.believed)
-        sums = self.sums[bool(self.shift_us and now >= self.shift_us)]
-        at = min(bisect.bisect_left(sums, where * sums[-1]), count - 1)
-        for step in range(count):
-            if self.believed[(at + step * 7919) % count]:
-                return self.world.couriers[(at + step * 7919) % count]
+        now, count = self.simulation.clock.now, len(self.believed_alive)
+        cumulative = self.cumulative_shares[bool(self.shift_us and now >= self.shift_us)]
+        index = min(bisect.bisect_left(cumulative, position * cumulative[-1]), count - 1)
+        for probe in range(count):
+            if self.believed_alive[(index + probe * 7919) % count]:
+                return self.simulation.couriers[(index + probe * 7919) % count]
         return None
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -8,284 +8,307 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from hopmill.lab.calls import Calls, Held
-from hopmill.lab.rules import LATE_US
+from hopmill.lab.calls import Calls, HeldMessage
+from hopmill.lab.rules import END_GRACE_US
 
 if TYPE_CHECKING:
-    from hopmill.lab.world import World
+    from hopmill.lab.world import Simulation
 
-CALLS_US, EXIT_US = 3_200_000, 3_400_000  # of a planned restart, from its SIGTERM
+SHUTDOWN_CALLS_US, SHUTDOWN_EXIT_US = 3_200_000, 3_400_000  # of a planned restart, from its SIGTERM
 
 
-class ModuleFailed(Exception):
+class ModuleFailedError(Exception):
     """The module threw: which courier, on which events."""
 
 
 class CourierModel:
-    def __init__(self, world: World, number: int, zone: int) -> None:
-        self.world, self.number, self.zone = world, number, zone
-        self.clock, self.dialect, self.rules = world.clock, world.dialect, world.rules
-        self.settings = world.settings_of(number)
-        self.alive = self.listening = False
-        self.life = 0  # how often it was started: what belongs to an earlier life is void
-        self.journal: dict[int, Held] = {}  # what is taken on and not ended: outlasts a kill
-        self.known: dict[int, Any] = {}  # the list as it last had it
-        self.told_gone: dict[int, int] = {}  # endpoints that drain or are gone: since when it knows
+    def __init__(self, simulation: Simulation, number: int, zone: int) -> None:
+        self.simulation, self.number, self.zone = simulation, number, zone
+        self.clock, self.dialect, self.rules = simulation.clock, simulation.dialect, simulation.rules
+        self.settings = simulation.courier_settings(number)
+        self.is_alive = self.is_listening = False
+        self.generation = 0  # how often it was started: what belongs to an earlier life is void
+        self.journal: dict[int, HeldMessage] = {}  # what is taken on and not ended: outlasts a kill
+        self.known_entries: dict[int, Any] = {}  # the list as it last had it
+        self.leaving_since_us: dict[int, int] = {}  # endpoints that drain or are gone: since when it knows
         self.recorder: Callable[[int, int, list[Any], list[Any]], None] | None = None
-        self._blank()
+        self._reset_process_state()
 
-    def _blank(self) -> None:
+    def _reset_process_state(self) -> None:
         self.module: Any = None
         self.events: list[Any] = []
-        self.arrived: dict[int, tuple[Held, Callable[[str, int], None]]] = {}
-        self.scheduled, self.last_turn = False, -self.settings.tick_us
+        self.pending: dict[int, tuple[HeldMessage, Callable[[str, int], None]]] = {}
+        self.is_turn_scheduled, self.last_turn_us = False, -self.settings.tick_us
         self.calls = Calls(self)
-        self.closing = False
-        self.asked = 0  # how often the module was asked for a wait since its last turn: each draws a chance
+        self.is_closing = False
+        self.retry_after_requests = (
+            0  # how often the module was asked for a wait since its last turn: each draws a chance
+        )
 
     # Its life
 
     def start(self) -> None:
         """With its folder and its last list; also after a kill."""
-        self._blank()
-        self.life += 1
-        self.alive = self.listening = True
-        self.module = self.dialect.courier(self.settings, self.world.module_seed(self.number, self.life))
-        i = self.dialect.i
-        if self.world.members:
-            self.world.members.start(self.number)
-        if self.world.policy:
-            self.world.policy.started(self.number)
-        self.tell(
-            self.dialect.make("EndpointsListed", form=i.ListForm.CACHED, entries=tuple(self.known.values()))
+        self._reset_process_state()
+        self.generation += 1
+        self.is_alive = self.is_listening = True
+        self.module = self.dialect.courier(
+            self.settings, self.simulation.module_seed(self.number, self.generation)
+        )
+        interface = self.dialect.i
+        if self.simulation.members:
+            self.simulation.members.start(self.number)
+        if self.simulation.policy:
+            self.simulation.policy.courier_started(self.number)
+        self.add_event(
+            self.dialect.make(
+                "EndpointsListed", form=interface.ListForm.CACHED, entries=tuple(self.known_entries.values())
+            )
         )
-        for m in self.journal.values():
-            self.tell(self._arrival(m))
-        self.turn()
+        for message in self.journal.values():
+            self.add_event(self._arrival_event(message))
+        self.run_turn()
 
     def kill(self) -> None:
         """SIGKILL: calls that are out may have run; who has no answer yet gets none."""
-        self.alive = self.listening = False
-        self.life += 1
-        if self.world.members:
-            self.world.members.kill(self.number)
-        if self.world.policy:
-            self.world.policy.ended(self.number)
-        self.rules.forget(self.number)
-        self.calls.lost()
-        waiting = [reply for _, reply in self.arrived.values()]
-        self._blank()
-        for reply in waiting:
+        self.is_alive = self.is_listening = False
+        self.generation += 1
+        if self.simulation.members:
+            self.simulation.members.kill(self.number)
+        if self.simulation.policy:
+            self.simulation.policy.courier_ended(self.number)
+        self.rules.courier_restarted(self.number)
+        self.calls.process_died()
+        replies = [reply for _, reply in self.pending.values()]
+        self._reset_process_state()
+        for reply in replies:
             reply("gone", 0)
 
     def terminate(self) -> None:
         """SIGTERM: no new clients; what can't be sent in time waits for the next process."""
-        if not self.alive or self.closing:
+        if not self.is_alive or self.is_closing:
             return
-        self.closing, self.listening = True, False
-        self.tell(self.dialect.make("Closing", until_us=self.clock.now + CALLS_US))
-        self.clock.after(EXIT_US, self._exit, self.life)
-        self.maybe_exit()
-
-    def maybe_exit(self) -> None:
-        busy = self.calls.by_attempt or self.journal or self.events or self.arrived
-        if self.closing and self.alive and not busy:
-            self._exit(self.life)
-
-    def _exit(self, life: int) -> None:
-        if self.alive and life == self.life:
+        self.is_closing, self.is_listening = True, False
+        self.add_event(self.dialect.make("Closing", until_us=self.clock.now + SHUTDOWN_CALLS_US))
+        self.clock.after(SHUTDOWN_EXIT_US, self._exit, self.generation)
+        self.exit_if_idle()
+
+    def exit_if_idle(self) -> None:
+        has_work = self.calls.by_attempt or self.journal or self.events or self.pending
+        if self.is_closing and self.is_alive and not has_work:
+            self._exit(self.generation)
+
+    def _exit(self, generation: int) -> None:
+        if self.is_alive and generation == self.generation:
             self.kill()
-            self.world.left(self)
+            self.simulation.process_ended(self)
 
     # Events and turns
 
-    def tell(self, event: Any) -> None:
-        if event is None or not self.alive:
+    def add_event(self, event: Any) -> None:
+        if event is None or not self.is_alive:
             return
         self.events.append(event)
-        self._wake()
-
-    def _wake(self) -> None:
-        if not self.scheduled:
-            self.scheduled = True
-            self.clock.at(max(self.clock.now, self.last_turn + self.settings.tick_us), self._due, self.life)
+        self._schedule_turn()
+
+    def _schedule_turn(self) -> None:
+        if not self.is_turn_scheduled:
+            self.is_turn_scheduled = True
+            self.clock.at(
+                max(self.clock.now, self.last_turn_us + self.settings.tick_us),
+                self._run_scheduled_turn,
+                self.generation,
+            )
 
-    def _due(self, life: int) -> None:
-        if life == self.life and self.alive:
-            self.turn()
+    def _run_scheduled_turn(self, generation: int) -> None:
+        if generation == self.generation and self.is_alive:
+            self.run_turn()
 
-    def _arrival(self, m: Held) -> Any:
+    def _arrival_event(self, message: HeldMessage) -> Any:
         return self.dialect.make(
             "MessageArrived",
-            message=m.number,
-            message_class=m.cls,
-            destination=m.dest,
-            valid_until_us=m.until,
-            tenant=m.tenant,
-            resubmitted=m.resubmitted,
-            tries=m.tries,
-            ran_at_us=m.may_have_run_at,
+            message=message.number,
+            message_class=message.class_index,
+            destination=message.destination,
+            valid_until_us=message.valid_until_us,
+            tenant=message.tenant,
+            resubmitted=message.resubmitted,
+            tries=message.attempts,
+            ran_at_us=message.may_have_run_us,
         )
 
-    def turn(self) -> None:
-        now, i = self.clock.now, self.dialect.i
-        self.scheduled, self.last_turn = False, now
-        news = [
+    def run_turn(self) -> None:
+        now, interface = self.clock.now, self.dialect.i
+        self.is_turn_scheduled, self.last_turn_us = False, now
+        connection_changes = [
             e
-            for number, since in self.calls.links.news()
+            for number, since in self.calls.connections.take_changes()
             if (e := self.dialect.make("Connections", endpoint=number, idle_since=since))
         ]
-        events, self.events = news + self.events, []
-        arrived, self.arrived = self.arrived, {}
-        asked, self.asked = self.asked, 0
+        events, self.events = connection_changes + self.events, []
+        pending, self.pending = self.pending, {}
+        retry_after_requests, self.retry_after_requests = self.retry_after_requests, 0
         try:
             actions = list(self.module.handle(now, events))
         except Exception as error:
-            last = events[-1] if events else "no event"
-            raise ModuleFailed(
+            last_event = events[-1] if events else "no event"
+            raise ModuleFailedError(
                 f"courier {self.number} at {now / 1e6:.4f} s, on {len(events)} events, the "
-                f"last {last!r}: {error!r}"
+                f"last {last_event!r}: {error!r}"
             ) from error
         if self.recorder:
-            self.recorder(now, asked, events, actions)
-        for a in actions:
-            if isinstance(a, (i.Refuse, i.Fail)) and a.message in arrived:
-                m, reply = arrived.pop(a.message)
-                self.rules.note(now, self.number, m.number, m.dest, "turned away")
-                reply(*(("refused", a.retry_after_us) if isinstance(a, i.Refuse) else ("failed", 0)))
-        for m, reply in arrived.values():
-            if m.given_up:  # nobody hears that it was taken on, so it is not
-                self.tell(self.dialect.make("MessageGone", message=m.number))
+            self.recorder(now, retry_after_requests, events, actions)
+        for action in actions:
+            if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in pending:
+                message, reply = pending.pop(action.message)
+                self.rules.record(now, self.number, message.number, message.destination, "turned away")
+                reply(
+                    *(
+                        ("refused", action.retry_after_us)
+                        if isinstance(action, interface.Refuse)
+                        else ("failed", 0)
+                    )
+                )
+        for message, reply in pending.values():
+            if message.client_left:  # nobody hears that it was taken on, so it is not
+                self.add_event(self.dialect.make("MessageGone", message=message.number))
                 reply("gone", 0)
                 continue
-            self.journal[m.number] = m
-            m.taken_at = now
-            self.world.holds(1)
-            self.rules.note(now, self.number, m.number, m.dest, "taken on")
-            self.clock.at(m.until + LATE_US, self._check_ended, m)
+            self.journal[message.number] = message
+            message.taken_on_us = now
+            self.simulation.change_held(1)
+            self.rules.record(now, self.number, message.number, message.destination, "taken on")
+            self.clock.at(message.valid_until_us + END_GRACE_US, self._check_ended, message)
             reply("taken", 0)
-        bundles: dict[int, list[tuple[Held, int, int]]] = {}
-        for a in actions:
-            if isinstance(a, i.Send):
-                self._send(a, bundles)
-            elif isinstance(a, (i.Refuse, i.Fail)):
-                self._final(a)
+        batches: dict[int, list[tuple[HeldMessage, int, int]]] = {}
+        for action in actions:
+            if isinstance(action, interface.Send):
+                self._send(action, batches)
+            elif isinstance(action, (interface.Refuse, interface.Fail)):
+                self._end_message(action)
             else:
-                self._other(a)
-        for endpoint, items in bundles.items():
-            most = self.world.batch(endpoint)
-            for at in range(0, len(items), most):
-                self.calls.send(endpoint, items[at : at + most])
-        self.maybe_exit()
-
-    def _other(self, a: Any) -> None:
-        name = type(a).__name__
+                self._apply_other(action)
+        for endpoint, items in batches.items():
+            max_batch = self.simulation.batch_size(endpoint)
+            for start in range(0, len(items), max_batch):
+                self.calls.send(endpoint, items[start : start + max_batch])
+        self.exit_if_idle()
+
+    def _apply_other(self, action: Any) -> None:
+        name = type(action).__name__
         if name == "SetTimer":
-            self.clock.after(a.delay_us + 50, self._timer, self.life, a.token)
+            self.clock.after(action.delay_us + 50, self._timer_due, self.generation, action.token)
         elif name == "Keep":
-            self.calls.links.keep(a.endpoint, a.most)
+            self.calls.connections.set_max_idle(action.endpoint, action.most)
         elif name == "CloseIdle":
-            self.calls.links.close_idle(a.endpoint)
+            self.calls.connections.close_idle(action.endpoint)
         elif name == "Cancel":
-            self.calls.cancel(a.message, a.attempt)
+            self.calls.cancel(action.message, action.attempt)
 
-    def _timer(self, life: int, token: int) -> None:
-        if life == self.life:
-            self.tell(self.dialect.make("TimerDue", token=token))
+    def _timer_due(self, generation: int, token: int) -> None:
+        if generation == self.generation:
+            self.add_event(self.dialect.make("TimerDue", token=token))
 
     # Messages
 
-    def put(self, m: Held, reply: Callable[[str, int], None]) -> None:
+    def submit(self, message: HeldMessage, reply: Callable[[str, int], None]) -> None:
         """reply(end, wait in us): taken, refused, failed, or gone where the process died first."""
-        if not self.alive or not self.listening:
+        if not self.is_alive or not self.is_listening:
             reply("gone", 0)
-        elif self.world.policy and self.world.policy.holding[self.number]:
-            self.world.policy.wait(self.number, m, reply)
-        elif len(self.journal) + len(self.arrived) >= self.settings.max_held:
-            self.asked += 1
+        elif self.simulation.policy and self.simulation.policy.is_holding[self.number]:
+            self.simulation.policy.queue(self.number, message, reply)
+        elif len(self.journal) + len(self.pending) >= self.settings.max_held:
+            self.retry_after_requests += 1
             reply("refused", self.module.come_back_us())
         else:
-            self.arrived[m.number] = m, reply
-            self.tell(self._arrival(m))
+            self.pending[message.number] = message, reply
+            self.add_event(self._arrival_event(message))
 
-    def _check_ended(self, m: Held) -> None:
-        if not m.ended and self.world.owes(self):
-            raise self.rules.broken(
+    def _check_ended(self, message: HeldMessage) -> None:
+        if not message.outcome and self.simulation.must_end_messages(self):
+            raise self.rules.violation(
                 "lost",
                 self.clock.now,
-                f"message {m.number} of courier {self.number} has "
-                f"no end {LATE_US / 1e3:.0f} ms after its time",
-                m.number,
+                f"message {message.number} of courier {self.number} has "
+                f"no end {END_GRACE_US / 1e3:.0f} ms after its time",
+                message.number,
             )
 
-    def _final(self, a: Any) -> None:
-        m = self.journal.get(a.message)
-        if m is None or m.ended:
+    def _end_message(self, action: Any) -> None:
+        message = self.journal.get(action.message)
+        if message is None or message.outcome:
             return
-        i, effect = self.dialect.i, self.settings.classes[m.cls].effect
-        refused = isinstance(a, i.Refuse)
-        if refused and effect is i.Effect.UNSAFE and m.may_have_run_at >= 0:
-            raise self.rules.broken(
+        interface, effect = self.dialect.i, self.settings.classes[message.class_index].effect
+        refused = isinstance(action, interface.Refuse)
+        if refused and effect is interface.Effect.UNSAFE and message.may_have_run_us >= 0:
+            raise self.rules.violation(
                 "duplicates",
                 self.clock.now,
-                f"message {m.number} may have run and may "
+                f"message {message.number} may have run and may "
                 "not be repeated, and its client is told to come again",
-                m.number,
+                message.number,
             )
-        self.ended(m, "deferred" if refused else "undeliverable")
-        self.world.clients.ended(m, m.ended, a.retry_after_us if refused else 0)
+        self.record_end(message, "deferred" if refused else "undeliverable")
+        self.simulation.clients.message_ended(
+            message, message.outcome, action.retry_after_us if refused else 0
+        )
 
-    def ended(self, m: Held, how: str) -> None:
-        m.ended = how
-        self.journal.pop(m.number, None)
-        self.world.holds(-1)
-        self.world.stayed_us += self.clock.now - m.taken_at
-        self.rules.note(self.clock.now, self.number, m.number, m.dest, how)
+    def record_end(self, message: HeldMessage, outcome: str) -> None:
+        message.outcome = outcome
+        self.journal.pop(message.number, None)
+        self.simulation.change_held(-1)
+        self.simulation.total_stay_us += self.clock.now - message.taken_on_us
+        self.rules.record(self.clock.now, self.number, message.number, message.destination, outcome)
 
     # Calls
 
-    def _send(self, a: Any, bundles: dict[int, list[tuple[Held, int, int]]]) -> None:
-        m, i = self.journal.get(a.message), self.dialect.i
-        if m is None or m.ended:
-            self.tell(
+    def _send(self, action: Any, batches: dict[int, list[tuple[HeldMessage, int, int]]]) -> None:
+        message, interface = self.journal.get(action.message), self.dialect.i
+        if message is None or message.outcome:
+            self.add_event(
                 self.dialect.make(
                     "AttemptEnded",
-                    message=a.message,
-                    attempt=m.tries if m else 0,
-                    endpoint=a.endpoint,
-                    result=i.Result.MOOT,
+                    message=action.message,
+                    attempt=message.attempts if message else 0,
+                    endpoint=action.endpoint,
+                    result=interface.Result.MOOT,
                     latency_us=0,
                     closed=True,
                 )
             )
             return
-        attempt = m.tries
-        if m.may_have_run_at >= 0 and self.settings.classes[m.cls].effect is i.Effect.UNSAFE:
-            raise self.rules.broken(
+        attempt = message.attempts
+        if (
+            message.may_have_run_us >= 0
+            and self.settings.classes[message.class_index].effect is interface.Effect.UNSAFE
+        ):
+            raise self.rules.violation(
                 "duplicates",
                 self.clock.now,
-                f"message {m.number} may have run and may not be repeated, and is sent again",
-                m.number,
+                f"message {message.number} may have run and may not be repeated, and is sent again",
+                message.number,
             )
-        if self.world.batch(a.endpoint) > 1:
-            bundles.setdefault(a.endpoint, []).append((m, attempt, a.timeout_us))
+        if self.simulation.batch_size(action.endpoint) > 1:
+            batches.setdefault(action.endpoint, []).append((message, attempt, action.timeout_us))
         else:
-            self.calls.send(a.endpoint, [(m, attempt, a.timeout_us)])
+            self.calls.send(action.endpoint, [(message, attempt, action.timeout_us)])
 
     # The list
 
-    def listed(self, entries: list[Any]) -> None:
+    def update_endpoints(self, entries: list[Any]) -> None:
         """Discovery's news has reached it."""
-        if not self.alive:
+        if not self.is_alive:
             return
-        i = self.dialect.i
-        for e in entries:
-            if e.state is i.EndpointState.READY:
-                self.told_gone.pop(e.endpoint, None)
+        interface = self.dialect.i
+        for entry in entries:
+            if entry.state is interface.EndpointState.READY:
+                self.leaving_since_us.pop(entry.endpoint, None)
             else:
-                self.told_gone.setdefault(e.endpoint, self.clock.now)
-            if e.state is i.EndpointState.GONE:
-                self.known.pop(e.endpoint, None)
+                self.leaving_since_us.setdefault(entry.endpoint, self.clock.now)
+            if entry.state is interface.EndpointState.GONE:
+                self.known_entries.pop(entry.endpoint, None)
             else:
-                self.known[e.endpoint] = e
-        self.tell(self.dialect.make("EndpointsListed", form=i.ListForm.DELTA, entries=tuple(entries)))
+                self.known_entries[entry.endpoint] = entry
+        self.add_event(
+            self.dialect.make("EndpointsListed", form=interface.ListForm.DELTA, entries=tuple(entries))
+        )
--- a/hopmill/lab/links.py
+++ b/hopmill/lab/links.py
@@ -8,78 +8,88 @@
 from hopmill.lab.clock import Clock
 from hopmill.lab.partners import Endpoint
 
-TRUST = 0.95  # of the time after which an endpoint closes an idle connection: it is closed a little before
+IDLE_TIMEOUT_SHARE = (
+    0.95  # of the time after which an endpoint closes an idle connection: it is closed a little before
+)
 
 
 @dataclass(eq=False)
-class Link:
+class Connection:
     """A connection to an endpoint."""
 
     endpoint: Endpoint
-    idle_at: int = 0
-    open: bool = True
-    over: bool = False  # the endpoint has no place for it: one call is turned away on it, and it closes
+    idle_since_us: int = 0
+    is_open: bool = True
+    over_limit: bool = False  # the endpoint has no place for it: one call is turned away on it, and it closes
 
 
-class Links:
+class IdleConnections:
     """The idle ones, by endpoint, the most recently used last."""
 
     def __init__(self, clock: Clock, idle_us: int) -> None:
         """idle_us: for how long an endpoint lets one stand idle."""
-        self.clock, self.idle_us = clock, int(idle_us * TRUST)
-        self.idle: dict[int, deque[Link]] = {}
-        self.most: dict[int, int] = {}  # that are kept, by endpoint; 1 until the module says
-        self.changed: dict[int, None] = {}  # endpoints whose idle ones the module has not heard of yet
-
-    def lend(self, endpoint: int) -> Link | None:
+        self.clock, self.idle_us = clock, int(idle_us * IDLE_TIMEOUT_SHARE)
+        self.idle: dict[int, deque[Connection]] = {}
+        self.max_idle: dict[int, int] = {}  # that are kept, by endpoint; 1 until the module says
+        self.changed_endpoints: dict[
+            int, None
+        ] = {}  # endpoints whose idle ones the module has not heard of yet
+
+    def check_out(self, endpoint: int) -> Connection | None:
         """The most recently used one."""
-        links = self.idle.get(endpoint)
-        if not links:
+        connections = self.idle.get(endpoint)
+        if not connections:
             return None
-        self.changed[endpoint] = None
-        return links.pop()
+        self.changed_endpoints[endpoint] = None
+        return connections.pop()
 
-    def rest(self, link: Link) -> None:
+    def check_in(self, connection: Connection) -> None:
         """A call on it is over, and it is still good."""
-        number = link.endpoint.number
-        link.idle_at = self.clock.now
-        self.idle.setdefault(number, deque()).append(link)
-        self.changed[number] = None
-        self.clock.after(self.idle_us, self._age, link, link.idle_at)
-        self._trim(number)
-
-    def keep(self, endpoint: int, most: int) -> None:
-        self.most[endpoint] = most
+        endpoint = connection.endpoint.number
+        connection.idle_since_us = self.clock.now
+        self.idle.setdefault(endpoint, deque()).append(connection)
+        self.changed_endpoints[endpoint] = None
+        self.clock.after(self.idle_us, self._expire, connection, connection.idle_since_us)
+        self._trim(endpoint)
+
+    def set_max_idle(self, endpoint: int, max_idle: int) -> None:
+        self.max_idle[endpoint] = max_idle
         self._trim(endpoint)
 
-    def close(self, link: Link | None) -> None:
-        if link is None or not link.open:
+    def close(self, connection: Connection | None) -> None:
+        if connection is None or not connection.is_open:
             return
-        link.open = False
-        link.endpoint.disconnect()
-        links = self.idle.get(link.endpoint.number)
-        if links and link in links:
-            links.remove(link)
-            self.changed[link.endpoint.number] = None
+        connection.is_open = False
+        connection.endpoint.disconnect()
+        connections = self.idle.get(connection.endpoint.number)
+        if connections and connection in connections:
+            connections.remove(connection)
+            self.changed_endpoints[connection.endpoint.number] = None
 
     def close_idle(self, endpoint: int) -> None:
-        for link in list(self.idle.get(endpoint, ())):
-            self.close(link)
+        for connection in list(self.idle.get(endpoint, ())):
+            self.close(connection)
 
     def close_all(self) -> None:
         for endpoint in list(self.idle):
             self.close_idle(endpoint)
 
-    def news(self) -> list[tuple[int, tuple[int, ...]]]:
+    def take_changes(self) -> list[tuple[int, tuple[int, ...]]]:
         """(endpoint, since when each is idle) where that changed since the last time."""
-        changed, self.changed = self.changed, {}
-        return [(number, tuple(k.idle_at for k in self.idle.get(number, ()))) for number in changed]
-
-    def _trim(self, number: int) -> None:
-        links = self.idle.get(number, ())
-        while len(links) > self.most.get(number, 1):
-            self.close(links[0])
-
-    def _age(self, link: Link, since: int) -> None:
-        if link.open and link.idle_at == since and link in self.idle.get(link.endpoint.number, ()):
-            self.close(link)
+        changed, self.changed_endpoints = self.changed_endpoints, {}
+        return [
+            (endpoint, tuple(k.idle_since_us for k in self.idle.get(endpoint, ()))) for endpoint in changed
+        ]
+
+    def _trim(self, endpoint: int) -> None:
+        connections = self.idle.get(endpoint, ())
+        while len(connections) > self.max_idle.get(endpoint, 1):
+            self.close(connections[0])
+
+    def _expire(self, connection: Connection, idle_since_us: int) -> None:
+        if (
+            connection.is_open
+            and connection.idle_since_us == idle_since_us
+            and connection in self.idle.get(connection.endpoint.number, ())
+        ):
+            self.close(connection)
--- a/hopmill/lab/live.py
+++ b/hopmill/lab/live.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hopmill.lab.scenario import Scenario, draw, load
-from hopmill.lab.world import World
+from hopmill.lab.world import Simulation
 from hopmill.standin.load import Kind
 from hopmill.standin.partner import Plan
 from hopmill.standin.scene import Options, Scene
@@ -26,13 +26,13 @@
 }
 
 
-def plans(world: World) -> list[Plan]:
+def plans(simulation: Simulation) -> list[Plan]:
     """The model's partners as stand-ins."""
     rows = []
-    for partner in world.partners:
+    for partner in simulation.partners:
         kind = partner.targets[0].kind
-        work_ms = sum(c.work_ms * c.share for c in world.scenario.classes)
-        work_ms /= sum(c.share for c in world.scenario.classes)
+        work_ms = sum(c.work_ms * c.share for c in simulation.scenario.classes)
+        work_ms /= sum(c.share for c in simulation.scenario.classes)
         rows.append(
             Plan(
                 partner.number,
@@ -40,15 +40,15 @@
                 "apart" if kind.routes_apart else "bundles" if kind.bundle > 1 else "plain",
                 rate_per_s=partner.rate_per_s,
                 bundle=kind.bundle,
-                latency_ms=work_ms * partner.targets[0].slow,
+                latency_ms=work_ms * partner.targets[0].slowdown,
                 sigma=0.5,
                 item_ms=work_ms * kind.item_cost,
                 connections=int(kind.connections),
                 routes_apart=kind.routes_apart,
                 cold_share=kind.cold_from,
                 cold_s=kind.cold_ms / 1e3,
-                fall_multiple=world.scenario.fall_multiple,
-                fall_s=world.scenario.fall_ms / 1e3,
+                fall_multiple=simulation.scenario.fall_multiple,
+                fall_s=simulation.scenario.fall_ms / 1e3,
             )
         )
     return rows
@@ -64,12 +64,12 @@
 def run(name: str, couriers: int, seconds: float, seed: int) -> dict[str, Any]:
     """The account, as `hopmill demo --json` gives it. The first trouble that stand-ins can make is made."""
     scenario = load(name, couriers, seconds=seconds)
-    world = World(scenario, seed)
+    simulation = Simulation(scenario, seed)
     drawn = draw(scenario, seed)
     trouble = next((TROUBLES[t.kind] for t in drawn.troubles if t.kind in TROUBLES), "none")
     rate = min(500.0, drawn.load.rate_per_s * drawn.load.factor)
     with tempfile.TemporaryDirectory(prefix="hopmill-live-") as folder:
         scene = Scene(
-            Options(seconds, rate, couriers, trouble, seed), Path(folder), plans(world), kinds(drawn)
+            Options(seconds, rate, couriers, trouble, seed), Path(folder), plans(simulation), kinds(drawn)
         )
         return asyncio.run(scene.run()).as_json() | {"trouble": trouble, "rate": round(rate, 1)}
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -70,11 +70,11 @@
 
 def arrivals(plan: Plan) -> list[float]:
     """Seconds from the start, in order."""
-    chance, due, rows = random.Random(plan.seed), 0.0, []
+    rng, due, rows = random.Random(plan.seed), 0.0, []
     while due < plan.seconds:
-        size = 10 if chance.random() < plan.clumps / 10 else 1
+        size = 10 if rng.random() < plan.clumps / 10 else 1
         rows += [due] * size
-        due += chance.expovariate(plan.rate_per_s / (1 + 9 * plan.clumps / 10))
+        due += rng.expovariate(plan.rate_per_s / (1 + 9 * plan.clumps / 10))
     return rows
 
 
@@ -95,7 +95,7 @@
 
 
 async def _client(port: int, plan: Plan, queue: asyncio.Queue[tuple[float, str]], told: Told, n: int) -> None:
-    chance, client = random.Random(plan.seed * 1000 + n), None
+    rng, client = random.Random(plan.seed * 1000 + n), None
     while True:
         due, ident = await queue.get()
         wrote = time.monotonic()
@@ -105,8 +105,8 @@
                 said = await client.send(
                     client.message(
                         ident,
-                        chance.choice(plan.classes),
-                        chance.choice(plan.partners),
+                        rng.choice(plan.classes),
+                        rng.choice(plan.partners),
                         plan.life_ms,
                         tenant=plan.tenant,
                         key=ident,
--- a/hopmill/lab/losses.py
+++ b/hopmill/lab/losses.py
@@ -8,15 +8,15 @@
 from hopmill.lab.result import served
 
 if TYPE_CHECKING:
-    from hopmill.lab.clients import Origin
-    from hopmill.lab.world import World
+    from hopmill.lab.clients import ClientRequest
+    from hopmill.lab.world import Simulation
 
 
-def cause(world: World, o: Origin) -> str:
+def cause(simulation: Simulation, request: ClientRequest) -> str:
     """In words: delivered late, refused at the door, given back after waiting, given up, or still open."""
-    kind = world.scenario.kinds[world.partners[o.dest - 1].kind].name
-    if o.delivered_at >= 0:
-        return f"{kind}: delivered late" + (" after being handed in again" if o.tries > 1 else "")
+    kind = simulation.scenario.kinds[simulation.partners[request.destination - 1].kind_index].name
+    if request.delivered_us >= 0:
+        return f"{kind}: delivered late" + (" after being handed in again" if request.submissions > 1 else "")
     names = {
         "refused": "refused when handed in",
         "deferred": "given back after waiting",
@@ -28,26 +28,28 @@
         "open": "no end",
         "": "never handed in",
     }
-    return f"{kind}: {names.get(o.fate, o.fate)}"
+    return f"{kind}: {names.get(request.status, request.status)}"
 
 
-def losses(world: World) -> dict[str, Any]:
+def losses(simulation: Simulation) -> dict[str, Any]:
     """lost_by_cause as shares of all worth; lost_by_courier as rows of worth by second; latencies_us."""
-    asked = sum(o.worth for o in world.clients.origins) or 1.0
+    asked = sum(request.worth for request in simulation.clients.requests) or 1.0
     by_cause: dict[str, float] = defaultdict(float)
-    seconds = int(world.scenario.seconds) + 1
+    seconds = int(simulation.scenario.seconds) + 1
     over_time: dict[str, list[float]] = defaultdict(lambda: [0.0] * seconds)
-    rows = [[0.0] * seconds for _ in world.couriers]
+    rows = [[0.0] * seconds for _ in simulation.couriers]
     latencies = []
-    for o in world.clients.origins:
-        share = served(world, o)
-        if o.delivered_at >= 0:
-            latencies.append(o.delivered_at - o.born)
+    for request in simulation.clients.requests:
+        share = served(simulation, request)
+        if request.delivered_us >= 0:
+            latencies.append(request.delivered_us - request.created_us)
         if share < 1:
-            name, lost = cause(world, o), o.worth * (1 - share) / asked
+            name, lost = cause(simulation, request), request.worth * (1 - share) / asked
             by_cause[name] += lost
-            over_time[name][min(seconds - 1, o.born // 1_000_000)] += lost
-            rows[o.courier][min(seconds - 1, o.born // 1_000_000)] += o.worth * (1 - share)
+            over_time[name][min(seconds - 1, request.created_us // 1_000_000)] += lost
+            rows[request.last_courier][min(seconds - 1, request.created_us // 1_000_000)] += request.worth * (
+                1 - share
+            )
     return {
         "lost_by_cause": {k: round(v, 6) for k, v in sorted(by_cause.items())},
         "lost_over_time": {k: [round(v, 7) for v in row] for k, row in sorted(over_time.items())},
--- a/hopmill/lab/members.py
+++ b/hopmill/lab/members.py
@@ -15,8 +15,8 @@
 from hopmill.fleet.swim import DEAD
 from hopmill.lab.clock import Clock
 
-DELAY_US = (200, 2_000)  # of a datagram
-DISK_US = 2_000
+DATAGRAM_DELAY_US = (200, 2_000)  # of a datagram
+DISK_WRITE_US = 2_000
 
 
 @dataclass
@@ -31,7 +31,7 @@
     settings: dict[str, Any] = field(default_factory=dict)
 
 
-def configurations(plan: Plan) -> list[Members]:
+def member_settings(plan: Plan) -> list[Members]:
     ids = [f"c{n}" for n in range(plan.members)]
     rows = [
         Other(id=name, address=f"127.0.0.1:{20_000 + n}", zone=f"z{n % plan.zones}", region="r")
@@ -41,16 +41,16 @@
     return [
         Members(
             fleet="virtual",
-            id=me.id,
-            address=me.address,
-            zone=me.zone,
-            region=me.region,
+            id=own.id,
+            address=own.address,
+            zone=own.zone,
+            region=own.region,
             voters=voters,
-            others=tuple(r for r in rows if r is not me),
+            others=tuple(r for r in rows if r is not own),
             leases=plan.leases,
             **plan.settings,
         )
-        for me in rows
+        for own in rows
     ]
 
 
@@ -59,22 +59,22 @@
 
     def __init__(self, plan: Plan, clock: Clock | None = None) -> None:
         """clock: of a play that these members are part of, which then starts and ends them."""
-        self.plan, self.chance = plan, random.Random(plan.seed)
+        self.plan, self.rng = plan, random.Random(plan.seed)
         self.clock = clock or Clock()
-        self.configs = configurations(plan)
-        self.places = {c.address: n for n, c in enumerate(self.configs)}
+        self.configs = member_settings(plan)
+        self.index_by_address = {c.address: member for member, c in enumerate(self.configs)}
         self.nodes: list[Node | None] = [None] * plan.members
         self.disks = [b""] * plan.members
         self.texts: list[dict[bytes, bytes]] = [{} for _ in range(plan.members)]
-        self.stopped = [0] * plan.members  # until when
-        self.timers = [0] * plan.members
-        self.heard: list[tuple[int, str, str, str]] = []  # when, where, of whom, which state
-        self.passes: Callable[[int, int], bool] = lambda a, b: True
-        self.look: Callable[[int], None] = lambda n: None  # after all that happens at a member
-        self.lives = 0
+        self.paused_until_us = [0] * plan.members  # until when
+        self.timer_numbers = [0] * plan.members
+        self.observed_changes: list[tuple[int, str, str, str]] = []  # when, where, of whom, which state
+        self.is_reachable: Callable[[int, int], bool] = lambda a, b: True
+        self.on_activity: Callable[[int], None] = lambda member: None  # after all that happens at a member
+        self.starts = 0
         self.bytes = self.datagrams = 0
-        for n in range(plan.members if clock is None else 0):
-            self.after(self.chance.randrange(100_000), self.start, n)
+        for member in range(plan.members if clock is None else 0):
+            self.after(self.rng.randrange(100_000), self.start, member)
 
     @property
     def now(self) -> int:
@@ -86,168 +86,174 @@
     def run(self, until: int) -> None:
         self.clock.run(until)
 
-    def start(self, n: int) -> None:
-        stored = msgspec.msgpack.decode(self.disks[n], type=Stored) if self.disks[n] else Stored()
-        self.lives += 1
-        self.nodes[n] = Node(
-            self.configs[n],
+    def start(self, member: int) -> None:
+        stored = msgspec.msgpack.decode(self.disks[member], type=Stored) if self.disks[member] else Stored()
+        self.starts += 1
+        self.nodes[member] = Node(
+            self.configs[member],
             stored,
-            bool(self.disks[n]),
-            self.plan.seed * 7919 + self.lives,
-            texts=dict(self.texts[n]),
+            bool(self.disks[member]),
+            self.plan.seed * 7919 + self.starts,
+            texts=dict(self.texts[member]),
         )
-        self._pump(n)
+        self._pump(member)
 
-    def kill(self, n: int) -> None:
-        self.nodes[n] = None
+    def kill(self, member: int) -> None:
+        self.nodes[member] = None
 
-    def figures(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """What a play is told of its members."""
         live = [node for node in self.nodes if node]
         return {
             "live": len(live),
             "versions": sorted({n.register.document.version for n in live}),
             "taken_for_dead": sum(
-                p.state == DEAD and p.incarnation > 0 and self.nodes[m] is not None
+                peer.state == DEAD and peer.incarnation > 0 and self.nodes[member] is not None
                 for node in live
-                for p in node.swim.peers.values()
-                for m in (int(p.id[1:]),)
+                for peer in node.swim.peers.values()
+                for member in (int(peer.id[1:]),)
             ),
             "datagrams": self.datagrams,
             "bytes": self.bytes,
         }
 
-    def stop(self, n: int, lasts: int) -> None:
+    def pause(self, member: int, duration_us: int) -> None:
         """SIGSTOP; what comes meanwhile is read on waking."""
-        self.stopped[n] = self.now + lasts
+        self.paused_until_us[member] = self.now + duration_us
 
-    def _later(self, n: int, action: Callable[..., None], *args: Any) -> bool:
+    def _defer_while_paused(self, member: int, action: Callable[..., None], *args: Any) -> bool:
         """Whether the member stands still: then this happens as it wakes."""
-        if self.stopped[n] <= self.now:
+        if self.paused_until_us[member] <= self.now:
             return False
-        self.after(self.stopped[n] - self.now, action, *args)
+        self.after(self.paused_until_us[member] - self.now, action, *args)
         return True
 
-    def _deliver(self, n: int, data: bytes) -> None:
-        if self._later(n, self._deliver, n, data):
+    def _deliver(self, member: int, data: bytes) -> None:
+        if self._defer_while_paused(member, self._deliver, member, data):
             return
-        if node := self.nodes[n]:
+        if node := self.nodes[member]:
             node.datagram(data, self.now)
-            self._pump(n)
+            self._pump(member)
 
-    def _written(self, n: int, node: Node, write: Write) -> None:
-        if self._later(n, self._written, n, node, write):
+    def _written(self, member: int, node: Node, write: Write) -> None:
+        if self._defer_while_paused(member, self._written, member, node, write):
             return
-        if self.nodes[n] is node:
-            self.disks[n] = write.state
+        if self.nodes[member] is node:
+            self.disks[member] = write.state
             node.written(write, True, self.now)
-            self._pump(n)
+            self._pump(member)
 
-    def _text_written(self, n: int, node: Node, write: WriteText) -> None:
-        if self._later(n, self._text_written, n, node, write):
+    def _text_written(self, member: int, node: Node, write: WriteText) -> None:
+        if self._defer_while_paused(member, self._text_written, member, node, write):
             return
-        if self.nodes[n] is node:
-            self.texts[n][write.digest] = write.text
+        if self.nodes[member] is node:
+            self.texts[member][write.digest] = write.text
             node.text_written(write.digest, True, self.now)
-            self._pump(n)
+            self._pump(member)
 
-    def again(self, n: int) -> None:
+    def schedule_pump(self, member: int) -> None:
         """Something was done with a member's objects from outside."""
-        self.after(0, self._again, n)
+        self.after(0, self._pump_scheduled, member)
 
-    def _again(self, n: int) -> None:
-        if self.nodes[n] and not self._later(n, self._again, n):
-            self._pump(n)
+    def _pump_scheduled(self, member: int) -> None:
+        if self.nodes[member] and not self._defer_while_paused(member, self._pump_scheduled, member):
+            self._pump(member)
 
-    def _tick(self, n: int, timer: int) -> None:
-        if timer != self.timers[n] or self._later(n, self._tick, n, timer):
+    def _tick(self, member: int, timer_number: int) -> None:
+        if timer_number != self.timer_numbers[member] or self._defer_while_paused(
+            member, self._tick, member, timer_number
+        ):
             return
-        if self.nodes[n]:
-            self._pump(n)
+        if self.nodes[member]:
+            self._pump(member)
 
-    def _pump(self, n: int) -> None:
-        node = self.nodes[n]
+    def _pump(self, member: int) -> None:
+        node = self.nodes[member]
         assert node is not None
-        due = node.tick(self.now)
+        next_tick_us = node.tick(self.now)
         for action in node.take(self.now):
             if isinstance(action, Write):
-                self.after(DISK_US, self._written, n, node, action)
+                self.after(DISK_WRITE_US, self._written, member, node, action)
                 continue
             if isinstance(action, WriteText):
-                self.after(DISK_US, self._text_written, n, node, action)
+                self.after(DISK_WRITE_US, self._text_written, member, node, action)
                 continue
             if isinstance(action, DeleteTexts):
                 continue  # the same text is put there again when it is needed
             self.datagrams += 1
             self.bytes += len(action.data)
-            to = self.places[action.address]
-            if self.chance.random() >= self.plan.loss and self.passes(n, to):
-                self.after(self.chance.randrange(*DELAY_US), self._deliver, to, action.data)
+            receiver = self.index_by_address[action.address]
+            if self.rng.random() >= self.plan.loss and self.is_reachable(member, receiver):
+                self.after(self.rng.randrange(*DATAGRAM_DELAY_US), self._deliver, receiver, action.data)
         for change in node.take_member_changes():
-            self.heard.append((self.now, node.settings.id, change.id, change.state))
-        self.look(n)
-        self.timers[n] += 1
-        self.after(max(100, due - self.now), self._tick, n, self.timers[n])
+            self.observed_changes.append((self.now, node.settings.id, change.id, change.state))
+        self.on_activity(member)
+        self.timer_numbers[member] += 1
+        self.after(max(100, next_tick_us - self.now), self._tick, member, self.timer_numbers[member])
 
 
-def detection(plan: Plan, kills: int) -> dict[str, Any]:
+def measure_detection(plan: Plan, kills: int) -> dict[str, Any]:
     """Members are killed one after the other; times in ms until each live member knew."""
     fleet = Fleet(plan)
     fleet.run(3_000_000)
-    took: list[int] = []
-    whole: list[int] = []
-    chance = random.Random(plan.seed + 17)
+    detection_us: list[int] = []
+    all_informed_us: list[int] = []
+    rng = random.Random(plan.seed + 17)
     for _ in range(kills):
-        n = chance.randrange(plan.members)
-        fleet.heard.clear()
-        at = fleet.now + chance.randrange(100_000)
-        fleet.run(at)
-        fleet.kill(n)
-        fleet.run(at + 8_000_000)
-        victim = fleet.configs[n].id
-        known = {
+        member = rng.randrange(plan.members)
+        fleet.observed_changes.clear()
+        killed_us = fleet.now + rng.randrange(100_000)
+        fleet.run(killed_us)
+        fleet.kill(member)
+        fleet.run(killed_us + 8_000_000)
+        victim = fleet.configs[member].id
+        noticed_us = {
             where: when
-            for when, where, who, state in reversed(fleet.heard)
+            for when, where, who, state in reversed(fleet.observed_changes)
             if who == victim and state == "dead"
         }
-        times = [known.get(c.id, at + 60_000_000) - at for m, c in enumerate(fleet.configs) if m != n]
-        took += times
-        whole.append(max(times))
-        fleet.start(n)
+        times = [
+            noticed_us.get(c.id, killed_us + 60_000_000) - killed_us
+            for index, c in enumerate(fleet.configs)
+            if index != member
+        ]
+        detection_us += times
+        all_informed_us.append(max(times))
+        fleet.start(member)
         fleet.run(fleet.now + 4_000_000)
-    took.sort()
-    whole.sort()
+    detection_us.sort()
+    all_informed_us.sort()
     return {
         "members": plan.members,
         "loss": plan.loss,
         "kills": kills,
-        "p50_ms": took[len(took) // 2] // 1000,
-        "p99_ms": took[int(len(took) * 0.99)] // 1000,
-        "all_know_p50_ms": whole[len(whole) // 2] // 1000,
-        "all_know_worst_ms": whole[-1] // 1000,
+        "p50_ms": detection_us[len(detection_us) // 2] // 1000,
+        "p99_ms": detection_us[int(len(detection_us) * 0.99)] // 1000,
+        "all_know_p50_ms": all_informed_us[len(all_informed_us) // 2] // 1000,
+        "all_know_worst_ms": all_informed_us[-1] // 1000,
     }
 
 
-def calm(
-    plan: Plan, seconds: float, stop_us: int = 0, every_us: int = 10_000_000, after_us: int = 3_000_000
+def measure_false_alarms(
+    plan: Plan, seconds: float, pause_us: int = 0, every_us: int = 10_000_000, after_us: int = 3_000_000
 ) -> dict[str, Any]:
     """Nobody dies; one member is stopped for stop_us in each every_us. What is said of anybody, the cost."""
     fleet = Fleet(plan)
     fleet.run(after_us)
-    fleet.heard.clear()
+    fleet.observed_changes.clear()
     fleet.datagrams = fleet.bytes = 0
-    began, until = fleet.now, fleet.now + int(seconds * 1e6)
-    while fleet.now < until:
-        if stop_us:
-            fleet.stop(0, stop_us)
-        fleet.run(min(until, fleet.now + every_us))
-    lasted = (fleet.now - began) / 1e6 * plan.members
+    started_us, end_us = fleet.now, fleet.now + int(seconds * 1e6)
+    while fleet.now < end_us:
+        if pause_us:
+            fleet.pause(0, pause_us)
+        fleet.run(min(end_us, fleet.now + every_us))
+    member_seconds = (fleet.now - started_us) / 1e6 * plan.members
     return {
         "members": plan.members,
         "loss": plan.loss,
         "seconds": seconds,
-        "false_deaths": sum(state == "dead" for *_, state in fleet.heard),
-        "suspected": sum(state == "suspect" for *_, state in fleet.heard),
-        "datagrams_s": round(fleet.datagrams / lasted, 1),
-        "bytes_s": round(fleet.bytes / lasted),
+        "false_deaths": sum(state == "dead" for *_, state in fleet.observed_changes),
+        "suspected": sum(state == "suspect" for *_, state in fleet.observed_changes),
+        "datagrams_s": round(fleet.datagrams / member_seconds, 1),
+        "bytes_s": round(fleet.bytes / member_seconds),
     }
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from hopmill.lab.courier import ModuleFailed
+from hopmill.lab.courier import ModuleFailedError
 from hopmill.lab.dialect import Dialect
 from hopmill.lab.losses import losses
 from hopmill.lab.result import by_lane, by_second, result
-from hopmill.lab.rules import RuleBroken
+from hopmill.lab.rules import RuleBrokenError
 from hopmill.lab.scenario import Scenario
-from hopmill.lab.world import World
+from hopmill.lab.world import Simulation
 
 
 # Former paths of constants, which command lines and recorded comparisons still name.
@@ -50,40 +50,45 @@
 
     more: also calls by lane and worth by second.
     """
-    world = World(scenario, seed, Dialect())
+    simulation = Simulation(scenario, seed, Dialect())
     sums: list[dict[str, Any]] = []
     if more:
         for second in range(int(scenario.seconds) + 1):
-            world.clock.at(second * 1_000_000, lambda: sums.append(parts(world)))
+            simulation.clock.at(second * 1_000_000, lambda: sums.append(parts(simulation)))
     broken: dict[str, Any] = {}
     try:
-        world.play()
-    except RuleBroken as error:
+        simulation.play()
+    except RuleBrokenError as error:
         broken = {"broken": error.rule, "text": str(error), "trace": error.trace}
-    except ModuleFailed as error:
+    except ModuleFailedError as error:
         broken = {"broken": "module failed", "text": f"seed {seed}: {error}", "trace": []}
-    told = result(world)
-    if world.members:
-        told["members"] = world.members.figures()
-    if world.policy:
-        told["policy"] = world.policy.figures()
+    told = result(simulation)
+    if simulation.members:
+        told["members"] = simulation.members.summary()
+    if simulation.policy:
+        told["policy"] = simulation.policy.summary()
     if broken:
         told |= {"g": 0.0, **broken}
     if more:
-        told |= {"lanes": by_lane(world), "seconds": by_second(world), "parts": sums, **losses(world)}
+        told |= {
+            "lanes": by_lane(simulation),
+            "seconds": by_second(simulation),
+            "parts": sums,
+            **losses(simulation),
+        }
     return told
 
 
-def parts(world: World) -> dict[str, Any]:
+def parts(simulation: Simulation) -> dict[str, Any]:
     """For each lane the sum of the couriers' parts of its limit, and of their paces, at this moment."""
     sums: dict[str, list[float]] = {}
-    for courier in world.couriers:
+    for courier in simulation.couriers:
         # Earlier builds: `book` for the state, or all of it in the courier itself.
         state = getattr(courier.module, "state", None) or getattr(courier.module, "book", courier.module)
         dests = getattr(state, "destinations", None) or getattr(state, "dests", None) or {}
         for dest in dests.values():
             for lane in getattr(dest, "lanes", ()):
-                endpoint = world.endpoints.get(next(iter(lane.endpoints), 0))
+                endpoint = simulation.endpoints.get(next(iter(lane.endpoints), 0))
                 if endpoint is None:
                     continue
                 row = sums.setdefault(endpoint.target.name, [0.0, 0.0])
--- a/hopmill/lab/policy.py
+++ b/hopmill/lab/policy.py
@@ -8,117 +8,127 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from hopmill.lab.chance import Pool, stream
+from hopmill.lab.chance import UniformBuffer, stream
 
 if TYPE_CHECKING:
-    from hopmill.lab.calls import Held
-    from hopmill.lab.world import World
+    from hopmill.lab.calls import HeldMessage
+    from hopmill.lab.world import Simulation
 
-WAIT_US = 500_000  # clients wait so long for a change to be over
+MAX_WAIT_US = 500_000  # clients wait so long for a change to be over
 Reply = Callable[[str, int], None]
 
 
 class FleetPolicy:
     """One owner of who may act, for all couriers of a play."""
 
-    def __init__(self, world: World, every_s: float) -> None:
+    def __init__(self, simulation: Simulation, interval_s: float) -> None:
         """every_s: between two changes; 0: none."""
-        self.world, self.fleet, self.every_us = world, world.members, int(every_s * 1e6)
-        count = len(world.couriers)
-        self.holding = [True] * count
-        self.waiting: list[list[tuple[int, Held, Reply]]] = [[] for _ in range(count)]
-        self.chance = Pool(stream(world.seed, "policy"))
-        self.proposed = self.pauses = self.paused_us = self.longest_us = 0
-        self.since = [0] * count
+        self.simulation, self.fleet, self.change_interval_us = (
+            simulation,
+            simulation.members,
+            int(interval_s * 1e6),
+        )
+        count = len(simulation.couriers)
+        self.is_holding = [True] * count
+        self.waiting_submissions: list[list[tuple[int, HeldMessage, Reply]]] = [[] for _ in range(count)]
+        self.rng = UniformBuffer(stream(simulation.seed, "policy"))
+        self.proposed = self.pauses = self.paused_us = self.max_pause_us = 0
+        self.holding_since_us = [0] * count
         assert self.fleet is not None
-        self.fleet.look = self.look
-        if self.every_us:
-            world.clock.after(self.every_us, self._change)
+        self.fleet.on_activity = self.after_activity
+        if self.change_interval_us:
+            simulation.clock.after(self.change_interval_us, self._propose_change)
 
-    def _govern(self, n: int) -> Any:
+    def _policy_member(self, number: int) -> Any:
         assert self.fleet is not None
-        node = self.fleet.nodes[n]
+        node = self.fleet.nodes[number]
         return node.policy_member if node else None
 
-    def started(self, n: int) -> None:
-        self.holding[n] = True
-        self.since[n] = self.world.clock.now
-        self.world.couriers[n].tell(self.world.dialect.make("Hold", on=True))
+    def courier_started(self, number: int) -> None:
+        self.is_holding[number] = True
+        self.holding_since_us[number] = self.simulation.clock.now
+        self.simulation.couriers[number].add_event(self.simulation.dialect.make("Hold", on=True))
 
-    def ended(self, n: int) -> None:
-        waiting, self.waiting[n] = self.waiting[n], []
+    def courier_ended(self, number: int) -> None:
+        waiting, self.waiting_submissions[number] = self.waiting_submissions[number], []
         for _, _, reply in waiting:
             reply("gone", 0)
 
-    def look(self, n: int) -> None:
-        govern = self._govern(n)
-        p, held = govern.register.document.policy, govern.texts.by_digest
-        version, digest = p.version_for(govern.me), p.digest_for(govern.me)
-        if version != govern.lease.applied_version and (not digest or digest in held):
-            courier = self.world.couriers[n]
-            courier.tell(self.world.dialect.make("PolicySet", settings=courier.settings))
-            govern.lease.set_applied_version(version)
-            self.fleet.again(n)  # type: ignore[union-attr]
-        if p.change and p.change.id != govern.lease.ready_for and p.change.digest in held:
-            govern.lease.report_check(p.change.id)
-            self.fleet.again(n)  # type: ignore[union-attr]
-        holds = govern.lease.valid_version(self.world.clock.now) < 0
-        if holds is not self.holding[n]:
-            self._hold(n, holds)
-
-    def _hold(self, n: int, on: bool) -> None:
-        now, courier = self.world.clock.now, self.world.couriers[n]
-        self.holding[n] = on
-        courier.tell(self.world.dialect.make("Hold", on=on))
-        if on:
-            self.since[n] = now
+    def after_activity(self, number: int) -> None:
+        policy_member = self._policy_member(number)
+        policy, texts = policy_member.register.document.policy, policy_member.texts.by_digest
+        version, digest = policy.version_for(policy_member.me), policy.digest_for(policy_member.me)
+        if version != policy_member.lease.applied_version and (not digest or digest in texts):
+            courier = self.simulation.couriers[number]
+            courier.add_event(self.simulation.dialect.make("PolicySet", settings=courier.settings))
+            policy_member.lease.set_applied_version(version)
+            self.fleet.schedule_pump(number)  # type: ignore[union-attr]
+        if (
+            policy.change
+            and policy.change.id != policy_member.lease.ready_for
+            and policy.change.digest in texts
+        ):
+            policy_member.lease.report_check(policy.change.id)
+            self.fleet.schedule_pump(number)  # type: ignore[union-attr]
+        is_holding = policy_member.lease.valid_version(self.simulation.clock.now) < 0
+        if is_holding is not self.is_holding[number]:
+            self._set_holding(number, is_holding)
+
+    def _set_holding(self, number: int, is_holding: bool) -> None:
+        now, courier = self.simulation.clock.now, self.simulation.couriers[number]
+        self.is_holding[number] = is_holding
+        courier.add_event(self.simulation.dialect.make("Hold", on=is_holding))
+        if is_holding:
+            self.holding_since_us[number] = now
             return
         if self.proposed:
             self.pauses += 1
-            self.paused_us += now - self.since[n]
-            self.longest_us = max(self.longest_us, now - self.since[n])
-        waiting, self.waiting[n] = self.waiting[n], []
-        for _, m, reply in waiting:
-            courier.put(m, reply)
+            self.paused_us += now - self.holding_since_us[number]
+            self.max_pause_us = max(self.max_pause_us, now - self.holding_since_us[number])
+        waiting, self.waiting_submissions[number] = self.waiting_submissions[number], []
+        for _, message, reply in waiting:
+            courier.submit(message, reply)
 
-    def wait(self, n: int, m: Held, reply: Reply) -> None:
+    def queue(self, number: int, message: HeldMessage, reply: Reply) -> None:
         """A message that came while its courier may not act."""
-        self.waiting[n].append((self.world.clock.now, m, reply))
-        self.world.clock.after(WAIT_US, self._turn_away, n, m)
-
-    def _turn_away(self, n: int, m: Held) -> None:
-        for at, (_, waits, reply) in enumerate(self.waiting[n]):
-            if waits is m:
-                del self.waiting[n][at]
-                reply("refused", self.world.couriers[n].module.come_back_us())
+        self.waiting_submissions[number].append((self.simulation.clock.now, message, reply))
+        self.simulation.clock.after(MAX_WAIT_US, self._refuse_waiting, number, message)
+
+    def _refuse_waiting(self, number: int, message: HeldMessage) -> None:
+        for index, (_, waiting, reply) in enumerate(self.waiting_submissions[number]):
+            if waiting is message:
+                del self.waiting_submissions[number][index]
+                reply("refused", self.simulation.couriers[number].module.come_back_us())
                 return
 
-    def _change(self) -> None:
-        self.world.clock.after(self.every_us, self._change)
-        n = int(self.chance.uniform() * len(self.world.couriers))
-        govern = self._govern(n)
-        if govern is None:
+    def _propose_change(self) -> None:
+        self.simulation.clock.after(self.change_interval_us, self._propose_change)
+        number = int(self.rng.uniform() * len(self.simulation.couriers))
+        policy_member = self._policy_member(number)
+        if policy_member is None:
             return
         self.proposed += 1
         text = f"policy {self.proposed}".encode()
-        govern.propose(
+        policy_member.propose(
             f"p{self.proposed}",
             text,
-            govern.register.document.policy.version,
-            self.world.clock.now,
+            policy_member.register.document.policy.version,
+            self.simulation.clock.now,
             lambda outcome: None,
         )
-        self.fleet.again(n)  # type: ignore[union-attr]
+        self.fleet.schedule_pump(number)  # type: ignore[union-attr]
 
-    def figures(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """Times in ms; a pause is one courier's."""
         versions = [
-            govern.lease.applied_version for n in range(len(self.holding)) if (govern := self._govern(n))
+            policy_member.lease.applied_version
+            for number in range(len(self.is_holding))
+            if (policy_member := self._policy_member(number))
         ]
         return {
             "proposed": self.proposed,
             "version": max(versions, default=0),
             "pauses": self.pauses,
             "mean_pause_ms": round(self.paused_us / 1e3 / max(1, self.pauses), 1),
-            "longest_pause_ms": round(self.longest_us / 1e3, 1),
+            "longest_pause_ms": round(self.max_pause_us / 1e3, 1),
         }
--- a/hopmill/lab/replay.py
+++ b/hopmill/lab/replay.py
@@ -12,7 +12,7 @@
 
 from hopmill.lab.dialect import Dialect
 from hopmill.lab.scenario import Scenario
-from hopmill.lab.world import World
+from hopmill.lab.world import Simulation
 
 
 def _plain(value: Any) -> list[Any]:
@@ -43,16 +43,16 @@
 
 def record(scenario: Scenario, seed: int, courier: int, path: Path) -> int:
     """Plays the scenario and writes that courier's turns; returns how many. One life a file: the first."""
-    world = World(scenario, seed)
-    target = world.couriers[courier]
+    simulation = Simulation(scenario, seed)
+    target = simulation.couriers[courier]
     turns = 0
     with path.open("wb") as file:
-        head = {"settings": _plain(target.settings), "seed": world.module_seed(courier, 1)}
+        head = {"settings": _plain(target.settings), "seed": simulation.module_seed(courier, 1)}
         file.write(msgspec.json.encode(head) + b"\n")
 
         def write(now: int, asked: int, events: list[Any], actions: list[Any]) -> None:
             nonlocal turns
-            if target.life == 1:
+            if target.generation == 1:
                 turns += 1
                 row = {
                     "now": now,
@@ -63,7 +63,7 @@
                 file.write(msgspec.json.encode(row) + b"\n")
 
         target.recorder = write
-        world.play()
+        simulation.play()
     return turns
 
 
--- a/hopmill/lab/result.py
+++ b/hopmill/lab/result.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from hopmill.lab.clients import Origin
+    from hopmill.lab.clients import ClientRequest
     from hopmill.lab.scenario import Cls
-    from hopmill.lab.world import World
+    from hopmill.lab.world import Simulation
 
 STEP_S = 0.1
 
@@ -25,44 +25,49 @@
     return 1 - (1 - c.late_worth) * (took_us - aim) / (deadline - aim)
 
 
-def served(world: World, origin: Origin) -> float:
-    if origin.delivered_at < 0:
+def served(simulation: Simulation, request: ClientRequest) -> float:
+    if request.delivered_us < 0:
         return 0.0
-    c = world.scenario.classes[origin.cls]
-    return worth_at(c, world.scenario.late, origin.delivered_at - origin.born)
+    c = simulation.scenario.classes[request.class_index]
+    return worth_at(c, simulation.scenario.late, request.delivered_us - request.created_us)
 
 
-def _share(world: World, origins: list[Origin]) -> float:
-    asked = sum(o.worth for o in origins)
-    return sum(o.worth * served(world, o) for o in origins) / asked if asked else 1.0
+def _share(simulation: Simulation, requests: list[ClientRequest]) -> float:
+    asked = sum(o.worth for o in requests)
+    return sum(o.worth * served(simulation, o) for o in requests) / asked if asked else 1.0
 
 
-def result(world: World) -> dict[str, Any]:
+def result(simulation: Simulation) -> dict[str, Any]:
     """Without times of the real clock: the same on every run of this build."""
-    s, origins = world.scenario, world.clients.origins
-    first = max(1, len(origins))
-    whole = _share(world, origins)
-    by_class = {c.name: _share(world, [o for o in origins if o.cls == n]) for n, c in enumerate(s.classes)}
+    s, requests = simulation.scenario, simulation.clients.requests
+    first = max(1, len(requests))
+    whole = _share(simulation, requests)
+    by_class = {
+        c.name: _share(simulation, [o for o in requests if o.class_index == n])
+        for n, c in enumerate(s.classes)
+    }
     by_tenant = {
-        t.name: _share(world, [o for o in origins if o.tenant == n and o.worth >= 1])
+        t.name: _share(simulation, [o for o in requests if o.tenant == n and o.worth >= 1])
         for n, t in enumerate(s.tenants)
     }
     window = int(min(s.goal.window_ms, s.seconds * 1e3) * 1e3)
-    worst, worst_at = _worst_window(world, window)
-    refused = sum(sum(t.refused.values()) for p in world.partners for t in p.targets)
+    worst, worst_at = _worst_window(simulation, window)
+    refused = sum(sum(t.refusals_by_step.values()) for p in simulation.partners for t in p.targets)
     reasons: Counter[str] = Counter()
-    for partner in world.partners:
+    for partner in simulation.partners:
         for target in partner.targets:
-            reasons.update(target.why)
-    endpoints = world.endpoints.values()
-    asked_work = sum(o.works[0] for o in origins) or 1.0
-    late_fail = sum(o.worth for o in origins if o.delivered_at < 0) / max(1e-9, sum(o.worth for o in origins))
+            reasons.update(target.refusals_by_reason)
+    endpoints = simulation.endpoints.values()
+    asked_work = sum(o.work_us[0] for o in requests) or 1.0
+    late_fail = sum(o.worth for o in requests if o.delivered_us < 0) / max(
+        1e-9, sum(o.worth for o in requests)
+    )
     prices = {
         "refused": s.prices.refused * refused / first,
-        "handshake": s.prices.handshake * world.counts["connections"] / first,
-        "waste": s.prices.waste * sum(e.wasted for e in endpoints) / asked_work,
+        "handshake": s.prices.handshake * simulation.counts["connections"] / first,
+        "waste": s.prices.waste * sum(e.wasted_us for e in endpoints) / asked_work,
         "late_fail": s.prices.late_fail * late_fail,
-        "fees": _fees(world) / first,
+        "fees": _fees(simulation) / first,
     }
     goal = s.goal
     served_ = (
@@ -71,16 +76,16 @@
         + goal.worst_class * min(by_class.values())
         + goal.worst_tenant * min(by_tenant.values(), default=whole)
     )
-    fates = Counter(o.fate for o in origins)
+    fates = Counter(o.status for o in requests)
     why: Counter[str] = Counter()
-    for o in origins:
-        why.update(o.refused_by)
-    counts = world.counts
+    for o in requests:
+        why.update(o.rejections)
+    counts = simulation.counts
     return {
-        "seed": world.seed,
+        "seed": simulation.seed,
         "scenario": s.name,
         "couriers": s.fleet.couriers,
-        "messages": len(origins),
+        "messages": len(requests),
         "g": round(served_ - sum(prices.values()), 6),
         "served": round(whole, 6),
         "worst_window": round(worst, 6),
@@ -98,9 +103,9 @@
         "fell": counts["fell"],
         "refused_calls": refused,
         "refused_by_partners": dict(sorted(reasons.items())),
-        "held_mean": round(world.held_us / max(1, world.clock.now), 6),
-        "held_by_stays": round(world.stayed_us / max(1, world.clock.now), 6),
-        "unknown": sorted(world.dialect.unknown),
+        "held_mean": round(simulation.held_message_us / max(1, simulation.clock.now), 6),
+        "held_by_stays": round(simulation.total_stay_us / max(1, simulation.clock.now), 6),
+        "unknown": sorted(simulation.dialect.unknown),
     }
 
 
@@ -108,27 +113,27 @@
     return {k: round(v, 6) for k, v in values.items()}
 
 
-def _fees(world: World) -> float:
-    s = world.scenario
+def _fees(simulation: Simulation) -> float:
+    s = simulation.scenario
     if not s.net.fee:
         return 0.0
     return sum(
-        s.net.fee * e.zone / max(1, s.net.zones - 1) * sum(e.target.calls.values())
-        for e in world.endpoints.values()
+        s.net.fee * e.zone / max(1, s.net.zones - 1) * sum(e.target.calls_by_step.values())
+        for e in simulation.endpoints.values()
         if e.target.kind.routes_apart
     )
 
 
-def _worst_window(world: World, window: int) -> tuple[float, float]:
+def _worst_window(simulation: Simulation, window: int) -> tuple[float, float]:
     """The least share served of what came in any window of that length, and when it began."""
     step = window // 5
     asked: dict[int, float] = defaultdict(float)
     got: dict[int, float] = defaultdict(float)
-    for o in world.clients.origins:
-        at = o.born // step
+    for o in simulation.clients.requests:
+        at = o.created_us // step
         asked[at] += o.worth
-        got[at] += o.worth * served(world, o)
-    last = int(world.scenario.seconds * 1e6) // step
+        got[at] += o.worth * served(simulation, o)
+    last = int(simulation.scenario.seconds * 1e6) // step
     rows = []
     for start in range(0, max(1, last - 4)):
         total = sum(asked[n] for n in range(start, start + 5))
@@ -138,26 +143,26 @@
     return worst, round(at, 3)
 
 
-def by_lane(world: World) -> dict[str, dict[str, Any]]:
+def by_lane(simulation: Simulation) -> dict[str, dict[str, Any]]:
     """Calls and refusals in steps of 100 ms, beside the limit, for each partner or route."""
-    steps = int(world.clock.now / 1e6 / STEP_S) + 1
+    steps = int(simulation.clock.now / 1e6 / STEP_S) + 1
     return {
         t.name: {
-            "calls": [t.calls.get(n, 0) for n in range(steps)],
-            "refused": [t.refused.get(n, 0) for n in range(steps)],
+            "calls": [t.calls_by_step.get(n, 0) for n in range(steps)],
+            "refused": [t.refusals_by_step.get(n, 0) for n in range(steps)],
             "limit_per_s": round(t.limit.per_s, 3),
-            "capacity_per_s": round(t.capacity, 3),
+            "capacity_per_s": round(t.capacity_per_s, 3),
         }
-        for p in world.partners
+        for p in simulation.partners
         for t in p.targets
     }
 
 
-def by_second(world: World) -> list[dict[str, float]]:
+def by_second(simulation: Simulation) -> list[dict[str, float]]:
     """Worth asked and served, by the second in which it was handed in."""
     rows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
-    for o in world.clients.origins:
-        row = rows[o.born // 1_000_000]
+    for o in simulation.clients.requests:
+        row = rows[o.created_us // 1_000_000]
         row[0] += o.worth
-        row[1] += o.worth * served(world, o)
+        row[1] += o.worth * served(simulation, o)
     return [{"second": n, "asked": round(a, 3), "served": round(b, 3)} for n, (a, b) in sorted(rows.items())]
--- a/hopmill/lab/search.py
+++ b/hopmill/lab/search.py
@@ -33,11 +33,9 @@
     base = float(np.mean(rate))
     jobs = []
     for n in range(tries):
-        chance = stream(seed, f"search {n}")
+        rng = stream(seed, f"search {n}")
         changes = {
-            name: round(float(chance.uniform(*span)), 4)
-            for name, span in RANGES.items()
-            if chance.random() < 0.5
+            name: round(float(rng.uniform(*span)), 4) for name, span in RANGES.items() if rng.random() < 0.5
         }
         if "load.rate_per_s" in changes:
             changes["load.rate_per_s"] = round(changes["load.rate_per_s"] * base, 3)
--- a/hopmill/lab/troubles.py
+++ b/hopmill/lab/troubles.py
@@ -4,211 +4,222 @@
 
 from typing import TYPE_CHECKING, Any
 
-from hopmill.lab import partners as p
-from hopmill.lab.chance import Pool, stream
+from hopmill.lab import partners
+from hopmill.lab.chance import UniformBuffer, stream
 from hopmill.lab.scenario import ScenarioError, Trouble
 
 if TYPE_CHECKING:
     from hopmill.lab.courier import CourierModel
-    from hopmill.lab.world import World
+    from hopmill.lab.world import Simulation
 
-READY_US = 1_500_000  # after a restart no end is overdue for so long
-DEAF_US = 400_000  # new clients come for so long after a SIGTERM
+RECOVERY_GRACE_US = 1_500_000  # after a restart no end is overdue for so long
+SHUTDOWN_NOTICE_US = 400_000  # new clients come for so long after a SIGTERM
 
 
-class Troubles:
+class FaultInjector:
     """Draws who is struck, once, and sets its times on the clock."""
 
-    def __init__(self, world: World) -> None:
-        self.world, self.clock = world, world.clock
-        self.excused: dict[int, int] = {}  # couriers that owe no end until then
-        self.planned: dict[int, int] = {}  # and those that come back after SIGTERM, when
-        self.silent_until = 0  # discovery
-        self.news = Pool(stream(world.seed, "news"))
-        length = world.scenario.seconds * 1e6
-        for at, trouble in enumerate(world.scenario.troubles):
-            chance = stream(world.seed, f"trouble {at}")
-            start = int(trouble.at * length)
-            begin = {
-                "zone_cut": self._zone_cut,
-                "deploy": self._deploy,
-                "kill": self._kill,
-                "join": self._join,
-                "discovery_silent": self._discovery_silent,
-                "restart": self._restart,
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation, self.clock = simulation, simulation.clock
+        self.exempt_until_us: dict[int, int] = {}  # couriers that owe no end until then
+        self.restart_delays_us: dict[int, int] = {}  # and those that come back after SIGTERM, when
+        self.discovery_silent_until_us = 0  # discovery
+        self.rng = UniformBuffer(stream(simulation.seed, "news"))
+        length_us = simulation.scenario.seconds * 1e6
+        for index, trouble in enumerate(simulation.scenario.troubles):
+            rng = stream(simulation.seed, f"trouble {index}")
+            start_us = int(trouble.at * length_us)
+            schedulers = {
+                "zone_cut": self._schedule_zone_cut,
+                "deploy": self._schedule_deploy,
+                "kill": self._schedule_kills,
+                "join": self._schedule_joins,
+                "discovery_silent": self._schedule_discovery_silence,
+                "restart": self._schedule_restarts,
             }
-            begin.get(trouble.kind, self._outage)(trouble, chance, start)
+            schedulers.get(trouble.kind, self._schedule_outage)(trouble, rng, start_us)
 
     # Partners
 
-    def _targets(self, t: Trouble, chance: Any) -> list[p.Target]:
+    def _choose_targets(self, trouble: Trouble, rng: Any) -> list[partners.Target]:
         """As many as get about that part of the messages; of one kind or zone where the scenario asks."""
-        world = self.world
+        simulation = self.simulation
         rows = [
             (partner.share / len(partner.targets), target, partner, n)
-            for partner in world.partners
+            for partner in simulation.partners
             for n, target in enumerate(partner.targets)
         ]
-        if t.kind == "limit":
+        if trouble.kind == "limit":
             rows = [r for r in rows if r[1].limit.per_s] or rows
-        if t.by == "kind":
-            kind = int(chance.integers(len(world.scenario.kinds)))
-            rows = [r for r in rows if r[2].kind == kind] or rows
-        if t.by == "zone":
-            zone = int(chance.integers(world.scenario.net.zones))
+        if trouble.by == "kind":
+            kind = int(rng.integers(len(simulation.scenario.kinds)))
+            rows = [r for r in rows if r[2].kind_index == kind] or rows
+        if trouble.by == "zone":
+            zone = int(rng.integers(simulation.scenario.net.zones))
             rows = [
                 r for r in rows if any(e.zone == zone and e.target is r[1] for e in r[2].endpoints)
             ] or rows
-        struck, total = [], 0.0
-        for at in chance.permutation(len(rows)).tolist():
-            share = rows[at][0]
-            if total + share <= t.part or not struck:
-                struck.append(rows[at][1])
+        chosen, total = [], 0.0
+        for index in rng.permutation(len(rows)).tolist():
+            share = rows[index][0]
+            if total + share <= trouble.part or not chosen:
+                chosen.append(rows[index][1])
                 total += share
-            if total >= t.part:
+            if total >= trouble.part:
                 break
-        return struck
-
-    def _outage(self, t: Trouble, chance: Any, start: int) -> None:
-        end = start + int(t.len_ms * 1e3)
-        for target in self._targets(t, chance):
-            self.clock.at(start, self._strike, target, t, end)
-            self.clock.at(end, self._heal, target, t)
-
-    def _strike(self, target: p.Target, t: Trouble, end: int) -> None:
-        target.strike(t.kind, t.size, end)
-        if t.kind == "down":
-            self._reset(target)
-
-    def _heal(self, target: p.Target, t: Trouble) -> None:
-        target.heal(self.clock.now, t.kind)
-        if t.kind == "silent":
-            self._reset(target)
-
-    def _reset(self, target: p.Target) -> None:
-        for endpoint in self.world.endpoints.values():
+        return chosen
+
+    def _schedule_outage(self, trouble: Trouble, rng: Any, start: int) -> None:
+        end = start + int(trouble.len_ms * 1e3)
+        for target in self._choose_targets(trouble, rng):
+            self.clock.at(start, self._start_outage, target, trouble, end)
+            self.clock.at(end, self._end_outage, target, trouble)
+
+    def _start_outage(self, target: partners.Target, trouble: Trouble, ends_us: int) -> None:
+        target.start_outage(trouble.kind, trouble.size, ends_us)
+        if trouble.kind == "down":
+            self._reset_connections(target)
+
+    def _end_outage(self, target: partners.Target, trouble: Trouble) -> None:
+        target.end_outage(self.clock.now, trouble.kind)
+        if trouble.kind == "silent":
+            self._reset_connections(target)
+
+    def _reset_connections(self, target: partners.Target) -> None:
+        for endpoint in self.simulation.endpoints.values():
             if endpoint.target is target:
-                for courier in self.world.couriers:
-                    courier.calls.reset_by(endpoint)
-
-    def _zone_cut(self, t: Trouble, chance: Any, start: int) -> None:
-        zone = int(chance.integers(self.world.scenario.net.zones))
-        struck = [e for e in self.world.endpoints.values() if e.zone == zone]
-        self.clock.at(start, self._cut, struck, True)
-        self.clock.at(start + int(t.len_ms * 1e3), self._cut, struck, False)
-
-    def _cut(self, struck: list[p.Endpoint], on: bool) -> None:
-        for endpoint in struck:
-            endpoint.cut = on
+                for courier in self.simulation.couriers:
+                    courier.calls.reset_connections(endpoint)
+
+    def _schedule_zone_cut(self, trouble: Trouble, rng: Any, start: int) -> None:
+        zone = int(rng.integers(self.simulation.scenario.net.zones))
+        chosen = [e for e in self.simulation.endpoints.values() if e.zone == zone]
+        self.clock.at(start, self._set_cut_off, chosen, True)
+        self.clock.at(start + int(trouble.len_ms * 1e3), self._set_cut_off, chosen, False)
+
+    def _set_cut_off(self, chosen: list[partners.Endpoint], on: bool) -> None:
+        for endpoint in chosen:
+            endpoint.is_cut_off = on
             if not on:
-                for courier in self.world.couriers:
-                    courier.calls.reset_by(endpoint)
+                for courier in self.simulation.couriers:
+                    courier.calls.reset_connections(endpoint)
 
     # The list
 
-    def _deploy(self, t: Trouble, chance: Any, start: int) -> None:
+    def _schedule_deploy(self, trouble: Trouble, rng: Any, start: int) -> None:
         """Endpoints drain and go, one after the other, and others come in their place."""
-        every = list(self.world.endpoints)
-        chosen = chance.permutation(every)[: max(1, round(t.part * len(every)))].tolist()
-        for n, number in enumerate(chosen):
-            at = start + int(t.len_ms * 1e3 * n / len(chosen))
-            self.clock.at(at, self._replace, number)
-
-    def _replace(self, number: int) -> None:
-        world = self.world
-        old = world.endpoints[number]
-        fresh = max(world.endpoints) + 1
-        endpoint = p.Endpoint(
-            fresh,
+        numbers = list(self.simulation.endpoints)
+        chosen = rng.permutation(numbers)[: max(1, round(trouble.part * len(numbers)))].tolist()
+        for position, number in enumerate(chosen):
+            at = start + int(trouble.len_ms * 1e3 * position / len(chosen))
+            self.clock.at(at, self._replace_endpoint, number)
+
+    def _replace_endpoint(self, number: int) -> None:
+        simulation = self.simulation
+        old = simulation.endpoints[number]
+        new_number = max(simulation.endpoints) + 1
+        endpoint = partners.Endpoint(
+            new_number,
             old.partner,
             old.zone,
             old.target,
             old.workers,
             old.queue_size,
-            old.table,
+            old.max_connections,
             self.clock,
-            Pool(stream(world.seed, f"endpoint {fresh}")),
+            UniformBuffer(stream(simulation.seed, f"endpoint {new_number}")),
         )
-        world.endpoints[fresh] = endpoint
-        world.lanes[fresh] = fresh if old.target.kind.routes_apart else -old.partner
-        world.partners[old.partner - 1].endpoints.append(endpoint)
+        simulation.endpoints[new_number] = endpoint
+        simulation.lane_by_endpoint[new_number] = new_number if old.target.kind.routes_apart else -old.partner
+        simulation.partners[old.partner - 1].endpoints.append(endpoint)
         old.state = "draining"
-        self.tell([number, fresh])
-        self.clock.after(2_000_000, self._leave, old)
+        self.announce([number, new_number])
+        self.clock.after(2_000_000, self._remove_endpoint, old)
 
-    def _leave(self, endpoint: p.Endpoint) -> None:
+    def _remove_endpoint(self, endpoint: partners.Endpoint) -> None:
         endpoint.state = "gone"
-        for courier in self.world.couriers:
-            courier.calls.reset_by(endpoint)
-        self.tell([endpoint.number])
+        for courier in self.simulation.couriers:
+            courier.calls.reset_connections(endpoint)
+        self.announce([endpoint.number])
 
-    def tell(self, numbers: list[int]) -> None:
+    def announce(self, numbers: list[int]) -> None:
         """Discovery's news, to each courier in its own time; held back while discovery is silent."""
-        d, entries = self.world.scenario.discovery, [self.world.entry(n) for n in numbers]
-        for courier in self.world.couriers:
-            late = int((d.notice_ms + d.spread_ms * self.news.uniform()) * 1e3)
-            self.clock.at(max(self.clock.now, self.silent_until) + late, courier.listed, entries)
+        discovery, entries = (
+            self.simulation.scenario.discovery,
+            [self.simulation.list_entry(n) for n in numbers],
+        )
+        for courier in self.simulation.couriers:
+            delay_us = int((discovery.notice_ms + discovery.spread_ms * self.rng.uniform()) * 1e3)
+            self.clock.at(
+                max(self.clock.now, self.discovery_silent_until_us) + delay_us,
+                courier.update_endpoints,
+                entries,
+            )
 
-    def _discovery_silent(self, t: Trouble, chance: Any, start: int) -> None:
-        self.clock.at(start, setattr, self, "silent_until", start + int(t.len_ms * 1e3))
+    def _schedule_discovery_silence(self, trouble: Trouble, rng: Any, start: int) -> None:
+        self.clock.at(start, setattr, self, "discovery_silent_until_us", start + int(trouble.len_ms * 1e3))
 
     # The fleet
 
-    def _couriers(self, t: Trouble, chance: Any) -> list[CourierModel]:
-        every = self.world.couriers
-        count = max(1, round(t.part * len(every)))
-        if count >= len(every) and t.kind == "kill" and t.len_ms >= self.world.scenario.seconds * 1e3:
-            raise ScenarioError(f"troubles: no courier is left alive by {t.kind}")
-        return [every[n] for n in chance.permutation(len(every))[:count].tolist()]
-
-    def _kill(self, t: Trouble, chance: Any, start: int) -> None:
+    def _choose_couriers(self, trouble: Trouble, rng: Any) -> list[CourierModel]:
+        couriers = self.simulation.couriers
+        count = max(1, round(trouble.part * len(couriers)))
+        if (
+            count >= len(couriers)
+            and trouble.kind == "kill"
+            and trouble.len_ms >= self.simulation.scenario.seconds * 1e3
+        ):
+            raise ScenarioError(f"troubles: no courier is left alive by {trouble.kind}")
+        return [couriers[n] for n in rng.permutation(len(couriers))[:count].tolist()]
+
+    def _schedule_kills(self, trouble: Trouble, rng: Any, start: int) -> None:
         """At once, with their folders kept."""
-        for courier in self._couriers(t, chance):
-            self.clock.at(start, self._dies, courier, start + int(t.len_ms * 1e3))
+        for courier in self._choose_couriers(trouble, rng):
+            self.clock.at(start, self._kill_courier, courier, start + int(trouble.len_ms * 1e3))
 
-    def _dies(self, courier: CourierModel, back: int) -> None:
-        if not courier.alive:
+    def _kill_courier(self, courier: CourierModel, return_us: int) -> None:
+        if not courier.is_alive:
             return
         courier.kill()
-        self._down(courier, back)
+        self._schedule_return(courier, return_us)
 
-    def _down(self, courier: CourierModel, back: int) -> None:
-        s = self.world.scenario
-        self.excused[courier.number] = back + READY_US
-        self.clock.after(int(s.front.notice_ms * 1e3), self._noticed, courier)
-        self.clock.at(back, self._comes_back, courier)
+    def _schedule_return(self, courier: CourierModel, return_us: int) -> None:
+        scenario = self.simulation.scenario
+        self.exempt_until_us[courier.number] = return_us + RECOVERY_GRACE_US
+        self.clock.after(int(scenario.front.notice_ms * 1e3), self._update_load_balancer, courier)
+        self.clock.at(return_us, self._start_courier, courier)
 
-    def _noticed(self, courier: CourierModel) -> None:
-        self.world.clients.front.believed[courier.number] = courier.listening
+    def _update_load_balancer(self, courier: CourierModel) -> None:
+        self.simulation.clients.load_balancer.believed_alive[courier.number] = courier.is_listening
 
-    def _comes_back(self, courier: CourierModel) -> None:
-        if not courier.alive:
+    def _start_courier(self, courier: CourierModel) -> None:
+        if not courier.is_alive:
             courier.start()
-            self.world.clients.front.believed[courier.number] = True
+            self.simulation.clients.load_balancer.believed_alive[courier.number] = True
 
-    def _restart(self, t: Trouble, chance: Any, start: int) -> None:
+    def _schedule_restarts(self, trouble: Trouble, rng: Any, start: int) -> None:
         """In steps of a tenth: SIGTERM, every second one SIGKILL."""
-        chosen = self._couriers(t, chance)
-        for n, courier in enumerate(chosen):
-            at = start + int(t.len_ms * 1e3 * (n * 10 // len(chosen)) / 10)
-            back = int(self.world.scenario.fleet.back_ms * 1e3)
-            if n % 2:
-                self.clock.at(at, self._dies, courier, at + back)
+        chosen = self._choose_couriers(trouble, rng)
+        for position, courier in enumerate(chosen):
+            start_us = start + int(trouble.len_ms * 1e3 * (position * 10 // len(chosen)) / 10)
+            delay_us = int(self.simulation.scenario.fleet.back_ms * 1e3)
+            if position % 2:
+                self.clock.at(start_us, self._kill_courier, courier, start_us + delay_us)
             else:
-                self.clock.at(at, self._terminates, courier, back)
+                self.clock.at(start_us, self._terminate_courier, courier, delay_us)
 
-    def _terminates(self, courier: CourierModel, back: int) -> None:
-        if not courier.alive:
+    def _terminate_courier(self, courier: CourierModel, delay_us: int) -> None:
+        if not courier.is_alive:
             return
-        self.planned[courier.number] = back
-        self.excused[courier.number] = self.clock.now + 10_000_000
-        self.clock.after(DEAF_US, self._noticed, courier)
+        self.restart_delays_us[courier.number] = delay_us
+        self.exempt_until_us[courier.number] = self.clock.now + 10_000_000
+        self.clock.after(SHUTDOWN_NOTICE_US, self._update_load_balancer, courier)
         courier.terminate()
 
-    def ended(self, courier: CourierModel) -> None:
-        self._down(courier, self.clock.now + self.planned.pop(courier.number, 0))
+    def courier_ended(self, courier: CourierModel) -> None:
+        self._schedule_return(courier, self.clock.now + self.restart_delays_us.pop(courier.number, 0))
 
-    def _join(self, t: Trouble, chance: Any, start: int) -> None:
+    def _schedule_joins(self, trouble: Trouble, rng: Any, start: int) -> None:
         """Couriers that were away from the start on join."""
-        for courier in self._couriers(t, chance):
-            self.clock.at(30_000, self._dies, courier, start)
+        for courier in self._choose_couriers(trouble, rng):
+            self.clock.at(30_000, self._kill_courier, courier, start)
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -7,8 +7,8 @@
 
 import numpy as np
 
-from hopmill.lab import partners as p
-from hopmill.lab.chance import Pool, lognormal, stream, zipf_weights
+from hopmill.lab import partners
+from hopmill.lab.chance import UniformBuffer, lognormal, stream, zipf_weights
 from hopmill.lab.clients import Clients
 from hopmill.lab.clock import Clock
 from hopmill.lab.courier import CourierModel
@@ -18,13 +18,13 @@
 from hopmill.lab.policy import FleetPolicy
 from hopmill.lab.rules import Rules
 from hopmill.lab.scenario import Scenario, draw
-from hopmill.lab.troubles import Troubles
+from hopmill.lab.troubles import FaultInjector
 
 
-SALT = 0  # another value gives every courier other chances on the same day: for A/A tests
+SEED_SALT = 0  # another value gives every courier other chances on the same day: for A/A tests
 
 
-class World:
+class Simulation:
     """Built for one scenario (as drawn) and one seed. `play` runs it to its end."""
 
     def __init__(self, scenario: Scenario, seed: int, dialect: Dialect | None = None) -> None:
@@ -32,141 +32,162 @@
         self.dialect = dialect or Dialect()
         self.clock, self.rules = Clock(), Rules()
         self.counts: Counter[str] = Counter()
-        self.held, self.held_since, self.held_us = 0, 0, 0  # messages taken on: now, and summed over time
-        self.stayed_us = 0  # the same by messages: how long each was held
-        s = self.scenario
-        self.handshake_us = int(s.net.handshake_ms * 1e3)
-        self.jitter = Pool(stream(seed, "jitter"))
-        self.losses = Pool(stream(seed, "losses"))
-        self.partners: list[p.Partner] = []
-        self.endpoints: dict[int, p.Endpoint] = {}
-        self.lanes: dict[int, int] = {}  # endpoint: what shares its limit, as a number
+        self.messages_held, self.held_since_us, self.held_message_us = (
+            0,
+            0,
+            0,
+        )  # messages taken on: now, and summed over time
+        self.total_stay_us = 0  # the same by messages: how long each was held
+        drawn = self.scenario
+        self.handshake_us = int(drawn.net.handshake_ms * 1e3)
+        self.jitter_draws = UniformBuffer(stream(seed, "jitter"))
+        self.loss_draws = UniformBuffer(stream(seed, "losses"))
+        self.partners: list[partners.Partner] = []
+        self.endpoints: dict[int, partners.Endpoint] = {}
+        self.lane_by_endpoint: dict[int, int] = {}  # endpoint: what shares its limit, as a number
         self._build_partners()
-        self._settings()
-        zones = stream(seed, "zones").integers(s.net.zones, size=s.fleet.couriers)
-        self.couriers = [CourierModel(self, n, int(zones[n])) for n in range(s.fleet.couriers)]
+        self._build_settings()
+        zones = stream(seed, "zones").integers(drawn.net.zones, size=drawn.fleet.couriers)
+        self.couriers = [CourierModel(self, n, int(zones[n])) for n in range(drawn.fleet.couriers)]
         for courier in self.couriers:
-            courier.known = {n: self.entry(n) for n in self.endpoints}
+            courier.known_entries = {n: self.list_entry(n) for n in self.endpoints}
         self.members = (
             Fleet(
                 Plan(
-                    s.fleet.couriers,
+                    drawn.fleet.couriers,
                     seed=seed,
-                    zones=s.net.zones,
+                    zones=drawn.net.zones,
                     leases=("duty",),
-                    settings={"policy": PolicyRule(alone="hold")} if s.fleet.policy else {},
+                    settings={"policy": PolicyRule(alone="hold")} if drawn.fleet.policy else {},
                 ),
                 self.clock,
             )
-            if s.fleet.members or s.fleet.policy
+            if drawn.fleet.members or drawn.fleet.policy
             else None
         )
-        self.policy = FleetPolicy(self, s.fleet.policy_every_s) if s.fleet.policy else None
+        self.policy = FleetPolicy(self, drawn.fleet.policy_every_s) if drawn.fleet.policy else None
         self.clients = Clients(self)
-        self.troubles = Troubles(self)
+        self.faults = FaultInjector(self)
 
     # Partners
 
     def _build_partners(self) -> None:
-        s = self.scenario
-        chance, slow = stream(self.seed, "partners"), stream(self.seed, "slow")
-        per = sum(k.endpoints * k.share for k in s.kinds) / sum(k.share for k in s.kinds)
-        count = max(len(s.kinds), round(s.endpoints / per))
-        shares = chance.permutation(zipf_weights(count, s.load.partner_zipf))
-        kinds = np.repeat(
-            range(len(s.kinds)),
-            [max(1, round(count * k.share / sum(x.share for x in s.kinds))) for k in s.kinds],
-        )[:count]
-        kinds = chance.permutation(np.resize(kinds, count))
-        work = sum(c.work_ms * c.share for c in s.classes) / sum(c.share for c in s.classes)
-        number = 0
-        for at in range(count):
-            kind = s.kinds[kinds[at]]
-            size = max(1, int(kind.endpoints + chance.random()))
-            partner = p.Partner(at + 1, int(kinds[at]), float(shares[at]))
-            slowness = float(lognormal(slow, 1.0, kind.slow_cv))
-            messages = s.load.rate_per_s * kind.full_load * partner.share
-            calls = max(kind.least_per_s, kind.headroom * messages * kind.calls_per_message)
-            routes = size if kind.routes_apart else 1
+        scenario = self.scenario
+        rng, slowness_rng = stream(self.seed, "partners"), stream(self.seed, "slow")
+        endpoints_per_partner = sum(k.endpoints * k.share for k in scenario.kinds) / sum(
+            k.share for k in scenario.kinds
+        )
+        partner_count = max(len(scenario.kinds), round(scenario.endpoints / endpoints_per_partner))
+        shares = rng.permutation(zipf_weights(partner_count, scenario.load.partner_zipf))
+        kind_indexes = np.repeat(
+            range(len(scenario.kinds)),
+            [
+                max(1, round(partner_count * k.share / sum(x.share for x in scenario.kinds)))
+                for k in scenario.kinds
+            ],
+        )[:partner_count]
+        kind_indexes = rng.permutation(np.resize(kind_indexes, partner_count))
+        mean_work_ms = sum(c.work_ms * c.share for c in scenario.classes) / sum(
+            c.share for c in scenario.classes
+        )
+        endpoint_number = 0
+        for index in range(partner_count):
+            kind = scenario.kinds[kind_indexes[index]]
+            endpoint_count = max(1, int(kind.endpoints + rng.random()))
+            partner = partners.Partner(index + 1, int(kind_indexes[index]), float(shares[index]))
+            slowness = float(lognormal(slowness_rng, 1.0, kind.slow_cv))
+            messages_per_s = scenario.load.rate_per_s * kind.full_load * partner.share
+            calls_per_s = max(kind.least_per_s, kind.headroom * messages_per_s * kind.calls_per_message)
+            routes = endpoint_count if kind.routes_apart else 1
             for route in range(routes):
-                capacity = calls * kind.spare / routes
-                limit = p.Limit(kind, 0.0 if kind.limit == "none" else calls / routes)
+                capacity = calls_per_s * kind.spare / routes
+                limit = partners.Limit(kind, 0.0 if kind.limit == "none" else calls_per_s / routes)
                 partner.targets.append(
-                    p.Target(
-                        f"{at + 1}.{route}",
+                    partners.Target(
+                        f"{index + 1}.{route}",
                         kind,
                         limit,
                         capacity,
                         slowness,
-                        s.fall_multiple,
-                        int(s.fall_ms * 1e3),
+                        scenario.fall_multiple,
+                        int(scenario.fall_ms * 1e3),
                     )
                 )
-            for n in range(size):
-                number += 1
-                target = partner.targets[n % routes]
-                each = target.capacity / (1 if kind.routes_apart else size)
-                mean_s = work * slowness / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
-                endpoint = p.Endpoint(
-                    number,
+            for position in range(endpoint_count):
+                endpoint_number += 1
+                target = partner.targets[position % routes]
+                endpoint_capacity_per_s = target.capacity_per_s / (1 if kind.routes_apart else endpoint_count)
+                mean_work_s = mean_work_ms * slowness / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
+                endpoint = partners.Endpoint(
+                    endpoint_number,
                     partner.number,
-                    int(chance.integers(s.net.zones)),
+                    int(rng.integers(scenario.net.zones)),
                     target,
-                    max(1, round(each * mean_s)),
-                    max(1, round(each * kind.depth_s)),
+                    max(1, round(endpoint_capacity_per_s * mean_work_s)),
+                    max(1, round(endpoint_capacity_per_s * kind.depth_s)),
                     int(kind.connections),
                     self.clock,
-                    Pool(stream(self.seed, f"endpoint {number}")),
+                    UniformBuffer(stream(self.seed, f"endpoint {endpoint_number}")),
                 )
                 partner.endpoints.append(endpoint)
-                self.endpoints[number] = endpoint
-                self.lanes[number] = number if kind.routes_apart else -partner.number
+                self.endpoints[endpoint_number] = endpoint
+                self.lane_by_endpoint[endpoint_number] = (
+                    endpoint_number if kind.routes_apart else -partner.number
+                )
             self.partners.append(partner)
         for target in {id(e.target): e.target for e in self.endpoints.values()}.values():
             if target.limit.per_s:
-                self._report(target, Pool(stream(self.seed, f"report {target.name}")))
+                self._refresh_report(target, UniformBuffer(stream(self.seed, f"report {target.name}")))
 
-    def _report(self, target: p.Target, chance: Pool) -> None:
+    def _refresh_report(self, target: partners.Target, rng: UniformBuffer) -> None:
         """What answers tell is refreshed now and then, late and noisy."""
-        s, now = self.scenario.reports, self.clock.now
-        noise = 1 + s.noise * (2 * chance.uniform() - 1) * 1.7
-        told = (min(1.0, target.limit.left(now) * noise), target.limit.now_per_s)
-        self.clock.after(int(s.delay_ms * 1e3), setattr, target, "told", told)
-        self.clock.after(max(1000, int(s.period_ms * 1e3)), self._report, target, chance)
+        reports, now = self.scenario.reports, self.clock.now
+        noise = 1 + reports.noise * (2 * rng.uniform() - 1) * 1.7
+        report = (min(1.0, target.limit.share_left(now) * noise), target.limit.current_per_s)
+        self.clock.after(int(reports.delay_ms * 1e3), setattr, target, "report", report)
+        self.clock.after(max(1000, int(reports.period_ms * 1e3)), self._refresh_report, target, rng)
 
-    def entry(self, number: int):
-        i, e = self.dialect.i, self.endpoints[number]
+    def list_entry(self, number: int):
+        interface, endpoint = self.dialect.i, self.endpoints[number]
         states = {
-            "ready": i.EndpointState.READY,
-            "draining": i.EndpointState.DRAINING,
-            "gone": i.EndpointState.GONE,
+            "ready": interface.EndpointState.READY,
+            "draining": interface.EndpointState.DRAINING,
+            "gone": interface.EndpointState.GONE,
         }
-        target = e.target
-        rate = target.limit.per_s or target.capacity
+        target = endpoint.target
+        rate = target.limit.per_s or target.capacity_per_s
         return self.dialect.make(
             "ListEntry",
             endpoint=number,
-            destination=e.partner,
-            state=states[e.state],
+            destination=endpoint.partner,
+            state=states[endpoint.state],
             rate_per_s=rate,
-            kind=self.partners[e.partner - 1].kind,
-            zone=e.zone,
+            kind=self.partners[endpoint.partner - 1].kind_index,
+            zone=endpoint.zone,
         )
 
-    def lane(self, endpoint: int) -> int:
-        return self.lanes[endpoint]
+    def lane_of(self, endpoint: int) -> int:
+        return self.lane_by_endpoint[endpoint]
 
-    def batch(self, endpoint: int) -> int:
+    def batch_size(self, endpoint: int) -> int:
         return self.endpoints[endpoint].target.kind.bundle
 
     # Couriers
 
-    def _settings(self) -> None:
-        s, i, make = self.scenario, self.dialect.i, self.dialect.make
-        effects = {"safe": i.Effect.SAFE, "keyed": i.Effect.KEYED, "unsafe": i.Effect.UNSAFE}
-        longest = int(s.clients.longest_wait_ms * 1e3)
-        fees = tuple(s.net.fee * z / max(1, s.net.zones - 1) for z in range(s.net.zones)) if s.net.fee else ()
-        self._common = dict(
+    def _build_settings(self) -> None:
+        scenario, interface, make = self.scenario, self.dialect.i, self.dialect.make
+        effects = {
+            "safe": interface.Effect.SAFE,
+            "keyed": interface.Effect.KEYED,
+            "unsafe": interface.Effect.UNSAFE,
+        }
+        max_wait_us = int(scenario.clients.longest_wait_ms * 1e3)
+        fees = (
+            tuple(scenario.net.fee * z / max(1, scenario.net.zones - 1) for z in range(scenario.net.zones))
+            if scenario.net.fee
+            else ()
+        )
+        self._common_settings = dict(
             classes=tuple(
                 make(
                     "MessageClass",
@@ -178,80 +199,81 @@
                     late_share=c.late_worth,
                     key_window_us=int(c.key_window_ms * 1e3),
                 )
-                for c in s.classes
+                for c in scenario.classes
             ),
             kinds=tuple(
-                make("Kind", name=k.name, routes_apart=k.routes_apart, batch=k.bundle) for k in s.kinds
+                make("Kind", name=k.name, routes_apart=k.routes_apart, batch=k.bundle) for k in scenario.kinds
             ),
             tenants=tuple(
-                make("Tenant", name=t.name, share=min(1.0, t.share), quota_per_s=t.quota) for t in s.tenants
+                make("Tenant", name=t.name, share=min(1.0, t.share), quota_per_s=t.quota)
+                for t in scenario.tenants
             ),
-            slots=max(1, round(s.fleet.slots)),
-            max_held=max(2, round(s.fleet.held)),
-            couriers=s.fleet.told_couriers or s.fleet.couriers,
+            slots=max(1, round(scenario.fleet.slots)),
+            max_held=max(2, round(scenario.fleet.held)),
+            couriers=scenario.fleet.told_couriers or scenario.fleet.couriers,
             max_attempts=6,
             second_copies=False,
             may_cancel=True,
-            tick_us=int(s.fleet.tick_ms * 1e3),
-            max_retry_after_us=longest,
-            connection_idle_us=int(s.fleet.idle_ms * 1e3),
-            connect_timeout_us=int(s.fleet.connect_ms * 1e3),
-            drain_grace_us=int(s.drain_grace_ms * 1e3),
-            cold_share=min(k.cold_from for k in s.kinds),
-            cold_us=int(max(k.cold_ms for k in s.kinds) * 1e3),
-            fall_multiple=s.fall_multiple,
-            fall_us=int(s.fall_ms * 1e3),
+            tick_us=int(scenario.fleet.tick_ms * 1e3),
+            max_retry_after_us=max_wait_us,
+            connection_idle_us=int(scenario.fleet.idle_ms * 1e3),
+            connect_timeout_us=int(scenario.fleet.connect_ms * 1e3),
+            drain_grace_us=int(scenario.drain_grace_ms * 1e3),
+            cold_share=min(k.cold_from for k in scenario.kinds),
+            cold_us=int(max(k.cold_ms for k in scenario.kinds) * 1e3),
+            fall_multiple=scenario.fall_multiple,
+            fall_us=int(scenario.fall_ms * 1e3),
             report_fields=("x0", "x1"),
             rates_listed=True,
-            over_share_worth=s.over_share_worth,
-            late_halves=s.late == "halves",
-            refused_price=s.prices.refused,
+            over_share_worth=scenario.over_share_worth,
+            late_halves=scenario.late == "halves",
+            refused_price=scenario.prices.refused,
             zone_fees=fees,
         )
 
-    def settings_of(self, number: int):
-        me = min(number, self._common["couriers"] - 1)
-        return self.dialect.make("Settings", me=me, **self._common)
+    def courier_settings(self, number: int):
+        own_index = min(number, self._common_settings["couriers"] - 1)
+        return self.dialect.make("Settings", me=own_index, **self._common_settings)
 
-    def module_seed(self, courier: int, life: int) -> int:
-        return zlib.crc32(f"{self.seed} {courier} {life} {SALT or ''}".encode())
+    def module_seed(self, courier: int, generation: int) -> int:
+        return zlib.crc32(f"{self.seed} {courier} {generation} {SEED_SALT or ''}".encode())
 
-    def owes(self, courier: CourierModel) -> bool:
+    def must_end_messages(self, courier: CourierModel) -> bool:
         """No end is overdue from the start of a restart until a while after it."""
-        return self.clock.now >= self.troubles.excused.get(courier.number, -1)
+        return self.clock.now >= self.faults.exempt_until_us.get(courier.number, -1)
 
-    def left(self, courier: CourierModel) -> None:
+    def process_ended(self, courier: CourierModel) -> None:
         """Its process has ended as planned."""
-        self.troubles.ended(courier)
+        self.faults.courier_ended(courier)
 
-    def holds(self, change: int) -> None:
+    def change_held(self, change: int) -> None:
         """A message was taken on, or ended."""
         now = self.clock.now
-        self.held_us += self.held * (now - self.held_since)
-        self.held, self.held_since = self.held + change, now
+        self.held_message_us += self.messages_held * (now - self.held_since_us)
+        self.messages_held, self.held_since_us = self.messages_held + change, now
 
     # The network
 
-    def delay(self, courier: CourierModel, endpoint: p.Endpoint) -> int:
+    def network_delay_us(self, courier: CourierModel, endpoint: partners.Endpoint) -> int:
         net = self.scenario.net
         base = net.same_ms if courier.zone == endpoint.zone else net.cross_ms
-        return max(50, int(base * 1e3 * (1 + net.jitter * (2 * self.jitter.uniform() - 1))))
+        return max(50, int(base * 1e3 * (1 + net.jitter * (2 * self.jitter_draws.uniform() - 1))))
 
-    def answer_lost(self) -> bool:
+    def is_answer_lost(self) -> bool:
         lost = self.scenario.net.lost
-        return lost > 0 and self.losses.uniform() < lost
+        return lost > 0 and self.loss_draws.uniform() < lost
 
-    def after_arrival(self, endpoint: p.Endpoint) -> None:
+    def check_for_collapse(self, endpoint: partners.Endpoint) -> None:
         """The rule on what returns: it was pushed over, mostly by couriers that knew."""
         target = endpoint.target
-        if target.fallen and target.load:
-            blame, target.load = target.blame, 0.0
+        if target.has_collapsed and target.recent_load:
+            informed_share, target.recent_load = target.informed_share, 0.0
             self.counts["fell"] += 1
-            if blame >= 2 / 3:
-                raise self.rules.broken(
+            if informed_share >= 2 / 3:
+                raise self.rules.violation(
                     "fail-back",
                     self.clock.now,
-                    f"{target.name} was pushed over, {blame:.2f} of it by couriers that knew",
+                    f"{target.name} was pushed over, {informed_share:.2f} of it by couriers that knew",
                     lane=endpoint.partner,
                 )
 
@@ -259,8 +281,8 @@
 
     def play(self) -> None:
         """To the end of the last message's time. RuleBroken or ModuleFailed ends it early."""
-        chance = stream(self.seed, "starts")
+        rng = stream(self.seed, "starts")
         for courier in self.couriers:
-            self.clock.at(int(chance.uniform(0, 20_000)), courier.start)
-        longest = max(c.deadline_ms for c in self.scenario.classes)
-        self.clock.run(int(self.scenario.seconds * 1e6 + longest * 1e3 + 1e6))
+            self.clock.at(int(rng.uniform(0, 20_000)), courier.start)
+        max_deadline_ms = max(c.deadline_ms for c in self.scenario.classes)
+        self.clock.run(int(self.scenario.seconds * 1e6 + max_deadline_ms * 1e3 + 1e6))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,13 +18,13 @@
 from hopmill.lab import compare as cmp
 from hopmill.lab import farm, loadtool, partners, play, replay, search
 from hopmill.lab.calls import Calls
-from hopmill.lab.chance import Pool, lognormal, stream
+from hopmill.lab.chance import UniformBuffer, lognormal, stream
 from hopmill.lab.clock import Clock
-from hopmill.lab.courier import ModuleFailed
+from hopmill.lab.courier import ModuleFailedError
 from hopmill.lab.dialect import Dialect
-from hopmill.lab.rules import RuleBroken
+from hopmill.lab.rules import RuleBrokenError
 from hopmill.lab.scenario import Kind, ScenarioError, Trouble, load
-from hopmill.lab.world import World
+from hopmill.lab.world import Simulation
 
 
 def small(name="calm", couriers=6, **changes):
@@ -36,7 +36,7 @@
 
 def endpoint(clock, kind, workers, queue, rate=0.0):
     target = partners.Target("t", kind, partners.Limit(kind, rate), 1e9, 1.0, 2.0, 500_000)
-    return partners.Endpoint(1, 1, 0, target, workers, queue, 10**6, clock, Pool(stream(1, "e")))
+    return partners.Endpoint(1, 1, 0, target, workers, queue, 10**6, clock, UniformBuffer(stream(1, "e")))
 
 
 def offer(clock, place, arrivals_us, works_us):
@@ -45,7 +45,7 @@
 
     def arrive(work):
         at = clock.now
-        place.arrives(
+        place.receive(
             partners.Call(
                 0, (0,), (work,), lambda said, wait, report: rows.append((said, at, clock.now)), lambda: None
             )
@@ -132,7 +132,10 @@
 
 def test_one_parts_draws_shift_no_others():
     def arrivals(**changes):
-        return [(o.born, o.cls, o.dest, o.works) for o in World(small(**changes), 5).clients.origins]
+        return [
+            (o.created_us, o.class_index, o.destination, o.work_us)
+            for o in Simulation(small(**changes), 5).clients.requests
+        ]
 
     first = arrivals()
     assert len(first) > 100
@@ -144,10 +147,10 @@
     same = farm.Build(override={"policy.pacing.GROW": "0.1"})
     found, a, b = cmp.compare(farm.Build(), same, "calm", 4, [1, 2])
     assert a == b and all(d.mean == d.low == d.high == 0 and d.sign == 0 for d in found)
-    chance = np.random.default_rng(5)
+    rng = np.random.default_rng(5)
     outside = [
         0 if low <= 0.3 <= high else 1
-        for low, high in (cmp.interval(chance.normal(0.3, 1, 10)) for _ in range(400))
+        for low, high in (cmp.interval(rng.normal(0.3, 1, 10)) for _ in range(400))
     ]
     assert 0.02 <= np.mean(outside) <= 0.08  # 0.05 is meant; plain percentiles of 10 pairs give 0.1
 
@@ -188,12 +191,12 @@
 def test_a_full_table_turns_away_on_new_connections_alone():
     clock = Clock()
     place = endpoint(clock, Kind(name="k", errors=0.0), 50, 50)
-    place.table, said = 2, []
+    place.max_connections, said = 2, []
     met = [place.connect() for _ in range(3)]
     for result in met:
         call = partners.Call(0, (0,), (1000.0,), lambda *told: said.append(told[0]), lambda: None)
-        call.over = result == partners.FULL
-        place.arrives(call)
+        call.over_limit = result == partners.FULL
+        place.receive(call)
     clock.run(10**6)
     assert met == [partners.OK, partners.OK, partners.FULL] and sorted(said) == ["full", "ok", "ok"]
     place.disconnect()
@@ -226,9 +229,9 @@
 def play_altered(alter, scenario, seed=1):
     dialect = Dialect()
     dialect.courier = Altered(alter)
-    world = World(scenario, seed, dialect)
-    world.play()
-    return world
+    simulation = Simulation(scenario, seed, dialect)
+    simulation.play()
+    return simulation
 
 
 def silent(inner, now, events, actions):
@@ -276,7 +279,7 @@
 def test_a_module_that_breaks_a_rule_ends_the_play_with_what_led_to_it(alter, rule, scenario, changes):
     day = small(scenario, 4, **changes)
     play_altered(lambda inner, now, events, actions: actions, day)  # as it is it breaks none
-    with pytest.raises(RuleBroken) as caught:
+    with pytest.raises(RuleBrokenError) as caught:
         play_altered(alter, day)
     assert caught.value.rule == rule
     assert caught.value.trace and len(caught.value.trace) <= 25
@@ -285,39 +288,39 @@
 def test_what_returns_is_pushed_over_by_those_who_knew():
     clock, kind = Clock(), Kind(name="k", errors=0.0, cold_ms=5000.0, cold_from=0.2)
     place = endpoint(clock, kind, 50, 50)
-    place.target.capacity, other = 20.0, endpoint(clock, kind, 50, 50)
-    other.target.capacity = 20.0
+    place.target.capacity_per_s, other = 20.0, endpoint(clock, kind, 50, 50)
+    other.target.capacity_per_s = 20.0
     for target in (place.target, other.target):  # both return; one gets too much
-        target.strike("down", 1.0, 1000)
-        target.saw.add(1)
-        target.heal(clock.now, "down")
+        target.start_outage("down", 1.0, 1000)
+        target.affected_couriers.add(1)
+        target.end_outage(clock.now, "down")
     call = partners.Call(1, (0,), (100.0,), lambda *told: None, lambda: None)
-    hits = [place.target.pushed_over(clock.now + n, call) for n in range(30)]
-    assert hits.index(True) >= 4 and place.target.fallen and place.target.blame == 1.0
-    assert not other.target.fallen and not other.target.pushed_over(10, call)
+    hits = [place.target.collapses_under(clock.now + n, call) for n in range(30)]
+    assert hits.index(True) >= 4 and place.target.has_collapsed and place.target.informed_share == 1.0
+    assert not other.target.has_collapsed and not other.target.collapses_under(10, call)
 
 
 def test_a_courier_killed_in_the_tick_in_which_a_call_ends_sends_no_unsafe_one_again(monkeypatch):
     scenario = small("calm", 3)
-    world = World(scenario, 2)
-    courier, killed, told = world.couriers[0], [], []
+    simulation = Simulation(scenario, 2)
+    courier, killed, told = simulation.couriers[0], [], []
     finish = Calls._finish
 
-    def kill_first(calls, out, outcome, wait, report):
-        mine = calls.c is courier and outcome == partners.OK
-        if mine and len(killed) < 20 and world.clock.now > 500_000:
-            killed.append(out.items[0][0])
-            life = courier.life
-            world.troubles._dies(courier, world.clock.now + 50_000)
-            told.append((life, courier.life))
+    def kill_first(calls, outgoing, outcome, wait, report):
+        mine = calls.courier is courier and outcome == partners.OK
+        if mine and len(killed) < 20 and simulation.clock.now > 500_000:
+            killed.append(outgoing.items[0][0])
+            generation = courier.generation
+            simulation.faults._kill_courier(courier, simulation.clock.now + 50_000)
+            told.append((generation, courier.generation))
             return
-        finish(calls, out, outcome, wait, report)
+        finish(calls, outgoing, outcome, wait, report)
 
     monkeypatch.setattr(Calls, "_finish", kill_first)
-    world.play()  # a second effect, or a message without an end, would end it
+    simulation.play()  # a second effect, or a message without an end, would end it
     assert len(killed) == 20 and all(after > before for before, after in told)
-    unsafe = [m for m in killed if scenario.classes[m.cls].effect == "unsafe"]
-    assert unsafe and all(m.effects == 1 for m in unsafe)
+    unsafe = [message for message in killed if scenario.classes[message.class_index].effect == "unsafe"]
+    assert unsafe and all(message.executions == 1 for message in unsafe)
 
 
 @pytest.mark.parametrize(
@@ -341,7 +344,7 @@
     day = small()
     day.troubles = [Trouble(kind="kill", part=1.0, len_ms=60_000.0)]
     with pytest.raises(ScenarioError, match="no courier is left alive"):
-        World(day, 1)
+        Simulation(day, 1)
     with pytest.raises(ScenarioError, match="there are calm, clump, herd, join, overload, roll"):
         load("clam")
 
@@ -352,7 +355,7 @@
             raise ZeroDivisionError("in a decision")
         return actions
 
-    with pytest.raises(ModuleFailed, match=r"courier \d+ at [01]\.\d+ s, on \d+ events, the last \w+\("):
+    with pytest.raises(ModuleFailedError, match=r"courier \d+ at [01]\.\d+ s, on \d+ events, the last \w+\("):
         play_altered(throws, small())
     dialect = Dialect()
     dialect.courier = Altered(throws)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -21,7 +21,7 @@
 from hopmill.fleet.settings import Members, Other, problems, warnings
 from hopmill.fleet.swim import ALIVE, DEAD, LEFT, MAX_RELAYS
 from hopmill.fleet.voter import MAX_OTHER_GENERATIONS
-from hopmill.lab.members import Fleet, Plan, calm, detection
+from hopmill.lab.members import Fleet, Plan, measure_false_alarms, measure_detection
 
 MEMBERS = dict(
     fleet="f",
@@ -175,14 +175,14 @@
 
 
 def test_a_dead_member_is_known_soon_and_a_slow_one_is_not_taken_for_dead():
-    told = detection(Plan(20, 0.1, 3), 4)
+    told = measure_detection(Plan(20, 0.1, 3), 4)
     assert told["p99_ms"] < 3000 and told["p50_ms"] > 1500
-    told = calm(Plan(20, 0.1, 3), 30, stop_us=2_000_000)
+    told = measure_false_alarms(Plan(20, 0.1, 3), 30, pause_us=2_000_000)
     assert told["false_deaths"] == 0 and told["suspected"] > 0
 
 
 def test_the_cost_of_a_member_does_not_grow_with_the_fleet():
-    small, large = (calm(Plan(n, 0.0, 1), 2, after_us=9_000_000) for n in (8, 50))
+    small, large = (measure_false_alarms(Plan(n, 0.0, 1), 2, after_us=9_000_000) for n in (8, 50))
     assert large["datagrams_s"] < 1.2 * small["datagrams_s"] and large["bytes_s"] < 1.4 * small["bytes_s"]
 
 
@@ -268,10 +268,10 @@
 def test_one_that_hears_but_is_not_heard_is_dead_to_the_others_and_back_when_it_is_heard():
     fleet = Fleet(Plan(6, 0.0, 2))
     fleet.run(2_000_000)
-    fleet.passes = lambda a, b: a != 3
+    fleet.is_reachable = lambda a, b: a != 3
     fleet.run(8_000_000)
     assert [n.swim.peers["c3"].state for m, n in enumerate(fleet.nodes) if m != 3] == [DEAD] * 5
-    fleet.passes = lambda a, b: True
+    fleet.is_reachable = lambda a, b: True
     fleet.run(14_000_000)
     assert all(p.state == ALIVE for n in fleet.nodes for p in n.swim.peers.values())
 
@@ -373,12 +373,12 @@
     fleet, rows = Fleet(Plan(9, 0.0, 6)), []
     fleet.run(3_000_000)
     groups = [0, 1, 2, 0, 1, 2, 0, 1, 2]  # the five voters lie two, two and one
-    fleet.passes = lambda a, b: groups[a] == groups[b]
+    fleet.is_reachable = lambda a, b: groups[a] == groups[b]
     for n in range(9):
         outcomes(fleet, rows, n, say("w", str(n)))
     fleet.run(16_000_000)
     assert len(rows) == 9 and {r.state for r in rows} <= {"refused", "unknown"}
-    fleet.passes = lambda a, b: True
+    fleet.is_reachable = lambda a, b: True
     outcomes(fleet, rows, 4, say("w", "healed"))
     fleet.run(24_000_000)
     assert rows[-1].state == "done" and {n.register.document.version for n in fleet.nodes} == {
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -306,7 +306,7 @@
 
     def __init__(self, members=5, loss=0.0, alone="hold"):
         self.fleet = Fleet(Plan(members, loss, 7, settings={"policy": PolicyRule(alone=alone)}))
-        self.fleet.look, self.judge, self.count, self.unfit = self.look, explore.Acts(), 0, set()
+        self.fleet.on_activity, self.judge, self.count, self.unfit = self.look, explore.Acts(), 0, set()
         self.fleet.after(0, self.poll)
         self.run(3.0)
 
@@ -315,7 +315,7 @@
 
     def poll(self):
         for n, node in enumerate(self.fleet.nodes):
-            if node and self.fleet.stopped[n] <= self.fleet.now:
+            if node and self.fleet.paused_until_us[n] <= self.fleet.now:
                 self.act(n)
         self.fleet.after(10_000, self.poll)
 
@@ -330,10 +330,10 @@
         p, held = govern.register.document.policy, govern.texts.by_digest
         if p.version != govern.lease.applied_version and (not p.digest or p.digest in held):
             govern.lease.set_applied_version(p.version)
-            self.fleet.again(n)
+            self.fleet.schedule_pump(n)
         if p.change and p.change.id != govern.lease.ready_for and p.change.digest in held:
             govern.lease.report_check(p.change.id, "no room" if n in self.unfit else "")
-            self.fleet.again(n)
+            self.fleet.schedule_pump(n)
         self.act(n)
 
     def propose(self, n, ident=""):
@@ -350,11 +350,11 @@
 
     def cut(self, *groups):
         where = {n: g for g, names in enumerate(groups) for n in names}
-        self.fleet.passes = lambda a, b: where.get(a) == where.get(b)
+        self.fleet.is_reachable = lambda a, b: where.get(a) == where.get(b)
 
     def settled(self):
         """The version at which all work again, once all is well."""
-        self.fleet.passes = lambda a, b: True
+        self.fleet.is_reachable = lambda a, b: True
         for n, node in enumerate(self.fleet.nodes):
             if node is None:
                 self.fleet.start(n)
@@ -385,7 +385,7 @@
 
 
 def stopped_before_its_check(f):
-    f.fleet.stop(4, 9_000_000)
+    f.fleet.pause(4, 9_000_000)
     f.propose(0)
     f.run(9.5)
     return 1
