--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -98,7 +98,7 @@
             for d in found:
                 row = {
                     "scenario": name,
-                    "part": d.part,
+                    "part": d.metric,
                     "seeds": d.seeds,
                     "a": d.a,
                     "b": d.b,
@@ -109,7 +109,7 @@
                 print(
                     json.dumps(row)
                     if as_json
-                    else f"{name:<9} {d.part:<13} {d.a:.4f} -> {d.b:.4f}  {d.mean:+.4f} "
+                    else f"{name:<9} {d.metric:<13} {d.a:.4f} -> {d.b:.4f}  {d.mean:+.4f} "
                     f"[{d.low:+.4f}, {d.high:+.4f}]  {d.seeds} seeds",
                     flush=True,
                 )
@@ -132,7 +132,7 @@
         for value in values.split(","):
             found, *_ = c.compare(
                 farm.Build(),
-                farm.Build(override={name: value}),
+                farm.Build(constants={name: value}),
                 scenario,
                 couriers,
                 seeds_of(seeds),
@@ -202,7 +202,7 @@
     from hopmill.lab import report as pages
 
     with _plain_errors(), farm.build(build) as what:
-        job = farm.Job(what, scenario, couriers, more=True)
+        job = farm.Job(what, scenario, couriers, with_details=True)
         rows = list(farm.run([(job, seed) for seed in seeds_of(seeds)], _progress))
         found: list[Any] = []
         if against:
--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -175,7 +175,8 @@
                 message.executions += 1
                 if (
                     message.executions > 1
-                    and self.settings.classes[message.class_index].effect is self.dialect.i.Effect.UNSAFE
+                    and self.settings.classes[message.class_index].effect
+                    is self.dialect.interface.Effect.UNSAFE
                 ):
                     raise self.rules.violation(
                         "duplicates",
@@ -241,7 +242,7 @@
     def _finish(
         self, outgoing: OutgoingCall, outcome: str, retry_after_us: int, report: tuple[float, ...]
     ) -> None:
-        interface, now = self.dialect.i, self.clock.now
+        interface, now = self.dialect.interface, self.clock.now
         outgoing.is_done = True
         self.calls_out -= 1
         if outgoing.connection:
--- a/hopmill/lab/chance.py
+++ b/hopmill/lab/chance.py
@@ -29,13 +29,13 @@
 class UniformBuffer:
     """Numbers drawn ahead in blocks, for a caller that needs them one at a time."""
 
-    def __init__(self, rng: np.random.Generator, block: int = 1024) -> None:
-        self.rng, self.block = rng, block
+    def __init__(self, rng: np.random.Generator, block_size: int = 1024) -> None:
+        self.rng, self.block_size = rng, block_size
         self.uniforms: Sequence[float] = ()
-        self.at = 0
+        self.index = 0
 
     def uniform(self) -> float:
-        if self.at >= len(self.uniforms):
-            self.uniforms, self.at = self.rng.random(self.block).tolist(), 0
-        self.at += 1
-        return self.uniforms[self.at - 1]
+        if self.index >= len(self.uniforms):
+            self.uniforms, self.index = self.rng.random(self.block_size).tolist(), 0
+        self.index += 1
+        return self.uniforms[self.index - 1]
--- a/hopmill/lab/clock.py
+++ b/hopmill/lab/clock.py
@@ -12,13 +12,13 @@
 
     def __init__(self) -> None:
         self.now = 0
-        self.count = 0
+        self.scheduled_count = 0
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, when: int, action: Callable[..., None], *args: Any) -> None:
         """Not before now; the count breaks ties, so order never hangs on what is stored in a dict or heap."""
-        self.count += 1
-        heapq.heappush(self.heap, (max(when, self.now), self.count, action, args))
+        self.scheduled_count += 1
+        heapq.heappush(self.heap, (max(when, self.now), self.scheduled_count, action, args))
 
     def after(self, delay: int, action: Callable[..., None], *args: Any) -> None:
         self.at(self.now + delay, action, *args)
--- a/hopmill/lab/compare.py
+++ b/hopmill/lab/compare.py
@@ -11,15 +11,15 @@
 
 from hopmill.lab.farm import Build, Job, run
 
-PARTS = ("g", "served", "worst_window", "price", "refused", "connections")
-BATCH, LEAST, RESAMPLES, LEVEL = 8, 16, 4000, 0.95
+METRICS = ("g", "served", "worst_window", "price", "refused", "connections")
+SEEDS_PER_CHECK, MIN_SEEDS, RESAMPLES, CONFIDENCE = 8, 16, 4000, 0.95
 
 
 @dataclass(frozen=True)
 class Difference:
     """B minus A in one part of the result, over so many seeds."""
 
-    part: str
+    metric: str
     seeds: int
     a: float
     b: float
@@ -28,7 +28,7 @@
     high: float
 
     @property
-    def half(self) -> float:
+    def half_width(self) -> float:
         return (self.high - self.low) / 2
 
     @property
@@ -37,7 +37,7 @@
         return 1 if self.low > 0 else -1 if self.high < 0 else 0
 
 
-def part(row: dict[str, Any], name: str) -> float:
+def metric_value(row: dict[str, Any], name: str) -> float:
     if name == "price":
         return sum(row["prices"].values())
     if name == "refused":
@@ -54,12 +54,12 @@
     and not as t: with 20 pairs of equal builds they left 0 out twice as often as they should. Both raise the
     level (Hesterberg, "What Teachers Should Know About the Bootstrap", 2015). BCa fails on equal pairs.
     """
-    n = len(differences)
-    if n < 2 or np.ptp(differences) == 0:
-        value = float(differences.mean()) if n else 0.0
-        return value, value
-    tail = stats.norm.cdf(-np.sqrt(n / (n - 1)) * stats.t.ppf((1 + LEVEL) / 2, n - 1))
-    got = stats.bootstrap(
+    count = len(differences)
+    if count < 2 or np.ptp(differences) == 0:
+        mean = float(differences.mean()) if count else 0.0
+        return mean, mean
+    tail = stats.norm.cdf(-np.sqrt(count / (count - 1)) * stats.t.ppf((1 + CONFIDENCE) / 2, count - 1))
+    bounds = stats.bootstrap(
         (differences,),
         np.mean,
         n_resamples=RESAMPLES,
@@ -67,14 +67,20 @@
         method="percentile",
         rng=np.random.default_rng(seed),
     ).confidence_interval
-    return float(got.low), float(got.high)
+    return float(bounds.low), float(bounds.high)
 
 
 def difference(name: str, a: list[dict[str, Any]], b: list[dict[str, Any]]) -> Difference:
-    left, right = (np.array([part(row, name) for row in rows]) for rows in (a, b))
-    low, high = interval(right - left)
+    values_a, values_b = (np.array([metric_value(row, name) for row in rows]) for rows in (a, b))
+    low, high = interval(values_b - values_a)
     return Difference(
-        name, len(left), float(left.mean()), float(right.mean()), float((right - left).mean()), low, high
+        name,
+        len(values_a),
+        float(values_a.mean()),
+        float(values_b.mean()),
+        float((values_b - values_a).mean()),
+        low,
+        high,
     )
 
 
@@ -89,23 +95,25 @@
     cores: int = 0,
 ) -> tuple[list[Difference], list[dict[str, Any]], list[dict[str, Any]]]:
     """(differences by part, results of a, of b). Ends early once the interval of G is as narrow as ±goal."""
-    one, two = Job(a, scenario, couriers), Job(b, scenario, couriers)
+    job_a, job_b = Job(a, scenario, couriers), Job(b, scenario, couriers)
     rows_a: list[dict[str, Any]] = []
     rows_b: list[dict[str, Any]] = []
-    jobs = [(job, seed) for seed in seeds for job in (one, two)]
+    jobs = [(job, seed) for seed in seeds for job in (job_a, job_b)]
     plays = run(jobs, cores=cores)
     try:
-        for at, row in enumerate(plays):
-            (rows_b if at % 2 else rows_a).append(row)
-            if len(rows_b) == len(rows_a) and (len(rows_b) % BATCH == 0 or len(rows_b) == len(seeds)):
-                d = difference("g", rows_a, rows_b)
+        for index, row in enumerate(plays):
+            (rows_b if index % 2 else rows_a).append(row)
+            if len(rows_b) == len(rows_a) and (
+                len(rows_b) % SEEDS_PER_CHECK == 0 or len(rows_b) == len(seeds)
+            ):
+                current = difference("g", rows_a, rows_b)
                 progress(
-                    f"{scenario}: {d.seeds} seeds, g {d.a:.4f} -> {d.b:.4f}, {d.mean:+.4f} "
-                    f"[{d.low:+.4f}, {d.high:+.4f}]"
+                    f"{scenario}: {current.seeds} seeds, g {current.a:.4f} -> {current.b:.4f}, "
+                    f"{current.mean:+.4f} [{current.low:+.4f}, {current.high:+.4f}]"
                 )
-                if goal and d.seeds >= LEAST and d.half <= goal:
+                if goal and current.seeds >= MIN_SEEDS and current.half_width <= goal:
                     break
     finally:
         plays.close()
     rows_a = rows_a[: len(rows_b)]
-    return [difference(name, rows_a, rows_b) for name in PARTS], rows_a, rows_b
+    return [difference(name, rows_a, rows_b) for name in METRICS], rows_a, rows_b
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -55,7 +55,7 @@
         self.module = self.dialect.courier(
             self.settings, self.simulation.module_seed(self.number, self.generation)
         )
-        interface = self.dialect.i
+        interface = self.dialect.interface
         if self.simulation.members:
             self.simulation.members.start(self.number)
         if self.simulation.policy:
@@ -138,7 +138,7 @@
         )
 
     def run_turn(self) -> None:
-        now, interface = self.clock.now, self.dialect.i
+        now, interface = self.clock.now, self.dialect.interface
         self.is_turn_scheduled, self.last_turn_us = False, now
         connection_changes = [
             e
@@ -238,7 +238,7 @@
         message = self.journal.get(action.message)
         if message is None or message.outcome:
             return
-        interface, effect = self.dialect.i, self.settings.classes[message.class_index].effect
+        interface, effect = self.dialect.interface, self.settings.classes[message.class_index].effect
         refused = isinstance(action, interface.Refuse)
         if refused and effect is interface.Effect.UNSAFE and message.may_have_run_us >= 0:
             raise self.rules.violation(
@@ -263,7 +263,7 @@
     # Calls
 
     def _send(self, action: Any, batches: dict[int, list[tuple[HeldMessage, int, int]]]) -> None:
-        message, interface = self.journal.get(action.message), self.dialect.i
+        message, interface = self.journal.get(action.message), self.dialect.interface
         if message is None or message.outcome:
             self.add_event(
                 self.dialect.make(
@@ -299,7 +299,7 @@
         """Discovery's news has reached it."""
         if not self.is_alive:
             return
-        interface = self.dialect.i
+        interface = self.dialect.interface
         for entry in entries:
             if entry.state is interface.EndpointState.READY:
                 self.leaving_since_us.pop(entry.endpoint, None)
--- a/hopmill/lab/dialect.py
+++ b/hopmill/lab/dialect.py
@@ -12,7 +12,7 @@
 from types import ModuleType
 from typing import Any
 
-NEEDED = (
+REQUIRED_TYPES = (
     "MessageArrived",
     "AttemptEnded",
     "EndpointsListed",
@@ -38,23 +38,23 @@
 
 class Dialect:
     def __init__(self) -> None:
-        self.i: ModuleType = importlib.import_module("hopmill.interface")
+        self.interface: ModuleType = importlib.import_module("hopmill.interface")
         self.unknown: set[str] = set()
-        if missing := [name for name in NEEDED if not hasattr(self.i, name)]:
+        if missing := [name for name in REQUIRED_TYPES if not hasattr(self.interface, name)]:
             raise DialectError(f"this revision has no {', '.join(missing)}")
         self.courier: Callable[[Any, int], Any] = importlib.import_module("hopmill").Courier
         self._fields: dict[str, frozenset[str]] = {}
 
-    def make(self, type_: str, /, **values: Any) -> Any:
+    def make(self, type_name: str, /, **values: Any) -> Any:
         """An object of that type, with the fields that this revision knows; None if it knows no such type."""
-        kind = getattr(self.i, type_, None)
+        kind = getattr(self.interface, type_name, None)
         if kind is None:
-            self.unknown.add(type_)
+            self.unknown.add(type_name)
             return None
-        known = self._fields.get(type_)
+        known = self._fields.get(type_name)
         if known is None:
-            known = self._fields[type_] = frozenset(f.name for f in dataclasses.fields(kind))
+            known = self._fields[type_name] = frozenset(f.name for f in dataclasses.fields(kind))
         if not known.issuperset(values):
-            self.unknown.update(f"{type_}.{field}" for field in values if field not in known)
+            self.unknown.update(f"{type_name}.{field}" for field in values if field not in known)
             values = {field: value for field, value in values.items() if field in known}
         return kind(**values)
--- a/hopmill/lab/farm.py
+++ b/hopmill/lab/farm.py
@@ -15,7 +15,7 @@
 from queue import Empty, SimpleQueue
 from typing import Any
 
-WORKER = Path(__file__).with_name("worker.py")
+WORKER_SCRIPT = Path(__file__).with_name("worker.py")
 
 
 class LabError(Exception):
@@ -27,7 +27,7 @@
     """What is played: a checkout's module (None: this one's) with some of its names set otherwise."""
 
     checkout: str | None = None
-    override: dict[str, str] = field(default_factory=dict)
+    constants: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
@@ -38,17 +38,17 @@
     scenario: str
     couriers: int = 0
     changes: dict[str, Any] = field(default_factory=dict)
-    more: bool = False
+    with_details: bool = False
 
     def task(self) -> str:
         return json.dumps(
             {
                 "checkout": self.build.checkout,
-                "override": self.build.override,
+                "override": self.build.constants,
                 "scenario": self.scenario,
                 "couriers": self.couriers,
                 "changes": self.changes,
-                "more": self.more,
+                "more": self.with_details,
             }
         )
 
@@ -61,47 +61,47 @@
     """
     if "=" in spec:
         pairs = dict(part.split("=", 1) for part in spec.split(","))
-        yield Build(override={k.strip(): v.strip() for k, v in pairs.items()})
+        yield Build(constants={k.strip(): v.strip() for k, v in pairs.items()})
     elif spec in ("", "."):
         yield Build()
     elif (Path(spec) / "hopmill").is_dir():
         yield Build(str(Path(spec).resolve()))
     else:
         with tempfile.TemporaryDirectory(prefix="hopmill-lab-") as folder:
-            at = Path(folder) / "tree"
-            done = subprocess.run(
-                ["git", "worktree", "add", "--quiet", "--detach", str(at), spec],
+            tree = Path(folder) / "tree"
+            process = subprocess.run(
+                ["git", "worktree", "add", "--quiet", "--detach", str(tree), spec],
                 capture_output=True,
                 text=True,
             )
-            if done.returncode:
+            if process.returncode:
                 raise LabError(f"{spec}: neither a revision, a folder nor settings")
             try:
-                yield Build(str(at))
+                yield Build(str(tree))
             finally:
-                subprocess.run(["git", "worktree", "remove", "--force", str(at)], capture_output=True)
+                subprocess.run(["git", "worktree", "remove", "--force", str(tree)], capture_output=True)
 
 
 class Worker:
     def __init__(self, job: Job) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, str(WORKER)],
+            [sys.executable, str(WORKER_SCRIPT)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
-            env={**os.environ, **ONE_THREAD},
+            env={**os.environ, **SINGLE_THREAD_ENVIRONMENT},
         )
-        self._say(job.task())
-        told = self._hear()
-        if "error" in told:
-            raise LabError(told["error"])
+        self._write_line(job.task())
+        reply = self._read_line()
+        if "error" in reply:
+            raise LabError(reply["error"])
 
-    def _say(self, line: str) -> None:
+    def _write_line(self, line: str) -> None:
         assert self.process.stdin
         self.process.stdin.write(line + "\n")
         self.process.stdin.flush()
 
-    def _hear(self) -> dict[str, Any]:
+    def _read_line(self) -> dict[str, Any]:
         assert self.process.stdout
         line = self.process.stdout.readline()
         if not line:
@@ -109,8 +109,8 @@
         return json.loads(line)
 
     def play(self, seed: int) -> dict[str, Any]:
-        self._say(str(seed))
-        return self._hear()
+        self._write_line(str(seed))
+        return self._read_line()
 
     def close(self) -> None:
         self.process.kill()
@@ -120,7 +120,10 @@
                 pipe.close()
 
 
-ONE_THREAD = {"OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}  # the seeds are what runs in parallel
+SINGLE_THREAD_ENVIRONMENT = {
+    "OPENBLAS_NUM_THREADS": "1",
+    "OMP_NUM_THREADS": "1",
+}  # the seeds are what runs in parallel
 
 
 def run(
@@ -129,28 +132,28 @@
     """The results of (job, seed) in the order given. LabError if a worker can't play. Closing it ends all."""
     cores = min(cores or os.cpu_count() or 1, len(jobs))
     waiting: SimpleQueue[int] = SimpleQueue()
-    for at in range(len(jobs)):
-        waiting.put(at)
+    for index in range(len(jobs)):
+        waiting.put(index)
     results: SimpleQueue[tuple[int, dict[str, Any] | BaseException]] = SimpleQueue()
     workers: list[Worker] = []
-    over = False
+    is_closed = False
 
     def serve() -> None:
-        mine: dict[int, Worker] = {}
-        while not over:
+        own_workers: dict[int, Worker] = {}
+        while not is_closed:
             try:
-                at = waiting.get_nowait()
+                index = waiting.get_nowait()
             except Empty:
                 break
-            job, seed = jobs[at]
+            job, seed = jobs[index]
             try:
-                worker = mine.get(id(job))
+                worker = own_workers.get(id(job))
                 if worker is None:
-                    worker = mine[id(job)] = Worker(job)
+                    worker = own_workers[id(job)] = Worker(job)
                     workers.append(worker)
-                results.put((at, worker.play(seed)))
+                results.put((index, worker.play(seed)))
             except BaseException as error:
-                results.put((at, error))
+                results.put((index, error))
                 return
 
     with ThreadPoolExecutor(cores) as pool:
@@ -158,17 +161,17 @@
             pool.submit(serve)
         try:
             ready: dict[int, dict[str, Any]] = {}
-            turn = 0
+            next_index = 0
             for done in range(len(jobs)):
-                at, got = results.get()
-                if isinstance(got, BaseException):
-                    raise got
+                index, result = results.get()
+                if isinstance(result, BaseException):
+                    raise result
                 progress(done + 1, len(jobs))
-                ready[at] = got
-                while turn in ready:
-                    yield ready.pop(turn)
-                    turn += 1
+                ready[index] = result
+                while next_index in ready:
+                    yield ready.pop(next_index)
+                    next_index += 1
         finally:
-            over = True
+            is_closed = True
             for worker in workers:
                 worker.close()
--- a/hopmill/lab/live.py
+++ b/hopmill/lab/live.py
@@ -13,7 +13,7 @@
 from hopmill.standin.partner import Plan
 from hopmill.standin.scene import Options, Scene
 
-TROUBLES = {
+STAND_IN_FAULTS = {
     "down": "down",
     "silent": "silent",
     "hung": "silent",
@@ -66,7 +66,7 @@
     scenario = load(name, couriers, seconds=seconds)
     simulation = Simulation(scenario, seed)
     drawn = draw(scenario, seed)
-    trouble = next((TROUBLES[t.kind] for t in drawn.troubles if t.kind in TROUBLES), "none")
+    trouble = next((STAND_IN_FAULTS[t.kind] for t in drawn.troubles if t.kind in STAND_IN_FAULTS), "none")
     rate = min(500.0, drawn.load.rate_per_s * drawn.load.factor)
     with tempfile.TemporaryDirectory(prefix="hopmill-live-") as folder:
         scene = Scene(
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -17,7 +17,7 @@
 from hopmill.standin.client import ANSWER_S, Client
 
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
-MOST_S, MOST_RATE, MOST_CLIENTS = 600.0, 20_000.0, 500  # a load ends by itself
+MAX_SECONDS, MAX_RATE_PER_S, MAX_CLIENTS = 600.0, 20_000.0, 500  # a load ends by itself
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Told:
+class Measurements:
     """Microseconds in the histogram, by answer in the counts."""
 
     counts: Counter[str] = field(default_factory=Counter)
@@ -44,8 +44,10 @@
     from_write: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
 
     def as_json(self) -> dict[str, object]:
-        def rows(h: HdrHistogram) -> dict[str, float]:
-            return {f"p{p:g}": round(h.get_value_at_percentile(p) / 1e3, 2) for p in (50, 90, 99, 99.9)}
+        def rows(histogram: HdrHistogram) -> dict[str, float]:
+            return {
+                f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1e3, 2) for p in (50, 90, 99, 99.9)
+            }
 
         return {
             **dict(sorted(self.counts.items())),
@@ -54,7 +56,7 @@
         }
 
 
-def checked(address: Address, plan: Plan) -> None:
+def check_limits(address: Address, plan: Plan) -> None:
     """LabError for what is not this machine's loopback, or not bounded."""
     try:
         inside = ipaddress.ip_address(address[0]) in LOOPBACK
@@ -62,10 +64,10 @@
         inside = False
     if not inside:
         raise LabError(f"{address[0]}: a load goes to 127.0.0.0/8 only")
-    if not 0 < plan.seconds <= MOST_S or not 0 < plan.rate_per_s <= MOST_RATE:
-        raise LabError(f"at most {MOST_S:g} s and {MOST_RATE:g} requests a second")
-    if not 1 <= plan.clients <= MOST_CLIENTS:
-        raise LabError(f"from 1 to {MOST_CLIENTS} clients")
+    if not 0 < plan.seconds <= MAX_SECONDS or not 0 < plan.rate_per_s <= MAX_RATE_PER_S:
+        raise LabError(f"at most {MAX_SECONDS:g} s and {MAX_RATE_PER_S:g} requests a second")
+    if not 1 <= plan.clients <= MAX_CLIENTS:
+        raise LabError(f"from 1 to {MAX_CLIENTS} clients")
 
 
 def arrivals(plan: Plan) -> list[float]:
@@ -78,48 +80,58 @@
     return rows
 
 
-async def run(address: Address, plan: Plan) -> Told:
-    checked(address, plan)
-    told, queue = Told(), asyncio.Queue[tuple[float, str]]()
-    began = time.monotonic()
-    tasks = [asyncio.create_task(_client(address[1], plan, queue, told, n)) for n in range(plan.clients)]
-    for at, due in enumerate(arrivals(plan)):
-        if (wait := began + due - time.monotonic()) > 0:
+async def run(address: Address, plan: Plan) -> Measurements:
+    check_limits(address, plan)
+    measurements, queue = Measurements(), asyncio.Queue[tuple[float, str]]()
+    started_at = time.monotonic()
+    tasks = [
+        asyncio.create_task(_client(address[1], plan, queue, measurements, n)) for n in range(plan.clients)
+    ]
+    for index, due in enumerate(arrivals(plan)):
+        if (wait := started_at + due - time.monotonic()) > 0:
             await asyncio.sleep(wait)
-        told.counts["offered"] += 1
-        queue.put_nowait((began + due, f"l{plan.seed:x}-{at:x}"))
+        measurements.counts["offered"] += 1
+        queue.put_nowait((started_at + due, f"l{plan.seed:x}-{index:x}"))
     await queue.join()
     for task in tasks:
         task.cancel()
-    return told
+    return measurements
 
 
-async def _client(port: int, plan: Plan, queue: asyncio.Queue[tuple[float, str]], told: Told, n: int) -> None:
-    rng, client = random.Random(plan.seed * 1000 + n), None
+async def _client(
+    port: int,
+    plan: Plan,
+    queue: asyncio.Queue[tuple[float, str]],
+    measurements: Measurements,
+    client_number: int,
+) -> None:
+    rng, client = random.Random(plan.seed * 1000 + client_number), None
     while True:
-        due, ident = await queue.get()
-        wrote = time.monotonic()
+        due, message_id = await queue.get()
+        written_at = time.monotonic()
         try:
             async with asyncio.timeout(ANSWER_S):
                 client = client or await Client().open(port)
-                said = await client.send(
+                answer = await client.send(
                     client.message(
-                        ident,
+                        message_id,
                         rng.choice(plan.classes),
                         rng.choice(plan.partners),
                         plan.life_ms,
                         tenant=plan.tenant,
-                        key=ident,
+                        key=message_id,
                     )
                 )
-            told.counts["taken" if said[:1] == "+" else "busy" if said[:5] == "-BUSY" else "error"] += 1
+            measurements.counts[
+                "taken" if answer[:1] == "+" else "busy" if answer[:5] == "-BUSY" else "error"
+            ] += 1
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
-            told.counts["no answer"] += 1
+            measurements.counts["no answer"] += 1
             if client:
                 client.close()
             client = None
         finally:
             now = time.monotonic()
-            told.from_due.record_value(max(1, int((now - due) * 1e6)))
-            told.from_write.record_value(max(1, int((now - wrote) * 1e6)))
+            measurements.from_due.record_value(max(1, int((now - due) * 1e6)))
+            measurements.from_write.record_value(max(1, int((now - written_at) * 1e6)))
             queue.task_done()
--- a/hopmill/lab/losses.py
+++ b/hopmill/lab/losses.py
@@ -5,14 +5,14 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING, Any
 
-from hopmill.lab.result import served
+from hopmill.lab.result import served_share
 
 if TYPE_CHECKING:
     from hopmill.lab.clients import ClientRequest
     from hopmill.lab.world import Simulation
 
 
-def cause(simulation: Simulation, request: ClientRequest) -> str:
+def loss_cause(simulation: Simulation, request: ClientRequest) -> str:
     """In words: delivered late, refused at the door, given back after waiting, given up, or still open."""
     kind = simulation.scenario.kinds[simulation.partners[request.destination - 1].kind_index].name
     if request.delivered_us >= 0:
@@ -33,22 +33,22 @@
 
 def losses(simulation: Simulation) -> dict[str, Any]:
     """lost_by_cause as shares of all worth; lost_by_courier as rows of worth by second; latencies_us."""
-    asked = sum(request.worth for request in simulation.clients.requests) or 1.0
+    total_worth = sum(request.worth for request in simulation.clients.requests) or 1.0
     by_cause: dict[str, float] = defaultdict(float)
     seconds = int(simulation.scenario.seconds) + 1
     over_time: dict[str, list[float]] = defaultdict(lambda: [0.0] * seconds)
     rows = [[0.0] * seconds for _ in simulation.couriers]
     latencies = []
     for request in simulation.clients.requests:
-        share = served(simulation, request)
+        served_part = served_share(simulation, request)
         if request.delivered_us >= 0:
             latencies.append(request.delivered_us - request.created_us)
-        if share < 1:
-            name, lost = cause(simulation, request), request.worth * (1 - share) / asked
+        if served_part < 1:
+            name, lost = loss_cause(simulation, request), request.worth * (1 - served_part) / total_worth
             by_cause[name] += lost
             over_time[name][min(seconds - 1, request.created_us // 1_000_000)] += lost
             rows[request.last_courier][min(seconds - 1, request.created_us // 1_000_000)] += request.worth * (
-                1 - share
+                1 - served_part
             )
     return {
         "lost_by_cause": {k: round(v, 6) for k, v in sorted(by_cause.items())},
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -11,7 +11,7 @@
 from hopmill.lab.courier import ModuleFailedError
 from hopmill.lab.dialect import Dialect
 from hopmill.lab.losses import losses
-from hopmill.lab.result import by_lane, by_second, result
+from hopmill.lab.result import calls_by_lane, worth_by_second, result
 from hopmill.lab.rules import RuleBrokenError
 from hopmill.lab.scenario import Scenario
 from hopmill.lab.world import Simulation
@@ -45,16 +45,16 @@
     raise KeyError(path)
 
 
-def play(scenario: Scenario, seed: int, more: bool = False) -> dict[str, Any]:
+def play(scenario: Scenario, seed: int, with_details: bool = False) -> dict[str, Any]:
     """A broken rule or a failed module is a result too: `broken` says which, and `g` is 0.
 
     more: also calls by lane and worth by second.
     """
     simulation = Simulation(scenario, seed, Dialect())
-    sums: list[dict[str, Any]] = []
-    if more:
+    lane_samples: list[dict[str, Any]] = []
+    if with_details:
         for second in range(int(scenario.seconds) + 1):
-            simulation.clock.at(second * 1_000_000, lambda: sums.append(parts(simulation)))
+            simulation.clock.at(second * 1_000_000, lambda: lane_samples.append(limit_shares(simulation)))
     broken: dict[str, Any] = {}
     try:
         simulation.play()
@@ -62,26 +62,26 @@
         broken = {"broken": error.rule, "text": str(error), "trace": error.trace}
     except ModuleFailedError as error:
         broken = {"broken": "module failed", "text": f"seed {seed}: {error}", "trace": []}
-    told = result(simulation)
+    row = result(simulation)
     if simulation.members:
-        told["members"] = simulation.members.summary()
+        row["members"] = simulation.members.summary()
     if simulation.policy:
-        told["policy"] = simulation.policy.summary()
+        row["policy"] = simulation.policy.summary()
     if broken:
-        told |= {"g": 0.0, **broken}
-    if more:
-        told |= {
-            "lanes": by_lane(simulation),
-            "seconds": by_second(simulation),
-            "parts": sums,
+        row |= {"g": 0.0, **broken}
+    if with_details:
+        row |= {
+            "lanes": calls_by_lane(simulation),
+            "seconds": worth_by_second(simulation),
+            "parts": lane_samples,
             **losses(simulation),
         }
-    return told
+    return row
 
 
-def parts(simulation: Simulation) -> dict[str, Any]:
+def limit_shares(simulation: Simulation) -> dict[str, Any]:
     """For each lane the sum of the couriers' parts of its limit, and of their paces, at this moment."""
-    sums: dict[str, list[float]] = {}
+    sums_by_lane: dict[str, list[float]] = {}
     for courier in simulation.couriers:
         # Earlier builds: `book` for the state, or all of it in the courier itself.
         state = getattr(courier.module, "state", None) or getattr(courier.module, "book", courier.module)
@@ -91,7 +91,9 @@
                 endpoint = simulation.endpoints.get(next(iter(lane.endpoints), 0))
                 if endpoint is None:
                     continue
-                row = sums.setdefault(endpoint.target.name, [0.0, 0.0])
-                row[0] += getattr(lane, "limit_share_per_s", getattr(lane, "listed", 0.0))
-                row[1] += getattr(lane, "pace_per_s", getattr(lane, "rate", 0.0))
-    return {name: {"parts": round(a, 3), "pace": round(b, 3)} for name, (a, b) in sorted(sums.items())}
+                lane_sums = sums_by_lane.setdefault(endpoint.target.name, [0.0, 0.0])
+                lane_sums[0] += getattr(lane, "limit_share_per_s", getattr(lane, "listed", 0.0))
+                lane_sums[1] += getattr(lane, "pace_per_s", getattr(lane, "rate", 0.0))
+    return {
+        name: {"parts": round(a, 3), "pace": round(b, 3)} for name, (a, b) in sorted(sums_by_lane.items())
+    }
--- a/hopmill/lab/replay.py
+++ b/hopmill/lab/replay.py
@@ -15,30 +15,30 @@
 from hopmill.lab.world import Simulation
 
 
-def _plain(value: Any) -> list[Any]:
+def _encode_object(value: Any) -> list[Any]:
     """[type, fields]; enums by their names, which hold over revisions."""
     fields = {name: getattr(value, name) for name in getattr(value, "__dataclass_fields__", ())}
-    return [type(value).__name__, {k: _field(v) for k, v in fields.items()}]
+    return [type(value).__name__, {k: _encode_value(v) for k, v in fields.items()}]
 
 
-def _field(value: Any) -> Any:
+def _encode_value(value: Any) -> Any:
     if isinstance(value, enum.Enum):
         return {"enum": type(value).__name__, "name": value.name}
     if hasattr(value, "__dataclass_fields__"):
-        return {"type": _plain(value)}
-    return [_field(v) for v in value] if isinstance(value, (tuple, list)) else value
+        return {"type": _encode_object(value)}
+    return [_encode_value(v) for v in value] if isinstance(value, (tuple, list)) else value
 
 
-def _back(dialect: Dialect, value: Any) -> Any:
+def _decode_value(dialect: Dialect, value: Any) -> Any:
     if isinstance(value, dict) and "enum" in value:
-        return getattr(dialect.i, value["enum"])[value["name"]]
+        return getattr(dialect.interface, value["enum"])[value["name"]]
     if isinstance(value, dict) and "type" in value:
-        return _made(dialect, value["type"])
-    return tuple(_back(dialect, v) for v in value) if isinstance(value, list) else value
+        return _decode_object(dialect, value["type"])
+    return tuple(_decode_value(dialect, v) for v in value) if isinstance(value, list) else value
 
 
-def _made(dialect: Dialect, row: list[Any]) -> Any:
-    return dialect.make(row[0], **{k: _back(dialect, v) for k, v in row[1].items()})
+def _decode_object(dialect: Dialect, row: list[Any]) -> Any:
+    return dialect.make(row[0], **{k: _decode_value(dialect, v) for k, v in row[1].items()})
 
 
 def record(scenario: Scenario, seed: int, courier: int, path: Path) -> int:
@@ -47,18 +47,18 @@
     target = simulation.couriers[courier]
     turns = 0
     with path.open("wb") as file:
-        head = {"settings": _plain(target.settings), "seed": simulation.module_seed(courier, 1)}
-        file.write(msgspec.json.encode(head) + b"\n")
+        header = {"settings": _encode_object(target.settings), "seed": simulation.module_seed(courier, 1)}
+        file.write(msgspec.json.encode(header) + b"\n")
 
-        def write(now: int, asked: int, events: list[Any], actions: list[Any]) -> None:
+        def write(now: int, retry_after_requests: int, events: list[Any], actions: list[Any]) -> None:
             nonlocal turns
             if target.generation == 1:
                 turns += 1
                 row = {
                     "now": now,
-                    "asked": asked,
-                    "events": [_plain(e) for e in events],
-                    "actions": [_plain(a) for a in actions],
+                    "asked": retry_after_requests,
+                    "events": [_encode_object(e) for e in events],
+                    "actions": [_encode_object(a) for a in actions],
                 }
                 file.write(msgspec.json.encode(row) + b"\n")
 
@@ -71,22 +71,24 @@
     """(time, recorded actions, this build's actions) of each turn."""
     dialect = Dialect()
     with path.open() as file:
-        head = json.loads(next(file))
-        courier = dialect.courier(_made(dialect, head["settings"]), head["seed"])
+        header = json.loads(next(file))
+        courier = dialect.courier(_decode_object(dialect, header["settings"]), header["seed"])
         for line in file:
             row = json.loads(line)
             for _ in range(row["asked"]):
                 courier.come_back_us()
-            events = [e for e in (_made(dialect, e) for e in row["events"]) if e is not None]
-            actions = json.loads(msgspec.json.encode([_plain(a) for a in courier.handle(row["now"], events)]))
+            events = [e for e in (_decode_object(dialect, e) for e in row["events"]) if e is not None]
+            actions = json.loads(
+                msgspec.json.encode([_encode_object(a) for a in courier.handle(row["now"], events)])
+            )
             yield row["now"], row["actions"], actions
 
 
 def first_difference(path: Path) -> str | None:
     """The first action that differs, in one line; None where all are the same."""
-    for now, recorded, again in replay(path):
-        for at in range(max(len(recorded), len(again))):
-            a, b = (rows[at] if at < len(rows) else None for rows in (recorded, again))
+    for now, recorded, replayed in replay(path):
+        for index in range(max(len(recorded), len(replayed))):
+            a, b = (rows[index] if index < len(rows) else None for rows in (recorded, replayed))
             if a != b:
-                return f"at {now / 1e6:.4f} s, action {at}: recorded {json.dumps(a)}, now {json.dumps(b)}"
+                return f"at {now / 1e6:.4f} s, action {index}: recorded {json.dumps(a)}, now {json.dumps(b)}"
     return None
--- a/hopmill/lab/report.py
+++ b/hopmill/lab/report.py
@@ -18,8 +18,8 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt  # noqa: E402
 
-MOST_LANES = 12
-PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title>
+MAX_LANES = 12
+PAGE_TEMPLATE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title>
 <style>body{{font:15px/1.5 sans-serif;margin:2em auto;max-width:70em;padding:0 1em}}img{{max-width:100%}}
 table{{border-collapse:collapse}}td,th{{border:1px solid #bbb;padding:.2em .6em;text-align:right}}
 td:first-child,th:first-child{{text-align:left}}</style><h1>{title}</h1>{body}</html>"""
@@ -57,16 +57,18 @@
 
 def calls_by_lane(row: dict[str, Any]) -> str:
     """The busiest lanes: calls and refusals a second, the limit, and the sum of the couriers' parts."""
-    lanes = sorted(row["lanes"].items(), key=lambda lane: -sum(lane[1]["calls"]))[:MOST_LANES]
+    lanes = sorted(row["lanes"].items(), key=lambda lane: -sum(lane[1]["calls"]))[:MAX_LANES]
     figure, axes = plt.subplots(len(lanes), 1, figsize=(10, 1.6 * len(lanes)), sharex=True, squeeze=False)
-    each = round(1 / STEP_S)
+    steps_per_s = round(1 / STEP_S)
     for axis, (name, lane) in zip(axes[:, 0], lanes, strict=True):
-        for what, colour in (("calls", "tab:blue"), ("refused", "tab:red")):
-            steps = np.array(lane[what])
-            seconds = np.add.reduceat(steps, range(0, len(steps), each))
-            axis.plot(seconds, color=colour, linewidth=1, label=what)
-        top = lane["limit_per_s"] or lane["capacity_per_s"]
-        axis.axhline(top, color="grey", linestyle="--", label="limit" if lane["limit_per_s"] else "capacity")
+        for series, colour in (("calls", "tab:blue"), ("refused", "tab:red")):
+            steps = np.array(lane[series])
+            seconds = np.add.reduceat(steps, range(0, len(steps), steps_per_s))
+            axis.plot(seconds, color=colour, linewidth=1, label=series)
+        level = lane["limit_per_s"] or lane["capacity_per_s"]
+        axis.axhline(
+            level, color="grey", linestyle="--", label="limit" if lane["limit_per_s"] else "capacity"
+        )
         sums = [second.get(name, {}) for second in row["parts"]]
         axis.plot([s.get("parts", 0.0) for s in sums], color="tab:green", linestyle=":", label="sum of parts")
         axis.plot([s.get("pace", 0.0) for s in sums], color="tab:olive", linewidth=0.8, label="sum of paces")
@@ -76,7 +78,7 @@
     return _image(figure, f"Calls and refusals by lane, a second (seed {row['seed']})")
 
 
-def heat(row: dict[str, Any]) -> str:
+def loss_heatmap(row: dict[str, Any]) -> str:
     """Worth lost by courier and second."""
     figure, axis = plt.subplots(figsize=(10, 4))
     shown = axis.imshow(
@@ -97,24 +99,24 @@
     return "<h2>Latency of what was delivered</h2>" + _table(["percentile", "ms"], cells)
 
 
-def causes(rows: list[dict[str, Any]]) -> str:
+def loss_causes(rows: list[dict[str, Any]]) -> str:
     """Worth not served by what happened to the message last, as a share of all that was asked."""
     total: dict[str, float] = {}
     for row in rows:
         for name, value in row["lost_by_cause"].items():
             total[name] = total.get(name, 0.0) + value / len(rows)
-    cells = [[name, f"{value:.4f}"] for name, value in sorted(total.items(), key=lambda x: -x[1])]
+    cells = [[name, f"{value:.4f}"] for name, value in sorted(total.items(), key=lambda item: -item[1])]
     return "<h2>Worth not served, by cause</h2>" + _table(["cause", "share of all worth"], cells)
 
 
-def causes_over_time(rows: list[dict[str, Any]], most: int = 3) -> Any:
+def largest_causes_over_time(rows: list[dict[str, Any]], max_causes: int = 3) -> Any:
     """A figure of the largest causes by the second of handing in, in the mean of the plays."""
     total: dict[str, np.ndarray] = {}
     for row in rows:
         for name, values in row["lost_over_time"].items():
             total[name] = total.get(name, 0) + np.array(values) / len(rows)
     figure, axis = plt.subplots(figsize=(9, 3))
-    for name, values in sorted(total.items(), key=lambda item: -item[1].sum())[:most]:
+    for name, values in sorted(total.items(), key=lambda item: -item[1].sum())[:max_causes]:
         axis.plot(values, linewidth=1.2, label=f"{name} ({values.sum():.3f})")
     axis.set(xlabel="second handed in", ylabel="share of all worth, a second")
     axis.legend(fontsize=8)
@@ -123,7 +125,7 @@
 
 def differences(found: Sequence[Difference]) -> str:
     cells = [
-        [d.part, d.seeds, f"{d.a:.4f}", f"{d.b:.4f}", f"{d.mean:+.4f}", f"{d.low:+.4f} to {d.high:+.4f}"]
+        [d.metric, d.seeds, f"{d.a:.4f}", f"{d.b:.4f}", f"{d.mean:+.4f}", f"{d.low:+.4f} to {d.high:+.4f}"]
         for d in found
     ]
     return "<h2>Paired differences</h2>" + _table(
@@ -146,8 +148,8 @@
         for r in rows
     ]
     body = _table(["seed", "G", "served", "worst window", "refused calls", "connections", "broken"], cells)
-    body += (differences(found) if found else "") + worth_by_second(rows) + causes(rows)
-    body += _image(causes_over_time(rows), "The largest causes over time") + latency(rows)
+    body += (differences(found) if found else "") + worth_by_second(rows) + loss_causes(rows)
+    body += _image(largest_causes_over_time(rows), "The largest causes over time") + latency(rows)
     for row in rows[:2]:
-        body += calls_by_lane(row) + heat(row)
-    return PAGE.format(title=html.escape(title), body=body)
+        body += calls_by_lane(row) + loss_heatmap(row)
+    return PAGE_TEMPLATE.format(title=html.escape(title), body=body)
--- a/hopmill/lab/scenario.py
+++ b/hopmill/lab/scenario.py
@@ -10,7 +10,7 @@
 
 from hopmill.lab.chance import stream
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
 Pair = tuple[float, float]
 Range = float | Pair  # a number, or [least, most]
@@ -20,11 +20,11 @@
     """What is wrong with a scenario, in one line that begins with its field."""
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     pass
 
 
-class Load(Strict, kw_only=True):
+class Load(StrictStruct, kw_only=True):
     rate_per_s: Range = 500.0  # that partners are sized for
     factor: Range = 1.0  # of what comes, over that
     zipf: Range = 0.6  # over couriers: the exponent of their shares of the traffic
@@ -37,7 +37,7 @@
     clump_s: Range = 2.0  # as many as it takes in so long
 
 
-class Cls(Strict, kw_only=True):
+class MessageClass(StrictStruct, kw_only=True):
     name: str
     share: Range
     aim_ms: Range
@@ -50,7 +50,7 @@
     key_window_ms: NotNegative = 0.0
 
 
-class Kind(Strict, kw_only=True):
+class Kind(StrictStruct, kw_only=True):
     name: str
     share: NotNegative = 1.0  # of the partners
     limit: Literal["none", "window", "rate"] = "none"
@@ -75,7 +75,7 @@
     cold_from: Range = 0.22
 
 
-class Net(Strict, kw_only=True):
+class Net(StrictStruct, kw_only=True):
     zones: Annotated[int, msgspec.Meta(ge=1)] = 2
     same_ms: Range = 2.0
     cross_ms: Range = 4.0
@@ -85,7 +85,7 @@
     fee: Range = 0.0  # of the dearest zone's routes
 
 
-class Fleet(Strict, kw_only=True):
+class Fleet(StrictStruct, kw_only=True):
     couriers: Annotated[int, msgspec.Meta(ge=1)] = 200
     slots: Range = 12.0
     held: Range = 40.0
@@ -99,13 +99,13 @@
     policy_every_s: NotNegative = 0.0  # staff change it; 0: never
 
 
-class Reports(Strict, kw_only=True):
+class Reports(StrictStruct, kw_only=True):
     period_ms: Range = 100.0
     delay_ms: Range = 20.0
     noise: Range = 0.08
 
 
-class Clients(Strict, kw_only=True):
+class Clients(StrictStruct, kw_only=True):
     retries: Range = 2.0
     backoff_ms: Range = 250.0
     honour: Range = 0.7  # share that heeds a told wait
@@ -114,17 +114,17 @@
     longest_wait_ms: Range = 500.0
 
 
-class Discovery(Strict, kw_only=True):
+class Discovery(StrictStruct, kw_only=True):
     notice_ms: Range = 500.0
     spread_ms: Range = 80.0
 
 
-class Front(Strict, kw_only=True):
+class Front(StrictStruct, kw_only=True):
     notice_ms: Range = 400.0  # until it knows that a courier has died
     again_ms: Range = 300.0  # a client whose courier died comes again after so long
 
 
-class Goal(Strict, kw_only=True):
+class Goal(StrictStruct, kw_only=True):
     whole: NotNegative = 0.35
     worst_window: NotNegative = 0.35
     worst_class: NotNegative = 0.2
@@ -132,14 +132,14 @@
     window_ms: NotNegative = 10_000.0
 
 
-class Prices(Strict, kw_only=True):
+class Prices(StrictStruct, kw_only=True):
     refused: NotNegative = 0.03
     handshake: NotNegative = 0.04
     waste: NotNegative = 0.056
     late_fail: NotNegative = 0.03
 
 
-class Trouble(Strict, kw_only=True):
+class Trouble(StrictStruct, kw_only=True):
     kind: Literal[
         "down",
         "silent",
@@ -162,13 +162,13 @@
     by: Literal["any", "endpoint", "kind", "zone"] = "any"
 
 
-class Tenant(Strict, kw_only=True):
+class Tenant(StrictStruct, kw_only=True):
     name: str
     share: NotNegative = 1.0
     quota: NotNegative = 1e6  # a second, over all couriers
 
 
-class Scenario(Strict, kw_only=True):
+class Scenario(StrictStruct, kw_only=True):
     format: Literal[1] = 1
     name: str
     about: str = ""
@@ -180,7 +180,7 @@
     fall_ms: NotNegative = 500.0
     drain_grace_ms: NotNegative = 500.0
     load: Load = msgspec.field(default_factory=Load)
-    classes: Annotated[list[Cls], msgspec.Meta(min_length=1)]
+    classes: Annotated[list[MessageClass], msgspec.Meta(min_length=1)]
     kinds: Annotated[list[Kind], msgspec.Meta(min_length=1)]
     tenants: list[Tenant] = []
     net: Net = msgspec.field(default_factory=Net)
@@ -199,56 +199,58 @@
 
     changes: by path ('load.rate_per_s'), over the file. ScenarioError names what is wrong.
     """
-    raw = _raw(name)
+    raw = _read_tables(name)
     for where, value in changes.items():
-        _put(raw, where.split("."), value, where)
+        _set_value(raw, where.split("."), value, where)
     try:
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
-        what, _, at = str(error).partition(" - at `$.")
-        raise ScenarioError(f"{at.rstrip('`') or name}: {what}") from None
+        problem, _, location = str(error).partition(" - at `$.")
+        raise ScenarioError(f"{location.rstrip('`') or name}: {problem}") from None
     if scenario.load.burst_from > scenario.load.burst_to:
         raise ScenarioError("load.burst_from: is over load.burst_to")
     for where, value in _numbers(scenario, ""):
-        least, most = value if isinstance(value, tuple) else (value, value)
-        if least < 0:
-            raise ScenarioError(f"{where}: must be 0 or more, not {least:g}")
-        if least > most:
+        low, high = value if isinstance(value, tuple) else (value, value)
+        if low < 0:
+            raise ScenarioError(f"{where}: must be 0 or more, not {low:g}")
+        if low > high:
             raise ScenarioError(f"{where}: must be [least, most], not {list(value)}")
     return scaled(scenario, couriers) if couriers else scenario
 
 
-def _raw(name: str) -> dict[str, Any]:
+def _read_tables(name: str) -> dict[str, Any]:
     """The file's tables over those of its `base`, if it names one; a list replaces the base's."""
-    path = Path(name) if name.endswith(".toml") else FOLDER / f"{name}.toml"
+    path = Path(name) if name.endswith(".toml") else SCENARIO_FOLDER / f"{name}.toml"
     try:
         raw = tomllib.loads(path.read_text())
     except FileNotFoundError:
-        known = ", ".join(sorted(p.stem for p in FOLDER.glob("*.toml")))
+        known = ", ".join(sorted(p.stem for p in SCENARIO_FOLDER.glob("*.toml")))
         raise ScenarioError(f"{name}: no such scenario; there are {known}") from None
     except (OSError, ValueError) as error:
         raise ScenarioError(f"{path}: {error}") from None
     base = raw.pop("base", None)
-    return _over(_raw(base), raw) if base else raw
+    return _merge_tables(_read_tables(base), raw) if base else raw
 
 
-def _over(base: dict[str, Any], raw: dict[str, Any]) -> dict[str, Any]:
-    both = {
-        k: _over(base[k], v) for k, v in raw.items() if isinstance(v, dict) and isinstance(base.get(k), dict)
+def _merge_tables(base: dict[str, Any], raw: dict[str, Any]) -> dict[str, Any]:
+    merged = {
+        k: _merge_tables(base[k], v)
+        for k, v in raw.items()
+        if isinstance(v, dict) and isinstance(base.get(k), dict)
     }
-    return base | raw | both
+    return base | raw | merged
 
 
-def _put(raw: dict[str, Any], path: list[str], value: Any, where: str) -> None:
-    at: Any = raw
-    for word in path[:-1]:
-        at = at[int(word)] if isinstance(at, list) else at.setdefault(word, {})
-        if not isinstance(at, (dict, list)):
+def _set_value(raw: dict[str, Any], path: list[str], value: Any, where: str) -> None:
+    table: Any = raw
+    for key in path[:-1]:
+        table = table[int(key)] if isinstance(table, list) else table.setdefault(key, {})
+        if not isinstance(table, (dict, list)):
             raise ScenarioError(f"{where}: no such table")
-    if isinstance(at, list):
-        at[int(path[-1])] = value
+    if isinstance(table, list):
+        table[int(path[-1])] = value
     else:
-        at[path[-1]] = value
+        table[path[-1]] = value
 
 
 def scaled(scenario: Scenario, couriers: int) -> Scenario:
@@ -269,25 +271,25 @@
         elif isinstance(inner, msgspec.Struct):
             yield from _numbers(inner, where + ".")
         elif isinstance(inner, list):
-            for at, row in enumerate(inner):
-                yield from _numbers(row, f"{where}[{at}].")
+            for index, row in enumerate(inner):
+                yield from _numbers(row, f"{where}[{index}].")
 
 
 def draw(scenario: Scenario, seed: int) -> Scenario:
     """One day: every range replaced by the number that this seed gives it. The scenario stays as it is."""
-    return _drawn(scenario, seed, "")
+    return _draw_value(scenario, seed, "")
 
 
-def _drawn(value: Any, seed: int, path: str) -> Any:
+def _draw_value(value: Any, seed: int, path: str) -> Any:
     if isinstance(value, msgspec.Struct):
         return type(value)(
             **{
-                f.name: _drawn(getattr(value, f.name), seed, f"{path}.{f.name}")
+                f.name: _draw_value(getattr(value, f.name), seed, f"{path}.{f.name}")
                 for f in msgspec.structs.fields(value)
             }
         )
     if isinstance(value, list):
-        return [_drawn(row, seed, f"{path}[{at}]") for at, row in enumerate(value)]
+        return [_draw_value(row, seed, f"{path}[{index}]") for index, row in enumerate(value)]
     if isinstance(value, tuple):
         return float(stream(seed, "scenario" + path).uniform(*value))
     return value
--- a/hopmill/lab/search.py
+++ b/hopmill/lab/search.py
@@ -11,7 +11,7 @@
 from hopmill.lab.farm import Build, Job, run
 from hopmill.lab.scenario import load
 
-RANGES = {  # what a search may change, and between which values
+SEARCH_RANGES = {  # what a search may change, and between which values
     "load.rate_per_s": (0.5, 2.0),
     "load.burst": (1.0, 3.0),
     "load.zipf": (0.0, 1.5),
@@ -32,14 +32,16 @@
     rate = load(scenario, couriers).load.rate_per_s
     base = float(np.mean(rate))
     jobs = []
-    for n in range(tries):
-        rng = stream(seed, f"search {n}")
+    for attempt in range(tries):
+        rng = stream(seed, f"search {attempt}")
         changes = {
-            name: round(float(rng.uniform(*span)), 4) for name, span in RANGES.items() if rng.random() < 0.5
+            name: round(float(rng.uniform(*span)), 4)
+            for name, span in SEARCH_RANGES.items()
+            if rng.random() < 0.5
         }
         if "load.rate_per_s" in changes:
             changes["load.rate_per_s"] = round(changes["load.rate_per_s"] * base, 3)
-        jobs.append((Job(build, scenario, couriers, changes), seed * 1000 + n))
+        jobs.append((Job(build, scenario, couriers, changes), seed * 1000 + attempt))
     rows = [row | {"changes": job.changes} for row, (job, _) in zip(run(jobs, progress), jobs, strict=True)]
     return sorted(rows, key=lambda row: (not row.get("broken"), row["g"], row["seed"]))
 
@@ -48,25 +50,25 @@
     build: Build, scenario: str, couriers: int, row: dict[str, Any], progress: Callable[[str], None]
 ) -> dict[str, Any]:
     """Leaves out changes, then couriers and time, while the day still breaks that rule or loses as much."""
-    rule, g, seed = row.get("broken"), row["g"], row["seed"]
-    size = couriers or load(scenario).fleet.couriers
+    rule, worst_g, seed = row.get("broken"), row["g"], row["seed"]
+    couriers_left = couriers or load(scenario).fleet.couriers
 
-    def still(changes: dict[str, Any], fleet: int) -> bool:
-        got = next(run([(Job(build, scenario, fleet, changes), seed)]))
-        return got.get("broken") == rule if rule else got["g"] <= g + 0.02
+    def still_fails(changes: dict[str, Any], fleet_size: int) -> bool:
+        outcome = next(run([(Job(build, scenario, fleet_size, changes), seed)]))
+        return outcome.get("broken") == rule if rule else outcome["g"] <= worst_g + 0.02
 
     changes = dict(row["changes"])
     for name in list(changes):
         fewer = {k: v for k, v in changes.items() if k != name}
-        if still(fewer, size):
+        if still_fails(fewer, couriers_left):
             changes = fewer
             progress(f"without {name}")
     seconds = float(changes.get("seconds", load(scenario).seconds))
-    while seconds > 4 and still(changes | {"seconds": seconds / 2}, size):
+    while seconds > 4 and still_fails(changes | {"seconds": seconds / 2}, couriers_left):
         seconds /= 2
         changes["seconds"] = seconds
         progress(f"{seconds:g} s")
-    while size > 2 and "load.rate_per_s" not in changes and still(changes, size // 2):
-        size //= 2
-        progress(f"{size} couriers")
-    return {"scenario": scenario, "seed": seed, "couriers": size, "changes": changes}
+    while couriers_left > 2 and "load.rate_per_s" not in changes and still_fails(changes, couriers_left // 2):
+        couriers_left //= 2
+        progress(f"{couriers_left} couriers")
+    return {"scenario": scenario, "seed": seed, "couriers": couriers_left, "changes": changes}
--- a/hopmill/lab/worker.py
+++ b/hopmill/lab/worker.py
@@ -10,39 +10,44 @@
 import sys
 from pathlib import Path
 
-HERE = Path(__file__).resolve().parent.parent  # hopmill, with this laboratory
-MODULE = ("interface", "brain", "links", "zones", "policy")  # what a build's decisions are made of
+PACKAGE = Path(__file__).resolve().parent.parent  # hopmill, with this laboratory
+BUILD_MODULES = ("interface", "brain", "links", "zones", "policy")  # what a build's decisions are made of
 
 
-class Build:
+class BuildFinder:
     """Finds the module's files in another checkout and everything else here."""
 
     def __init__(self, checkout: Path) -> None:
         self.package = checkout / "hopmill"
 
     def find_spec(self, name, path=None, target=None):
-        words = name.split(".")
-        if words[0] != "hopmill":
+        parts = name.split(".")
+        if parts[0] != "hopmill":
             return None
-        if len(words) == 1:
+        if len(parts) == 1:
             return importlib.util.spec_from_file_location(
-                name, self.package / "__init__.py", submodule_search_locations=[str(HERE)]
+                name, self.package / "__init__.py", submodule_search_locations=[str(PACKAGE)]
             )
-        if words[1] not in MODULE:
+        if parts[1] not in BUILD_MODULES:
             return None
-        at = self.package.joinpath(*words[1:])
-        for file, inside in ((at / "__init__.py", [str(at)]), (at.with_suffix(".py"), None)):
+        location = self.package.joinpath(*parts[1:])
+        for file, search_locations in (
+            (location / "__init__.py", [str(location)]),
+            (location.with_suffix(".py"), None),
+        ):
             if file.exists():
-                return importlib.util.spec_from_file_location(name, file, submodule_search_locations=inside)
+                return importlib.util.spec_from_file_location(
+                    name, file, submodule_search_locations=search_locations
+                )
         raise ModuleNotFoundError(f"this build has no {name}", name=name)
 
 
 def main() -> int:
     task = json.loads(sys.stdin.readline())
-    sys.path[:] = [entry for entry in sys.path if Path(entry or ".").resolve() != HERE / "lab"]
-    sys.path.insert(0, str(HERE.parent))
+    sys.path[:] = [entry for entry in sys.path if Path(entry or ".").resolve() != PACKAGE / "lab"]
+    sys.path.insert(0, str(PACKAGE.parent))
     if task.get("checkout"):
-        sys.meta_path.insert(0, Build(Path(task["checkout"])))
+        sys.meta_path.insert(0, BuildFinder(Path(task["checkout"])))
     try:
         from hopmill.lab.dialect import DialectError
         from hopmill.lab.play import override, play
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -148,7 +148,7 @@
         self.clock.after(max(1000, int(reports.period_ms * 1e3)), self._refresh_report, target, rng)
 
     def list_entry(self, number: int):
-        interface, endpoint = self.dialect.i, self.endpoints[number]
+        interface, endpoint = self.dialect.interface, self.endpoints[number]
         states = {
             "ready": interface.EndpointState.READY,
             "draining": interface.EndpointState.DRAINING,
@@ -175,7 +175,7 @@
     # Couriers
 
     def _build_settings(self) -> None:
-        scenario, interface, make = self.scenario, self.dialect.i, self.dialect.make
+        scenario, interface, make = self.scenario, self.dialect.interface, self.dialect.make
         effects = {
             "safe": interface.Effect.SAFE,
             "keyed": interface.Effect.KEYED,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -144,7 +144,7 @@
 
 
 def test_equal_builds_differ_by_nothing_and_intervals_hold_what_they_say():
-    same = farm.Build(override={"policy.pacing.GROW": "0.1"})
+    same = farm.Build(constants={"policy.pacing.GROW": "0.1"})
     found, a, b = cmp.compare(farm.Build(), same, "calm", 4, [1, 2])
     assert a == b and all(d.mean == d.low == d.high == 0 and d.sign == 0 for d in found)
     rng = np.random.default_rng(5)
@@ -156,9 +156,9 @@
 
 
 def test_a_comparison_sees_a_change_and_ends_once_it_knows_enough():
-    other = farm.Build(override={"policy.pacing.BURST_PRICED_S": "0.0001", "policy.pacing.FLOOR": "0.01"})
+    other = farm.Build(constants={"policy.pacing.BURST_PRICED_S": "0.0001", "policy.pacing.FLOOR": "0.01"})
     found, a, _ = cmp.compare(farm.Build(), other, "calm", 4, list(range(1, 33)), goal=1.0)
-    assert len(a) == cmp.LEAST and found[0].seeds == cmp.LEAST
+    assert len(a) == cmp.MIN_SEEDS and found[0].seeds == cmp.MIN_SEEDS
     assert found[0].a != found[0].b
 
 
@@ -367,7 +367,7 @@
 
 def test_a_revision_that_does_not_know_an_event_is_played_without_it(monkeypatch):
     dialect = Dialect()
-    monkeypatch.delattr(dialect.i, "Connections")
+    monkeypatch.delattr(dialect.interface, "Connections")
     assert dialect.make("Connections", endpoint=1, idle_since=()) is None
     made = dialect.make("TimerDue", token=1, colour="red")
     assert made == i.TimerDue(1) and dialect.unknown == {"Connections", "TimerDue.colour"}
@@ -439,10 +439,10 @@
 def test_a_report_is_one_page_without_links():
     from hopmill.lab.report import page
 
-    rows = [play.play(small("zone", 4), seed, more=True) for seed in (1, 2)]
+    rows = [play.play(small("zone", 4), seed, with_details=True) for seed in (1, 2)]
     text = page("zone <small>", rows, [cmp.difference("g", rows, rows)])
     assert text.count("data:image/png;base64,") == 6 and "http" not in text and "zone &lt;small&gt;" in text
-    told = play.play(small("overload", 4, **{"load.factor": 4.0}), 1, more=True)
+    told = play.play(small("overload", 4, **{"load.factor": 4.0}), 1, with_details=True)
     assert sum(told["refused_by_partners"].values()) == told["refused_calls"] > 0
     third = told["parts"][3]
     assert set(third) <= set(told["lanes"]) and max(p["parts"] for p in third.values()) > 0
@@ -461,9 +461,9 @@
 @pytest.mark.parametrize("address", ["10.0.0.1", "192.168.1.1", "8.8.8.8", "localhost", "::1"])
 def test_a_load_goes_to_loopback_only(address):
     with pytest.raises(farm.LabError, match="127.0.0.0/8"):
-        loadtool.checked((address, 1), loadtool.Plan())
+        loadtool.check_limits((address, 1), loadtool.Plan())
     with pytest.raises(farm.LabError, match="at most"):
-        loadtool.checked(("127.0.0.1", 1), loadtool.Plan(seconds=1e9))
+        loadtool.check_limits(("127.0.0.1", 1), loadtool.Plan(seconds=1e9))
 
 
 def test_arrivals_are_open_loop_and_a_stall_is_charged_to_all_that_waited():
