--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -24,15 +24,15 @@
     destination: int
     tenant: int
     valid_until_us: int
-    work_us: tuple[float, ...]  # by attempt
+    work_us: tuple[float, ...]  # microseconds of work, by attempt
     resubmitted: bool = False
-    client_left: bool = False  # its client has left before the answer
+    client_left: bool = False  # before it got an answer
     attempts: int = 0
-    attempt_started_us: int = -1
-    earlier_attempt_us: int = -1
+    attempt_started_us: int = -1  # the running attempt; -1 after one that certainly did not execute
+    earlier_attempt_us: int = -1  # the first attempt that may have executed; -1: none
     executions: int = 0
     taken_on_us: int = 0
-    outcome: str = ""  # delivered, deferred, undeliverable
+    outcome: str = ""  # delivered, deferred or undeliverable; empty while open
 
     @property
     def may_have_run_us(self) -> int:
@@ -44,10 +44,10 @@
 
     def __init__(self, endpoint: partners.Endpoint, now: int, items: list[tuple[HeldMessage, int]]) -> None:
         self.endpoint, self.sent_us = endpoint, now
-        self.items = items  # with their attempt numbers
+        self.items = items  # messages with their attempt numbers
         self.connection: Connection | None = None
         self.endpoint_call: partners.Call | None = None
-        self.idle_us = -1
+        self.idle_us = -1  # how long the connection was idle before; -1: a new one
         self.is_done = False
 
 
@@ -60,7 +60,7 @@
         self.settings = courier.settings
         self.by_attempt: dict[tuple[int, int], OutgoingCall] = {}  # by message and attempt
         self.connections = IdleConnections(self.clock, self.settings.connection_idle_us)
-        self.retry_after_until_us: dict[int, int] = {}  # told ones, by lane: until when
+        self.retry_after_until_us: dict[int, int] = {}  # announced to this courier, by lane
         self.calls_out = 0
 
     def outstanding(self) -> list[OutgoingCall]:
@@ -94,7 +94,10 @@
         self.calls_out += 1
         if self.calls_out > self.settings.slots:
             raise self.rules.violation(
-                "slots", now, f"courier {self.number} has {self.calls_out} calls out", items[0][0].number
+                "slots",
+                now,
+                f"courier {self.number} has {self.calls_out} outstanding calls",
+                items[0][0].number,
             )
         leaving_since_us = self.courier.leaving_since_us.get(number)
         if leaving_since_us is not None and now > leaving_since_us + self.settings.drain_grace_us:
@@ -102,7 +105,7 @@
                 "drains",
                 now,
                 f"courier {self.number} sends to endpoint {number} "
-                f"{(now - leaving_since_us) / 1e3:.0f} ms after word",
+                f"{(now - leaving_since_us) / 1e3:.0f} ms after it was listed as leaving",
                 items[0][0].number,
                 number,
             )
@@ -181,7 +184,7 @@
                     raise self.rules.violation(
                         "duplicates",
                         self.clock.now,
-                        f"message {message.number} took effect twice",
+                        f"message {message.number} was executed twice",
                         message.number,
                     )
 
--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from hopmill.lab.world import Simulation
 
-DRAWN_ATTEMPTS = 6  # whose work is drawn ahead for each message
-NOISE_CV = 0.25  # of an attempt's work, around its message's
+DRAWN_ATTEMPTS = 6  # attempts of each message whose work is drawn in advance
+NOISE_CV = 0.25  # coefficient of variation of an attempt's work around its message's
 
 
 @dataclass
@@ -28,14 +28,14 @@
     class_index: int
     tenant: int
     destination: int
-    courier_position: float  # from 0 to 1, over the couriers' shares
-    work_us: tuple[float, ...]
+    courier_position: float  # from 0 to 1, on the cumulative shares of the couriers
+    work_us: tuple[float, ...]  # by attempt
     worth: float
-    habit_draws: tuple[float, ...] = ()  # uniforms that decide what this client does
+    habit_draws: tuple[float, ...] = ()  # uniform: heeds a retry-after, back-off, impatience, leaving early
     submissions: int = 0
-    last_courier: int = 0  # that it was handed in at last
+    last_courier: int = 0  # that it was last submitted to
     delivered_us: int = -1
-    status: str = ""  # of its last handing in
+    status: str = ""  # of its last submission
     rejections: Counter[str] = field(default_factory=Counter)
 
 
@@ -46,12 +46,12 @@
         self.simulation, self.scenario = simulation, simulation.scenario
         self.requests: list[ClientRequest] = []
         self.last_message_number = 0
-        self.submissions_by_courier: Counter[int] = Counter()  # by courier
+        self.submissions_by_courier: Counter[int] = Counter()
         self.rng = UniformBuffer(stream(simulation.seed, "clients"))
         self.load_balancer = LoadBalancer(simulation)
         self._draw_arrivals()
 
-    # What comes
+    # Arrivals
 
     def _draw_arrivals(self) -> None:
         scenario, seed = self.scenario, self.simulation.seed
@@ -131,7 +131,7 @@
         bucket[1] -= 1
         return 1.0
 
-    # What they do
+    # Behaviour
 
     def submit(self, request: ClientRequest, resubmitted: bool) -> None:
         now, scenario = self.simulation.clock.now, self.scenario
@@ -168,7 +168,7 @@
     ) -> None:
         if answer == "taken":
             request.status = "open"
-        elif answer == "gone":  # its courier died: it finds another one in a moment
+        elif answer == "gone":  # its courier died: the client finds another one after a short time
             request.status = "gone"
             delay_us = int(self.scenario.front.again_ms * 1e3 * (0.5 + self.rng.uniform()))
             self.simulation.clock.after(delay_us, self.submit, request, False)
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -14,7 +14,8 @@
 if TYPE_CHECKING:
     from hopmill.lab.world import Simulation
 
-SHUTDOWN_CALLS_US, SHUTDOWN_EXIT_US = 3_200_000, 3_400_000  # of a planned restart, from its SIGTERM
+# After SIGTERM: calls may run until the first time, the process exits at the second.
+SHUTDOWN_CALLS_US, SHUTDOWN_EXIT_US = 3_200_000, 3_400_000
 
 
 class ModuleFailedError(Exception):
@@ -27,10 +28,10 @@
         self.clock, self.dialect, self.rules = simulation.clock, simulation.dialect, simulation.rules
         self.settings = simulation.courier_settings(number)
         self.is_alive = self.is_listening = False
-        self.generation = 0  # how often it was started: what belongs to an earlier life is void
-        self.journal: dict[int, HeldMessage] = {}  # what is taken on and not ended: outlasts a kill
-        self.known_entries: dict[int, Any] = {}  # the list as it last had it
-        self.leaving_since_us: dict[int, int] = {}  # endpoints that drain or are gone: since when it knows
+        self.generation = 0  # grows at each start and kill: callbacks of an earlier process run are void
+        self.journal: dict[int, HeldMessage] = {}  # accepted and not ended; survives a kill
+        self.known_entries: dict[int, Any] = {}  # discovery's list as last received
+        self.leaving_since_us: dict[int, int] = {}  # draining or gone endpoints: since when known
         self.recorder: Callable[[int, int, list[Any], list[Any]], None] | None = None
         self._reset_process_state()
 
@@ -41,11 +42,10 @@
         self.is_turn_scheduled, self.last_turn_us = False, -self.settings.tick_us
         self.calls = Calls(self)
         self.is_closing = False
-        self.retry_after_requests = (
-            0  # how often the module was asked for a wait since its last turn: each draws a chance
-        )
+        # Calls of come_back_us since the last turn: each draws a random number, so replays repeat them.
+        self.retry_after_requests = 0
 
-    # Its life
+    # Process lifecycle
 
     def start(self) -> None:
         """With its folder and its last list; also after a kill."""
@@ -161,7 +161,7 @@
         for action in actions:
             if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in pending:
                 message, reply = pending.pop(action.message)
-                self.rules.record(now, self.number, message.number, message.destination, "turned away")
+                self.rules.record(now, self.number, message.number, message.destination, "refused or failed")
                 reply(
                     *(
                         ("refused", action.retry_after_us)
@@ -170,14 +170,14 @@
                     )
                 )
         for message, reply in pending.values():
-            if message.client_left:  # nobody hears that it was taken on, so it is not
+            if message.client_left:  # no client receives the acceptance, so the message is not accepted
                 self.add_event(self.dialect.make("MessageGone", message=message.number))
                 reply("gone", 0)
                 continue
             self.journal[message.number] = message
             message.taken_on_us = now
             self.simulation.change_held(1)
-            self.rules.record(now, self.number, message.number, message.destination, "taken on")
+            self.rules.record(now, self.number, message.number, message.destination, "accepted")
             self.clock.at(message.valid_until_us + END_GRACE_US, self._check_ended, message)
             reply("taken", 0)
         batches: dict[int, list[tuple[HeldMessage, int, int]]] = {}
@@ -230,7 +230,7 @@
                 "lost",
                 self.clock.now,
                 f"message {message.number} of courier {self.number} has "
-                f"no end {END_GRACE_US / 1e3:.0f} ms after its time",
+                f"no outcome {END_GRACE_US / 1e3:.0f} ms after its deadline",
                 message.number,
             )
 
@@ -244,8 +244,8 @@
             raise self.rules.violation(
                 "duplicates",
                 self.clock.now,
-                f"message {message.number} may have run and may "
-                "not be repeated, and its client is told to come again",
+                f"message {message.number} may have executed and must "
+                "not be repeated, but its client was asked to retry",
                 message.number,
             )
         self.record_end(message, "deferred" if refused else "undeliverable")
@@ -285,7 +285,7 @@
             raise self.rules.violation(
                 "duplicates",
                 self.clock.now,
-                f"message {message.number} may have run and may not be repeated, and is sent again",
+                f"message {message.number} may have executed and must not be repeated, but was sent again",
                 message.number,
             )
         if self.simulation.batch_size(action.endpoint) > 1:
@@ -293,7 +293,7 @@
         else:
             self.calls.send(action.endpoint, [(message, attempt, action.timeout_us)])
 
-    # The list
+    # Discovery
 
     def update_endpoints(self, entries: list[Any]) -> None:
         """Discovery's news has reached it."""
--- a/hopmill/lab/links.py
+++ b/hopmill/lab/links.py
@@ -8,9 +8,8 @@
 from hopmill.lab.clock import Clock
 from hopmill.lab.partners import Endpoint
 
-IDLE_TIMEOUT_SHARE = (
-    0.95  # of the time after which an endpoint closes an idle connection: it is closed a little before
-)
+# Of the time after which an endpoint closes an idle connection: the courier closes it a little earlier.
+IDLE_TIMEOUT_SHARE = 0.95
 
 
 @dataclass(eq=False)
@@ -20,7 +19,7 @@
     endpoint: Endpoint
     idle_since_us: int = 0
     is_open: bool = True
-    over_limit: bool = False  # the endpoint has no place for it: one call is turned away on it, and it closes
+    over_limit: bool = False  # the endpoint refuses one call on it and closes it
 
 
 class IdleConnections:
@@ -30,10 +29,9 @@
         """idle_us: for how long an endpoint lets one stand idle."""
         self.clock, self.idle_us = clock, int(idle_us * IDLE_TIMEOUT_SHARE)
         self.idle: dict[int, deque[Connection]] = {}
-        self.max_idle: dict[int, int] = {}  # that are kept, by endpoint; 1 until the module says
-        self.changed_endpoints: dict[
-            int, None
-        ] = {}  # endpoints whose idle ones the module has not heard of yet
+        self.max_idle: dict[int, int] = {}  # by endpoint; 1 until the module sets it
+        # An ordered set of endpoints whose idle connections changed since the last take_changes.
+        self.changed_endpoints: dict[int, None] = {}
 
     def check_out(self, endpoint: int) -> Connection | None:
         """The most recently used one."""
--- a/hopmill/lab/members.py
+++ b/hopmill/lab/members.py
@@ -15,7 +15,7 @@
 from hopmill.fleet.swim import DEAD
 from hopmill.lab.clock import Clock
 
-DATAGRAM_DELAY_US = (200, 2_000)  # of a datagram
+DATAGRAM_DELAY_US = (200, 2_000)  # random, from the first to the second
 DISK_WRITE_US = 2_000
 
 
@@ -66,11 +66,13 @@
         self.nodes: list[Node | None] = [None] * plan.members
         self.disks = [b""] * plan.members
         self.texts: list[dict[bytes, bytes]] = [{} for _ in range(plan.members)]
-        self.paused_until_us = [0] * plan.members  # until when
+        self.paused_until_us = [0] * plan.members
         self.timer_numbers = [0] * plan.members
-        self.observed_changes: list[tuple[int, str, str, str]] = []  # when, where, of whom, which state
+        self.observed_changes: list[
+            tuple[int, str, str, str]
+        ] = []  # time, at which member, about whom, state
         self.is_reachable: Callable[[int, int], bool] = lambda a, b: True
-        self.on_activity: Callable[[int], None] = lambda member: None  # after all that happens at a member
+        self.on_activity: Callable[[int], None] = lambda member: None  # called after each change at a member
         self.starts = 0
         self.bytes = self.datagrams = 0
         for member in range(plan.members if clock is None else 0):
@@ -179,7 +181,7 @@
                 self.after(DISK_WRITE_US, self._text_written, member, node, action)
                 continue
             if isinstance(action, DeleteTexts):
-                continue  # the same text is put there again when it is needed
+                continue  # a later write stores the same text again if it is needed
             self.datagrams += 1
             self.bytes += len(action.data)
             receiver = self.index_by_address[action.address]
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -11,10 +11,10 @@
 from hopmill.lab.clock import Clock
 from hopmill.lab.scenario import Kind
 
-# What a call meets. The names are those of interface.Result, but for the silence of what does not answer.
+# Outcomes of a call, named as in interface.Result, except SILENT, where nothing answers.
 OK, ERROR, FULL, CONNECT_FAILED, RESET, SILENT = "ok", "error", "full", "connect_failed", "reset", "silent"
-QUICK_ANSWER_US = 3_000  # until a refusal or a quick error is answered
-COLD_CALL_SLACK = 4.0  # calls over the budget that chance may bring
+QUICK_ANSWER_US = 3_000  # until a refusal or an immediate error is answered
+COLD_CALL_SLACK = 4.0  # calls over the recovery budget that are put down to random arrival
 
 
 @dataclass
@@ -22,12 +22,12 @@
     """One call on its way. `answer` is told at the endpoint's end, in virtual time."""
 
     courier: int
-    messages: tuple[int, ...]  # their numbers
-    work_us: tuple[float, ...]  # microseconds that each asks for at a partner of usual pace
-    on_answer: Callable[[str, int, tuple[float, ...]], None]  # outcome, told wait in us, report
-    on_executed: Callable[[], None]  # the work took effect
-    is_abandoned: bool = False  # the courier no longer waits: what has begun runs on
-    over_limit: bool = False  # its connection is one that the endpoint's table has no place for
+    messages: tuple[int, ...]  # message numbers
+    work_us: tuple[float, ...]  # of each message, at a partner of usual speed
+    on_answer: Callable[[str, int, tuple[float, ...]], None]  # outcome, retry-after in us, report
+    on_executed: Callable[[], None]  # the messages were executed
+    is_abandoned: bool = False  # the courier no longer waits; work that has begun continues
+    over_limit: bool = False  # its connection exceeds the endpoint's maximum
 
 
 @dataclass
@@ -35,8 +35,8 @@
     """What a partner, or a route apart, takes from all couriers together."""
 
     kind: Kind
-    per_s: float  # calls a second, 0 for none
-    remaining_share: float = 1.0  # what is left of it while it is lowered
+    per_s: float  # 0: no limit
+    remaining_share: float = 1.0  # of per_s, while the limit is lowered
     calls_in_window: float = 0.0
     window_index: int = -1
     tokens: float = 0.0
@@ -103,19 +103,19 @@
         self.name, self.kind, self.limit = name, kind, limit
         self.capacity_per_s, self.slowdown = capacity_per_s, slowdown
         self.fall_multiple, self.fall_us = fall_multiple, fall_us
-        self.outage = ""  # of which kind, while it lasts
-        self.severity = 1.0
+        self.outage = ""  # kind of the current outage; empty: none
+        self.severity = 1.0  # as the scenario's `size`: share of failing calls, or a factor of the duration
         self.outage_ends_us = 0
-        self.cold_since_us = -1  # since when it is back, -1 when warm
-        self.has_collapsed = False
-        self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: when, who, weight
-        self.recent_load = 0.0  # the sum of their weights
-        self.affected_couriers: set[int] = set()  # couriers that met the outage
-        self.report: tuple[float, ...] = ()  # the report that answers carry
+        self.cold_since_us = -1  # end of the last outage; -1 when at full capacity
+        self.has_collapsed = False  # overloaded while it recovered, for the rest of the run
+        self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: (time, courier, weight)
+        self.recent_load = 0.0  # the sum of the weights of recent_calls
+        self.affected_couriers: set[int] = set()  # couriers whose calls met the outage
+        self.report: tuple[float, ...] = ()  # that answers carry: share of the limit left, limit
         self.report_at_us = -1
-        self.calls_by_step: dict[int, int] = {}  # in steps of 100 ms
+        self.calls_by_step: dict[int, int] = {}  # by steps of 100 ms
         self.refusals_by_step: dict[int, int] = {}
-        self.refusals_by_reason: dict[str, int] = {}  # refusals by reason
+        self.refusals_by_reason: dict[str, int] = {}
 
     def available_share(self, now: int) -> float:
         """Share of its capacity that it has now."""
@@ -192,12 +192,12 @@
             max(1, max_connections),
         )
         self.clock, self.rng = clock, rng
-        self.state = "ready"  # draining, gone
-        self.is_cut_off = False  # its zone is cut off
-        self.open_connections = 0  # connections
+        self.state = "ready"  # ready, draining or gone
+        self.is_cut_off = False  # by an outage of its zone
+        self.open_connections = 0
         self.busy_workers = 0
         self.queue: deque[Call] = deque()
-        self.wasted_us = self.served_us = 0.0  # microseconds of work
+        self.wasted_us = self.served_us = 0.0
 
     @property
     def outage(self) -> str:
@@ -211,9 +211,8 @@
         if outage == "silent":
             return SILENT
         self.open_connections += 1
-        return (
-            FULL if self.open_connections > self.max_connections else OK
-        )  # it stands, and its first call is turned away
+        # A connection over the maximum opens too; its first call is refused.
+        return FULL if self.open_connections > self.max_connections else OK
 
     def disconnect(self) -> None:
         self.open_connections -= 1
@@ -279,7 +278,7 @@
         self.busy_workers -= 1
         outage = self.outage
         if outage in ("silent", "hung"):
-            pass  # it may have run; nobody hears of it
+            pass  # no answer, though the work is done
         elif outage == "down" or self.target.has_collapsed:
             call.on_answer(RESET, 0, ())
         elif self.rng.uniform() < self.target.kind.errors:
@@ -302,7 +301,7 @@
 
     number: int
     kind_index: int
-    share: float  # of the messages
+    share: float  # of all messages
     targets: list[Target] = field(default_factory=list)
     endpoints: list[Endpoint] = field(default_factory=list)
 
--- a/hopmill/lab/policy.py
+++ b/hopmill/lab/policy.py
@@ -14,7 +14,7 @@
     from hopmill.lab.calls import HeldMessage
     from hopmill.lab.world import Simulation
 
-MAX_WAIT_US = 500_000  # clients wait so long for a change to be over
+MAX_WAIT_US = 500_000  # a client waits so long for a policy change to end
 Reply = Callable[[str, int], None]
 
 
--- a/hopmill/lab/rules.py
+++ b/hopmill/lab/rules.py
@@ -5,11 +5,11 @@
 from collections import deque
 from typing import Any
 
-MAX_TRACE_EVENTS = 20_000  # events of the whole fleet that are remembered
+MAX_TRACE_EVENTS = 20_000  # events of the whole fleet that are kept
 MAX_SHOWN_EVENTS = 25
-END_GRACE_US = 300_000  # a message may end so long after its time
-WAIT_SLACK_US = 100_000  # calls that arrive so soon after a told wait was written are let through
-INFORMED_SHARE_LIMIT = 2 / 3  # of what pushed it over came from couriers that knew
+END_GRACE_US = 300_000  # a message may end so long after its deadline
+WAIT_SLACK_US = 100_000  # for calls that were on their way when the retry-after was announced
+INFORMED_SHARE_LIMIT = 2 / 3  # of the load under which a target collapsed
 
 
 class RuleBrokenError(Exception):
@@ -27,7 +27,7 @@
         self.trace: deque[tuple[int, int, int, int, str, Any]] = deque(maxlen=MAX_TRACE_EVENTS)
         self.announced_waits: dict[
             tuple[int, int], list[tuple[int, int]]
-        ] = {}  # (courier, lane): written, until
+        ] = {}  # by (courier, lane): announced at, until
 
     def record(self, now: int, courier: int, message: int, lane: int, what: str, more: Any = "") -> None:
         self.trace.append((now, courier, message, lane, what, more))
@@ -40,7 +40,7 @@
         ]
         return RuleBrokenError(rule, now, text, rows[-MAX_SHOWN_EVENTS:])
 
-    # Waits: told to one courier, they bind it for every message to that lane.
+    # A retry-after that one courier received binds it for every message to that lane.
 
     def retry_after_announced(self, courier: int, lane: int, now: int, retry_after_us: int) -> None:
         kept = [w for w in self.announced_waits.get((courier, lane), []) if w[1] > now]
@@ -53,7 +53,7 @@
                     "waits",
                     now,
                     f"courier {courier} called lane {lane} "
-                    f"{(until - now) / 1e3:.0f} ms before the end of its wait",
+                    f"{(until - now) / 1e3:.0f} ms before the end of its retry-after",
                     message,
                     lane,
                 )
--- a/hopmill/lab/troubles.py
+++ b/hopmill/lab/troubles.py
@@ -12,8 +12,8 @@
     from hopmill.lab.courier import CourierModel
     from hopmill.lab.world import Simulation
 
-RECOVERY_GRACE_US = 1_500_000  # after a restart no end is overdue for so long
-SHUTDOWN_NOTICE_US = 400_000  # new clients come for so long after a SIGTERM
+RECOVERY_GRACE_US = 1_500_000  # after a restart, a missing outcome breaks no rule for so long
+SHUTDOWN_NOTICE_US = 400_000  # the load balancer learns of a SIGTERM after so long
 
 
 class FaultInjector:
@@ -21,9 +21,9 @@
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation, self.clock = simulation, simulation.clock
-        self.exempt_until_us: dict[int, int] = {}  # couriers that owe no end until then
-        self.restart_delays_us: dict[int, int] = {}  # and those that come back after SIGTERM, when
-        self.discovery_silent_until_us = 0  # discovery
+        self.exempt_until_us: dict[int, int] = {}  # by courier: until then a missing outcome breaks no rule
+        self.restart_delays_us: dict[int, int] = {}  # by courier: from exit to restart, after SIGTERM
+        self.discovery_silent_until_us = 0
         self.rng = UniformBuffer(stream(simulation.seed, "news"))
         length_us = simulation.scenario.seconds * 1e6
         for index, trouble in enumerate(simulation.scenario.troubles):
@@ -104,7 +104,7 @@
                 for courier in self.simulation.couriers:
                     courier.calls.reset_connections(endpoint)
 
-    # The list
+    # Discovery
 
     def _schedule_deploy(self, trouble: Trouble, rng: Any, start: int) -> None:
         """Endpoints drain and go, one after the other, and others come in their place."""
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -21,7 +21,8 @@
 from hopmill.lab.troubles import FaultInjector
 
 
-SEED_SALT = 0  # another value gives every courier other chances on the same day: for A/A tests
+# Another value gives every courier other random numbers for the same traffic: for A/A tests.
+SEED_SALT = 0
 
 
 class Simulation:
@@ -32,19 +33,16 @@
         self.dialect = dialect or Dialect()
         self.clock, self.rules = Clock(), Rules()
         self.counts: Counter[str] = Counter()
-        self.messages_held, self.held_since_us, self.held_message_us = (
-            0,
-            0,
-            0,
-        )  # messages taken on: now, and summed over time
-        self.total_stay_us = 0  # the same by messages: how long each was held
+        # The number of messages that couriers hold now, since when, and its integral over time.
+        self.messages_held, self.held_since_us, self.held_message_us = 0, 0, 0
+        self.total_stay_us = 0  # the same, summed by message: Little's law is tested with both
         drawn = self.scenario
         self.handshake_us = int(drawn.net.handshake_ms * 1e3)
         self.jitter_draws = UniformBuffer(stream(seed, "jitter"))
         self.loss_draws = UniformBuffer(stream(seed, "losses"))
         self.partners: list[partners.Partner] = []
         self.endpoints: dict[int, partners.Endpoint] = {}
-        self.lane_by_endpoint: dict[int, int] = {}  # endpoint: what shares its limit, as a number
+        self.lane_by_endpoint: dict[int, int] = {}  # by endpoint; endpoints with the same lane share a limit
         self._build_partners()
         self._build_settings()
         zones = stream(seed, "zones").integers(drawn.net.zones, size=drawn.fleet.couriers)
@@ -273,11 +271,12 @@
                 raise self.rules.violation(
                     "fail-back",
                     self.clock.now,
-                    f"{target.name} was pushed over, {informed_share:.2f} of it by couriers that knew",
+                    f"{target.name} collapsed while it recovered; {informed_share:.2f} of the load came from "
+                    "couriers that had met its outage",
                     lane=endpoint.partner,
                 )
 
-    # The play
+    # The run
 
     def play(self) -> None:
         """To the end of the last message's time. RuleBroken or ModuleFailed ends it early."""
