--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -1,4 +1,4 @@
-"""A courier's calls in the model: over which connection, what they meet, and what the module hears of it."""
+"""A courier's calls in the model: connections, outcomes at the endpoint, and the resulting events."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class HeldMessage:
-    """A message as its courier's journal knows it."""
+    """A message as its courier's journal knows it. Times in us."""
 
     number: int
     request_number: int
@@ -36,11 +36,12 @@
 
     @property
     def may_have_run_us(self) -> int:
+        """When the first attempt started that may have executed; -1 if none did."""
         return self.earlier_attempt_us if self.earlier_attempt_us >= 0 else self.attempt_started_us
 
 
 class OutgoingCall:
-    """A call that is out, from this side."""
+    """An outstanding call, as seen by the courier."""
 
     def __init__(self, endpoint: partners.Endpoint, now: int, items: list[tuple[HeldMessage, int]]) -> None:
         self.endpoint, self.sent_us = endpoint, now
@@ -52,7 +53,7 @@
 
 
 class Calls:
-    """Those of one life of a courier."""
+    """The outstanding calls of one process run of a courier."""
 
     def __init__(self, courier: CourierModel) -> None:
         self.courier, self.simulation, self.number = courier, courier.simulation, courier.number
@@ -64,10 +65,11 @@
         self.calls_out = 0
 
     def outstanding(self) -> list[OutgoingCall]:
+        """Each outstanding call once; a batch is listed by each of its messages."""
         return list({id(outgoing): outgoing for outgoing in self.by_attempt.values()}.values())
 
     def process_died(self) -> None:
-        """The process has died: those that are out may have run."""
+        """Drops all calls. Those that have reached an endpoint may still execute."""
         for outgoing in self.outstanding():
             outgoing.is_done = True
             if outgoing.endpoint_call:
@@ -76,11 +78,17 @@
         self.connections.close_all()
 
     def cancel(self, message: int, attempt: int) -> None:
+        """Cancels an attempt, unless its call carries other messages too."""
         outgoing = self.by_attempt.get((message, attempt))
         if outgoing and len(outgoing.items) == 1:
             self._abandon(outgoing, "cancelled")
 
     def send(self, number: int, items: list[tuple[HeldMessage, int, int]]) -> None:
+        """Starts one call to an endpoint. items: (message, attempt, time-out in us).
+
+        RuleBrokenError if it exceeds the slots, or the endpoint has been leaving for longer than the grace
+        period.
+        """
         now, endpoint = self.clock.now, self.simulation.endpoints[number]
         outgoing = OutgoingCall(
             endpoint, self.clock.now, [(message, attempt) for message, attempt, _ in items]
@@ -134,7 +142,7 @@
             )
 
     def _connected(self, outgoing: OutgoingCall) -> None:
-        """The connection stands; news that came meanwhile holds for the call that waits for it."""
+        """The connection is up. Sends nothing if the endpoint left or announced a retry-after meanwhile."""
         if outgoing.is_done:
             return
         number = outgoing.endpoint.number
@@ -147,7 +155,7 @@
             self._start_call(outgoing)
 
     def _start_call(self, outgoing: OutgoingCall) -> None:
-        """Its first byte is written: from here on it may run."""
+        """Writes the first byte of the call: from here on it may execute."""
         now = self.clock.now
         for message, _ in outgoing.items:
             message.earlier_attempt_us = message.may_have_run_us
@@ -292,7 +300,7 @@
             self.connections.check_in(connection)
 
     def reset_connections(self, endpoint: partners.Endpoint) -> None:
-        """Its machine went down or came back: what was open there is reset."""
+        """Resets all connections to an endpoint, whose machine went down or came back."""
         self.connections.close_idle(endpoint.number)
         for outgoing in [o for o in self.outstanding() if o.endpoint is endpoint and o.connection]:
             connection, outgoing.connection = outgoing.connection, None
--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients, and the account of what became of their messages."""
+"""Clients: their arrivals, their retries, and what became of their messages."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class ClientRequest:
-    """What a client wants delivered, however often it is handed in. Times in us."""
+    """What a client wants delivered, over all its submissions."""
 
     number: int
     created_us: int
@@ -40,7 +40,7 @@
 
 
 class Clients:
-    """Arrivals are drawn ahead, so they are the same for every build."""
+    """All clients. Their arrivals are drawn in advance, so they are the same for every build."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation, self.scenario = simulation, simulation.scenario
@@ -107,7 +107,7 @@
             self.simulation.clock.at(request.created_us, self.submit, request, False)
 
     def _cluster_arrivals(self, times: np.ndarray, destinations: np.ndarray) -> None:
-        """Some messages come all at once, for one partner: as many as it takes in clump_s."""
+        """Moves some messages to one instant and one partner: as many as it takes in clump_s."""
         load, rng = self.scenario.load, stream(self.simulation.seed, "clumps")
         remaining = int(load.clumps * len(times))
         while remaining > 0:
@@ -121,7 +121,7 @@
             remaining -= size
 
     def _quota_factor(self, quotas: list[list[float]], tenant: int, now_s: float) -> float:
-        """1 inside a tenant's share, else what messages over it count for."""
+        """The factor of a message's worth: 1 within the tenant's quota, over_share_worth beyond it."""
         if not quotas:
             return 1.0
         bucket = quotas[tenant]
@@ -134,6 +134,7 @@
     # Behaviour
 
     def submit(self, request: ClientRequest, resubmitted: bool) -> None:
+        """Submits the request to a courier, unless too little time is left before its deadline."""
         now, scenario = self.simulation.clock.now, self.scenario
         valid_until_us = request.created_us + int(scenario.classes[request.class_index].deadline_ms * 1e3)
         if valid_until_us - now < scenario.fleet.tick_ms * 4e3:
@@ -177,7 +178,7 @@
             self._submit_again(request, answer, retry_after_us)
 
     def message_ended(self, message: HeldMessage, outcome: str, retry_after_us: int) -> None:
-        """A notice: deferred or undeliverable."""
+        """A notice arrived: deferred or undeliverable."""
         request = self.requests[message.request_number]
         request.rejections[outcome] += 1
         if outcome == "deferred":
@@ -198,6 +199,7 @@
         self.simulation.clock.after(max(1, retry_after_us), self.submit, request, True)
 
     def message_delivered(self, message: HeldMessage) -> None:
+        """The partner has executed the message and answered."""
         request = self.requests[message.request_number]
         if request.delivered_us < 0:
             request.delivered_us = self.simulation.clock.now
@@ -205,7 +207,7 @@
 
 
 class LoadBalancer:
-    """Hands clients to couriers, by shares of the traffic; hears late of the dead."""
+    """Distributes clients over couriers by their shares of the traffic; learns late that a courier died."""
 
     def __init__(self, simulation: Simulation) -> None:
         scenario, rng = simulation.scenario, stream(simulation.seed, "front")
@@ -217,7 +219,7 @@
         self.believed_alive = [True] * scenario.fleet.couriers
 
     def choose_courier(self, position: float):
-        """By the share of the traffic; the next one that is believed to live."""
+        """The courier at this position, or the next one that is believed alive; None if none is."""
         now, count = self.simulation.clock.now, len(self.believed_alive)
         cumulative = self.cumulative_shares[bool(self.shift_us and now >= self.shift_us)]
         index = min(bisect.bisect_left(cumulative, position * cumulative[-1]), count - 1)
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -1,4 +1,4 @@
-"""The model of a courier's host: turns, connections, calls, and a journal that outlasts a kill.
+"""The model of a courier's host: turns, connections, calls, and a journal that survives a kill.
 
 It drives the module itself, as hopmill/net/host.py does: events of a turn in, actions out in order.
 """
@@ -19,10 +19,12 @@
 
 
 class ModuleFailedError(Exception):
-    """The module threw: which courier, on which events."""
+    """The module under test raised an exception; the text names the courier, the time and the events."""
 
 
 class CourierModel:
+    """One courier: its process, which is killed and restarted, and the folder that survives it."""
+
     def __init__(self, simulation: Simulation, number: int, zone: int) -> None:
         self.simulation, self.number, self.zone = simulation, number, zone
         self.clock, self.dialect, self.rules = simulation.clock, simulation.dialect, simulation.rules
@@ -48,7 +50,7 @@
     # Process lifecycle
 
     def start(self) -> None:
-        """With its folder and its last list; also after a kill."""
+        """Starts the process with the journal and the last endpoint list, also after a kill."""
         self._reset_process_state()
         self.generation += 1
         self.is_alive = self.is_listening = True
@@ -70,7 +72,7 @@
         self.run_turn()
 
     def kill(self) -> None:
-        """SIGKILL: calls that are out may have run; who has no answer yet gets none."""
+        """SIGKILL: outstanding calls may have executed; clients without an answer get none."""
         self.is_alive = self.is_listening = False
         self.generation += 1
         if self.simulation.members:
@@ -85,7 +87,7 @@
             reply("gone", 0)
 
     def terminate(self) -> None:
-        """SIGTERM: no new clients; what can't be sent in time waits for the next process."""
+        """SIGTERM: accepts no new messages; what cannot be sent in time waits for the next process."""
         if not self.is_alive or self.is_closing:
             return
         self.is_closing, self.is_listening = True, False
@@ -94,6 +96,7 @@
         self.exit_if_idle()
 
     def exit_if_idle(self) -> None:
+        """After SIGTERM, exits as soon as no call, message or event is left."""
         has_work = self.calls.by_attempt or self.journal or self.events or self.pending
         if self.is_closing and self.is_alive and not has_work:
             self._exit(self.generation)
@@ -106,6 +109,7 @@
     # Events and turns
 
     def add_event(self, event: Any) -> None:
+        """Queues an event for the next turn. None stands for an event that the module does not know."""
         if event is None or not self.is_alive:
             return
         self.events.append(event)
@@ -138,6 +142,7 @@
         )
 
     def run_turn(self) -> None:
+        """Hands the queued events to the module and carries out its actions. May raise ModuleFailedError."""
         now, interface = self.clock.now, self.dialect.interface
         self.is_turn_scheduled, self.last_turn_us = False, now
         connection_changes = [
@@ -212,7 +217,10 @@
     # Messages
 
     def submit(self, message: HeldMessage, reply: Callable[[str, int], None]) -> None:
-        """reply(end, wait in us): taken, refused, failed, or gone where the process died first."""
+        """Takes a message from a client. reply(answer, retry-after in us) is called once.
+
+        Answers: taken, refused, failed, or gone where the process died first.
+        """
         if not self.is_alive or not self.is_listening:
             reply("gone", 0)
         elif self.simulation.policy and self.simulation.policy.is_holding[self.number]:
@@ -254,6 +262,7 @@
         )
 
     def record_end(self, message: HeldMessage, outcome: str) -> None:
+        """Removes a message from the journal. outcome: delivered, deferred or undeliverable."""
         message.outcome = outcome
         self.journal.pop(message.number, None)
         self.simulation.change_held(-1)
@@ -296,7 +305,7 @@
     # Discovery
 
     def update_endpoints(self, entries: list[Any]) -> None:
-        """Discovery's news has reached it."""
+        """Changed entries of discovery's list have arrived."""
         if not self.is_alive:
             return
         interface = self.dialect.interface
--- a/hopmill/lab/links.py
+++ b/hopmill/lab/links.py
@@ -1,4 +1,4 @@
-"""A courier's connections to endpoints, as the pool keeps them: which are idle, since when, and how many."""
+"""A courier's idle connections to endpoints, as its pool keeps them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(eq=False)
 class Connection:
-    """A connection to an endpoint."""
+    """A connection to an endpoint. Times in us."""
 
     endpoint: Endpoint
     idle_since_us: int = 0
@@ -23,10 +23,10 @@
 
 
 class IdleConnections:
-    """The idle ones, by endpoint, the most recently used last."""
+    """The idle connections by endpoint, the most recently used last."""
 
     def __init__(self, clock: Clock, idle_us: int) -> None:
-        """idle_us: for how long an endpoint lets one stand idle."""
+        """idle_us: how long an endpoint keeps an idle connection open."""
         self.clock, self.idle_us = clock, int(idle_us * IDLE_TIMEOUT_SHARE)
         self.idle: dict[int, deque[Connection]] = {}
         self.max_idle: dict[int, int] = {}  # by endpoint; 1 until the module sets it
@@ -34,7 +34,7 @@
         self.changed_endpoints: dict[int, None] = {}
 
     def check_out(self, endpoint: int) -> Connection | None:
-        """The most recently used one."""
+        """Takes the most recently used idle connection, if there is one."""
         connections = self.idle.get(endpoint)
         if not connections:
             return None
@@ -42,7 +42,7 @@
         return connections.pop()
 
     def check_in(self, connection: Connection) -> None:
-        """A call on it is over, and it is still good."""
+        """Returns a connection that can be used again."""
         endpoint = connection.endpoint.number
         connection.idle_since_us = self.clock.now
         self.idle.setdefault(endpoint, deque()).append(connection)
@@ -51,10 +51,12 @@
         self._trim(endpoint)
 
     def set_max_idle(self, endpoint: int, max_idle: int) -> None:
+        """Sets how many idle connections to keep to an endpoint, and closes those over it."""
         self.max_idle[endpoint] = max_idle
         self._trim(endpoint)
 
     def close(self, connection: Connection | None) -> None:
+        """Closes a connection, idle or not. None and closed ones are ignored."""
         if connection is None or not connection.is_open:
             return
         connection.is_open = False
@@ -65,15 +67,17 @@
             self.changed_endpoints[connection.endpoint.number] = None
 
     def close_idle(self, endpoint: int) -> None:
+        """Closes the idle connections to an endpoint."""
         for connection in list(self.idle.get(endpoint, ())):
             self.close(connection)
 
     def close_all(self) -> None:
+        """Closes all idle connections."""
         for endpoint in list(self.idle):
             self.close_idle(endpoint)
 
     def take_changes(self) -> list[tuple[int, tuple[int, ...]]]:
-        """(endpoint, since when each is idle) where that changed since the last time."""
+        """(endpoint, since when each connection is idle) where that changed since the last call."""
         changed, self.changed_endpoints = self.changed_endpoints, {}
         return [
             (endpoint, tuple(k.idle_since_us for k in self.idle.get(endpoint, ()))) for endpoint in changed
--- a/hopmill/lab/members.py
+++ b/hopmill/lab/members.py
@@ -1,5 +1,7 @@
-"""Members in virtual time: beside the laboratory's couriers, or alone, to see how soon a dead one is known,
-who is wrongly taken for dead, and the cost."""
+"""Fleet members in virtual time: beside the simulated couriers, or alone.
+
+Alone they measure how soon a dead member is detected, false detections, and the cost of the protocol.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,7 @@
 
 @dataclass
 class Plan:
-    """Times in us. stops: (member's number, for how long, each how long)."""
+    """A fleet to simulate. loss: share of datagrams lost."""
 
     members: int = 60
     loss: float = 0.0
@@ -32,6 +34,7 @@
 
 
 def member_settings(plan: Plan) -> list[Members]:
+    """The settings of each member. The first five, three or one of them vote."""
     ids = [f"c{n}" for n in range(plan.members)]
     rows = [
         Other(id=name, address=f"127.0.0.1:{20_000 + n}", zone=f"z{n % plan.zones}", region="r")
@@ -55,10 +58,10 @@
 
 
 class Fleet:
-    """One clock for all; what each sees of the others goes through `passes` and a random delay."""
+    """Members on one clock. Datagrams have a random delay and pass where `is_reachable` allows it."""
 
     def __init__(self, plan: Plan, clock: Clock | None = None) -> None:
-        """clock: of a play that these members are part of, which then starts and ends them."""
+        """clock: of the simulation that these members are part of, which then starts and kills them."""
         self.plan, self.rng = plan, random.Random(plan.seed)
         self.clock = clock or Clock()
         self.configs = member_settings(plan)
@@ -80,15 +83,19 @@
 
     @property
     def now(self) -> int:
+        """The virtual time in us."""
         return self.clock.now
 
     def after(self, delay: int, action: Callable[..., None], *args: Any) -> None:
+        """Runs an action after a delay in us."""
         self.clock.after(delay, action, *args)
 
     def run(self, until: int) -> None:
+        """Runs all events until that time in us."""
         self.clock.run(until)
 
     def start(self, member: int) -> None:
+        """Starts a member with what its disk holds."""
         stored = msgspec.msgpack.decode(self.disks[member], type=Stored) if self.disks[member] else Stored()
         self.starts += 1
         self.nodes[member] = Node(
@@ -101,10 +108,11 @@
         self._pump(member)
 
     def kill(self, member: int) -> None:
+        """Ends a member at once; its disk stays."""
         self.nodes[member] = None
 
     def summary(self) -> dict[str, Any]:
-        """What a play is told of its members."""
+        """The members' part of a run's result."""
         live = [node for node in self.nodes if node]
         return {
             "live": len(live),
@@ -120,11 +128,11 @@
         }
 
     def pause(self, member: int, duration_us: int) -> None:
-        """SIGSTOP; what comes meanwhile is read on waking."""
+        """SIGSTOP for a duration in us; what arrives meanwhile is handled on waking."""
         self.paused_until_us[member] = self.now + duration_us
 
     def _defer_while_paused(self, member: int, action: Callable[..., None], *args: Any) -> bool:
-        """Whether the member stands still: then this happens as it wakes."""
+        """True if the member is paused: the action then runs when it wakes."""
         if self.paused_until_us[member] <= self.now:
             return False
         self.after(self.paused_until_us[member] - self.now, action, *args)
@@ -154,7 +162,7 @@
             self._pump(member)
 
     def schedule_pump(self, member: int) -> None:
-        """Something was done with a member's objects from outside."""
+        """Lets a member act on a change that was made to its objects from outside."""
         self.after(0, self._pump_scheduled, member)
 
     def _pump_scheduled(self, member: int) -> None:
@@ -195,7 +203,7 @@
 
 
 def measure_detection(plan: Plan, kills: int) -> dict[str, Any]:
-    """Members are killed one after the other; times in ms until each live member knew."""
+    """Kills members one after the other. Times in ms until each live member knew."""
     fleet = Fleet(plan)
     fleet.run(3_000_000)
     detection_us: list[int] = []
@@ -239,7 +247,10 @@
 def measure_false_alarms(
     plan: Plan, seconds: float, pause_us: int = 0, every_us: int = 10_000_000, after_us: int = 3_000_000
 ) -> dict[str, Any]:
-    """Nobody dies; one member is stopped for stop_us in each every_us. What is said of anybody, the cost."""
+    """Kills nobody and counts who is suspected or declared dead all the same, and the cost.
+
+    pause_us: one member is paused so long in each every_us; after_us: time before the measurement starts.
+    """
     fleet = Fleet(plan)
     fleet.run(after_us)
     fleet.observed_changes.clear()
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -1,4 +1,4 @@
-"""The model of partners: limits, capacity, queues, told waits, reports, outages and the cold return."""
+"""The model of partners: limits, capacity, queues, retry-after, reports, outages and recovery from them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Call:
-    """One call on its way. `answer` is told at the endpoint's end, in virtual time."""
+    """One call on its way. `on_answer` is called at the endpoint's end, in virtual time."""
 
     courier: int
     messages: tuple[int, ...]  # message numbers
@@ -32,7 +32,7 @@
 
 @dataclass
 class Limit:
-    """What a partner, or a route apart, takes from all couriers together."""
+    """The rate limit of a partner, or of one route, over the calls of all couriers."""
 
     kind: Kind
     per_s: float  # 0: no limit
@@ -47,6 +47,7 @@
 
     @property
     def current_per_s(self) -> float:
+        """Calls per second that the limit allows now."""
         return self.per_s * self.remaining_share
 
     @property
@@ -65,7 +66,7 @@
             self.refilled_us = now
 
     def admit(self, now: int) -> int:
-        """0 if a call may come in; else how long until there may be room, in us."""
+        """Returns 0 if a call is admitted, else how long until there may be room, in us."""
         if not self.per_s:
             return 0
         self._refresh(now)
@@ -79,7 +80,7 @@
         return 0 if has_room else max(1, int((1 - self.tokens) / self.current_per_s * 1e6))
 
     def share_left(self, now: int) -> float:
-        """Share of the allowance that is left just now."""
+        """The share of the allowance that is unused now."""
         self._refresh(now)
         if self.kind.limit == "window":
             return max(0.0, 1 - self.calls_in_window / max(1.0, self.current_per_s * self.kind.span_ms / 1e3))
@@ -87,7 +88,7 @@
 
 
 class Target:
-    """What is struck and returns as one: a partner, or one of its routes apart."""
+    """What fails and recovers as a unit: a partner, or one route where routes are independent."""
 
     def __init__(
         self,
@@ -99,7 +100,11 @@
         fall_multiple: float,
         fall_us: int,
     ) -> None:
-        """capacity_per_s: calls; slow: how long its calls last, as a multiple of the usual."""
+        """capacity_per_s: calls; slowdown: duration of its calls, as a multiple of the usual.
+
+        fall_multiple, fall_us: while it recovers it collapses under more than that multiple of its capacity,
+        measured over a window of fall_us.
+        """
         self.name, self.kind, self.limit = name, kind, limit
         self.capacity_per_s, self.slowdown = capacity_per_s, slowdown
         self.fall_multiple, self.fall_us = fall_multiple, fall_us
@@ -118,7 +123,7 @@
         self.refusals_by_reason: dict[str, int] = {}
 
     def available_share(self, now: int) -> float:
-        """Share of its capacity that it has now."""
+        """The share of the capacity that is available now; it grows linearly after an outage."""
         if self.cold_since_us < 0:
             return 1.0
         kind = self.kind
@@ -132,12 +137,14 @@
         return min(1.0, share)
 
     def start_outage(self, kind: str, severity: float, ends_us: int) -> None:
+        """Begins an outage of that kind, or lowers the limit."""
         self.outage, self.severity, self.outage_ends_us = kind, severity, ends_us
         self.affected_couriers.clear()
         if kind == "limit":
             self.limit.remaining_share, self.outage = severity, ""
 
     def end_outage(self, now: int, kind: str) -> None:
+        """Ends an outage of that kind. After a full outage the target starts with a part of its capacity."""
         if kind == "limit":
             self.limit.remaining_share = 1.0
             return
@@ -148,7 +155,7 @@
             self.recent_calls.clear()
 
     def collapses_under(self, now: int, call: Call) -> bool:
-        """Counts a call that reaches what returns; whether the budget over the rule's window is spent."""
+        """Counts a call that arrives during recovery; True if it exhausts the budget of the window."""
         if self.cold_since_us < 0 or self.has_collapsed:
             return False
         weight = 1 + 0.05 * (len(call.messages) - 1)
@@ -164,14 +171,14 @@
 
     @property
     def informed_share(self) -> float:
-        """The part of the load that came from couriers which had met the outage."""
+        """The share of the recent load that came from couriers which had met the outage."""
         return sum(w for _, who, w in self.recent_calls if who in self.affected_couriers) / max(
             self.recent_load, 1e-9
         )
 
 
 class Endpoint:
-    """One address: its own connections, workers and queue; its target's limit and outages."""
+    """One address, with its own connections, workers and queue. Its target has the limit and the outages."""
 
     def __init__(
         self,
@@ -201,10 +208,11 @@
 
     @property
     def outage(self) -> str:
+        """The kind of outage that calls to this endpoint meet now; empty: none."""
         return "silent" if self.is_cut_off else "down" if self.state == "gone" else self.target.outage
 
     def connect(self) -> str:
-        """What a new connection meets."""
+        """The outcome of opening a connection: OK, FULL, CONNECT_FAILED or SILENT."""
         outage = self.outage
         if outage == "down" or self.target.has_collapsed:
             return CONNECT_FAILED
@@ -215,10 +223,11 @@
         return FULL if self.open_connections > self.max_connections else OK
 
     def disconnect(self) -> None:
+        """Frees the place of a connection."""
         self.open_connections -= 1
 
     def receive(self, call: Call) -> None:
-        """The call's last byte is here."""
+        """The call's last byte has arrived: refuses, queues or starts it."""
         now, target = self.clock.now, self.target
         step = now // 100_000
         target.calls_by_step[step] = target.calls_by_step.get(step, 0) + 1
@@ -307,4 +316,5 @@
 
     @property
     def rate_per_s(self) -> float:
+        """Calls per second that the partner takes, by its limits or else its capacity."""
         return sum(t.limit.per_s or t.capacity_per_s for t in self.targets)
--- a/hopmill/lab/policy.py
+++ b/hopmill/lab/policy.py
@@ -1,6 +1,6 @@
-"""The fleet's policy in the laboratory: couriers act under leases on it, and staff change it now and then.
+"""The fleet's policy in the simulation: couriers act under leases on it, and operators change it.
 
-What a courier's host does with it is hopmill/net/in_force.py; here the same is done in virtual time.
+hopmill/net/in_force.py does the same for a real courier; here it is done in virtual time.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class FleetPolicy:
-    """One owner of who may act, for all couriers of a play."""
+    """Decides for each courier of a simulation whether it may act, by its policy lease."""
 
     def __init__(self, simulation: Simulation, interval_s: float) -> None:
-        """every_s: between two changes; 0: none."""
+        """interval_s: between two changes; 0: no changes."""
         self.simulation, self.fleet, self.change_interval_us = (
             simulation,
             simulation.members,
@@ -45,16 +45,19 @@
         return node.policy_member if node else None
 
     def courier_started(self, number: int) -> None:
+        """A courier's process started: it holds until it has a lease."""
         self.is_holding[number] = True
         self.holding_since_us[number] = self.simulation.clock.now
         self.simulation.couriers[number].add_event(self.simulation.dialect.make("Hold", on=True))
 
     def courier_ended(self, number: int) -> None:
+        """A courier's process ended: clients that waited for it get no answer."""
         waiting, self.waiting_submissions[number] = self.waiting_submissions[number], []
         for _, _, reply in waiting:
             reply("gone", 0)
 
     def after_activity(self, number: int) -> None:
+        """Applies the version that a member has agreed to, and follows its lease."""
         policy_member = self._policy_member(number)
         policy, texts = policy_member.register.document.policy, policy_member.texts.by_digest
         version, digest = policy.version_for(policy_member.me), policy.digest_for(policy_member.me)
@@ -90,7 +93,7 @@
             courier.submit(message, reply)
 
     def queue(self, number: int, message: HeldMessage, reply: Reply) -> None:
-        """A message that came while its courier may not act."""
+        """Keeps a message that came while its courier may not act, for MAX_WAIT_US at most."""
         self.waiting_submissions[number].append((self.simulation.clock.now, message, reply))
         self.simulation.clock.after(MAX_WAIT_US, self._refuse_waiting, number, message)
 
@@ -119,7 +122,7 @@
         self.fleet.schedule_pump(number)  # type: ignore[union-attr]
 
     def summary(self) -> dict[str, Any]:
-        """Times in ms; a pause is one courier's."""
+        """The policy's part of a run's result. Times in ms; each pause is one courier's."""
         versions = [
             policy_member.lease.applied_version
             for number in range(len(self.is_holding))
--- a/hopmill/lab/rules.py
+++ b/hopmill/lab/rules.py
@@ -1,4 +1,4 @@
-"""The rules, checked as things happen. A break ends the play with what led to it."""
+"""The rules, checked while the simulation runs. A violation ends the run with the events that led to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RuleBrokenError(Exception):
-    """Which rule, when, and the last events of that message and lane."""
+    """Names the rule and the time; `trace` has the last events of that message or lane."""
 
     def __init__(self, rule: str, at_us: int, text: str, trace: list[str]) -> None:
         super().__init__(f"{rule} at {at_us / 1e6:.3f} s: {text}")
@@ -21,7 +21,7 @@
 
 
 class Rules:
-    """Sees everything; changes nothing."""
+    """Observes the whole simulation and changes nothing."""
 
     def __init__(self) -> None:
         self.trace: deque[tuple[int, int, int, int, str, Any]] = deque(maxlen=MAX_TRACE_EVENTS)
@@ -30,9 +30,11 @@
         ] = {}  # by (courier, lane): announced at, until
 
     def record(self, now: int, courier: int, message: int, lane: int, what: str, more: Any = "") -> None:
+        """Adds an event to the trace."""
         self.trace.append((now, courier, message, lane, what, more))
 
     def violation(self, rule: str, now: int, text: str, message: int = -1, lane: int = -1) -> RuleBrokenError:
+        """The error to raise, with the events of that message or lane."""
         rows = [
             f"{at / 1e6:9.4f} s  courier {who}  message {subject}  lane {where}  {what} {more}"
             for at, who, subject, where, what, more in self.trace
@@ -43,10 +45,12 @@
     # A retry-after that one courier received binds it for every message to that lane.
 
     def retry_after_announced(self, courier: int, lane: int, now: int, retry_after_us: int) -> None:
+        """A partner answered a courier's call with a retry-after."""
         kept = [w for w in self.announced_waits.get((courier, lane), []) if w[1] > now]
         self.announced_waits[(courier, lane)] = [*kept, (now, now + retry_after_us)]
 
     def check_call(self, courier: int, lane: int, now: int, message: int) -> None:
+        """RuleBrokenError if a call arrives while a retry-after binds its courier."""
         for written, until in self.announced_waits.get((courier, lane), ()):
             if written + WAIT_SLACK_US < now < until:
                 raise self.violation(
@@ -59,6 +63,6 @@
                 )
 
     def courier_restarted(self, courier: int) -> None:
-        """A restart ends the waits."""
+        """A restarted courier does not know the retry-afters announced before."""
         for key in [k for k in self.announced_waits if k[0] == courier]:
             del self.announced_waits[key]
--- a/hopmill/lab/troubles.py
+++ b/hopmill/lab/troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong: outages of partners, zones and discovery, and the fleet's own deaths and restarts."""
+"""Faults: outages of partners, zones and discovery; kills, restarts and late starts of couriers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FaultInjector:
-    """Draws who is struck, once, and sets its times on the clock."""
+    """Draws once what each fault affects, and schedules its start and end."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation, self.clock = simulation, simulation.clock
@@ -42,7 +42,7 @@
     # Partners
 
     def _choose_targets(self, trouble: Trouble, rng: Any) -> list[partners.Target]:
-        """As many as get about that part of the messages; of one kind or zone where the scenario asks."""
+        """Targets with about `part` of the messages; of one kind or zone where the scenario asks for it."""
         simulation = self.simulation
         rows = [
             (partner.share / len(partner.targets), target, partner, n)
@@ -107,7 +107,7 @@
     # Discovery
 
     def _schedule_deploy(self, trouble: Trouble, rng: Any, start: int) -> None:
-        """Endpoints drain and go, one after the other, and others come in their place."""
+        """Endpoints drain and leave one after the other, and new ones replace them."""
         numbers = list(self.simulation.endpoints)
         chosen = rng.permutation(numbers)[: max(1, round(trouble.part * len(numbers)))].tolist()
         for position, number in enumerate(chosen):
@@ -143,7 +143,7 @@
         self.announce([endpoint.number])
 
     def announce(self, numbers: list[int]) -> None:
-        """Discovery's news, to each courier in its own time; held back while discovery is silent."""
+        """Sends list entries to each courier after its own delay, and not while discovery is silent."""
         discovery, entries = (
             self.simulation.scenario.discovery,
             [self.simulation.list_entry(n) for n in numbers],
@@ -173,7 +173,7 @@
         return [couriers[n] for n in rng.permutation(len(couriers))[:count].tolist()]
 
     def _schedule_kills(self, trouble: Trouble, rng: Any, start: int) -> None:
-        """At once, with their folders kept."""
+        """Kills couriers at once; their folders stay."""
         for courier in self._choose_couriers(trouble, rng):
             self.clock.at(start, self._kill_courier, courier, start + int(trouble.len_ms * 1e3))
 
@@ -198,7 +198,7 @@
             self.simulation.clients.load_balancer.believed_alive[courier.number] = True
 
     def _schedule_restarts(self, trouble: Trouble, rng: Any, start: int) -> None:
-        """In steps of a tenth: SIGTERM, every second one SIGKILL."""
+        """Restarts couriers in ten steps, by SIGTERM and SIGKILL alternately."""
         chosen = self._choose_couriers(trouble, rng)
         for position, courier in enumerate(chosen):
             start_us = start + int(trouble.len_ms * 1e3 * (position * 10 // len(chosen)) / 10)
@@ -217,9 +217,10 @@
         courier.terminate()
 
     def courier_ended(self, courier: CourierModel) -> None:
+        """A courier's process ended after SIGTERM: schedules its next start."""
         self._schedule_return(courier, self.clock.now + self.restart_delays_us.pop(courier.number, 0))
 
     def _schedule_joins(self, trouble: Trouble, rng: Any, start: int) -> None:
-        """Couriers that were away from the start on join."""
+        """Keeps couriers down from the beginning, until they join."""
         for courier in self._choose_couriers(trouble, rng):
             self.clock.at(30_000, self._kill_courier, courier, start)
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -1,4 +1,4 @@
-"""One play: the partners, couriers, clients and troubles that a scenario and a seed give, in virtual time."""
+"""One run: the partners, couriers, clients and faults of a scenario and a seed, in virtual time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Simulation:
-    """Built for one scenario (as drawn) and one seed. `play` runs it to its end."""
+    """The state of one run of a scenario, as drawn for one seed. `play` runs it to its end."""
 
     def __init__(self, scenario: Scenario, seed: int, dialect: Dialect | None = None) -> None:
         self.scenario, self.seed = draw(scenario, seed), seed
@@ -138,7 +138,7 @@
                 self._refresh_report(target, UniformBuffer(stream(self.seed, f"report {target.name}")))
 
     def _refresh_report(self, target: partners.Target, rng: UniformBuffer) -> None:
-        """What answers tell is refreshed now and then, late and noisy."""
+        """Refreshes the load report that a target's answers carry, with the scenario's delay and noise."""
         reports, now = self.scenario.reports, self.clock.now
         noise = 1 + reports.noise * (2 * rng.uniform() - 1) * 1.7
         report = (min(1.0, target.limit.share_left(now) * noise), target.limit.current_per_s)
@@ -146,6 +146,7 @@
         self.clock.after(max(1000, int(reports.period_ms * 1e3)), self._refresh_report, target, rng)
 
     def list_entry(self, number: int):
+        """The entry of an endpoint in discovery's list, as the module under test reads it."""
         interface, endpoint = self.dialect.interface, self.endpoints[number]
         states = {
             "ready": interface.EndpointState.READY,
@@ -165,9 +166,11 @@
         )
 
     def lane_of(self, endpoint: int) -> int:
+        """The lane of an endpoint: its own number if its route has a limit of its own, else -partner."""
         return self.lane_by_endpoint[endpoint]
 
     def batch_size(self, endpoint: int) -> int:
+        """How many messages one call to this endpoint may carry."""
         return self.endpoints[endpoint].target.kind.bundle
 
     # Couriers
@@ -230,22 +233,24 @@
         )
 
     def courier_settings(self, number: int):
+        """The module's settings for one courier. `me` stays below the configured number of couriers."""
         own_index = min(number, self._common_settings["couriers"] - 1)
         return self.dialect.make("Settings", me=own_index, **self._common_settings)
 
     def module_seed(self, courier: int, generation: int) -> int:
+        """The seed of the module's random numbers, for one process run (generation) of a courier."""
         return zlib.crc32(f"{self.seed} {courier} {generation} {SEED_SALT or ''}".encode())
 
     def must_end_messages(self, courier: CourierModel) -> bool:
-        """No end is overdue from the start of a restart until a while after it."""
+        """False during a restart and for RECOVERY_GRACE_US after it: a missing outcome is allowed."""
         return self.clock.now >= self.faults.exempt_until_us.get(courier.number, -1)
 
     def process_ended(self, courier: CourierModel) -> None:
-        """Its process has ended as planned."""
+        """Called when a courier's process has ended after SIGTERM."""
         self.faults.courier_ended(courier)
 
     def change_held(self, change: int) -> None:
-        """A message was taken on, or ended."""
+        """Adds to the number of held messages: 1 when one is taken on, -1 when one ends."""
         now = self.clock.now
         self.held_message_us += self.messages_held * (now - self.held_since_us)
         self.messages_held, self.held_since_us = self.messages_held + change, now
@@ -253,16 +258,21 @@
     # The network
 
     def network_delay_us(self, courier: CourierModel, endpoint: partners.Endpoint) -> int:
+        """The one-way delay between a courier and an endpoint, with jitter."""
         net = self.scenario.net
         base = net.same_ms if courier.zone == endpoint.zone else net.cross_ms
         return max(50, int(base * 1e3 * (1 + net.jitter * (2 * self.jitter_draws.uniform() - 1))))
 
     def is_answer_lost(self) -> bool:
+        """Draws whether the network loses an answer."""
         lost = self.scenario.net.lost
         return lost > 0 and self.loss_draws.uniform() < lost
 
     def check_for_collapse(self, endpoint: partners.Endpoint) -> None:
-        """The rule on what returns: it was pushed over, mostly by couriers that knew."""
+        """Checks the rule on recovery after an outage, when a target has collapsed under load.
+
+        RuleBrokenError if at least two thirds of that load came from couriers that had met the outage.
+        """
         target = endpoint.target
         if target.has_collapsed and target.recent_load:
             informed_share, target.recent_load = target.informed_share, 0.0
@@ -279,7 +289,7 @@
     # The run
 
     def play(self) -> None:
-        """To the end of the last message's time. RuleBroken or ModuleFailed ends it early."""
+        """Runs until the last message's deadline has passed. Raises RuleBrokenError or ModuleFailedError."""
         rng = stream(self.seed, "starts")
         for courier in self.couriers:
             self.clock.at(int(rng.uniform(0, 20_000)), courier.start)
