--- a/hopmill/lab/farm.py
+++ b/hopmill/lab/farm.py
@@ -105,7 +105,7 @@
         assert self.process.stdout
         line = self.process.stdout.readline()
         if not line:
-            raise LabError(f"a worker ended with {self.process.wait()}")
+            raise LabError(f"a worker exited with code {self.process.wait()}")
         return json.loads(line)
 
     def play(self, seed: int) -> dict[str, Any]:
@@ -120,10 +120,8 @@
                 pipe.close()
 
 
-SINGLE_THREAD_ENVIRONMENT = {
-    "OPENBLAS_NUM_THREADS": "1",
-    "OMP_NUM_THREADS": "1",
-}  # the seeds are what runs in parallel
+# Seeds run in parallel, so each worker uses one thread.
+SINGLE_THREAD_ENVIRONMENT = {"OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}
 
 
 def run(
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -17,7 +17,7 @@
 from hopmill.standin.client import ANSWER_S, Client
 
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
-MAX_SECONDS, MAX_RATE_PER_S, MAX_CLIENTS = 600.0, 20_000.0, 500  # a load ends by itself
+MAX_SECONDS, MAX_RATE_PER_S, MAX_CLIENTS = 600.0, 20_000.0, 500
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,7 @@
     except ValueError:
         inside = False
     if not inside:
-        raise LabError(f"{address[0]}: a load goes to 127.0.0.0/8 only")
+        raise LabError(f"{address[0]}: the load target must be in 127.0.0.0/8")
     if not 0 < plan.seconds <= MAX_SECONDS or not 0 < plan.rate_per_s <= MAX_RATE_PER_S:
         raise LabError(f"at most {MAX_SECONDS:g} s and {MAX_RATE_PER_S:g} requests a second")
     if not 1 <= plan.clients <= MAX_CLIENTS:
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -83,7 +83,7 @@
     """For each lane the sum of the couriers' parts of its limit, and of their paces, at this moment."""
     sums_by_lane: dict[str, list[float]] = {}
     for courier in simulation.couriers:
-        # Earlier builds: `book` for the state, or all of it in the courier itself.
+        # Earlier builds have the state as `book`, or all of it in the courier itself.
         state = getattr(courier.module, "state", None) or getattr(courier.module, "book", courier.module)
         dests = getattr(state, "destinations", None) or getattr(state, "dests", None) or {}
         for dest in dests.values():
--- a/hopmill/lab/report.py
+++ b/hopmill/lab/report.py
@@ -50,7 +50,7 @@
             label=f"seed {row['seed']}",
             linewidth=1,
         )
-    axis.set(xlabel="second handed in", ylabel="share of worth served", ylim=(0, 1.02))
+    axis.set(xlabel="second of submission", ylabel="share of worth served", ylim=(0, 1.02))
     axis.legend(fontsize=7, ncol=6)
     return _image(figure, "Worth served, by second")
 
@@ -70,12 +70,14 @@
             level, color="grey", linestyle="--", label="limit" if lane["limit_per_s"] else "capacity"
         )
         sums = [second.get(name, {}) for second in row["parts"]]
-        axis.plot([s.get("parts", 0.0) for s in sums], color="tab:green", linestyle=":", label="sum of parts")
+        axis.plot(
+            [s.get("parts", 0.0) for s in sums], color="tab:green", linestyle=":", label="sum of limit shares"
+        )
         axis.plot([s.get("pace", 0.0) for s in sums], color="tab:olive", linewidth=0.8, label="sum of paces")
         axis.set_ylabel(name, fontsize=8)
     axes[0, 0].legend(fontsize=7, ncol=4)
     axes[-1, 0].set_xlabel("second")
-    return _image(figure, f"Calls and refusals by lane, a second (seed {row['seed']})")
+    return _image(figure, f"Calls and refusals by lane, per second (seed {row['seed']})")
 
 
 def loss_heatmap(row: dict[str, Any]) -> str:
@@ -96,7 +98,7 @@
             histogram.record_value(max(1, value))
     shares = (50, 75, 90, 99, 99.9)
     cells = [[f"p{share:g}", f"{histogram.get_value_at_percentile(share) / 1e3:.1f}"] for share in shares]
-    return "<h2>Latency of what was delivered</h2>" + _table(["percentile", "ms"], cells)
+    return "<h2>Latency of delivered messages</h2>" + _table(["percentile", "ms"], cells)
 
 
 def loss_causes(rows: list[dict[str, Any]]) -> str:
@@ -118,7 +120,7 @@
     figure, axis = plt.subplots(figsize=(9, 3))
     for name, values in sorted(total.items(), key=lambda item: -item[1].sum())[:max_causes]:
         axis.plot(values, linewidth=1.2, label=f"{name} ({values.sum():.3f})")
-    axis.set(xlabel="second handed in", ylabel="share of all worth, a second")
+    axis.set(xlabel="second of submission", ylabel="share of all worth, per second")
     axis.legend(fontsize=8)
     return figure
 
--- a/hopmill/lab/scenario.py
+++ b/hopmill/lab/scenario.py
@@ -13,7 +13,7 @@
 SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
 Pair = tuple[float, float]
-Range = float | Pair  # a number, or [least, most]
+Range = float | Pair  # a number, or [min, max] to draw from
 
 
 class ScenarioError(Exception):
@@ -25,16 +25,18 @@
 
 
 class Load(StrictStruct, kw_only=True):
-    rate_per_s: Range = 500.0  # that partners are sized for
-    factor: Range = 1.0  # of what comes, over that
-    zipf: Range = 0.6  # over couriers: the exponent of their shares of the traffic
-    partner_zipf: Range = 0.8
-    burst: Range = 1.0  # this multiple of the rate between the two shares of the play
-    burst_from: NotNegative = 0.4
+    rate_per_s: Range = 500.0  # messages that partners are sized for
+    factor: Range = 1.0  # arriving messages, as a multiple of rate_per_s
+    zipf: Range = 0.6  # exponent of the couriers' shares of the traffic
+    partner_zipf: Range = 0.8  # exponent of the partners' shares
+    burst: Range = 1.0  # multiple of the rate, from burst_from to burst_to
+    burst_from: NotNegative = 0.4  # share of the run
     burst_to: NotNegative = 0.6
-    shift_at: NotNegative = 0.0  # share of the play at which couriers trade shares of traffic; 0: never
-    clumps: Range = 0.0  # share of the messages that come in clumps for one partner
-    clump_s: Range = 2.0  # as many as it takes in so long
+    shift_at: NotNegative = (
+        0.0  # share of the run at which the couriers' traffic shares are permuted; 0: never
+    )
+    clumps: Range = 0.0  # share of the messages that arrive at one instant for one partner
+    clump_s: Range = 2.0  # size of a clump: what the partner takes in so long
 
 
 class MessageClass(StrictStruct, kw_only=True):
@@ -52,27 +54,27 @@
 
 class Kind(StrictStruct, kw_only=True):
     name: str
-    share: NotNegative = 1.0  # of the partners
+    share: NotNegative = 1.0  # weight among the partners
     limit: Literal["none", "window", "rate"] = "none"
-    headroom: Range = 1.4  # its limit, as a multiple of its calls at full load
+    headroom: Range = 1.4  # the limit, as a multiple of the calls at full load
     full_load: Range = 1.25  # full load, as a multiple of the scenario's rate
-    calls_per_message: Range = 1.0  # what bundles leave of its calls at full load
-    least_per_s: Range = 2.0
-    span_ms: NotNegative = 2000.0
-    spare: Range = 1.4  # what it can do, as a multiple of its limit
-    slow_cv: Range = 0.5
+    calls_per_message: Range = 1.0  # below 1 where calls are expected to carry batches
+    least_per_s: Range = 2.0  # minimum of the limit
+    span_ms: NotNegative = 2000.0  # window of the limit, or the burst of a rate
+    spare: Range = 1.4  # capacity, as a multiple of the limit
+    slow_cv: Range = 0.5  # coefficient of variation of the partners' slowness
     bundle: Annotated[int, msgspec.Meta(ge=1)] = 1
-    item_cost: Range = 0.1
-    tells_wait: Range = 0.7  # share of refusals that tell how long to wait
+    item_cost: Range = 0.1  # extra work per further message of a batch, as a share of the longest
+    tells_wait: Range = 0.7  # share of refusals with a retry-after
     wait_ms: Range = 500.0
-    refused_count: bool = False  # refused calls use up the limit
-    depth_s: Range = 0.5  # of the queue, in seconds of what it can do
-    routes_apart: bool = False
+    refused_count: bool = False  # refused calls count towards the limit
+    depth_s: Range = 0.5  # length of the queue, in seconds of capacity
+    routes_apart: bool = False  # each endpoint is a route with its own limit
     endpoints: Range = 2.2
-    connections: Range = 200.0  # that each endpoint holds, idle ones counted
-    errors: Range = 0.002
-    cold_ms: Range = 2000.0
-    cold_from: Range = 0.22
+    connections: Range = 200.0  # maximum per endpoint, idle ones included
+    errors: Range = 0.002  # share of calls
+    cold_ms: Range = 2000.0  # time to full capacity after an outage
+    cold_from: Range = 0.22  # share of the capacity right after an outage
 
 
 class Net(StrictStruct, kw_only=True):
@@ -81,22 +83,24 @@
     cross_ms: Range = 4.0
     jitter: Range = 0.2
     handshake_ms: Range = 2.0
-    lost: Range = 0.0  # share of answers that are lost on the way
-    fee: Range = 0.0  # of the dearest zone's routes
+    lost: Range = 0.0  # share of answers that the network loses
+    fee: Range = 0.0  # for a call to the most expensive zone
 
 
 class Fleet(StrictStruct, kw_only=True):
     couriers: Annotated[int, msgspec.Meta(ge=1)] = 200
-    slots: Range = 12.0
-    held: Range = 40.0
+    slots: Range = 12.0  # concurrent calls per courier
+    held: Range = 40.0  # messages that a courier may hold
     tick_ms: NotNegative = 5.0
     idle_ms: Range = 2000.0
     connect_ms: Range = 300.0
-    back_ms: Range = 600.0  # a killed courier is back after so long
-    told_couriers: int = 0  # what the settings say, if not the truth
-    members: bool = False  # that know one another, as hopmill/fleet has it
-    policy: bool = False  # and go by one policy: without a lease on it they hold
-    policy_every_s: NotNegative = 0.0  # staff change it; 0: never
+    back_ms: Range = 600.0  # from the end of a courier's process to its restart
+    told_couriers: int = (
+        0  # number of couriers in the settings, if it differs from the real one; 0: the real one
+    )
+    members: bool = False  # couriers run the member protocol of hopmill/fleet
+    policy: bool = False  # couriers act only under a lease on the fleet's policy
+    policy_every_s: NotNegative = 0.0  # interval of policy changes; 0: none
 
 
 class Reports(StrictStruct, kw_only=True):
@@ -108,9 +112,9 @@
 class Clients(StrictStruct, kw_only=True):
     retries: Range = 2.0
     backoff_ms: Range = 250.0
-    honour: Range = 0.7  # share that heeds a told wait
-    impatient: Range = 0.0  # share that comes again after a tenth of it, and once more
-    gives_up: Range = 0.0  # share that leaves before its answer
+    honour: Range = 0.7  # share that heeds a retry-after
+    impatient: Range = 0.0  # share that retries after a tenth of the wait, and once more often
+    gives_up: Range = 0.0  # share that leaves before the first answer
     longest_wait_ms: Range = 500.0
 
 
@@ -120,8 +124,8 @@
 
 
 class Front(StrictStruct, kw_only=True):
-    notice_ms: Range = 400.0  # until it knows that a courier has died
-    again_ms: Range = 300.0  # a client whose courier died comes again after so long
+    notice_ms: Range = 400.0  # until the load balancer knows that a courier died
+    again_ms: Range = 300.0  # mean time until a client whose courier died submits again
 
 
 class Goal(StrictStruct, kw_only=True):
@@ -155,17 +159,17 @@
         "deploy",
         "discovery_silent",
     ]
-    at: Range = 0.3  # share of the play
+    at: Range = 0.3  # start, as a share of the run
     len_ms: Range = 2000.0
-    part: Range = 0.3  # of the endpoints, partners, zones or couriers that it may strike
-    size: Range = 1.0  # share of calls that fail, how many times as slow, or what is left of a limit
+    part: Range = 0.3  # share of the endpoints, partners or couriers that are affected
+    size: Range = 1.0  # share of failing calls, factor of the duration, or remaining share of a limit
     by: Literal["any", "endpoint", "kind", "zone"] = "any"
 
 
 class Tenant(StrictStruct, kw_only=True):
     name: str
     share: NotNegative = 1.0
-    quota: NotNegative = 1e6  # a second, over all couriers
+    quota: NotNegative = 1e6  # messages per second, over all couriers
 
 
 class Scenario(StrictStruct, kw_only=True):
@@ -208,13 +212,13 @@
         problem, _, location = str(error).partition(" - at `$.")
         raise ScenarioError(f"{location.rstrip('`') or name}: {problem}") from None
     if scenario.load.burst_from > scenario.load.burst_to:
-        raise ScenarioError("load.burst_from: is over load.burst_to")
+        raise ScenarioError("load.burst_from: must not exceed load.burst_to")
     for where, value in _numbers(scenario, ""):
         low, high = value if isinstance(value, tuple) else (value, value)
         if low < 0:
             raise ScenarioError(f"{where}: must be 0 or more, not {low:g}")
         if low > high:
-            raise ScenarioError(f"{where}: must be [least, most], not {list(value)}")
+            raise ScenarioError(f"{where}: must be [min, max], not {list(value)}")
     return scaled(scenario, couriers) if couriers else scenario
 
 
--- a/hopmill/lab/search.py
+++ b/hopmill/lab/search.py
@@ -11,7 +11,7 @@
 from hopmill.lab.farm import Build, Job, run
 from hopmill.lab.scenario import load
 
-SEARCH_RANGES = {  # what a search may change, and between which values
+SEARCH_RANGES = {  # scenario fields that a search may change, with their lowest and highest value
     "load.rate_per_s": (0.5, 2.0),
     "load.burst": (1.0, 3.0),
     "load.zipf": (0.0, 1.5),
--- a/hopmill/lab/worker.py
+++ b/hopmill/lab/worker.py
@@ -10,8 +10,8 @@
 import sys
 from pathlib import Path
 
-PACKAGE = Path(__file__).resolve().parent.parent  # hopmill, with this laboratory
-BUILD_MODULES = ("interface", "brain", "links", "zones", "policy")  # what a build's decisions are made of
+PACKAGE = Path(__file__).resolve().parent.parent  # hopmill, of the checkout that this laboratory belongs to
+BUILD_MODULES = ("interface", "brain", "links", "zones", "policy")  # taken from the build under test
 
 
 class BuildFinder:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -328,11 +328,11 @@
     [
         ({"load.rate": 1}, "load: Object contains unknown field `rate`"),
         ({"load.rate_per_s": -5.0}, "load.rate_per_s: must be 0 or more, not -5"),
-        ({"load.rate_per_s": [5.0, 1.0]}, r"load.rate_per_s: must be \[least, most\]"),
+        ({"load.rate_per_s": [5.0, 1.0]}, r"load.rate_per_s: must be \[min, max\]"),
         ({"classes": []}, "classes: "),
         ({"late": "never"}, "late: Invalid enum value"),
         ({"troubles": [{"kind": "quake"}]}, r"troubles\[0\]"),
-        ({"load.burst_from": 0.9}, "load.burst_from: is over load.burst_to"),
+        ({"load.burst_from": 0.9}, "load.burst_from: must not exceed load.burst_to"),
     ],
 )
 def test_a_scenario_that_cannot_be_is_named(changes, said):
