--- a/hopmill/lab/__init__.py
+++ b/hopmill/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: a fleet of couriers and what it serves, in virtual time. docs/lab.md has the design."""
+"""The laboratory: a fleet of couriers and its partners in virtual time. docs/lab.md has the design."""
--- a/hopmill/lab/chance.py
+++ b/hopmill/lab/chance.py
@@ -1,4 +1,4 @@
-"""Random numbers by (seed, purpose): what one part draws shifts nothing that another part draws."""
+"""Random numbers by (seed, purpose), so that draws for one purpose do not shift those for another."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def lognormal(rng: np.random.Generator, mean: float, cv: float, size: int | None = None):
-    """Log-normal with this mean and coefficient of variation."""
+    """Log-normal numbers with this mean and coefficient of variation."""
     sigma = math.sqrt(math.log(1 + cv * cv))
     return rng.lognormal(math.log(mean) - sigma * sigma / 2, sigma, size)
 
 
 class UniformBuffer:
-    """Numbers drawn ahead in blocks, for a caller that needs them one at a time."""
+    """Uniform random numbers drawn in blocks, for a caller that needs them one at a time."""
 
     def __init__(self, rng: np.random.Generator, block_size: int = 1024) -> None:
         self.rng, self.block_size = rng, block_size
@@ -35,6 +35,7 @@
         self.index = 0
 
     def uniform(self) -> float:
+        """The next number, from 0 to 1."""
         if self.index >= len(self.uniforms):
             self.uniforms, self.index = self.rng.random(self.block_size).tolist(), 0
         self.index += 1
--- a/hopmill/lab/clock.py
+++ b/hopmill/lab/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of events. Two at one instant happen in the order in which they were set."""
+"""Virtual time: a heap of events. Events at one instant run in the order in which they were scheduled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """Microseconds from the play's start. Nothing here reads a real clock."""
+    """Time in us from the start of the run. Nothing here reads a real clock."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -16,15 +16,19 @@
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, when: int, action: Callable[..., None], *args: Any) -> None:
-        """Not before now; the count breaks ties, so order never hangs on what is stored in a dict or heap."""
+        """Schedules an action at a time, or now if that has passed.
+
+        The count breaks ties, so that the order never depends on dicts or on the heap.
+        """
         self.scheduled_count += 1
         heapq.heappush(self.heap, (max(when, self.now), self.scheduled_count, action, args))
 
     def after(self, delay: int, action: Callable[..., None], *args: Any) -> None:
+        """Schedules an action after a delay in us."""
         self.at(self.now + delay, action, *args)
 
     def run(self, until: int) -> None:
-        """All events up to and with `until`."""
+        """Runs all events up to and including `until`."""
         heap = self.heap
         while heap and heap[0][0] <= until:
             self.now, _, action, args = heapq.heappop(heap)
--- a/hopmill/lab/compare.py
+++ b/hopmill/lab/compare.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """B minus A in one part of the result, over so many seeds."""
+    """B minus A in one metric of the result, over a number of seeds."""
 
     metric: str
     seeds: int
@@ -29,15 +29,17 @@
 
     @property
     def half_width(self) -> float:
+        """Half the width of the confidence interval."""
         return (self.high - self.low) / 2
 
     @property
     def sign(self) -> int:
-        """0 where the interval holds no difference."""
+        """1 or -1 where the interval excludes 0, else 0."""
         return 1 if self.low > 0 else -1 if self.high < 0 else 0
 
 
 def metric_value(row: dict[str, Any], name: str) -> float:
+    """The value of one of METRICS in a result."""
     if name == "price":
         return sum(row["prices"].values())
     if name == "refused":
@@ -48,11 +50,12 @@
 
 
 def interval(differences: np.ndarray, seed: int = 0) -> tuple[float, float]:
-    """Of the mean, by resampling the seeds: the expanded percentile interval.
+    """The confidence interval of the mean: the expanded percentile interval of resampled seeds.
 
-    Plain percentiles of n pairs are too narrow, for resamples spread as 1/n and not 1/(n - 1), and normally
-    and not as t: with 20 pairs of equal builds they left 0 out twice as often as they should. Both raise the
-    level (Hesterberg, "What Teachers Should Know About the Bootstrap", 2015). BCa fails on equal pairs.
+    Plain percentiles of n pairs are too narrow: the variance of resamples goes with 1/n instead of 1/(n - 1),
+    and their distribution is normal instead of t. With 20 pairs of equal builds they excluded 0 twice as
+    often as they should. Both are corrected by raising the level (Hesterberg, "What Teachers Should Know
+    About the Bootstrap", 2015). BCa fails on equal pairs.
     """
     count = len(differences)
     if count < 2 or np.ptp(differences) == 0:
@@ -71,6 +74,7 @@
 
 
 def difference(name: str, a: list[dict[str, Any]], b: list[dict[str, Any]]) -> Difference:
+    """The paired difference of one metric with its interval."""
     values_a, values_b = (np.array([metric_value(row, name) for row in rows]) for rows in (a, b))
     low, high = interval(values_b - values_a)
     return Difference(
@@ -94,7 +98,10 @@
     progress: Callable[[str], None] = lambda text: None,
     cores: int = 0,
 ) -> tuple[list[Difference], list[dict[str, Any]], list[dict[str, Any]]]:
-    """(differences by part, results of a, of b). Ends early once the interval of G is as narrow as ±goal."""
+    """Runs both builds on the same seeds. Returns (differences by metric, results of a, results of b).
+
+    goal: ends early once the interval of g is as narrow as ±goal; 0: never.
+    """
     job_a, job_b = Job(a, scenario, couriers), Job(b, scenario, couriers)
     rows_a: list[dict[str, Any]] = []
     rows_b: list[dict[str, Any]] = []
--- a/hopmill/lab/dialect.py
+++ b/hopmill/lab/dialect.py
@@ -1,7 +1,7 @@
-"""The types of the module under test, which may be another revision's than the laboratory's own.
+"""The types of the module under test, which may be of another revision than the laboratory.
 
-What a revision does not know is left out: an event is not told, a field of an event or of the settings not
-given. `unknown` says which, and every result carries it.
+What that revision does not know is left out: an event is not sent, a field of an event or of the settings is
+not given. `unknown` names it, and every result contains it.
 """
 
 from __future__ import annotations
@@ -33,10 +33,12 @@
 
 
 class DialectError(Exception):
-    """The revision lacks what no play can do without."""
+    """The revision lacks types that every run needs."""
 
 
 class Dialect:
+    """Creates events and settings of the module under test."""
+
     def __init__(self) -> None:
         self.interface: ModuleType = importlib.import_module("hopmill.interface")
         self.unknown: set[str] = set()
@@ -46,7 +48,7 @@
         self._fields: dict[str, frozenset[str]] = {}
 
     def make(self, type_name: str, /, **values: Any) -> Any:
-        """An object of that type, with the fields that this revision knows; None if it knows no such type."""
+        """An object of that type with the fields that this revision knows; None if it lacks the type."""
         kind = getattr(self.interface, type_name, None)
         if kind is None:
             self.unknown.add(type_name)
--- a/hopmill/lab/farm.py
+++ b/hopmill/lab/farm.py
@@ -1,4 +1,4 @@
-"""Seeds in parallel: one worker a core, results in the seeds' order."""
+"""Runs seeds in parallel: one worker process per core, results in the order of the seeds."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class LabError(Exception):
-    """What a person has to know, in one line."""
+    """An error for the user, in one line."""
 
 
 @dataclass(frozen=True)
 class Build:
-    """What is played: a checkout's module (None: this one's) with some of its names set otherwise."""
+    """What runs: a checkout's module (None: this one's), with some of its constants changed."""
 
     checkout: str | None = None
     constants: dict[str, str] = field(default_factory=dict)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """A build on a scenario. `changes`: of the scenario, by path."""
+    """A build on a scenario. changes: fields of the scenario, by path."""
 
     build: Build
     scenario: str
@@ -41,6 +41,7 @@
     with_details: bool = False
 
     def task(self) -> str:
+        """The first line of input of a worker."""
         return json.dumps(
             {
                 "checkout": self.build.checkout,
@@ -55,9 +56,10 @@
 
 @contextmanager
 def build(spec: str) -> Iterator[Build]:
-    """A revision of this repository, a folder, or settings as `policy.pacing.GROW=0.2,policy.links.HALF=0.4`.
+    """Parses a build: a revision of this repository, a folder, or constants.
 
-    A revision is checked out into a temporary worktree for as long as the block lasts.
+    Constants are given as `policy.pacing.GROW=0.2,policy.links.HALF=0.4`. A revision is checked out into a
+    temporary worktree until the block ends. LabError: none of these.
     """
     if "=" in spec:
         pairs = dict(part.split("=", 1) for part in spec.split(","))
@@ -83,6 +85,8 @@
 
 
 class Worker:
+    """A process that runs seeds of one job."""
+
     def __init__(self, job: Job) -> None:
         self.process = subprocess.Popen(
             [sys.executable, str(WORKER_SCRIPT)],
@@ -109,10 +113,12 @@
         return json.loads(line)
 
     def play(self, seed: int) -> dict[str, Any]:
+        """Runs one seed and returns its result. LabError if the process has ended."""
         self._write_line(str(seed))
         return self._read_line()
 
     def close(self) -> None:
+        """Kills the process."""
         self.process.kill()
         self.process.wait()
         for pipe in (self.process.stdin, self.process.stdout):
@@ -127,7 +133,10 @@
 def run(
     jobs: list[tuple[Job, int]], progress: Callable[[int, int], None] = lambda done, of: None, cores: int = 0
 ) -> Iterator[dict[str, Any]]:
-    """The results of (job, seed) in the order given. LabError if a worker can't play. Closing it ends all."""
+    """Yields the results of (job, seed) in the order given. Closing it ends all workers.
+
+    LabError if a worker fails.
+    """
     cores = min(cores or os.cpu_count() or 1, len(jobs))
     waiting: SimpleQueue[int] = SimpleQueue()
     for index in range(len(jobs)):
--- a/hopmill/lab/live.py
+++ b/hopmill/lab/live.py
@@ -1,4 +1,4 @@
-"""A scenario on real sockets: courier processes, and stand-ins sized as the model sizes its partners."""
+"""A scenario on real sockets: courier processes, and stand-ins sized like the model's partners."""
 
 from __future__ import annotations
 
@@ -55,6 +55,7 @@
 
 
 def kinds(scenario: Scenario) -> list[Kind]:
+    """The scenario's message classes, as the stand-in clients send them."""
     return [
         Kind(c.name, c.share, c.aim_ms / 1e3, c.deadline_ms / 1e3, c.effect == "unsafe", c.effect == "keyed")
         for c in scenario.classes
@@ -62,7 +63,10 @@
 
 
 def run(name: str, couriers: int, seconds: float, seed: int) -> dict[str, Any]:
-    """The account, as `hopmill demo --json` gives it. The first trouble that stand-ins can make is made."""
+    """The account of the run, as `hopmill demo --json` prints it.
+
+    Of the scenario's faults only the first that stand-ins support is made.
+    """
     scenario = load(name, couriers, seconds=seconds)
     simulation = Simulation(scenario, seed)
     drawn = draw(scenario, seed)
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -1,5 +1,8 @@
-"""An open-loop load on a courier that is up: latency counts from when a request was due, not from when it
-could be written, so that a courier that stalls is charged for all that waited (coordinated omission)."""
+"""An open-loop load on a running courier.
+
+Latency counts from when a request was due, not from when it could be written, so that a stalled courier is
+charged for all requests that waited (coordinated omission).
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """rate_per_s over all clients; clumps: share of the requests that come ten at a time."""
+    """A load. rate_per_s: over all clients; clumps: share of the requests that come ten at a time."""
 
     rate_per_s: float = 100.0
     seconds: float = 10.0
@@ -37,13 +40,15 @@
 
 @dataclass
 class Measurements:
-    """Microseconds in the histogram, by answer in the counts."""
+    """Latencies in us, from the due time and from the write, and counts by answer."""
 
     counts: Counter[str] = field(default_factory=Counter)
     from_due: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
     from_write: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
 
     def as_json(self) -> dict[str, object]:
+        """The counts, and percentiles in ms."""
+
         def rows(histogram: HdrHistogram) -> dict[str, float]:
             return {
                 f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1e3, 2) for p in (50, 90, 99, 99.9)
@@ -57,7 +62,7 @@
 
 
 def check_limits(address: Address, plan: Plan) -> None:
-    """LabError for what is not this machine's loopback, or not bounded."""
+    """LabError unless the address is a loopback address and the plan within the limits."""
     try:
         inside = ipaddress.ip_address(address[0]) in LOOPBACK
     except ValueError:
@@ -71,7 +76,7 @@
 
 
 def arrivals(plan: Plan) -> list[float]:
-    """Seconds from the start, in order."""
+    """When each request is due, in seconds from the start, in order."""
     rng, due, rows = random.Random(plan.seed), 0.0, []
     while due < plan.seconds:
         size = 10 if rng.random() < plan.clumps / 10 else 1
@@ -81,6 +86,7 @@
 
 
 async def run(address: Address, plan: Plan) -> Measurements:
+    """Sends the load and returns when every request has an answer or has timed out."""
     check_limits(address, plan)
     measurements, queue = Measurements(), asyncio.Queue[tuple[float, str]]()
     started_at = time.monotonic()
--- a/hopmill/lab/losses.py
+++ b/hopmill/lab/losses.py
@@ -1,4 +1,4 @@
-"""Where worth was lost: by what happened last, at which courier, in which second."""
+"""Where worth was lost: by cause, by courier and by second."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def loss_cause(simulation: Simulation, request: ClientRequest) -> str:
-    """In words: delivered late, refused at the door, given back after waiting, given up, or still open."""
+    """The partner's kind and why the message was late, rejected or lost, as a key of the result."""
     kind = simulation.scenario.kinds[simulation.partners[request.destination - 1].kind_index].name
     if request.delivered_us >= 0:
         return f"{kind}: delivered late" + (" after being handed in again" if request.submissions > 1 else "")
@@ -32,7 +32,11 @@
 
 
 def losses(simulation: Simulation) -> dict[str, Any]:
-    """lost_by_cause as shares of all worth; lost_by_courier as rows of worth by second; latencies_us."""
+    """The losses of a run.
+
+    lost_by_cause: shares of all worth; lost_by_courier: rows of worth by second; latencies_us: of what was
+    delivered.
+    """
     total_worth = sum(request.worth for request in simulation.clients.requests) or 1.0
     by_cause: dict[str, float] = defaultdict(float)
     seconds = int(simulation.scenario.seconds) + 1
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -1,4 +1,4 @@
-"""One play as one JSON object, whatever became of it."""
+"""One run of a scenario as one JSON object, also when it ends with an error."""
 
 from __future__ import annotations
 
@@ -29,14 +29,17 @@
 
 
 def override(changes: dict[str, str]) -> None:
-    """'policy.pacing.GROWTH_SHARE': '0.2' sets that name of a module under hopmill. KeyError: unknown."""
+    """Sets constants of modules under hopmill, from values as JSON: {'policy.pacing.GROWTH_SHARE': '0.2'}.
+
+    KeyError: there is no such constant.
+    """
     for path, text in changes.items():
         module, name = _constant(path)
         setattr(module, name, msgspec.json.decode(text))
 
 
 def _constant(path: str) -> tuple[ModuleType, str]:
-    """The module and the name in it. A former path stands for the present one if its name is gone."""
+    """The module and the constant's name in it. A former path is used if the present name is missing."""
     for candidate in (path, CONSTANT_ALIASES.get(path, path)):
         where, _, name = candidate.rpartition(".")
         module = importlib.import_module(f"hopmill.{where}")
@@ -46,9 +49,10 @@
 
 
 def play(scenario: Scenario, seed: int, with_details: bool = False) -> dict[str, Any]:
-    """A broken rule or a failed module is a result too: `broken` says which, and `g` is 0.
+    """Runs a scenario with one seed.
 
-    more: also calls by lane and worth by second.
+    A broken rule or a failed module is a result too: `broken` says which, and `g` is 0.
+    with_details: adds calls by lane, worth by second, limit shares and losses.
     """
     simulation = Simulation(scenario, seed, Dialect())
     lane_samples: list[dict[str, Any]] = []
@@ -80,7 +84,7 @@
 
 
 def limit_shares(simulation: Simulation) -> dict[str, Any]:
-    """For each lane the sum of the couriers' parts of its limit, and of their paces, at this moment."""
+    """The sums over couriers, for each lane, of their current shares of its limit and of their paces."""
     sums_by_lane: dict[str, list[float]] = {}
     for courier in simulation.couriers:
         # Earlier builds have the state as `book`, or all of it in the courier itself.
--- a/hopmill/lab/replay.py
+++ b/hopmill/lab/replay.py
@@ -1,4 +1,4 @@
-"""Events and actions of one courier, recorded, and played again through any build."""
+"""Records the events and actions of one courier, and replays them with any build."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _encode_object(value: Any) -> list[Any]:
-    """[type, fields]; enums by their names, which hold over revisions."""
+    """[type, fields]. Enum values are stored by name, since names are kept between revisions."""
     fields = {name: getattr(value, name) for name in getattr(value, "__dataclass_fields__", ())}
     return [type(value).__name__, {k: _encode_value(v) for k, v in fields.items()}]
 
@@ -42,7 +42,7 @@
 
 
 def record(scenario: Scenario, seed: int, courier: int, path: Path) -> int:
-    """Plays the scenario and writes that courier's turns; returns how many. One life a file: the first."""
+    """Runs the scenario and writes that courier's turns, up to its first kill. Returns their number."""
     simulation = Simulation(scenario, seed)
     target = simulation.couriers[courier]
     turns = 0
@@ -68,7 +68,7 @@
 
 
 def replay(path: Path) -> Iterator[tuple[int, list[Any], list[Any]]]:
-    """(time, recorded actions, this build's actions) of each turn."""
+    """Yields (time, recorded actions, this build's actions) of each turn."""
     dialect = Dialect()
     with path.open() as file:
         header = json.loads(next(file))
@@ -85,7 +85,7 @@
 
 
 def first_difference(path: Path) -> str | None:
-    """The first action that differs, in one line; None where all are the same."""
+    """Describes the first action that differs, in one line; None if all are the same."""
     for now, recorded, replayed in replay(path):
         for index in range(max(len(recorded), len(replayed))):
             a, b = (rows[index] if index < len(rows) else None for rows in (recorded, replayed))
--- a/hopmill/lab/report.py
+++ b/hopmill/lab/report.py
@@ -1,4 +1,4 @@
-"""One HTML page of some plays, with its plots inside it and no links outside."""
+"""One HTML page about some runs, with its plots embedded and no external links."""
 
 from __future__ import annotations
 
@@ -41,6 +41,7 @@
 
 
 def worth_by_second(rows: list[dict[str, Any]]) -> str:
+    """A plot of the share of worth served over time, a line per seed."""
     figure, axis = plt.subplots(figsize=(10, 3))
     for row in rows:
         seconds = row["seconds"]
@@ -56,7 +57,7 @@
 
 
 def calls_by_lane(row: dict[str, Any]) -> str:
-    """The busiest lanes: calls and refusals a second, the limit, and the sum of the couriers' parts."""
+    """The busiest lanes: calls and refusals per second, the limit, and the sum of limit shares."""
     lanes = sorted(row["lanes"].items(), key=lambda lane: -sum(lane[1]["calls"]))[:MAX_LANES]
     figure, axes = plt.subplots(len(lanes), 1, figsize=(10, 1.6 * len(lanes)), sharex=True, squeeze=False)
     steps_per_s = round(1 / STEP_S)
@@ -81,7 +82,7 @@
 
 
 def loss_heatmap(row: dict[str, Any]) -> str:
-    """Worth lost by courier and second."""
+    """A plot of worth lost by courier and second."""
     figure, axis = plt.subplots(figsize=(10, 4))
     shown = axis.imshow(
         np.array(row["lost_by_courier"]), aspect="auto", interpolation="nearest", cmap="magma"
@@ -92,6 +93,7 @@
 
 
 def latency(rows: list[dict[str, Any]]) -> str:
+    """A table of latency percentiles over all runs."""
     histogram = HdrHistogram(1, 120_000_000, 3)
     for row in rows:
         for value in row["latencies_us"]:
@@ -102,7 +104,7 @@
 
 
 def loss_causes(rows: list[dict[str, Any]]) -> str:
-    """Worth not served by what happened to the message last, as a share of all that was asked."""
+    """A table of worth not served by its last cause, as a share of all worth."""
     total: dict[str, float] = {}
     for row in rows:
         for name, value in row["lost_by_cause"].items():
@@ -112,7 +114,7 @@
 
 
 def largest_causes_over_time(rows: list[dict[str, Any]], max_causes: int = 3) -> Any:
-    """A figure of the largest causes by the second of handing in, in the mean of the plays."""
+    """A figure of the largest causes by the second of submission, averaged over the runs."""
     total: dict[str, np.ndarray] = {}
     for row in rows:
         for name, values in row["lost_over_time"].items():
@@ -126,6 +128,7 @@
 
 
 def differences(found: Sequence[Difference]) -> str:
+    """A table of paired differences."""
     cells = [
         [d.metric, d.seeds, f"{d.a:.4f}", f"{d.b:.4f}", f"{d.mean:+.4f}", f"{d.low:+.4f} to {d.high:+.4f}"]
         for d in found
@@ -136,7 +139,7 @@
 
 
 def page(title: str, rows: list[dict[str, Any]], found: Sequence[Difference] = ()) -> str:
-    """rows: results that were played with `more`."""
+    """The whole page. rows: results of `play` with details."""
     cells = [
         [
             r["seed"],
--- a/hopmill/lab/result.py
+++ b/hopmill/lab/result.py
@@ -1,4 +1,4 @@
-"""What a play came to: worth served, prices, refusals by reason, and calls by lane over time."""
+"""The result of a run: worth served, prices, refusals by reason, and calls by lane over time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def worth_at(message_class: MessageClass, late_rule: str, latency_us: int) -> float:
-    """Share of a message's worth when it is delivered so long after it was first handed in."""
+    """The share of a message's worth at this latency, counted from its first submission."""
     aim, deadline = message_class.aim_ms * 1e3, message_class.deadline_ms * 1e3
     if latency_us <= aim:
         return 1.0
@@ -26,6 +26,7 @@
 
 
 def served_share(simulation: Simulation, request: ClientRequest) -> float:
+    """The share of a message's worth that was served."""
     if request.delivered_us < 0:
         return 0.0
     message_class = simulation.scenario.classes[request.class_index]
@@ -38,7 +39,7 @@
 
 
 def result(simulation: Simulation) -> dict[str, Any]:
-    """Without times of the real clock: the same on every run of this build."""
+    """The run's figures. They hold no real times, so they are the same for every run of this build."""
     scenario, requests = simulation.scenario, simulation.clients.requests
     request_count = max(1, len(requests))
     whole_share = _total_served_share(simulation, requests)
@@ -125,7 +126,7 @@
 
 
 def _worst_window(simulation: Simulation, window_us: int) -> tuple[float, float]:
-    """The least share served of what came in any window of that length, and when it began."""
+    """The lowest share served of what was submitted in any window of that length, and its start in s."""
     step_us = window_us // 5
     worth_by_step: dict[int, float] = defaultdict(float)
     served_by_step: dict[int, float] = defaultdict(float)
@@ -146,7 +147,7 @@
 
 
 def calls_by_lane(simulation: Simulation) -> dict[str, dict[str, Any]]:
-    """Calls and refusals in steps of 100 ms, beside the limit, for each partner or route."""
+    """Calls and refusals in steps of 100 ms beside the limit, for each partner or route."""
     steps = int(simulation.clock.now / 1e6 / STEP_S) + 1
     return {
         t.name: {
@@ -161,7 +162,7 @@
 
 
 def worth_by_second(simulation: Simulation) -> list[dict[str, float]]:
-    """Worth asked and served, by the second in which it was handed in."""
+    """Worth asked and served, by the second of the first submission."""
     rows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     for o in simulation.clients.requests:
         row = rows[o.created_us // 1_000_000]
--- a/hopmill/lab/scenario.py
+++ b/hopmill/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: ranges from a TOML file, and the one draw from them that a seed gives."""
+"""A scenario: ranges from a TOML file, and the values that a seed draws from them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 
 
 class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    pass
+    """A table of the scenario file; unknown keys are errors."""
 
 
 class Load(StrictStruct, kw_only=True):
+    """The arriving messages."""
+
     rate_per_s: Range = 500.0  # messages that partners are sized for
     factor: Range = 1.0  # arriving messages, as a multiple of rate_per_s
     zipf: Range = 0.6  # exponent of the couriers' shares of the traffic
@@ -40,6 +42,8 @@
 
 
 class MessageClass(StrictStruct, kw_only=True):
+    """A class of messages: its time limits, its worth and the work of a call."""
+
     name: str
     share: Range
     aim_ms: Range
@@ -53,6 +57,8 @@
 
 
 class Kind(StrictStruct, kw_only=True):
+    """A kind of partners."""
+
     name: str
     share: NotNegative = 1.0  # weight among the partners
     limit: Literal["none", "window", "rate"] = "none"
@@ -78,6 +84,8 @@
 
 
 class Net(StrictStruct, kw_only=True):
+    """The network between couriers and endpoints."""
+
     zones: Annotated[int, msgspec.Meta(ge=1)] = 2
     same_ms: Range = 2.0
     cross_ms: Range = 4.0
@@ -88,6 +96,8 @@
 
 
 class Fleet(StrictStruct, kw_only=True):
+    """The couriers."""
+
     couriers: Annotated[int, msgspec.Meta(ge=1)] = 200
     slots: Range = 12.0  # concurrent calls per courier
     held: Range = 40.0  # messages that a courier may hold
@@ -104,12 +114,16 @@
 
 
 class Reports(StrictStruct, kw_only=True):
+    """The load reports that answers carry."""
+
     period_ms: Range = 100.0
     delay_ms: Range = 20.0
     noise: Range = 0.08
 
 
 class Clients(StrictStruct, kw_only=True):
+    """How clients react to refusals."""
+
     retries: Range = 2.0
     backoff_ms: Range = 250.0
     honour: Range = 0.7  # share that heeds a retry-after
@@ -119,16 +133,22 @@
 
 
 class Discovery(StrictStruct, kw_only=True):
+    """How fast couriers learn of changed endpoints: notice_ms plus up to spread_ms."""
+
     notice_ms: Range = 500.0
     spread_ms: Range = 80.0
 
 
 class Front(StrictStruct, kw_only=True):
+    """The load balancer in front of the couriers."""
+
     notice_ms: Range = 400.0  # until the load balancer knows that a courier died
     again_ms: Range = 300.0  # mean time until a client whose courier died submits again
 
 
 class Goal(StrictStruct, kw_only=True):
+    """The weights of the shares served in the total g, and the length of the window."""
+
     whole: NotNegative = 0.35
     worst_window: NotNegative = 0.35
     worst_class: NotNegative = 0.2
@@ -137,6 +157,8 @@
 
 
 class Prices(StrictStruct, kw_only=True):
+    """What is subtracted from g, per unit of cost."""
+
     refused: NotNegative = 0.03
     handshake: NotNegative = 0.04
     waste: NotNegative = 0.056
@@ -144,6 +166,8 @@
 
 
 class Trouble(StrictStruct, kw_only=True):
+    """A fault, of one or several targets."""
+
     kind: Literal[
         "down",
         "silent",
@@ -167,12 +191,16 @@
 
 
 class Tenant(StrictStruct, kw_only=True):
+    """A tenant, with its share of the messages and its quota."""
+
     name: str
     share: NotNegative = 1.0
     quota: NotNegative = 1e6  # messages per second, over all couriers
 
 
 class Scenario(StrictStruct, kw_only=True):
+    """The whole file. Times in ms or s by the field's name."""
+
     format: Literal[1] = 1
     name: str
     about: str = ""
@@ -223,7 +251,7 @@
 
 
 def _read_tables(name: str) -> dict[str, Any]:
-    """The file's tables over those of its `base`, if it names one; a list replaces the base's."""
+    """The file's tables merged over those of its `base`, if it names one; a list replaces the base's."""
     path = Path(name) if name.endswith(".toml") else SCENARIO_FOLDER / f"{name}.toml"
     try:
         raw = tomllib.loads(path.read_text())
@@ -258,7 +286,7 @@
 
 
 def scaled(scenario: Scenario, couriers: int) -> Scenario:
-    """The same traffic for each courier and the same partners for each message, with another fleet."""
+    """The same traffic per courier and the same partners per message, with another number of couriers."""
     ratio = couriers / scenario.fleet.couriers
     scenario.fleet.couriers = couriers
     rate = scenario.load.rate_per_s
@@ -267,7 +295,7 @@
 
 
 def _numbers(value: Any, path: str):
-    """Every number and range with its path."""
+    """Yields every number and range with its path."""
     for field in msgspec.structs.fields(value):
         inner, where = getattr(value, field.name), f"{path}{field.name}"
         if isinstance(inner, (tuple, float, int)):
@@ -280,7 +308,7 @@
 
 
 def draw(scenario: Scenario, seed: int) -> Scenario:
-    """One day: every range replaced by the number that this seed gives it. The scenario stays as it is."""
+    """Replaces every range by the number that this seed draws from it. The scenario itself is not changed."""
     return _draw_value(scenario, seed, "")
 
 
--- a/hopmill/lab/search.py
+++ b/hopmill/lab/search.py
@@ -1,4 +1,4 @@
-"""The days on which a build does worst, and the smallest day that still shows it."""
+"""Searches for the scenario variants on which a build does worst, and reduces one to its essentials."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def worst(
     build: Build, scenario: str, couriers: int, tries: int, seed: int, progress: Callable[[int, int], None]
 ) -> list[dict[str, Any]]:
-    """Random days around a scenario, the worst first: each with the changes that make it.
+    """Random variants of a scenario, the worst first, each with the changes that define it.
 
     A broken rule comes before any loss. The rate is a multiple of the scenario's.
     """
@@ -49,7 +49,7 @@
 def shrink(
     build: Build, scenario: str, couriers: int, row: dict[str, Any], progress: Callable[[str], None]
 ) -> dict[str, Any]:
-    """Leaves out changes, then couriers and time, while the day still breaks that rule or loses as much."""
+    """Drops changes, then halves time and couriers, while the run still breaks that rule or loses as much."""
     rule, worst_g, seed = row.get("broken"), row["g"], row["seed"]
     couriers_left = couriers or load(scenario).fleet.couriers
 
--- a/hopmill/lab/worker.py
+++ b/hopmill/lab/worker.py
@@ -1,6 +1,6 @@
-"""A process that plays seeds for one build. Run as a file: the build's module is put in place first.
+"""A process that runs seeds for one build. It is run as a file, so that the build's module is loaded first.
 
-Its first line of input is a JSON object of what to play; then it reads seeds and writes a JSON line each.
+Its first line of input is a JSON object with the task; then it reads seeds and writes a JSON line for each.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 
 
 class BuildFinder:
-    """Finds the module's files in another checkout and everything else here."""
+    """Import hook: finds the module under test in another checkout, and everything else here."""
 
     def __init__(self, checkout: Path) -> None:
         self.package = checkout / "hopmill"
 
     def find_spec(self, name, path=None, target=None):
+        """The spec of a hopmill module; None for others. ModuleNotFoundError if the build lacks it."""
         parts = name.split(".")
         if parts[0] != "hopmill":
             return None
@@ -43,6 +44,7 @@
 
 
 def main() -> int:
+    """Runs the task. Returns the exit code: 2 after an error that was reported as JSON."""
     task = json.loads(sys.stdin.readline())
     sys.path[:] = [entry for entry in sys.path if Path(entry or ".").resolve() != PACKAGE / "lab"]
     sys.path.insert(0, str(PACKAGE.parent))
