--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -161,7 +161,9 @@
         request.submissions, request.last_courier = request.submissions + 1, courier.number
         courier.submit(
             message,
-            lambda end, retry_after_us: self._submission_answered(message, request, end, retry_after_us),
+            lambda answer, retry_after_us: self._submission_answered(
+                message, request, answer, retry_after_us
+            ),
         )
 
     def _submission_answered(
--- a/hopmill/lab/compare.py
+++ b/hopmill/lab/compare.py
@@ -106,9 +106,9 @@
     rows_a: list[dict[str, Any]] = []
     rows_b: list[dict[str, Any]] = []
     jobs = [(job, seed) for seed in seeds for job in (job_a, job_b)]
-    plays = run(jobs, cores=cores)
+    results = run(jobs, cores=cores)
     try:
-        for index, row in enumerate(plays):
+        for index, row in enumerate(results):
             (rows_b if index % 2 else rows_a).append(row)
             if len(rows_b) == len(rows_a) and (
                 len(rows_b) % SEEDS_PER_CHECK == 0 or len(rows_b) == len(seeds)
@@ -121,6 +121,6 @@
                 if goal and current.seeds >= MIN_SEEDS and current.half_width <= goal:
                     break
     finally:
-        plays.close()
+        results.close()
     rows_a = rows_a[: len(rows_b)]
     return [difference(name, rows_a, rows_b) for name in METRICS], rows_a, rows_b
--- a/hopmill/lab/farm.py
+++ b/hopmill/lab/farm.py
@@ -167,16 +167,16 @@
         for _ in range(cores):
             pool.submit(serve)
         try:
-            ready: dict[int, dict[str, Any]] = {}
+            results_by_index: dict[int, dict[str, Any]] = {}
             next_index = 0
             for done in range(len(jobs)):
                 index, result = results.get()
                 if isinstance(result, BaseException):
                     raise result
                 progress(done + 1, len(jobs))
-                ready[index] = result
-                while next_index in ready:
-                    yield ready.pop(next_index)
+                results_by_index[index] = result
+                while next_index in results_by_index:
+                    yield results_by_index.pop(next_index)
                     next_index += 1
         finally:
             is_closed = True
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -64,10 +64,10 @@
 def check_limits(address: Address, plan: Plan) -> None:
     """LabError unless the address is a loopback address and the plan within the limits."""
     try:
-        inside = ipaddress.ip_address(address[0]) in LOOPBACK
+        is_loopback = ipaddress.ip_address(address[0]) in LOOPBACK
     except ValueError:
-        inside = False
-    if not inside:
+        is_loopback = False
+    if not is_loopback:
         raise LabError(f"{address[0]}: the load target must be in 127.0.0.0/8")
     if not 0 < plan.seconds <= MAX_SECONDS or not 0 < plan.rate_per_s <= MAX_RATE_PER_S:
         raise LabError(f"at most {MAX_SECONDS:g} s and {MAX_RATE_PER_S:g} requests a second")
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -33,16 +33,16 @@
 
     KeyError: there is no such constant.
     """
-    for path, text in changes.items():
+    for path, json_value in changes.items():
         module, name = _constant(path)
-        setattr(module, name, msgspec.json.decode(text))
+        setattr(module, name, msgspec.json.decode(json_value))
 
 
 def _constant(path: str) -> tuple[ModuleType, str]:
     """The module and the constant's name in it. A former path is used if the present name is missing."""
     for candidate in (path, CONSTANT_ALIASES.get(path, path)):
-        where, _, name = candidate.rpartition(".")
-        module = importlib.import_module(f"hopmill.{where}")
+        module_path, _, name = candidate.rpartition(".")
+        module = importlib.import_module(f"hopmill.{module_path}")
         if hasattr(module, name):
             return module, name
     raise KeyError(path)
@@ -59,20 +59,20 @@
     if with_details:
         for second in range(int(scenario.seconds) + 1):
             simulation.clock.at(second * 1_000_000, lambda: lane_samples.append(limit_shares(simulation)))
-    broken: dict[str, Any] = {}
+    failure: dict[str, Any] = {}
     try:
         simulation.play()
     except RuleBrokenError as error:
-        broken = {"broken": error.rule, "text": str(error), "trace": error.trace}
+        failure = {"broken": error.rule, "text": str(error), "trace": error.trace}
     except ModuleFailedError as error:
-        broken = {"broken": "module failed", "text": f"seed {seed}: {error}", "trace": []}
+        failure = {"broken": "module failed", "text": f"seed {seed}: {error}", "trace": []}
     row = result(simulation)
     if simulation.members:
         row["members"] = simulation.members.summary()
     if simulation.policy:
         row["policy"] = simulation.policy.summary()
-    if broken:
-        row |= {"g": 0.0, **broken}
+    if failure:
+        row |= {"g": 0.0, **failure}
     if with_details:
         row |= {
             "lanes": calls_by_lane(simulation),
@@ -89,9 +89,9 @@
     for courier in simulation.couriers:
         # Earlier builds have the state as `book`, or all of it in the courier itself.
         state = getattr(courier.module, "state", None) or getattr(courier.module, "book", courier.module)
-        dests = getattr(state, "destinations", None) or getattr(state, "dests", None) or {}
-        for dest in dests.values():
-            for lane in getattr(dest, "lanes", ()):
+        destinations = getattr(state, "destinations", None) or getattr(state, "dests", None) or {}
+        for destination in destinations.values():
+            for lane in getattr(destination, "lanes", ()):
                 endpoint = simulation.endpoints.get(next(iter(lane.endpoints), 0))
                 if endpoint is None:
                     continue
--- a/hopmill/lab/replay.py
+++ b/hopmill/lab/replay.py
@@ -88,7 +88,12 @@
     """Describes the first action that differs, in one line; None if all are the same."""
     for now, recorded, replayed in replay(path):
         for index in range(max(len(recorded), len(replayed))):
-            a, b = (rows[index] if index < len(rows) else None for rows in (recorded, replayed))
-            if a != b:
-                return f"at {now / 1e6:.4f} s, action {index}: recorded {json.dumps(a)}, now {json.dumps(b)}"
+            old_action, new_action = (
+                rows[index] if index < len(rows) else None for rows in (recorded, replayed)
+            )
+            if old_action != new_action:
+                return (
+                    f"at {now / 1e6:.4f} s, action {index}: recorded {json.dumps(old_action)}, "
+                    f"now {json.dumps(new_action)}"
+                )
     return None
--- a/hopmill/lab/report.py
+++ b/hopmill/lab/report.py
@@ -29,8 +29,10 @@
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=90, bbox_inches="tight")
     plt.close(figure)
-    coded = base64.b64encode(data.getvalue()).decode()
-    return f'<h2>{html.escape(text)}</h2><img alt="{html.escape(text)}" src="data:image/png;base64,{coded}">'
+    encoded = base64.b64encode(data.getvalue()).decode()
+    return (
+        f'<h2>{html.escape(text)}</h2><img alt="{html.escape(text)}" src="data:image/png;base64,{encoded}">'
+    )
 
 
 def _table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
@@ -84,11 +86,11 @@
 def loss_heatmap(row: dict[str, Any]) -> str:
     """A plot of worth lost by courier and second."""
     figure, axis = plt.subplots(figsize=(10, 4))
-    shown = axis.imshow(
+    image = axis.imshow(
         np.array(row["lost_by_courier"]), aspect="auto", interpolation="nearest", cmap="magma"
     )
     axis.set(xlabel="second", ylabel="courier")
-    figure.colorbar(shown, label="worth not served")
+    figure.colorbar(image, label="worth not served")
     return _image(figure, f"Worth not served, by courier and second (seed {row['seed']})")
 
 
@@ -127,18 +129,18 @@
     return figure
 
 
-def differences(found: Sequence[Difference]) -> str:
+def differences(rows: Sequence[Difference]) -> str:
     """A table of paired differences."""
     cells = [
         [d.metric, d.seeds, f"{d.a:.4f}", f"{d.b:.4f}", f"{d.mean:+.4f}", f"{d.low:+.4f} to {d.high:+.4f}"]
-        for d in found
+        for d in rows
     ]
     return "<h2>Paired differences</h2>" + _table(
         ["part", "seeds", "A", "B", "B - A", "95 % interval"], cells
     )
 
 
-def page(title: str, rows: list[dict[str, Any]], found: Sequence[Difference] = ()) -> str:
+def page(title: str, rows: list[dict[str, Any]], comparison: Sequence[Difference] = ()) -> str:
     """The whole page. rows: results of `play` with details."""
     cells = [
         [
@@ -153,7 +155,7 @@
         for r in rows
     ]
     body = _table(["seed", "G", "served", "worst window", "refused calls", "connections", "broken"], cells)
-    body += (differences(found) if found else "") + worth_by_second(rows) + loss_causes(rows)
+    body += (differences(comparison) if comparison else "") + worth_by_second(rows) + loss_causes(rows)
     body += _image(largest_causes_over_time(rows), "The largest causes over time") + latency(rows)
     for row in rows[:2]:
         body += calls_by_lane(row) + loss_heatmap(row)
--- a/hopmill/lab/result.py
+++ b/hopmill/lab/result.py
@@ -51,8 +51,8 @@
         t.name: _total_served_share(simulation, [o for o in requests if o.tenant == n and o.worth >= 1])
         for n, t in enumerate(scenario.tenants)
     }
-    window = int(min(scenario.goal.window_ms, scenario.seconds * 1e3) * 1e3)
-    worst, worst_at = _worst_window(simulation, window)
+    window_us = int(min(scenario.goal.window_ms, scenario.seconds * 1e3) * 1e3)
+    worst_share, worst_start_s = _worst_window(simulation, window_us)
     refused_calls = sum(sum(t.refusals_by_step.values()) for p in simulation.partners for t in p.targets)
     reasons: Counter[str] = Counter()
     for partner in simulation.partners:
@@ -73,7 +73,7 @@
     goal = scenario.goal
     weighted_share = (
         goal.whole * whole_share
-        + goal.worst_window * worst
+        + goal.worst_window * worst_share
         + goal.worst_class * min(by_class.values())
         + goal.worst_tenant * min(by_tenant.values(), default=whole_share)
     )
@@ -89,8 +89,8 @@
         "messages": len(requests),
         "g": round(weighted_share - sum(prices.values()), 6),
         "served": round(whole_share, 6),
-        "worst_window": round(worst, 6),
-        "worst_at_s": worst_at,
+        "worst_window": round(worst_share, 6),
+        "worst_at_s": worst_start_s,
         "by_class": _rounded(by_class),
         "by_tenant": _rounded(by_tenant),
         "prices": _rounded(prices),
@@ -134,9 +134,9 @@
         step_number = o.created_us // step_us
         worth_by_step[step_number] += o.worth
         served_by_step[step_number] += o.worth * served_share(simulation, o)
-    last = int(simulation.scenario.seconds * 1e6) // step_us
+    last_step = int(simulation.scenario.seconds * 1e6) // step_us
     rows = []
-    for start in range(0, max(1, last - 4)):
+    for start in range(0, max(1, last_step - 4)):
         total = sum(worth_by_step[n] for n in range(start, start + 5))
         if total:
             rows.append(
--- a/hopmill/lab/rules.py
+++ b/hopmill/lab/rules.py
@@ -51,13 +51,13 @@
 
     def check_call(self, courier: int, lane: int, now: int, message: int) -> None:
         """RuleBrokenError if a call arrives while a retry-after binds its courier."""
-        for written, until in self.announced_waits.get((courier, lane), ()):
-            if written + WAIT_SLACK_US < now < until:
+        for announced_us, until_us in self.announced_waits.get((courier, lane), ()):
+            if announced_us + WAIT_SLACK_US < now < until_us:
                 raise self.violation(
                     "waits",
                     now,
                     f"courier {courier} called lane {lane} "
-                    f"{(until - now) / 1e3:.0f} ms before the end of its retry-after",
+                    f"{(until_us - now) / 1e3:.0f} ms before the end of its retry-after",
                     message,
                     lane,
                 )
--- a/hopmill/lab/scenario.py
+++ b/hopmill/lab/scenario.py
@@ -12,8 +12,8 @@
 
 SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
-Pair = tuple[float, float]
-Range = float | Pair  # a number, or [min, max] to draw from
+Bounds = tuple[float, float]
+Range = float | Bounds  # a number, or [min, max] to draw from
 
 
 class ScenarioError(Exception):
@@ -232,8 +232,8 @@
     changes: by path ('load.rate_per_s'), over the file. ScenarioError names what is wrong.
     """
     raw = _read_tables(name)
-    for where, value in changes.items():
-        _set_value(raw, where.split("."), value, where)
+    for path, value in changes.items():
+        _set_value(raw, path.split("."), value, path)
     try:
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
@@ -241,12 +241,12 @@
         raise ScenarioError(f"{location.rstrip('`') or name}: {problem}") from None
     if scenario.load.burst_from > scenario.load.burst_to:
         raise ScenarioError("load.burst_from: must not exceed load.burst_to")
-    for where, value in _numbers(scenario, ""):
+    for path, value in _numbers(scenario, ""):
         low, high = value if isinstance(value, tuple) else (value, value)
         if low < 0:
-            raise ScenarioError(f"{where}: must be 0 or more, not {low:g}")
+            raise ScenarioError(f"{path}: must be 0 or more, not {low:g}")
         if low > high:
-            raise ScenarioError(f"{where}: must be [min, max], not {list(value)}")
+            raise ScenarioError(f"{path}: must be [min, max], not {list(value)}")
     return scaled(scenario, couriers) if couriers else scenario
 
 
@@ -273,12 +273,12 @@
     return base | raw | merged
 
 
-def _set_value(raw: dict[str, Any], path: list[str], value: Any, where: str) -> None:
+def _set_value(raw: dict[str, Any], path: list[str], value: Any, full_path: str) -> None:
     table: Any = raw
     for key in path[:-1]:
         table = table[int(key)] if isinstance(table, list) else table.setdefault(key, {})
         if not isinstance(table, (dict, list)):
-            raise ScenarioError(f"{where}: no such table")
+            raise ScenarioError(f"{full_path}: no such table")
     if isinstance(table, list):
         table[int(path[-1])] = value
     else:
@@ -297,14 +297,14 @@
 def _numbers(value: Any, path: str):
     """Yields every number and range with its path."""
     for field in msgspec.structs.fields(value):
-        inner, where = getattr(value, field.name), f"{path}{field.name}"
-        if isinstance(inner, (tuple, float, int)):
-            yield where, inner
-        elif isinstance(inner, msgspec.Struct):
-            yield from _numbers(inner, where + ".")
-        elif isinstance(inner, list):
-            for index, row in enumerate(inner):
-                yield from _numbers(row, f"{where}[{index}].")
+        field_value, field_path = getattr(value, field.name), f"{path}{field.name}"
+        if isinstance(field_value, (tuple, float, int)):
+            yield field_path, field_value
+        elif isinstance(field_value, msgspec.Struct):
+            yield from _numbers(field_value, field_path + ".")
+        elif isinstance(field_value, list):
+            for index, row in enumerate(field_value):
+                yield from _numbers(row, f"{field_path}[{index}].")
 
 
 def draw(scenario: Scenario, seed: int) -> Scenario:
--- a/hopmill/lab/troubles.py
+++ b/hopmill/lab/troubles.py
@@ -69,11 +69,11 @@
                 break
         return chosen
 
-    def _schedule_outage(self, trouble: Trouble, rng: Any, start: int) -> None:
-        end = start + int(trouble.len_ms * 1e3)
+    def _schedule_outage(self, trouble: Trouble, rng: Any, start_us: int) -> None:
+        end_us = start_us + int(trouble.len_ms * 1e3)
         for target in self._choose_targets(trouble, rng):
-            self.clock.at(start, self._start_outage, target, trouble, end)
-            self.clock.at(end, self._end_outage, target, trouble)
+            self.clock.at(start_us, self._start_outage, target, trouble, end_us)
+            self.clock.at(end_us, self._end_outage, target, trouble)
 
     def _start_outage(self, target: partners.Target, trouble: Trouble, ends_us: int) -> None:
         target.start_outage(trouble.kind, trouble.size, ends_us)
@@ -91,28 +91,28 @@
                 for courier in self.simulation.couriers:
                     courier.calls.reset_connections(endpoint)
 
-    def _schedule_zone_cut(self, trouble: Trouble, rng: Any, start: int) -> None:
+    def _schedule_zone_cut(self, trouble: Trouble, rng: Any, start_us: int) -> None:
         zone = int(rng.integers(self.simulation.scenario.net.zones))
         chosen = [e for e in self.simulation.endpoints.values() if e.zone == zone]
-        self.clock.at(start, self._set_cut_off, chosen, True)
-        self.clock.at(start + int(trouble.len_ms * 1e3), self._set_cut_off, chosen, False)
+        self.clock.at(start_us, self._set_cut_off, chosen, True)
+        self.clock.at(start_us + int(trouble.len_ms * 1e3), self._set_cut_off, chosen, False)
 
-    def _set_cut_off(self, chosen: list[partners.Endpoint], on: bool) -> None:
-        for endpoint in chosen:
-            endpoint.is_cut_off = on
-            if not on:
+    def _set_cut_off(self, endpoints: list[partners.Endpoint], is_cut_off: bool) -> None:
+        for endpoint in endpoints:
+            endpoint.is_cut_off = is_cut_off
+            if not is_cut_off:
                 for courier in self.simulation.couriers:
                     courier.calls.reset_connections(endpoint)
 
     # Discovery
 
-    def _schedule_deploy(self, trouble: Trouble, rng: Any, start: int) -> None:
+    def _schedule_deploy(self, trouble: Trouble, rng: Any, begin_us: int) -> None:
         """Endpoints drain and leave one after the other, and new ones replace them."""
         numbers = list(self.simulation.endpoints)
         chosen = rng.permutation(numbers)[: max(1, round(trouble.part * len(numbers)))].tolist()
         for position, number in enumerate(chosen):
-            at = start + int(trouble.len_ms * 1e3 * position / len(chosen))
-            self.clock.at(at, self._replace_endpoint, number)
+            start_us = begin_us + int(trouble.len_ms * 1e3 * position / len(chosen))
+            self.clock.at(start_us, self._replace_endpoint, number)
 
     def _replace_endpoint(self, number: int) -> None:
         simulation = self.simulation
@@ -156,8 +156,10 @@
                 entries,
             )
 
-    def _schedule_discovery_silence(self, trouble: Trouble, rng: Any, start: int) -> None:
-        self.clock.at(start, setattr, self, "discovery_silent_until_us", start + int(trouble.len_ms * 1e3))
+    def _schedule_discovery_silence(self, trouble: Trouble, rng: Any, start_us: int) -> None:
+        self.clock.at(
+            start_us, setattr, self, "discovery_silent_until_us", start_us + int(trouble.len_ms * 1e3)
+        )
 
     # The fleet
 
@@ -172,10 +174,10 @@
             raise ScenarioError(f"troubles: no courier is left alive by {trouble.kind}")
         return [couriers[n] for n in rng.permutation(len(couriers))[:count].tolist()]
 
-    def _schedule_kills(self, trouble: Trouble, rng: Any, start: int) -> None:
+    def _schedule_kills(self, trouble: Trouble, rng: Any, start_us: int) -> None:
         """Kills couriers at once; their folders stay."""
         for courier in self._choose_couriers(trouble, rng):
-            self.clock.at(start, self._kill_courier, courier, start + int(trouble.len_ms * 1e3))
+            self.clock.at(start_us, self._kill_courier, courier, start_us + int(trouble.len_ms * 1e3))
 
     def _kill_courier(self, courier: CourierModel, return_us: int) -> None:
         if not courier.is_alive:
@@ -197,11 +199,11 @@
             courier.start()
             self.simulation.clients.load_balancer.believed_alive[courier.number] = True
 
-    def _schedule_restarts(self, trouble: Trouble, rng: Any, start: int) -> None:
+    def _schedule_restarts(self, trouble: Trouble, rng: Any, begin_us: int) -> None:
         """Restarts couriers in ten steps, by SIGTERM and SIGKILL alternately."""
         chosen = self._choose_couriers(trouble, rng)
         for position, courier in enumerate(chosen):
-            start_us = start + int(trouble.len_ms * 1e3 * (position * 10 // len(chosen)) / 10)
+            start_us = begin_us + int(trouble.len_ms * 1e3 * (position * 10 // len(chosen)) / 10)
             delay_us = int(self.simulation.scenario.fleet.back_ms * 1e3)
             if position % 2:
                 self.clock.at(start_us, self._kill_courier, courier, start_us + delay_us)
@@ -220,7 +222,7 @@
         """A courier's process ended after SIGTERM: schedules its next start."""
         self._schedule_return(courier, self.clock.now + self.restart_delays_us.pop(courier.number, 0))
 
-    def _schedule_joins(self, trouble: Trouble, rng: Any, start: int) -> None:
+    def _schedule_joins(self, trouble: Trouble, rng: Any, start_us: int) -> None:
         """Keeps couriers down from the beginning, until they join."""
         for courier in self._choose_couriers(trouble, rng):
-            self.clock.at(30_000, self._kill_courier, courier, start)
+            self.clock.at(30_000, self._kill_courier, courier, start_us)
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -96,16 +96,16 @@
             slowness = float(lognormal(slowness_rng, 1.0, kind.slow_cv))
             messages_per_s = scenario.load.rate_per_s * kind.full_load * partner.share
             calls_per_s = max(kind.least_per_s, kind.headroom * messages_per_s * kind.calls_per_message)
-            routes = endpoint_count if kind.routes_apart else 1
-            for route in range(routes):
-                capacity = calls_per_s * kind.spare / routes
-                limit = partners.Limit(kind, 0.0 if kind.limit == "none" else calls_per_s / routes)
+            route_count = endpoint_count if kind.routes_apart else 1
+            for route in range(route_count):
+                capacity_per_s = calls_per_s * kind.spare / route_count
+                limit = partners.Limit(kind, 0.0 if kind.limit == "none" else calls_per_s / route_count)
                 partner.targets.append(
                     partners.Target(
                         f"{index + 1}.{route}",
                         kind,
                         limit,
-                        capacity,
+                        capacity_per_s,
                         slowness,
                         scenario.fall_multiple,
                         int(scenario.fall_ms * 1e3),
@@ -113,7 +113,7 @@
                 )
             for position in range(endpoint_count):
                 endpoint_number += 1
-                target = partner.targets[position % routes]
+                target = partner.targets[position % route_count]
                 endpoint_capacity_per_s = target.capacity_per_s / (1 if kind.routes_apart else endpoint_count)
                 mean_work_s = mean_work_ms * slowness / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
                 endpoint = partners.Endpoint(
@@ -260,13 +260,13 @@
     def network_delay_us(self, courier: CourierModel, endpoint: partners.Endpoint) -> int:
         """The one-way delay between a courier and an endpoint, with jitter."""
         net = self.scenario.net
-        base = net.same_ms if courier.zone == endpoint.zone else net.cross_ms
-        return max(50, int(base * 1e3 * (1 + net.jitter * (2 * self.jitter_draws.uniform() - 1))))
+        base_ms = net.same_ms if courier.zone == endpoint.zone else net.cross_ms
+        return max(50, int(base_ms * 1e3 * (1 + net.jitter * (2 * self.jitter_draws.uniform() - 1))))
 
     def is_answer_lost(self) -> bool:
         """Draws whether the network loses an answer."""
-        lost = self.scenario.net.lost
-        return lost > 0 and self.loss_draws.uniform() < lost
+        lost_share = self.scenario.net.lost
+        return lost_share > 0 and self.loss_draws.uniform() < lost_share
 
     def check_for_collapse(self, endpoint: partners.Endpoint) -> None:
         """Checks the rule on recovery after an outage, when a target has collapsed under load.
