--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -11,6 +11,7 @@
 if TYPE_CHECKING:
     from hopmill.lab.courier import CourierModel
 
+# Results after which the messages have certainly not been executed.
 NOT_RUN = (partners.FULL, partners.CONNECT_FAILED, "moot")
 
 
--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -83,6 +83,7 @@
             arrival_count, DRAWN_ATTEMPTS
         )
         work_draws = stream(seed, "work").standard_normal(arrival_count)
+        # Token buckets: rate per second, tokens, time of the last refill in s.
         quotas = [[t.quota, 0.0, 0.0] for t in scenario.tenants]
         order = np.argsort(times, kind="stable")
         for index in order.tolist():
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -20,6 +20,7 @@
 from hopmill.standin.client import ANSWER_S, Client
 
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
+# Every load ends by itself and within these limits.
 MAX_SECONDS, MAX_RATE_PER_S, MAX_CLIENTS = 600.0, 20_000.0, 500
 
 
@@ -70,9 +71,11 @@
     if not is_loopback:
         raise LabError(f"{address[0]}: the load target must be in 127.0.0.0/8")
     if not 0 < plan.seconds <= MAX_SECONDS or not 0 < plan.rate_per_s <= MAX_RATE_PER_S:
-        raise LabError(f"at most {MAX_SECONDS:g} s and {MAX_RATE_PER_S:g} requests a second")
+        raise LabError(
+            f"a load is at most {MAX_SECONDS:g} s long, with {MAX_RATE_PER_S:g} requests per second"
+        )
     if not 1 <= plan.clients <= MAX_CLIENTS:
-        raise LabError(f"from 1 to {MAX_CLIENTS} clients")
+        raise LabError(f"a load has 1 to {MAX_CLIENTS} clients")
 
 
 def arrivals(plan: Plan) -> list[float]:
--- a/hopmill/lab/members.py
+++ b/hopmill/lab/members.py
@@ -71,9 +71,8 @@
         self.texts: list[dict[bytes, bytes]] = [{} for _ in range(plan.members)]
         self.paused_until_us = [0] * plan.members
         self.timer_numbers = [0] * plan.members
-        self.observed_changes: list[
-            tuple[int, str, str, str]
-        ] = []  # time, at which member, about whom, state
+        # (time in us, observing member, member concerned, its state)
+        self.observed_changes: list[tuple[int, str, str, str]] = []
         self.is_reachable: Callable[[int, int], bool] = lambda a, b: True
         self.on_activity: Callable[[int], None] = lambda member: None  # called after each change at a member
         self.starts = 0
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -35,7 +35,7 @@
     """The rate limit of a partner, or of one route, over the calls of all couriers."""
 
     kind: Kind
-    per_s: float  # 0: no limit
+    per_s: float  # calls per second; 0: no limit
     remaining_share: float = 1.0  # of per_s, while the limit is lowered
     calls_in_window: float = 0.0
     window_index: int = -1
--- a/hopmill/lab/rules.py
+++ b/hopmill/lab/rules.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 MAX_TRACE_EVENTS = 20_000  # events of the whole fleet that are kept
-MAX_SHOWN_EVENTS = 25
+MAX_SHOWN_EVENTS = 25  # of the trace, with a violation
 END_GRACE_US = 300_000  # a message may end so long after its deadline
 WAIT_SLACK_US = 100_000  # for calls that were on their way when the retry-after was announced
 INFORMED_SHARE_LIMIT = 2 / 3  # of the load under which a target collapsed
@@ -25,9 +25,8 @@
 
     def __init__(self) -> None:
         self.trace: deque[tuple[int, int, int, int, str, Any]] = deque(maxlen=MAX_TRACE_EVENTS)
-        self.announced_waits: dict[
-            tuple[int, int], list[tuple[int, int]]
-        ] = {}  # by (courier, lane): announced at, until
+        # By (courier, lane): (announced at, until), in us.
+        self.announced_waits: dict[tuple[int, int], list[tuple[int, int]]] = {}
 
     def record(self, now: int, courier: int, message: int, lane: int, what: str, more: Any = "") -> None:
         """Adds an event to the trace."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -30,7 +30,7 @@
     return load(name, couriers, seconds=6.0, **changes)
 
 
-# Against the known
+# Against known theory
 
 
 def endpoint(clock, kind, workers, queue, rate=0.0):
@@ -115,7 +115,7 @@
     assert result["held_mean"] == pytest.approx(result["held_by_stays"], rel=1e-9) and result["held_mean"] > 1
 
 
-# The same on every run
+# Reproducibility and comparisons
 
 
 def test_events_at_one_instant_run_in_the_order_scheduled():
@@ -157,7 +157,9 @@
         0 if low <= 0.3 <= high else 1
         for low, high in (compare.interval(rng.normal(0.3, 1, 10)) for _ in range(400))
     ]
-    assert 0.02 <= np.mean(outside) <= 0.08  # 0.05 is meant; plain percentiles of 10 pairs give 0.1
+    assert (
+        0.02 <= np.mean(outside) <= 0.08
+    )  # the nominal rate is 0.05; plain percentiles of 10 pairs give 0.1
 
 
 def test_a_comparison_detects_a_change_and_ends_at_the_required_precision():
@@ -178,7 +180,7 @@
 
 
 def test_a_constant_is_set_by_its_former_path_as_by_its_present_one(monkeypatch):
-    # Command lines and recorded comparisons name constants by the paths that they had before a renaming.
+    # Command lines and recorded comparisons use the paths that constants had before a renaming.
     assert set(play.CONSTANT_ALIASES) == FORMER_CONSTANTS
     for former, present in play.CONSTANT_ALIASES.items():
         where, _, name = present.rpartition(".")
@@ -209,7 +211,7 @@
     assert target_endpoint.connect() == partners.OK
 
 
-# Rules and hard cases
+# Rules and errors
 
 
 class AlteredModule:
@@ -283,7 +285,7 @@
 )
 def test_a_broken_rule_ends_the_run_with_its_trace(alter, rule, scenario, changes):
     day = small(scenario, 4, **changes)
-    run_altered(lambda inner, now, events, actions: actions, day)  # as it is it breaks none
+    run_altered(lambda inner, now, events, actions: actions, day)  # the unaltered module breaks no rule
     with pytest.raises(RuleBrokenError) as caught:
         run_altered(alter, day)
     assert caught.value.rule == rule
@@ -295,7 +297,7 @@
     overloaded = endpoint(clock, kind, 50, 50)
     overloaded.target.capacity_per_s, other = 20.0, endpoint(clock, kind, 50, 50)
     other.target.capacity_per_s = 20.0
-    for target in (overloaded.target, other.target):  # both return; one gets too much
+    for target in (overloaded.target, other.target):  # both recover; only one gets too many calls
         target.start_outage("down", 1.0, 1000)
         target.affected_couriers.add(1)
         target.end_outage(clock.now, "down")
@@ -326,7 +328,7 @@
         finish(calls, outgoing, outcome, wait, report)
 
     monkeypatch.setattr(Calls, "_finish", kill_first)
-    simulation.play()  # a second effect, or a message without an end, would end it
+    simulation.play()  # a second execution or a message without an outcome would raise RuleBrokenError
     assert len(killed) == 20 and all(after > before for before, after in generations)
     unsafe = [message for message in killed if scenario.classes[message.class_index].effect == "unsafe"]
     assert unsafe and all(message.executions == 1 for message in unsafe)
@@ -469,7 +471,7 @@
     )
 
 
-# The load on sockets
+# The load tool
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1", "192.168.1.1", "8.8.8.8", "localhost", "::1"])
@@ -490,7 +492,7 @@
             size = int((await reader.readline())[1:])
             for _ in range(2 * size):
                 await reader.readline()
-            time.sleep(0.5 if not stalled else 0)  # the whole server stands still once
+            time.sleep(0.5 if not stalled else 0)  # the whole server stalls once
             stalled.append(1)
             writer.write(b"+OK\r\n")
 
