--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -66,7 +66,7 @@
         self.calls_out = 0
 
     def outstanding(self) -> list[OutgoingCall]:
-        """Each outstanding call once; a batch is listed by each of its messages."""
+        """Each outstanding call once, although by_attempt lists a batch under each of its messages."""
         return list({id(outgoing): outgoing for outgoing in self.by_attempt.values()}.values())
 
     def process_died(self) -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: is it true, does it stay the same, and does it catch what it must."""
+"""The laboratory: its models against theory, its reproducibility, and that it detects broken rules."""
 
 import importlib
 import json
@@ -39,7 +39,7 @@
 
 
 def run_arrivals(clock, target_endpoint, arrivals_us, work_us):
-    """Each call's outcome with when it arrived and was answered."""
+    """Returns (outcome, arrival, answer) of each call. Times in us."""
     rows = []
 
     def arrive(work):
@@ -215,7 +215,7 @@
 
 
 class AlteredModule:
-    """The module with its actions changed on their way out."""
+    """The module under test, with its actions changed by a function."""
 
     def __init__(self, alter):
         self.alter = alter
