--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -122,14 +122,14 @@
 ) -> None:
     """Simulate failure detection: time to detect, false deaths, and cost; one line per seed."""
     from hopmill.cli.seeds import seeds_of
-    from hopmill.lab.members import Plan, calm, detection
+    from hopmill.lab.members import Plan, measure_false_alarms, measure_detection
 
     false_deaths = 0
     for seed in seeds_of(seeds):
         result = {"seed": seed}
         if kills:
-            result |= detection(Plan(members, loss, seed), kills)
-        result |= calm(Plan(members, loss, seed), seconds, int(stop * 1e6))
+            result |= measure_detection(Plan(members, loss, seed), kills)
+        result |= measure_false_alarms(Plan(members, loss, seed), seconds, int(stop * 1e6))
         false_deaths += result["false_deaths"]
         print(json.dumps(result), flush=True)
     raise typer.Exit(int(bool(false_deaths)))
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -107,7 +107,7 @@
             for difference in differences:
                 row = {
                     "scenario": name,
-                    "part": difference.part,
+                    "part": difference.metric,
                     "seeds": difference.seeds,
                     "a": difference.a,
                     "b": difference.b,
@@ -118,7 +118,7 @@
                 print(
                     json.dumps(row)
                     if as_json
-                    else f"{name:<9} {difference.part:<13} {difference.a:.4f} -> {difference.b:.4f}  "
+                    else f"{name:<9} {difference.metric:<13} {difference.a:.4f} -> {difference.b:.4f}  "
                     f"{difference.mean:+.4f} [{difference.low:+.4f}, {difference.high:+.4f}]  "
                     f"{difference.seeds} seeds",
                     flush=True,
@@ -142,7 +142,7 @@
         for value in values.split(","):
             differences, *_ = comparison.compare(
                 farm.Build(),
-                farm.Build(override={name: value}),
+                farm.Build(constants={name: value}),
                 scenario,
                 couriers,
                 seeds_of(seeds),
@@ -220,7 +220,7 @@
     from hopmill.lab import report as pages
 
     with _OneLineErrors(), farm.build(build) as build_used:
-        job = farm.Job(build_used, scenario, couriers, more=True)
+        job = farm.Job(build_used, scenario, couriers, with_details=True)
         rows = list(farm.run([(job, seed) for seed in seeds_of(seeds)], _print_progress))
         differences: list[Any] = []
         if against:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -321,7 +321,7 @@
 
     def __init__(self, members=5, loss=0.0, alone="hold"):
         self.fleet = Fleet(Plan(members, loss, 7, settings={"policy": PolicyRule(alone=alone)}))
-        self.fleet.look, self.checker, self.count, self.refusing_members = (
+        self.fleet.on_activity, self.checker, self.count, self.refusing_members = (
             self.look,
             explore.PolicyChecker(),
             0,
@@ -335,7 +335,7 @@
 
     def poll(self):
         for n, node in enumerate(self.fleet.nodes):
-            if node and self.fleet.stopped[n] <= self.fleet.now:
+            if node and self.fleet.paused_until_us[n] <= self.fleet.now:
                 self.act(n)
         self.fleet.after(10_000, self.poll)
 
@@ -359,7 +359,7 @@
             not current.digest or current.digest in held
         ):
             policy_member.lease.set_applied_version(current.version)
-            self.fleet.again(n)
+            self.fleet.schedule_pump(n)
         if (
             current.change
             and current.change.id != policy_member.lease.ready_for
@@ -368,7 +368,7 @@
             policy_member.lease.report_check(
                 current.change.id, "no room" if n in self.refusing_members else ""
             )
-            self.fleet.again(n)
+            self.fleet.schedule_pump(n)
         self.act(n)
 
     def propose(self, n, change_id=""):
@@ -385,11 +385,11 @@
 
     def cut(self, *groups):
         where = {n: g for g, names in enumerate(groups) for n in names}
-        self.fleet.passes = lambda a, b: where.get(a) == where.get(b)
+        self.fleet.is_reachable = lambda a, b: where.get(a) == where.get(b)
 
     def settled(self):
         """The version under which all members work again, once all faults have ended."""
-        self.fleet.passes = lambda a, b: True
+        self.fleet.is_reachable = lambda a, b: True
         for n, node in enumerate(self.fleet.nodes):
             if node is None:
                 self.fleet.start(n)
@@ -420,7 +420,7 @@
 
 
 def stopped_before_its_check(cluster):
-    cluster.fleet.stop(4, 9_000_000)
+    cluster.fleet.pause(4, 9_000_000)
     cluster.propose(0)
     cluster.run(9.5)
     return 1
