--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -288,39 +288,46 @@
 # The trial
 
 
-def change(at, began, version, text="", state="done", made=None, ticket=None, voters=("a",)):
+def change(at_us, began_us, version, text="", state="done", made=None, ticket=None, voters=("a",)):
     return {
-        "at_us": at,
+        "at_us": at_us,
         "who": "c",
         "what": "change",
-        "began_us": began,
+        "began_us": began_us,
         "state": state,
         "text": text,
         "version": version,
         "made": version if made is None else made,
         "words": {"x": text},
         "voters": list(voters),
-        "ticket": ticket or f"{at}",
+        "ticket": ticket or f"{at_us}",
     }
 
 
-def act(at, fence, owner):
-    return {"at_us": at + 5, "who": owner, "what": "act", "looked_us": at, "fence": fence, "owner": owner}
+def act(at_us, fence, owner):
+    return {
+        "at_us": at_us + 5,
+        "who": owner,
+        "what": "act",
+        "looked_us": at_us,
+        "fence": fence,
+        "owner": owner,
+    }
 
 
-def view(who, life, version, incarnation=1):
+def view(member, generation, version, incarnation=1):
     return {
         "at_us": 1,
-        "who": who,
+        "who": member,
         "what": "view",
-        "life": life,
+        "life": generation,
         "version": version,
         "incarnation": incarnation,
     }
 
 
 @pytest.mark.parametrize(
-    ("rows", "said"),
+    ("rows", "expected"),
     [
         (
             [
@@ -344,11 +351,11 @@
         ([view("c", 1, 4), view("c", 2, 4)], "used incarnation 1 in two generations"),
     ],
 )
-def test_the_rules_find_what_is_planted(rows, said):
+def test_the_rules_find_what_is_planted(rows, expected):
     history = History()
     history.rows = rows
     found = rules.violations(history, Ledger())
-    assert (found and said in found[0]) if said else not found
+    assert (found and expected in found[0]) if expected else not found
 
 
 def test_a_lost_message_and_an_effect_twice_are_found():
@@ -366,14 +373,14 @@
     storm = scenario.read("storm")
     drawn = [scenario.draw_faults(storm, seed, 8, 5) for seed in range(200)]
     assert drawn == [scenario.draw_faults(storm, seed, 8, 5) for seed in range(200)]
-    assert {f.kind for faults in drawn for f in faults} == set(storm.faults)
+    assert {fault.kind for faults in drawn for fault in faults} == set(storm.faults)
     for faults in drawn:
-        lost = [f.at_s for f in faults if f.kind == "folder"]
-        assert all(b - a >= 6.0 for a, b in zip(lost, lost[1:], strict=False))
+        lost_at_s = [fault.at_s for fault in faults if fault.kind == "folder"]
+        assert all(later - earlier >= 6.0 for earlier, later in zip(lost_at_s, lost_at_s[1:], strict=False))
 
 
-@pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
-def test_a_trial_that_is_ended_leaves_no_process(tmp_path, how):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGKILL])
+def test_a_trial_that_is_ended_leaves_no_process(tmp_path, signal_number):
     env = {**os.environ, "TMPDIR": str(tmp_path)}
     trial = subprocess.Popen(
         [sys.executable, "-m", "hopmill", "trial", "stops", "--couriers", "3"],
@@ -391,8 +398,8 @@
     while len(running()) < 3 and time.monotonic() < deadline:
         time.sleep(0.1)
     assert len(running()) == 3
-    trial.send_signal(how)
-    assert trial.wait(15) in (130, -how)
+    trial.send_signal(signal_number)
+    assert trial.wait(15) in (130, -signal_number)
     while running() and time.monotonic() < deadline + 5:
         time.sleep(0.1)
     assert not running()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and does what it shows; so does its place for the test command."""
+"""The example in the README runs as shown, and CI runs the test command that the README names."""
 
 import pathlib
 import re
@@ -10,11 +10,11 @@
     code = re.search(r"```python\n(.*?)```", README, re.S).group(1)
     scope = {}
     exec(code, scope)
-    said = capsys.readouterr().out.splitlines()
-    assert said[0].startswith("send 42 to 1")
+    lines = capsys.readouterr().out.splitlines()
+    assert lines[0].startswith("send 42 to 1")
     for now in range(100_000, 900_000, 20_000):
         scope["turn"](now)
-    assert capsys.readouterr().out.count("send 42 to 1") + len(said) == 2
+    assert capsys.readouterr().out.count("send 42 to 1") + len(lines) == 2
 
 
 def test_ci_runs_the_command_of_the_readme():
