--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -85,11 +85,21 @@
         return self._summary(violations, time.monotonic() - began)
 
     async def _start(self) -> None:
-        loop = asyncio.get_running_loop()
-        scene_options = Options(
-            self.scenario.seconds, self.scenario.rate_per_s, self.options.couriers, seed=self.options.seed
-        )
         await self.discovery.start()
+        await self._start_partners()
+        self._open_relay()
+        for number in range(self.options.couriers):
+            self.couriers.append(self._create_courier(number))
+        self.ledger.courier_names = {courier.port: courier.name for courier in self.couriers}
+        self.fault_injector = FaultInjector(self.couriers, self.relay, self.history)
+        await self._start_couriers()
+        if not await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
+            raise TimeoutError(f"the couriers did not agree within {AGREEMENT_TIMEOUT_S:g} s after the start")
+        for courier in self.couriers:
+            courier.back_up_fleet_files()
+
+    async def _start_partners(self) -> None:
+        loop = asyncio.get_running_loop()
         for plan in plans(self.scenario.rate_per_s):
             partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.rng, loop.time())
             self.partners.append(partner)
@@ -98,25 +108,29 @@
                 self.discovery.target(
                     machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
                 )
+
+    def _open_relay(self) -> None:
         network = self.scenario.net
         self.relay.loss = network.loss
         self.relay.repeat = network.repeat
         self.relay.delay_s = network.delay_ms / 1e3
         self.relay.open(free_udp_ports(self.options.couriers))
-        for number in range(self.options.couriers):
-            configuration = (
-                courier_toml(self.discovery.port, scene_options, number, KINDS)
-                + "\n"
-                + members_toml(number, self.options.couriers, self.voters, self.relay, self.scenario.alone)
-            )
-            if self.scenario.alone and number == 1:
-                configuration = configuration.replace("limits = {disk_mb = 16}", SMALL_LIMITS)
-            clock_offset_s = self.rng.uniform(-1, 1) * self.scenario.clocks_off_s
-            self.couriers.append(
-                Courier(number, self.folder, configuration, clock_offset_s, bool(self.scenario.alone))
-            )
-        self.ledger.courier_names = {courier.port: courier.name for courier in self.couriers}
-        self.fault_injector = FaultInjector(self.couriers, self.relay, self.history)
+
+    def _create_courier(self, number: int) -> Courier:
+        scene_options = Options(
+            self.scenario.seconds, self.scenario.rate_per_s, self.options.couriers, seed=self.options.seed
+        )
+        configuration = (
+            courier_toml(self.discovery.port, scene_options, number, KINDS)
+            + "\n"
+            + members_toml(number, self.options.couriers, self.voters, self.relay, self.scenario.alone)
+        )
+        if self.scenario.alone and number == 1:
+            configuration = configuration.replace("limits = {disk_mb = 16}", SMALL_LIMITS)
+        clock_offset_s = self.rng.uniform(-1, 1) * self.scenario.clocks_off_s
+        return Courier(number, self.folder, configuration, clock_offset_s, bool(self.scenario.alone))
+
+    async def _start_couriers(self) -> None:
         starting = asyncio.Semaphore(MAX_STARTING)
 
         async def start(courier: Courier) -> None:
@@ -126,10 +140,6 @@
         async with asyncio.TaskGroup() as group:  # if one fails to start, the rest are cancelled
             for courier in self.couriers:
                 group.create_task(start(courier))
-        if not await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
-            raise TimeoutError(f"the couriers did not agree within {AGREEMENT_TIMEOUT_S:g} s after the start")
-        for courier in self.couriers:
-            courier.back_up_fleet_files()
 
     async def _run_load_and_faults(self) -> None:
         loop = asyncio.get_running_loop()
