--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -55,12 +55,7 @@
 
     def _draw_arrivals(self) -> None:
         scenario, seed = self.scenario, self.simulation.seed
-        load, length = scenario.load, scenario.seconds
-        rng = stream(seed, "arrivals")
-        count = rng.poisson(load.rate_per_s * load.factor * load.burst * length)
-        times = np.sort(rng.random(count) * length)
-        in_burst = (times >= load.burst_from * length) & (times < load.burst_to * length)
-        times = times[in_burst | (rng.random(count) < 1 / load.burst)]
+        times = self._draw_times()
         arrival_count = len(times)
         shares = np.array([p.share for p in self.simulation.partners])
         destinations = stream(seed, "destinations").choice(
@@ -69,12 +64,7 @@
         self._cluster_arrivals(times, destinations)
         weights = np.array([message_class.share for message_class in scenario.classes])
         classes = stream(seed, "classes").choice(len(weights), arrival_count, p=weights / weights.sum())
-        tenants = np.zeros(arrival_count, int)
-        if scenario.tenants:
-            tenant_shares = np.array([t.share for t in scenario.tenants])
-            tenants = stream(seed, "tenants").choice(
-                len(tenant_shares), arrival_count, p=tenant_shares / tenant_shares.sum()
-            )
+        tenants = self._draw_tenants(arrival_count)
         positions, habit_draws = (
             stream(seed, "couriers").random(arrival_count),
             stream(seed, "habits").random((arrival_count, 4)),
@@ -107,6 +97,22 @@
         for request in self.requests:
             self.simulation.clock.at(request.created_us, self.submit, request, False)
 
+    def _draw_times(self) -> np.ndarray:
+        """Arrivals in s, in order: a Poisson process at the burst rate, thinned outside the burst."""
+        load, length = self.scenario.load, self.scenario.seconds
+        rng = stream(self.simulation.seed, "arrivals")
+        count = rng.poisson(load.rate_per_s * load.factor * load.burst * length)
+        times = np.sort(rng.random(count) * length)
+        in_burst = (times >= load.burst_from * length) & (times < load.burst_to * length)
+        return times[in_burst | (rng.random(count) < 1 / load.burst)]
+
+    def _draw_tenants(self, count: int) -> np.ndarray:
+        """The tenant of each arrival; 0 where the scenario has none."""
+        if not self.scenario.tenants:
+            return np.zeros(count, int)
+        shares = np.array([t.share for t in self.scenario.tenants])
+        return stream(self.simulation.seed, "tenants").choice(len(shares), count, p=shares / shares.sum())
+
     def _cluster_arrivals(self, times: np.ndarray, destinations: np.ndarray) -> None:
         """Moves some messages to one instant and one partner: as many as it takes in clump_s."""
         load, rng = self.scenario.load, stream(self.simulation.seed, "clumps")
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -143,7 +143,7 @@
 
     def run_turn(self) -> None:
         """Hands the queued events to the module and carries out its actions. May raise ModuleFailedError."""
-        now, interface = self.clock.now, self.dialect.interface
+        now = self.clock.now
         self.is_turn_scheduled, self.last_turn_us = False, now
         connection_changes = [
             e
@@ -153,16 +153,28 @@
         events, self.events = connection_changes + self.events, []
         pending, self.pending = self.pending, {}
         retry_after_requests, self.retry_after_requests = self.retry_after_requests, 0
+        actions = self._call_module(now, events)
+        if self.recorder:
+            self.recorder(now, retry_after_requests, events, actions)
+        self._answer_submissions(now, actions, pending)
+        self._carry_out(actions)
+        self.exit_if_idle()
+
+    def _call_module(self, now: int, events: list[Any]) -> list[Any]:
         try:
-            actions = list(self.module.handle(now, events))
+            return list(self.module.handle(now, events))
         except Exception as error:
             last_event = events[-1] if events else "no event"
             raise ModuleFailedError(
                 f"courier {self.number} at {now / 1e6:.4f} s, on {len(events)} events, the "
                 f"last {last_event!r}: {error!r}"
             ) from error
-        if self.recorder:
-            self.recorder(now, retry_after_requests, events, actions)
+
+    def _answer_submissions(
+        self, now: int, actions: list[Any], pending: dict[int, tuple[HeldMessage, Callable[[str, int], None]]]
+    ) -> None:
+        """Answers the clients of this turn's messages, and journals the accepted ones."""
+        interface = self.dialect.interface
         for action in actions:
             if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in pending:
                 message, reply = pending.pop(action.message)
@@ -185,6 +197,10 @@
             self.rules.record(now, self.number, message.number, message.destination, "accepted")
             self.clock.at(message.valid_until_us + END_GRACE_US, self._check_ended, message)
             reply("taken", 0)
+
+    def _carry_out(self, actions: list[Any]) -> None:
+        """Carries out the actions; the sends to one endpoint are batched where it takes batches."""
+        interface = self.dialect.interface
         batches: dict[int, list[tuple[HeldMessage, int, int]]] = {}
         for action in actions:
             if isinstance(action, interface.Send):
@@ -197,7 +213,6 @@
             max_batch = self.simulation.batch_size(endpoint)
             for start in range(0, len(items), max_batch):
                 self.calls.send(endpoint, items[start : start + max_batch])
-        self.exit_if_idle()
 
     def _apply_other(self, action: Any) -> None:
         name = type(action).__name__
--- a/hopmill/lab/result.py
+++ b/hopmill/lab/result.py
@@ -41,7 +41,6 @@
 def result(simulation: Simulation) -> dict[str, Any]:
     """The run's figures. They hold no real times, so they are the same for every run of this build."""
     scenario, requests = simulation.scenario, simulation.clients.requests
-    request_count = max(1, len(requests))
     whole_share = _total_served_share(simulation, requests)
     by_class = {
         message_class.name: _total_served_share(simulation, [o for o in requests if o.class_index == n])
@@ -58,18 +57,7 @@
     for partner in simulation.partners:
         for target in partner.targets:
             reasons.update(target.refusals_by_reason)
-    endpoints = simulation.endpoints.values()
-    asked_work_us = sum(o.work_us[0] for o in requests) or 1.0
-    late_fail = sum(o.worth for o in requests if o.delivered_us < 0) / max(
-        1e-9, sum(o.worth for o in requests)
-    )
-    prices = {
-        "refused": scenario.prices.refused * refused_calls / request_count,
-        "handshake": scenario.prices.handshake * simulation.counts["connections"] / request_count,
-        "waste": scenario.prices.waste * sum(e.wasted_us for e in endpoints) / asked_work_us,
-        "late_fail": scenario.prices.late_fail * late_fail,
-        "fees": _fees(simulation) / request_count,
-    }
+    prices = _prices(simulation, refused_calls)
     goal = scenario.goal
     weighted_share = (
         goal.whole * whole_share
@@ -110,6 +98,24 @@
     }
 
 
+def _prices(simulation: Simulation, refused_calls: int) -> dict[str, float]:
+    """What the result subtracts from the share served, by cause."""
+    scenario, requests = simulation.scenario, simulation.clients.requests
+    request_count = max(1, len(requests))
+    endpoints = simulation.endpoints.values()
+    asked_work_us = sum(o.work_us[0] for o in requests) or 1.0
+    late_fail = sum(o.worth for o in requests if o.delivered_us < 0) / max(
+        1e-9, sum(o.worth for o in requests)
+    )
+    return {
+        "refused": scenario.prices.refused * refused_calls / request_count,
+        "handshake": scenario.prices.handshake * simulation.counts["connections"] / request_count,
+        "waste": scenario.prices.waste * sum(e.wasted_us for e in endpoints) / asked_work_us,
+        "late_fail": scenario.prices.late_fail * late_fail,
+        "fees": _fees(simulation) / request_count,
+    }
+
+
 def _rounded(values: dict[str, float]) -> dict[str, float]:
     return {k: round(v, 6) for k, v in values.items()}
 
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -77,14 +77,7 @@
         )
         partner_count = max(len(scenario.kinds), round(scenario.endpoints / endpoints_per_partner))
         shares = rng.permutation(zipf_weights(partner_count, scenario.load.partner_zipf))
-        kind_indexes = np.repeat(
-            range(len(scenario.kinds)),
-            [
-                max(1, round(partner_count * k.share / sum(x.share for x in scenario.kinds)))
-                for k in scenario.kinds
-            ],
-        )[:partner_count]
-        kind_indexes = rng.permutation(np.resize(kind_indexes, partner_count))
+        kind_indexes = self._assign_kinds(partner_count, rng)
         mean_work_ms = sum(c.work_ms * c.share for c in scenario.classes) / sum(
             c.share for c in scenario.classes
         )
@@ -114,29 +107,51 @@
             for position in range(endpoint_count):
                 endpoint_number += 1
                 target = partner.targets[position % route_count]
-                endpoint_capacity_per_s = target.capacity_per_s / (1 if kind.routes_apart else endpoint_count)
                 mean_work_s = mean_work_ms * slowness / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
-                endpoint = partners.Endpoint(
-                    endpoint_number,
-                    partner.number,
-                    int(rng.integers(scenario.net.zones)),
-                    target,
-                    max(1, round(endpoint_capacity_per_s * mean_work_s)),
-                    max(1, round(endpoint_capacity_per_s * kind.depth_s)),
-                    int(kind.connections),
-                    self.clock,
-                    UniformBuffer(stream(self.seed, f"endpoint {endpoint_number}")),
-                )
-                partner.endpoints.append(endpoint)
-                self.endpoints[endpoint_number] = endpoint
-                self.lane_by_endpoint[endpoint_number] = (
-                    endpoint_number if kind.routes_apart else -partner.number
-                )
+                zone = int(rng.integers(scenario.net.zones))
+                self._add_endpoint(endpoint_number, partner, target, endpoint_count, zone, mean_work_s)
             self.partners.append(partner)
         for target in {id(e.target): e.target for e in self.endpoints.values()}.values():
             if target.limit.per_s:
                 self._refresh_report(target, UniformBuffer(stream(self.seed, f"report {target.name}")))
 
+    def _assign_kinds(self, partner_count: int, rng: np.random.Generator) -> np.ndarray:
+        """The index of each partner's kind: by the kinds' shares, at least one of each, in random order."""
+        kinds = self.scenario.kinds
+        kind_indexes = np.repeat(
+            range(len(kinds)),
+            [max(1, round(partner_count * k.share / sum(x.share for x in kinds))) for k in kinds],
+        )[:partner_count]
+        return rng.permutation(np.resize(kind_indexes, partner_count))
+
+    def _add_endpoint(
+        self,
+        number: int,
+        partner: partners.Partner,
+        target: partners.Target,
+        endpoint_count: int,
+        zone: int,
+        mean_work_s: float,
+    ) -> None:
+        """Adds an endpoint that is sized for its part of the target's capacity."""
+        kind = target.kind
+        # A route has one endpoint; all others share the capacity of their target.
+        capacity_per_s = target.capacity_per_s / (1 if kind.routes_apart else endpoint_count)
+        endpoint = partners.Endpoint(
+            number,
+            partner.number,
+            zone,
+            target,
+            max(1, round(capacity_per_s * mean_work_s)),
+            max(1, round(capacity_per_s * kind.depth_s)),
+            int(kind.connections),
+            self.clock,
+            UniformBuffer(stream(self.seed, f"endpoint {number}")),
+        )
+        partner.endpoints.append(endpoint)
+        self.endpoints[number] = endpoint
+        self.lane_by_endpoint[number] = number if kind.routes_apart else -partner.number
+
     def _refresh_report(self, target: partners.Target, rng: UniformBuffer) -> None:
         """Refreshes the load report that a target's answers carry, with the scenario's delay and noise."""
         reports, now = self.scenario.reports, self.clock.now
