--- a/hopmill/lab/scenario.py
+++ b/hopmill/lab/scenario.py
@@ -34,9 +34,7 @@
     burst: Range = 1.0  # multiple of the rate, from burst_from to burst_to
     burst_from: NotNegative = 0.4  # share of the run
     burst_to: NotNegative = 0.6
-    shift_at: NotNegative = (
-        0.0  # share of the run at which the couriers' traffic shares are permuted; 0: never
-    )
+    shift_at: NotNegative = 0.0  # when couriers exchange traffic shares, as a share of the run; 0: never
     clumps: Range = 0.0  # share of the messages that arrive at one instant for one partner
     clump_s: Range = 2.0  # size of a clump: what the partner takes in so long
 
@@ -45,14 +43,14 @@
     """A class of messages: its time limits, its worth and the work of a call."""
 
     name: str
-    share: Range
-    aim_ms: Range
-    deadline_ms: Range
+    share: Range  # weight among the messages
+    aim_ms: Range  # full worth up to this latency
+    deadline_ms: Range  # no worth from this latency on
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     worth: NotNegative = 1.0
-    late_worth: NotNegative = 0.3
-    work_ms: Range = 60.0
-    cv: Range = 0.8
+    late_worth: NotNegative = 0.3  # lowest share of the worth before the deadline
+    work_ms: Range = 60.0  # mean work of a call
+    cv: Range = 0.8  # coefficient of variation of the work
     key_window_ms: NotNegative = 0.0
 
 
@@ -87,9 +85,9 @@
     """The network between couriers and endpoints."""
 
     zones: Annotated[int, msgspec.Meta(ge=1)] = 2
-    same_ms: Range = 2.0
-    cross_ms: Range = 4.0
-    jitter: Range = 0.2
+    same_ms: Range = 2.0  # one-way delay within a zone
+    cross_ms: Range = 4.0  # and between zones
+    jitter: Range = 0.2  # largest deviation of a delay, as a share of it
     handshake_ms: Range = 2.0
     lost: Range = 0.0  # share of answers that the network loses
     fee: Range = 0.0  # for a call to the most expensive zone
@@ -105,9 +103,7 @@
     idle_ms: Range = 2000.0
     connect_ms: Range = 300.0
     back_ms: Range = 600.0  # from the end of a courier's process to its restart
-    told_couriers: int = (
-        0  # number of couriers in the settings, if it differs from the real one; 0: the real one
-    )
+    told_couriers: int = 0  # number of couriers in the settings; 0: the real number
     members: bool = False  # couriers run the member protocol of hopmill/fleet
     policy: bool = False  # couriers act only under a lease on the fleet's policy
     policy_every_s: NotNegative = 0.0  # interval of policy changes; 0: none
@@ -124,12 +120,12 @@
 class Clients(StrictStruct, kw_only=True):
     """How clients react to refusals."""
 
-    retries: Range = 2.0
-    backoff_ms: Range = 250.0
+    retries: Range = 2.0  # of a refused message
+    backoff_ms: Range = 250.0  # mean wait before the first retry without a retry-after
     honour: Range = 0.7  # share that heeds a retry-after
     impatient: Range = 0.0  # share that retries after a tenth of the wait, and once more often
     gives_up: Range = 0.0  # share that leaves before the first answer
-    longest_wait_ms: Range = 500.0
+    longest_wait_ms: Range = 500.0  # maximum retry-after of the couriers
 
 
 class Discovery(StrictStruct, kw_only=True):
