--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -265,7 +265,7 @@
         self.faults.courier_ended(courier)
 
     def change_held(self, change: int) -> None:
-        """Adds to the number of held messages: 1 when one is taken on, -1 when one ends."""
+        """Changes the number of held messages: 1 when one is accepted, -1 when one ends."""
         now = self.clock.now
         self.held_message_us += self.messages_held * (now - self.held_since_us)
         self.messages_held, self.held_since_us = self.messages_held + change, now
