--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -727,12 +727,22 @@
     hold_socket(fleet)
     with_members(fleet, **ONE)
     client = await fleet.outside()
+    is_over = asyncio.Event()
+
+    async def keep_in_use():  # a connection that is idle for 2 s is closed, and an upgrade may take longer
+        while not is_over.is_set():
+            assert await client.send(client.command(b"PING")) == "+PONG"
+            await asyncio.sleep(0.2)
+
+    pings = asyncio.create_task(keep_in_use())
     await bounded(acts(fleet))
     await propose(fleet, "x1", {"left_out": {"endpoints": ["a"]}})
     await bounded(became(fleet, "x1"))
     await fleet.upgrade()
     assert await bounded(fleet.former.wait()) == 0
     await healthy(fleet.door)
+    is_over.set()
+    await pings
     assert await client.put("m") == "+OK" and (await b.call()) and a.calls.empty()
     answer = (await call(fleet.door, "GET", "/fleet/policy"))[1]
     assert answer["applied"] == 1 and answer["may_act"]
