--- a/hopmill/standin/discovery.py
+++ b/hopmill/standin/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery's agent: a list that changes, a watch, and the notices."""
+"""A stand-in for the discovery agent: a list of targets, a watch on it, and the reception of notices."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from hopmill.standin.server import HOST, Server, read_request
 
-EMPTY_S = 2.0  # an empty line comes so often while nothing changes
+HEARTBEAT_INTERVAL_S = 2.0  # an empty line keeps the watch open while nothing changes
 
 
 class Discovery(Server):
-    """`noted` hears each notice that was answered 204."""
+    """Serves the list to watching couriers; `on_notice` is called with each notice that is answered 204."""
 
-    def __init__(self, noted: Callable[[dict[str, Any]], None] = lambda line: None) -> None:
+    def __init__(self, on_notice: Callable[[dict[str, Any]], None] = lambda notice: None) -> None:
         super().__init__()
-        self.noted = noted
-        self.rev = 1
-        self.targets: dict[str, dict[str, Any]] = {}
-        self.finals: asyncio.Queue[tuple[int, dict[str, Any]]] = asyncio.Queue()
-        self.watches: asyncio.Queue[str] = asyncio.Queue()
+        self.on_notice = on_notice
+        self.rev = 1  # revision of the list
+        self.targets: dict[str, dict[str, Any]] = {}  # by uid
+        self.finals: asyncio.Queue[tuple[int, dict[str, Any]]] = asyncio.Queue()  # (status, notice)
+        self.watches: asyncio.Queue[str] = asyncio.Queue()  # paths of watch requests
         self.watchers: list[asyncio.StreamWriter] = []
-        self.notice_status: list[int] = []  # of the next answers to notices, in turn; then 204
+        self.notice_status: list[int] = []  # statuses of the next answers to notices; 204 once it is empty
 
     def target(
         self,
@@ -35,6 +35,7 @@
         rate: float = 100.0,
         zone: str = "here",
     ) -> dict[str, Any]:
+        """Add a target to the list without notifying the watches, and return it."""
         self.targets[uid] = {
             "uid": uid,
             "endpoint": f"{HOST}:{port}",
@@ -47,21 +48,23 @@
         }
         return self.targets[uid]
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
+        """Return the line that lists all targets."""
         return {"rev": self.rev, "all": True, "targets": list(self.targets.values())}
 
     def change(self, uid: str, **values: Any) -> None:
-        """Every watch is told at once."""
+        """Update a target and send it to every watch at once."""
         self.rev += 1
         self.targets[uid].update(values)
         self.push({"rev": self.rev, "all": False, "targets": [self.targets[uid]]})
 
     def push(self, line: dict[str, Any]) -> None:
-        """To every watch."""
+        """Send a line to every watch."""
         for writer in self.watchers:
-            _chunk(writer, json.dumps(line).encode())
+            _write_chunk(writer, json.dumps(line).encode())
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a watch, or receive notices: one JSON object a line in the body of a request."""
         while True:
             _, path, _, body = await read_request(reader)
             if path.startswith("/discovery"):
@@ -72,26 +75,28 @@
                 notice = json.loads(line)
                 self.finals.put_nowait((status, notice))
                 if status == 204:
-                    self.noted(notice)
+                    self.on_notice(notice)
             writer.write(b"HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n" % status)
 
     async def _watch(self, path: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send the full list, then changes and heartbeats until the courier closes the connection."""
         self.watches.put_nowait(path)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        _chunk(writer, json.dumps(self.whole()).encode())
+        _write_chunk(writer, json.dumps(self.full_list()).encode())
         self.watchers.append(writer)
-        beat = asyncio.create_task(self._beat(writer))
+        heartbeats = asyncio.create_task(self._send_heartbeats(writer))
         try:
             await reader.read()
         finally:
-            beat.cancel()
+            heartbeats.cancel()
             self.watchers.remove(writer)
 
-    async def _beat(self, writer: asyncio.StreamWriter) -> None:
+    async def _send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
         while True:
-            await asyncio.sleep(EMPTY_S)
-            _chunk(writer, b"")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            _write_chunk(writer, b"")
 
 
-def _chunk(writer: asyncio.StreamWriter, text: bytes) -> None:
+def _write_chunk(writer: asyncio.StreamWriter, text: bytes) -> None:
+    """Write a line as one chunk of a chunked body (RFC 9112, section 7.1)."""
     writer.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -1,112 +1,118 @@
-"""What became of every message that was handed in: the account that a demo or an experiment ends with."""
+"""The outcome of every submitted message: the account printed at the end of a demo or an experiment."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK_S = 0.3  # after its time a message may take so long to end before it counts as lost
+SLACK_S = 0.3  # grace after a message's deadline before it counts as lost
 
 
 @dataclass
 class Entry:
-    """One handing in. Times are seconds on the monotonic clock."""
+    """One submission of a message. Points in time are seconds on the monotonic clock."""
 
-    cls: str
+    class_name: str
     unsafe: bool
-    handed_in: float
-    aim_s: float
-    life_s: float
-    answer: str = ""  # taken, refused, failed; "" until it is known
-    delivered_at: float = 0.0
-    effects: int = 0
-    notice: str = ""
+    submitted_at: float
+    aim_s: float  # a delivery within this is in time
+    lifetime_s: float  # from submission to the deadline
+    answer: str = ""  # the courier's: taken, refused or failed; "" until it is known
+    delivered_at: float = 0.0  # 0 until an endpoint has answered 200
+    effects: int = 0  # calls with this message that took effect at the partner
+    notice: str = ""  # status of its notice; "" if there was none
 
 
 @dataclass
 class Ledger:
-    """Told by clients, partners and discovery, each of what it saw itself."""
+    """Records what clients, partners and discovery observe; each submission has a `message_id` of its own."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
-    calls: Counter[str] = field(default_factory=Counter)  # answers of endpoints, by what they said
-    connections: int = 0  # opened to endpoints
-    fell: int = 0  # times that a cold partner was pushed over
+    calls: Counter[str] = field(default_factory=Counter)  # by outcome
+    connections_opened: int = 0  # at endpoints
+    overloads: int = 0  # overloads of partners in warm-up
 
-    def handed_in(self, ident: str, entry: Entry) -> None:
-        self.entries[ident] = entry
+    def record_submission(self, message_id: str, entry: Entry) -> None:
+        """Record a submission before it is sent to a courier."""
+        self.entries[message_id] = entry
 
-    def answered(self, ident: str, answer: str) -> None:
-        self.entries[ident].answer = answer
+    def record_answer(self, message_id: str, answer: str) -> None:
+        """Record the courier's answer: taken, refused or failed."""
+        self.entries[message_id].answer = answer
 
-    def handed_to(self, ident: str, port: int) -> None:
-        """The courier at this port is given it."""
+    def record_courier(self, message_id: str, port: int) -> None:
+        """The message is sent to the courier at this port. Subclasses record it."""
 
-    def began(self, endpoint: str, idents: list[str]) -> None:
-        """A call with these messages has reached an endpoint."""
+    def record_call(self, endpoint: str, message_ids: list[str]) -> None:
+        """A call with these messages has reached an endpoint. Subclasses record it."""
 
-    def effect(self, ident: str) -> None:
-        """A call with this message took effect at its partner."""
-        if entry := self.entries.get(ident):
+    def record_effect(self, message_id: str) -> None:
+        """Record that a call with this message took effect at its partner."""
+        if entry := self.entries.get(message_id):
             entry.effects += 1
 
-    def delivered(self, ident: str, now: float) -> None:
-        """An endpoint has written a 200 for it."""
-        entry = self.entries.get(ident)
+    def record_delivery(self, message_id: str, now: float) -> None:
+        """Record that an endpoint has answered 200; only the first such answer counts."""
+        entry = self.entries.get(message_id)
         if entry and not entry.delivered_at:
             entry.delivered_at = now
 
-    def noted(self, line: dict[str, str]) -> None:
-        if entry := self.entries.get(line["id"]):
-            entry.notice = line["status"]
+    def record_notice(self, notice: dict[str, str]) -> None:
+        """Record the final status that the courier reported to discovery."""
+        if entry := self.entries.get(notice["id"]):
+            entry.notice = notice["status"]
 
-    def open(self, now: float) -> int:
-        """Messages taken on whose end is still owed in time."""
+    def count_open(self, now: float) -> int:
+        """Return the number of messages taken on that have no final answer yet and are not lost yet."""
         return sum(
-            e.answer == "taken"
-            and not e.delivered_at
-            and not e.notice
-            and now < e.handed_in + e.life_s + SLACK_S
-            for e in self.entries.values()
+            entry.answer == "taken"
+            and not entry.delivered_at
+            and not entry.notice
+            and now < entry.submitted_at + entry.lifetime_s + SLACK_S
+            for entry in self.entries.values()
         )
 
     def result(self) -> Result:
-        """The counts; `taken` is the sum of delivered, deferred, undeliverable, withdrawn and lost."""
+        """Count the outcomes; `taken` is the sum of delivered, deferred, undeliverable, withdrawn, lost."""
         counts: Counter[str] = Counter()
-        latencies: list[float] = []
-        for e in self.entries.values():
+        latencies_s: list[float] = []
+        for entry in self.entries.values():
             counts["handed_in"] += 1
-            counts[e.answer or "failed"] += 1
-            if e.answer != "taken":
+            counts[entry.answer or "failed"] += 1
+            if entry.answer != "taken":
                 continue
-            counts["twice"] += e.unsafe and e.effects > 1
-            if e.delivered_at:
-                took = e.delivered_at - e.handed_in
-                latencies.append(took)
+            counts["twice"] += entry.unsafe and entry.effects > 1
+            if entry.delivered_at:
+                latency_s = entry.delivered_at - entry.submitted_at
+                latencies_s.append(latency_s)
                 counts["delivered"] += 1
-                counts["in_time" if took <= e.aim_s else "late"] += 1
+                counts["in_time" if latency_s <= entry.aim_s else "late"] += 1
             else:
-                counts[e.notice or "lost"] += 1
-        return Result(counts, sorted(latencies), self)
+                counts[entry.notice or "lost"] += 1
+        return Result(counts, sorted(latencies_s), self)
 
 
 @dataclass
 class Result:
+    """The outcomes of all messages, counted."""
+
     counts: Counter[str]
-    latencies: list[float]  # of what was delivered, in order
+    latencies_s: list[float]  # of delivered messages, ascending
     ledger: Ledger
 
     def percentile_ms(self, share: float) -> float:
-        """Nearest rank; 0 where nothing was delivered."""
-        if not self.latencies:
+        """Return the percentile of the latencies by nearest rank; 0 if nothing was delivered."""
+        if not self.latencies_s:
             return 0.0
-        return self.latencies[min(len(self.latencies) - 1, int(share * len(self.latencies)))] * 1e3
+        return self.latencies_s[min(len(self.latencies_s) - 1, int(share * len(self.latencies_s)))] * 1e3
 
     @property
     def failed(self) -> bool:
-        """Something was lost, or an unsafe message took effect twice."""
+        """Whether a message was lost, or an unsafe one took effect twice."""
         return bool(self.counts["lost"] or self.counts["twice"])
 
     def as_json(self) -> dict[str, object]:
+        """Return the account as commands print it in JSON."""
         names = (
             "handed_in",
             "taken",
@@ -128,6 +134,6 @@
             },
             "calls": sum(calls.values()),
             "calls_refused": calls["refused"] + calls["told to wait"],
-            "connections": self.ledger.connections,
-            "pushed_over": self.ledger.fell,
+            "connections": self.ledger.connections_opened,
+            "pushed_over": self.ledger.overloads,
         }
