--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`hopmill fleet ...`: the members of a fleet, from the doors of its couriers."""
+"""`hopmill fleet ...`: the members of a fleet, through the operator APIs of its couriers."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 
 import typer
 
-from hopmill.cli.app import JsonOption, fail
-from hopmill.cli.door import DoorError, call, lines, table
+from hopmill.cli.app import JsonOption, error_exit
+from hopmill.cli.door import OperatorApiError, call, format_lines, format_table
 
 fleet = typer.Typer(
-    help="Couriers that know one another: members, the register, its leases.", no_args_is_help=True
+    help="A fleet of couriers: its members, the replicated register, its leases.", no_args_is_help=True
 )
-Door = Annotated[str, typer.Argument(help="HOST:PORT of a courier's door.")]
-Wait = Annotated[float, typer.Option(min=0, help="Seconds to wait for a majority.")]
-Seeds = Annotated[str, typer.Option("--seed", help="As 1-20 or 3,5,9.")]
-AGAIN_S = 0.02
+OperatorAddress = Annotated[str, typer.Argument(help="HOST:PORT of a courier's operator API.")]
+WaitOption = Annotated[float, typer.Option(min=0, help="Seconds to wait for the outcome.")]
+SeedsOption = Annotated[str, typer.Option("--seed", help="Seeds, such as 1-20 or 3,5,9.")]
+POLL_INTERVAL_S = 0.02
 
 
-def _ask(address: str, method: str, path: str) -> dict[str, Any]:
+def _request(address: str, method: str, path: str) -> dict[str, Any]:
     try:
         status, body = call(address, method, path)
-    except DoorError as error:
-        raise fail(str(error), 1) from None
+    except OperatorApiError as error:
+        raise error_exit(str(error), 1) from None
     if status >= 400:
-        raise fail(f"{address}: {body.get('error', status)}", 1)
+        raise error_exit(f"{address}: {body.get('error', status)}", 1)
     return body
 
 
 @fleet.command("status", epilog="Example: hopmill fleet status 127.0.0.1:8600 127.0.0.1:8601")
 def status(
-    doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's door.")],
+    doors: Annotated[list[str], typer.Argument(help="HOST:PORT of each courier's operator API.")],
     as_json: JsonOption = False,
 ) -> None:
-    """Who each takes for alive, the voters, the document's version, leases. One that is silent: exit 1."""
-    silent = 0
+    """Show each courier's view: members, voters, register version, leases. Exit 1 if one does not answer."""
+    failed_count = 0
     for door in doors:
         try:
-            code, body = call(door, "GET", "/fleet")
-        except DoorError as error:
-            code, body = 0, {"error": str(error)}
-        silent += code != 200
+            status_code, body = call(door, "GET", "/fleet")
+        except OperatorApiError as error:
+            status_code, body = 0, {"error": str(error)}
+        failed_count += status_code != 200
         if as_json:
             print(json.dumps({"door": door, **body}))
-        elif code != 200:
+        elif status_code != 200:
             print(f"{door}: {body.get('error')}")
         else:
             print(
@@ -53,54 +53,60 @@
                 f"{', '.join(body['voters'])}, {'votes' if body['votes'] else 'does not vote'}, "
                 f"health {body['health']}, disk {body['disk']}"
             )
-            print("\n".join(table(body["members"])))
+            print("\n".join(format_table(body["members"])))
             if body["leases"]:
-                print("\n".join(table(body["leases"])))
-    raise typer.Exit(int(bool(silent)))
+                print("\n".join(format_table(body["leases"])))
+    raise typer.Exit(int(bool(failed_count)))
 
 
-def change(door: str, path: str, wait: float, as_json: bool) -> None:
-    """Begin it and wait for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
-    told = _ask(door, "POST", path)
-    until = time.monotonic() + wait
-    while told["state"] == "under way" and time.monotonic() < until:
-        time.sleep(AGAIN_S)
-        told = _ask(door, "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}")
-    print(json.dumps(told) if as_json else "\n".join(lines(told)))
-    raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(told["state"], 3))
+def _change_register(door: str, path: str, wait: float, as_json: bool) -> None:
+    """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
+    outcome = _request(door, "POST", path)
+    deadline = time.monotonic() + wait
+    while outcome["state"] == "under way" and time.monotonic() < deadline:
+        time.sleep(POLL_INTERVAL_S)
+        outcome = _request(
+            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
+        )
+    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(outcome["state"], 3))
 
 
 @fleet.command("say", epilog="Example: hopmill fleet say 127.0.0.1:8600 note 'hall-b is being rewired'")
 def say(
-    door: Door,
+    door: OperatorAddress,
     name: str,
-    text: Annotated[str, typer.Argument(help="Empty: taken away.")] = "",
-    wait: Wait = 10.0,
+    text: Annotated[str, typer.Argument(help="Text of the entry; empty: remove it.")] = "",
+    wait: WaitOption = 10.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Put a word into the register, for all couriers and staff to see."""
+    """Store a short text in the register, for all couriers and operators to see."""
     from urllib.parse import quote
 
-    path = "/".join(quote(word, safe="") for word in (name, text) if word)
-    change(door, f"/fleet/words/{path}", wait, as_json)
+    path = "/".join(quote(part, safe="") for part in (name, text) if part)
+    _change_register(door, f"/fleet/words/{path}", wait, as_json)
 
 
 @fleet.command("read", epilog="Example: hopmill fleet read 127.0.0.1:8600 --json")
-def read(door: Door, wait: Wait = 10.0, as_json: JsonOption = False) -> None:
-    """What a majority of the voters holds now."""
-    told = _ask(door, "POST", "/fleet/read")
-    until = time.monotonic() + wait
-    while told["state"] == "under way" and time.monotonic() < until:
-        time.sleep(AGAIN_S)
-        told = _ask(door, "GET", f"/fleet/changes/{told['ticket'].replace('#', '%23').replace('/', '%2F')}")
-    print(json.dumps(told) if as_json else "\n".join(lines(told)))
-    raise typer.Exit(0 if told["state"] == "left" else 3)
+def read(door: OperatorAddress, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
+    """Read the register from a majority of the voters."""
+    outcome = _request(door, "POST", "/fleet/read")
+    deadline = time.monotonic() + wait
+    while outcome["state"] == "under way" and time.monotonic() < deadline:
+        time.sleep(POLL_INTERVAL_S)
+        outcome = _request(
+            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
+        )
+    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    raise typer.Exit(0 if outcome["state"] == "left" else 3)
 
 
 @fleet.command("replace-voter", epilog="Example: hopmill fleet replace-voter 127.0.0.1:8600 n2 n7")
-def replace_voter(door: Door, old: str, new: str, wait: Wait = 10.0, as_json: JsonOption = False) -> None:
-    """One voter for another while the fleet works; the second step follows by itself. One at a time."""
-    change(door, f"/fleet/voters/{old}/{new}", wait, as_json)
+def replace_voter(
+    door: OperatorAddress, old: str, new: str, wait: WaitOption = 10.0, as_json: JsonOption = False
+) -> None:
+    """Replace a voter while the fleet runs, one at a time; the second step follows by itself."""
+    _change_register(door, f"/fleet/voters/{old}/{new}", wait, as_json)
 
 
 @fleet.command("detect", epilog="Example: hopmill fleet detect --members 60 --loss 0.1 --seed 1-5")
@@ -108,55 +114,59 @@
     members: Annotated[int, typer.Option(min=2, max=2000)] = 60,
     loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.1,
     kills: int = 20,
-    seconds: Annotated[float, typer.Option(help="Of calm; one member stops at times.")] = 60.0,
-    stop: Annotated[float, typer.Option(help="Seconds that it stands still in every ten.")] = 2.0,
-    seeds: Seeds = "1",
+    seconds: Annotated[
+        float, typer.Option(help="Seconds without kills, in which one member stops at times.")
+    ] = 60.0,
+    stop: Annotated[float, typer.Option(help="Seconds that it is stopped in every ten.")] = 2.0,
+    seeds: SeedsOption = "1",
 ) -> None:
-    """Members in virtual time: how soon a dead one is known, false deaths, and cost; a line a seed."""
+    """Simulate failure detection: time to detect, false deaths, and cost; one line per seed."""
     from hopmill.cli.seeds import seeds_of
-    from hopmill.lab.members import Plan, calm, detection
+    from hopmill.lab.members import Plan, measure_false_alarms, measure_detection
 
-    wrong = 0
+    false_deaths = 0
     for seed in seeds_of(seeds):
-        told = {"seed": seed}
+        result = {"seed": seed}
         if kills:
-            told |= detection(Plan(members, loss, seed), kills)
-        told |= calm(Plan(members, loss, seed), seconds, int(stop * 1e6))
-        wrong += told["false_deaths"]
-        print(json.dumps(told), flush=True)
-    raise typer.Exit(int(bool(wrong)))
+            result |= measure_detection(Plan(members, loss, seed), kills)
+        result |= measure_false_alarms(Plan(members, loss, seed), seconds, int(stop * 1e6))
+        false_deaths += result["false_deaths"]
+        print(json.dumps(result), flush=True)
+    raise typer.Exit(int(bool(false_deaths)))
 
 
 @fleet.command("explore", epilog="Example: hopmill fleet explore --schedules 10000 --members 3 --json")
 def explore(
-    schedules: Annotated[int, typer.Option(min=0, help="Random ones.")] = 10_000,
-    seed: Annotated[int, typer.Option(help="Of the first.")] = 1,
+    schedules: Annotated[int, typer.Option(min=0, help="Number of random schedules.")] = 10_000,
+    seed: Annotated[int, typer.Option(help="Seed of the first schedule.")] = 1,
     members: Annotated[int, typer.Option(min=1, max=9)] = 3,
-    depth: Annotated[int, typer.Option(min=0, max=30, help="And all of three members so deep.")] = 0,
-    cores: Annotated[int, typer.Option(min=0, help="0: all.")] = 0,
-    mutant: Annotated[str, typer.Option(help="A planted fault, by its name.")] = "",
+    depth: Annotated[
+        int, typer.Option(min=0, max=30, help="Also explore all schedules of three members to this depth.")
+    ] = 0,
+    cores: Annotated[int, typer.Option(min=0, help="Processor cores to use; 0: all.")] = 0,
+    mutant: Annotated[str, typer.Option(help="Name of a planted fault to run with.")] = "",
     mutants: Annotated[bool, typer.Option("--mutants", help="List the planted faults.")] = False,
-    policy: Annotated[bool, typer.Option("--policy", help="Changes of policy on top.")] = False,
+    policy: Annotated[bool, typer.Option("--policy", help="Explore policy changes as well.")] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """The register and its leases under every order of events that chance finds. A violation: exit 1."""
+    """Check the register and its leases under random orders of events. Exit 1 after a violation."""
     from hopmill.explorer.mutants import PLANTED
-    from hopmill.explorer.policy_mutants import PLANTED as OF_POLICY
+    from hopmill.explorer.policy_mutants import PLANTED as POLICY_PLANTED
     from hopmill.explorer.search import search, search_policy
 
-    planted = list(OF_POLICY if policy else PLANTED)
+    planted = list(POLICY_PLANTED if policy else PLANTED)
     if mutants:
         print("\n".join(planted))
         return
     if mutant and mutant not in planted:
-        raise fail(f"no such mutant: {mutant}; there are {', '.join(planted)}")
-    told = (
+        raise error_exit(f"no such mutant: {mutant}; there are {', '.join(planted)}")
+    result = (
         search_policy(schedules, seed, members, cores, mutant)
         if policy
         else search(schedules, seed, members, depth, cores, mutant)
     )
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(result))
     else:
-        print("\n".join(lines(told)))
-    raise typer.Exit(int(bool(told["violations"])))
+        print("\n".join(format_lines(result)))
+    raise typer.Exit(int(bool(result["violations"])))
--- a/hopmill/lab/chance.py
+++ b/hopmill/lab/chance.py
@@ -1,4 +1,4 @@
-"""Random numbers by (seed, purpose): what one part draws shifts nothing that another part draws."""
+"""Random numbers by (seed, purpose), so that draws for one purpose do not shift those for another."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
     return weights / weights.sum()
 
 
-def lognormal(chance: np.random.Generator, mean: float, cv: float, size: int | None = None):
-    """Log-normal with this mean and coefficient of variation."""
+def lognormal(rng: np.random.Generator, mean: float, cv: float, size: int | None = None):
+    """Log-normal numbers with this mean and coefficient of variation."""
     sigma = math.sqrt(math.log(1 + cv * cv))
-    return chance.lognormal(math.log(mean) - sigma * sigma / 2, sigma, size)
+    return rng.lognormal(math.log(mean) - sigma * sigma / 2, sigma, size)
 
 
-class Pool:
-    """Numbers drawn ahead in blocks, for a caller that needs them one at a time."""
+class UniformBuffer:
+    """Uniform random numbers drawn in blocks, for a caller that needs them one at a time."""
 
-    def __init__(self, chance: np.random.Generator, block: int = 1024) -> None:
-        self.chance, self.block = chance, block
+    def __init__(self, rng: np.random.Generator, block_size: int = 1024) -> None:
+        self.rng, self.block_size = rng, block_size
         self.uniforms: Sequence[float] = ()
-        self.at = 0
+        self.index = 0
 
     def uniform(self) -> float:
-        if self.at >= len(self.uniforms):
-            self.uniforms, self.at = self.chance.random(self.block).tolist(), 0
-        self.at += 1
-        return self.uniforms[self.at - 1]
+        """The next number, from 0 to 1."""
+        if self.index >= len(self.uniforms):
+            self.uniforms, self.index = self.rng.random(self.block_size).tolist(), 0
+        self.index += 1
+        return self.uniforms[self.index - 1]
--- a/hopmill/lab/loadtool.py
+++ b/hopmill/lab/loadtool.py
@@ -1,5 +1,8 @@
-"""An open-loop load on a courier that is up: latency counts from when a request was due, not from when it
-could be written, so that a courier that stalls is charged for all that waited (coordinated omission)."""
+"""An open-loop load on a running courier.
+
+Latency counts from when a request was due, not from when it could be written, so that a stalled courier is
+charged for all requests that waited (coordinated omission).
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,13 @@
 from hopmill.standin.client import ANSWER_TIMEOUT_S, Client
 
 LOOPBACK = ipaddress.ip_network("127.0.0.0/8")
-MOST_S, MOST_RATE, MOST_CLIENTS = 600.0, 20_000.0, 500  # a load ends by itself
+# Every load ends by itself and within these limits.
+MAX_SECONDS, MAX_RATE_PER_S, MAX_CLIENTS = 600.0, 20_000.0, 500
 
 
 @dataclass(frozen=True)
 class Plan:
-    """rate_per_s over all clients; clumps: share of the requests that come ten at a time."""
+    """A load. rate_per_s: over all clients; clumps: share of the requests that come ten at a time."""
 
     rate_per_s: float = 100.0
     seconds: float = 10.0
@@ -36,16 +40,20 @@
 
 
 @dataclass
-class Told:
-    """Microseconds in the histogram, by answer in the counts."""
+class Measurements:
+    """Latencies in us, from the due time and from the write, and counts by answer."""
 
     counts: Counter[str] = field(default_factory=Counter)
     from_due: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
     from_write: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
 
     def as_json(self) -> dict[str, object]:
-        def rows(h: HdrHistogram) -> dict[str, float]:
-            return {f"p{p:g}": round(h.get_value_at_percentile(p) / 1e3, 2) for p in (50, 90, 99, 99.9)}
+        """The counts, and percentiles in ms."""
+
+        def rows(histogram: HdrHistogram) -> dict[str, float]:
+            return {
+                f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1e3, 2) for p in (50, 90, 99, 99.9)
+            }
 
         return {
             **dict(sorted(self.counts.items())),
@@ -54,72 +62,85 @@
         }
 
 
-def checked(address: Address, plan: Plan) -> None:
-    """LabError for what is not this machine's loopback, or not bounded."""
+def check_limits(address: Address, plan: Plan) -> None:
+    """LabError unless the address is a loopback address and the plan within the limits."""
     try:
-        inside = ipaddress.ip_address(address[0]) in LOOPBACK
+        is_loopback = ipaddress.ip_address(address[0]) in LOOPBACK
     except ValueError:
-        inside = False
-    if not inside:
-        raise LabError(f"{address[0]}: a load goes to 127.0.0.0/8 only")
-    if not 0 < plan.seconds <= MOST_S or not 0 < plan.rate_per_s <= MOST_RATE:
-        raise LabError(f"at most {MOST_S:g} s and {MOST_RATE:g} requests a second")
-    if not 1 <= plan.clients <= MOST_CLIENTS:
-        raise LabError(f"from 1 to {MOST_CLIENTS} clients")
+        is_loopback = False
+    if not is_loopback:
+        raise LabError(f"{address[0]}: the load target must be in 127.0.0.0/8")
+    if not 0 < plan.seconds <= MAX_SECONDS or not 0 < plan.rate_per_s <= MAX_RATE_PER_S:
+        raise LabError(
+            f"a load is at most {MAX_SECONDS:g} s long, with {MAX_RATE_PER_S:g} requests per second"
+        )
+    if not 1 <= plan.clients <= MAX_CLIENTS:
+        raise LabError(f"a load has 1 to {MAX_CLIENTS} clients")
 
 
 def arrivals(plan: Plan) -> list[float]:
-    """Seconds from the start, in order."""
-    chance, due, rows = random.Random(plan.seed), 0.0, []
+    """When each request is due, in seconds from the start, in order."""
+    rng, due, rows = random.Random(plan.seed), 0.0, []
     while due < plan.seconds:
-        size = 10 if chance.random() < plan.clumps / 10 else 1
+        size = 10 if rng.random() < plan.clumps / 10 else 1
         rows += [due] * size
-        due += chance.expovariate(plan.rate_per_s / (1 + 9 * plan.clumps / 10))
+        due += rng.expovariate(plan.rate_per_s / (1 + 9 * plan.clumps / 10))
     return rows
 
 
-async def run(address: Address, plan: Plan) -> Told:
-    checked(address, plan)
-    told, queue = Told(), asyncio.Queue[tuple[float, str]]()
-    began = time.monotonic()
-    tasks = [asyncio.create_task(_client(address[1], plan, queue, told, n)) for n in range(plan.clients)]
-    for at, due in enumerate(arrivals(plan)):
-        if (wait := began + due - time.monotonic()) > 0:
+async def run(address: Address, plan: Plan) -> Measurements:
+    """Sends the load and returns when every request has an answer or has timed out."""
+    check_limits(address, plan)
+    measurements, queue = Measurements(), asyncio.Queue[tuple[float, str]]()
+    started_at = time.monotonic()
+    tasks = [
+        asyncio.create_task(_client(address[1], plan, queue, measurements, n)) for n in range(plan.clients)
+    ]
+    for index, due in enumerate(arrivals(plan)):
+        if (wait := started_at + due - time.monotonic()) > 0:
             await asyncio.sleep(wait)
-        told.counts["offered"] += 1
-        queue.put_nowait((began + due, f"l{plan.seed:x}-{at:x}"))
+        measurements.counts["offered"] += 1
+        queue.put_nowait((started_at + due, f"l{plan.seed:x}-{index:x}"))
     await queue.join()
     for task in tasks:
         task.cancel()
-    return told
+    return measurements
 
 
-async def _client(port: int, plan: Plan, queue: asyncio.Queue[tuple[float, str]], told: Told, n: int) -> None:
-    chance, client = random.Random(plan.seed * 1000 + n), None
+async def _client(
+    port: int,
+    plan: Plan,
+    queue: asyncio.Queue[tuple[float, str]],
+    measurements: Measurements,
+    client_number: int,
+) -> None:
+    rng, client = random.Random(plan.seed * 1000 + client_number), None
     while True:
-        due, ident = await queue.get()
-        wrote = time.monotonic()
+        due, message_id = await queue.get()
+        written_at = time.monotonic()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 client = client or await Client().open(port)
-                said = await client.send(
+                answer = await client.send(
                     client.message(
-                        ident,
-                        chance.choice(plan.classes),
-                        chance.choice(plan.partners),
+                        message_id,
+                        rng.choice(plan.classes),
+                        rng.choice(plan.partners),
                         plan.life_ms,
                         tenant=plan.tenant,
-                        key=ident,
+                        key=message_id,
                     )
                 )
-            told.counts["taken" if said[:1] == "+" else "busy" if said[:5] == "-BUSY" else "error"] += 1
+            measurements.counts[
+                "taken" if answer[:1] == "+" else "busy" if answer[:5] == "-BUSY" else "error"
+            ] += 1
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
-            told.counts["no answer"] += 1
+            measurements.counts["no answer"] += 1
             if client:
                 client.close()
             client = None
         finally:
             now = time.monotonic()
-            told.from_due.record_value(max(1, int((now - due) * 1e6)))
-            told.from_write.record_value(max(1, int((now - wrote) * 1e6)))
+            measurements.from_due.record_value(max(1, int((now - due) * 1e6)))
+            measurements.from_write.record_value(max(1, int((now - written_at) * 1e6)))
             queue.task_done()
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -1,9 +1,9 @@
-"""A courier of a trial: the program as it is, on a machine with a slow disk at times and a wrong wall clock.
+"""Runs a courier of a trial: the unchanged program with a wrong wall clock and, at times, a slow disk.
 
-What the machine is like comes from the trial: HOPMILL_TRIAL_CLOCK_S, how far the wall clock is off; and
-HOPMILL_TRIAL_DISK, a file that holds how many ms each sync of the disk takes now. HOPMILL_TRIAL_RECORD is
-where the courier's own decisions under a policy go: each call begun and each message taken on, under which
-version, and when it had looked whether it may.
+The trial sets environment variables: HOPMILL_TRIAL_CLOCK_S, the error of the wall clock in seconds;
+HOPMILL_TRIAL_DISK, a file with the present delay of each disk sync in ms; HOPMILL_TRIAL_RECORD, a file to
+which the courier's decisions under a policy are written: each call begun and each message taken on, the
+policy version, and when the courier checked that it may act.
 """
 
 from __future__ import annotations
@@ -16,26 +16,32 @@
 from typing import Any
 
 
-def wrong_clock(off_s: float) -> None:
-    real, real_ns = time.time, time.time_ns
-    time.time = lambda: real() + off_s
-    time.time_ns = lambda: real_ns() + int(off_s * 1e9)
+def shift_wall_clock(offset_s: float) -> None:
+    """Replaces `time.time` and `time.time_ns` by clocks that are off by offset_s."""
+    real_time, real_time_ns = time.time, time.time_ns
+    time.time = lambda: real_time() + offset_s
+    time.time_ns = lambda: real_time_ns() + int(offset_s * 1e9)
 
 
-def slow_disk(path: str) -> None:
-    def slowed(sync: Callable[[int], Any]) -> Callable[[int], Any]:
-        def slow(fd: int) -> None:
+def delay_disk_syncs(path: str) -> None:
+    """Makes `os.fsync` and `os.fdatasync` wait first for as many ms as the file at path says."""
+
+    def delayed(sync: Callable[[int], Any]) -> Callable[[int], Any]:
+        def delayed_sync(fd: int) -> None:
             with contextlib.suppress(OSError, ValueError), open(path) as file:
                 time.sleep(float(file.read() or 0) / 1e3)
             sync(fd)
 
-        return slow
+        return delayed_sync
+
+    os.fsync, os.fdatasync = delayed(os.fsync), delayed(os.fdatasync)
 
-    os.fsync, os.fdatasync = slowed(os.fsync), slowed(os.fdatasync)
 
+def record_decisions(path: str) -> None:
+    """Replaces methods of the host so that its decisions are written to path, one JSON object per line.
 
-def record(path: str) -> None:
-    """A JSON object a line, written before the act goes on: a killed process has said what it did."""
+    Rows are written without a buffer, before the act goes on: a killed process has recorded what it did.
+    """
     import json
 
     from hopmill.net.host import Host
@@ -44,63 +50,75 @@
     from hopmill.net.peers import elapsed_us
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-    looked = [0]
-    may_act, begin, take, set_up, hold = (
-        ActivePolicy.may_act,
-        Host._record_attempts,
-        Intake.accept,
-        ActivePolicy._apply,
-        ActivePolicy._set_holding,
-    )
-
-    def say(what: str, **more: Any) -> None:
+    looked_at_us = [0]
+    may_act = ActivePolicy.may_act
+    record_attempts = Host._record_attempts
+    accept = Intake.accept
+    apply = ActivePolicy._apply
+    set_holding = ActivePolicy._set_holding
+
+    def write_row(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
             os.write(fd, json.dumps({"what": what, "at_us": elapsed_us(), **more}).encode() + b"\n")
 
-    def looks(self: ActivePolicy) -> bool:
-        looked[0] = elapsed_us()
+    def recording_may_act(self: ActivePolicy) -> bool:
+        looked_at_us[0] = elapsed_us()
         return may_act(self)
 
-    def begins(self: Host, items: Any) -> bool:
-        ids = [item.id for item in items]
-        yes = begin(self, items)
-        if yes and self.active_policy:
-            say("began", looked_us=looked[0], version=self.active_policy.applied_version, messages=ids)
-        return yes
-
-    def takes(self: Intake, m: Any, replies: Any) -> None:
-        take(self, m, replies)
-        if self.host.active_policy and m.number in self.host.journal.messages:
-            say("took", looked_us=looked[0], version=self.host.active_policy.applied_version, messages=[m.id])
+    def recording_record_attempts(self: Host, items: Any) -> bool:
+        identifiers = [item.id for item in items]
+        is_recorded = record_attempts(self, items)
+        if is_recorded and self.active_policy:
+            write_row(
+                "began",
+                looked_us=looked_at_us[0],
+                version=self.active_policy.applied_version,
+                messages=identifiers,
+            )
+        return is_recorded
+
+    def recording_accept(self: Intake, message: Any, replies: Any) -> None:
+        accept(self, message, replies)
+        if self.host.active_policy and message.number in self.host.journal.messages:
+            write_row(
+                "took",
+                looked_us=looked_at_us[0],
+                version=self.host.active_policy.applied_version,
+                messages=[message.id],
+            )
 
-    def sets_up(self: ActivePolicy, version: int, text: bytes) -> None:
-        set_up(self, version, text)
+    def recording_apply(self: ActivePolicy, version: int, text: bytes) -> None:
+        apply(self, version, text)
         if self.applied_version == version:
             stage = self.member_transport.node.register.document.policy.stage
-            say(
+            write_row(
                 "policy",
                 version=version,
                 values=self.history.values,
-                changes=[e.id for e in self.history.entries],
+                changes=[entry.id for entry in self.history.entries],
                 staged=bool(stage and stage.version == version),
             )
 
-    def holds(self: ActivePolicy, on: bool) -> None:
-        if on is not self.is_holding:
-            say("holds", on=on, version=self.applied_version)
-        hold(self, on)
+    def recording_set_holding(self: ActivePolicy, is_holding: bool) -> None:
+        if is_holding is not self.is_holding:
+            write_row("holds", on=is_holding, version=self.applied_version)
+        set_holding(self, is_holding)
 
-    ActivePolicy.may_act, Host._record_attempts, Intake.accept = looks, begins, takes  # type: ignore[method-assign]
-    ActivePolicy._apply, ActivePolicy._set_holding = sets_up, holds  # type: ignore[method-assign]
+    ActivePolicy.may_act = recording_may_act  # type: ignore[method-assign]
+    Host._record_attempts = recording_record_attempts  # type: ignore[method-assign]
+    Intake.accept = recording_accept  # type: ignore[method-assign]
+    ActivePolicy._apply = recording_apply  # type: ignore[method-assign]
+    ActivePolicy._set_holding = recording_set_holding  # type: ignore[method-assign]
 
 
 def main() -> int:
-    if off := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
-        wrong_clock(float(off))
+    """Applies what the environment asks for and runs the program; its exit status."""
+    if offset_s := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
+        shift_wall_clock(float(offset_s))
     if path := os.environ.get("HOPMILL_TRIAL_DISK"):
-        slow_disk(path)
+        delay_disk_syncs(path)
     if path := os.environ.get("HOPMILL_TRIAL_RECORD"):
-        record(path)
+        record_decisions(path)
     from hopmill.__main__ import main as program
 
     return program()
