--- a/hopmill/bench/lean.py
+++ b/hopmill/bench/lean.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from hopmill.bench.subject import MeasuredCourier
-from hopmill.bench.world import Environment
+from hopmill.bench.environment import Environment
 
 IDLE_PERIOD_S = 1.0  # from ready to the reading of idle memory
 
--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -128,7 +128,7 @@
 ) -> None:
     """Run partners, discovery, couriers and a load on this machine, and print what became of each message."""
     from hopmill.cli.demo import run
-    from hopmill.standin.scene import TROUBLES, Options
+    from hopmill.standin.loopback_system import TROUBLES, Options
 
     _require_choice(trouble, TROUBLES, "trouble")
     raise typer.Exit(run(Options(seconds, rate, couriers, trouble, seed), as_json))
@@ -144,7 +144,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Query or control a courier through its operator API. Exit 1 if the courier refuses."""
-    from hopmill.cli.door import OperatorApiError, call, format_lines
+    from hopmill.cli.operator_client import OperatorApiError, call, format_lines
 
     _require_choice(action, tuple(OPERATOR_ACTIONS), "action")
     method, path = OPERATOR_ACTIONS[action]
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from hopmill.standin.ledger import Result
-from hopmill.standin.scene import Options, Progress, LoopbackSystem
+from hopmill.standin.loopback_system import Options, Progress, LoopbackSystem
 
 PLAIN_INTERVAL_S = 2.0  # between two lines without a terminal
 COUNT_ROWS = (
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -9,7 +9,7 @@
 import typer
 
 from hopmill.cli.app import JsonOption, error_exit
-from hopmill.cli.door import OperatorApiError, call, format_lines, format_table
+from hopmill.cli.operator_client import OperatorApiError, call, format_lines, format_table
 
 fleet = typer.Typer(
     help="A fleet of couriers: its members, the replicated register, its leases.", no_args_is_help=True
--- a/hopmill/cli/journal.py
+++ b/hopmill/cli/journal.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill.cli.door import format_table
-from hopmill.net.state import JOURNAL_FILE, RECORD_HEADER, JournalContents, parse_records
+from hopmill.cli.operator_client import format_table
+from hopmill.net.journal import JOURNAL_FILE, RECORD_HEADER, JournalContents, parse_records
 
 KNOWN_KINDS = {"take", "try", "miss", "over", "final", "drain", "hand", "zone", "known", "clock"}
 MAX_ROWS = 200
--- a/hopmill/cli/policy.py
+++ b/hopmill/cli/policy.py
@@ -14,7 +14,7 @@
 import typer
 
 from hopmill.cli.app import JsonOption, error_exit
-from hopmill.cli.door import OperatorApiError, call, format_lines
+from hopmill.cli.operator_client import OperatorApiError, call, format_lines
 from hopmill.cli.fleet import POLL_INTERVAL_S, OperatorAddress, WaitOption, fleet
 
 IN_FORCE, IN_FORCE_NOWHERE, NOT_KNOWN = 0, 1, 3  # exit statuses
--- a/hopmill/cli/top.py
+++ b/hopmill/cli/top.py
@@ -10,7 +10,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from hopmill.cli.door import OperatorApiError, call
+from hopmill.cli.operator_client import OperatorApiError, call
 
 PARTNER_COLUMNS = ("couriers", "queued", "out", "pace", "part", "waiting")
 
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/known_policy_schedules.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from hopmill.explorer.known import HIGH_ROUND, act_all, run_only, deliver_only, set_clock_rate
+from hopmill.explorer.known_schedules import HIGH_ROUND, act_all, run_only, deliver_only, set_clock_rate
 from hopmill.explorer.policy import PolicySimulation
-from hopmill.explorer.world import DRIFT, LEASE_US, InvariantViolationError
+from hopmill.explorer.simulation import DRIFT, LEASE_US, InvariantViolationError
 from hopmill.fleet import document as doc
-from hopmill.fleet.govern import PolicyMember
+from hopmill.fleet.policy_member import PolicyMember
 from hopmill.fleet.policy import close, reopen
 from hopmill.fleet.register import finish_voter_change, replace_voter
 from hopmill.fleet.voter import Memory
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known_schedules.py
@@ -8,7 +8,14 @@
 
 from collections.abc import Callable
 
-from hopmill.explorer.world import DRIFT, LEASE_NAME, LEASE_US, Member, InvariantViolationError, Simulation
+from hopmill.explorer.simulation import (
+    DRIFT,
+    LEASE_NAME,
+    LEASE_US,
+    Member,
+    InvariantViolationError,
+    Simulation,
+)
 from hopmill.fleet import document as doc
 from hopmill.fleet.document import RegisterDocument
 from hopmill.fleet.register import Register, replace_voter, say
--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -4,7 +4,7 @@
 
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import Lease, RegisterDocument
-from hopmill.fleet.lease import LeaseHolder
+from hopmill.fleet.lease_holder import LeaseHolder
 from hopmill.fleet.proposer import BallotAttempt, Proposer
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Voter
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from hopmill.explorer.checker import Checker, InvariantViolationError
-from hopmill.explorer.world import DRIFT, LEASE_US, FailingSchedule, Member, Simulation
-from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
+from hopmill.explorer.simulation import DRIFT, LEASE_US, FailingSchedule, Member, Simulation
+from hopmill.fleet.policy_member import POLICY_BODIES, PolicyMember
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
--- a/hopmill/explorer/policy_mutants.py
+++ b/hopmill/explorer/policy_mutants.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.conductor import PolicyChangeCoordinator
+from hopmill.fleet.change_coordinator import PolicyChangeCoordinator
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.giver import LeaseGrantor
-from hopmill.fleet.govern import PolicyMember
+from hopmill.fleet.lease_grantor import LeaseGrantor
+from hopmill.fleet.policy_member import PolicyMember
 from hopmill.fleet.policy import Policy, Step, commit
-from hopmill.fleet.standing import NO_EXPIRY_US, GrantRequest, PolicyLease
+from hopmill.fleet.policy_lease import NO_EXPIRY_US, GrantRequest, PolicyLease
 from hopmill.fleet.wire import DrainReply, LeaseGrant, LeaseRequest
 
 
--- a/hopmill/explorer/search.py
+++ b/hopmill/explorer/search.py
@@ -7,9 +7,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from hopmill.explorer import known, policy, policy_known, policy_mutants, world
+from hopmill.explorer import known_policy_schedules, known_schedules, policy, policy_mutants, simulation
 from hopmill.explorer.mutants import planted
-from hopmill.fleet.govern import PolicyMember
+from hopmill.fleet.policy_member import PolicyMember
 from hopmill.fleet.register import Register
 
 SCHEDULES_PER_TASK = 2000  # that a process runs before it reports
@@ -17,7 +17,7 @@
 
 def _explore_policies(
     first_seed: int, count: int, members: int, mutant: str
-) -> tuple[int, list[world.FailingSchedule]]:
+) -> tuple[int, list[simulation.FailingSchedule]]:
     return policy.explore(
         count, first_seed, members, policy_mutants.planted(mutant) if mutant else PolicyMember
     )
@@ -25,8 +25,8 @@
 
 def _explore(
     first_seed: int, count: int, members: int, mutant: str
-) -> tuple[int, list[world.FailingSchedule]]:
-    return world.explore(count, first_seed, members, planted(mutant) if mutant else Register)
+) -> tuple[int, list[simulation.FailingSchedule]]:
+    return simulation.explore(count, first_seed, members, planted(mutant) if mutant else Register)
 
 
 def search_policy(schedules: int, seed: int, members: int, cores: int, mutant: str) -> dict[str, Any]:
@@ -36,9 +36,9 @@
     """
     policy_member_type = policy_mutants.planted(mutant) if mutant else PolicyMember
     started_s, run_count, violations = time.monotonic(), 0, []
-    for name in policy_known.KNOWN_SCHEDULES:
+    for name in known_policy_schedules.KNOWN_SCHEDULES:
         run_count += 1
-        if violation := policy_known.find_violation(name, policy_member_type):
+        if violation := known_policy_schedules.find_violation(name, policy_member_type):
             violations.append({"known": name, "said": violation})
             schedules = 0
             break
@@ -77,9 +77,9 @@
     """
     register_type = planted(mutant) if mutant else Register
     started_s, run_count, states, violations = time.monotonic(), 0, 0, []
-    for name in known.KNOWN_SCHEDULES:
+    for name in known_schedules.KNOWN_SCHEDULES:
         run_count += 1
-        if violation := known.find_violation(name, register_type):
+        if violation := known_schedules.find_violation(name, register_type):
             violations.append({"known": name, "said": violation})
             schedules = depth = 0
             break
@@ -95,14 +95,14 @@
         ):
             run_count += count
             if failing:
-                shortest = world.shrink(failing[0], members, register_type)
+                shortest = simulation.shrink(failing[0], members, register_type)
                 violations.append(
                     {"seed": shortest.seed, "said": shortest.violation, "choices": shortest.choices}
                 )
                 pool.shutdown(cancel_futures=True)
                 break
     if depth and not violations:
-        exhaustive_count, states, violation = world.explore_exhaustively(depth, register_type)
+        exhaustive_count, states, violation = simulation.explore_exhaustively(depth, register_type)
         run_count += exhaustive_count
         violations += [{"depth": depth, "said": violation}] if violation else []
     return {
--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/change_coordinator.py
@@ -26,7 +26,7 @@
 )
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
-from hopmill.fleet.watch import regression
+from hopmill.fleet.canary_watch import regression
 from hopmill.fleet.wire import ChosenDocument, DrainQuery, DrainReply, TotalsReply, TotalsRequest
 
 QUERY_US, MAX_QUERY_US = 40_000, 320_000  # between two queries to the voters, doubled each time
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/lease_grantor.py
@@ -18,7 +18,7 @@
 from hopmill.fleet.policy import Policy
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
-from hopmill.fleet.standing import NO_EXPIRY_US
+from hopmill.fleet.policy_lease import NO_EXPIRY_US
 from hopmill.fleet.wire import (
     ChosenDocument,
     DrainQuery,
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -17,7 +17,7 @@
 from hopmill.fleet import wire
 from hopmill.fleet.actions import Persist, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
+from hopmill.fleet.policy_member import POLICY_BODIES, PolicyMember
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.settings import Members
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/policy_member.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Iterable
 
 from hopmill.fleet.actions import Send
-from hopmill.fleet.conductor import OutcomeCallback, PolicyChangeCoordinator
+from hopmill.fleet.change_coordinator import OutcomeCallback, PolicyChangeCoordinator
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.giver import LeaseGrantor
+from hopmill.fleet.lease_grantor import LeaseGrantor
 from hopmill.fleet.policy import STAGE, CanaryGroup, PolicyChange, cancel_member, end_change, roll_back
 from hopmill.fleet.register import Register
-from hopmill.fleet.standing import PolicyLease
+from hopmill.fleet.policy_lease import PolicyLease
 from hopmill.fleet.texts import TextStore
-from hopmill.fleet.watch import CanaryWatch
+from hopmill.fleet.canary_watch import CanaryWatch
 from hopmill.fleet.wire import (
     Body,
     DrainQuery,
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -8,7 +8,7 @@
 from hopmill.fleet import document as doc
 from hopmill.fleet.actions import Action, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.lease import LeaseHolder
+from hopmill.fleet.lease_holder import LeaseHolder
 from hopmill.fleet.proposer import DocumentUpdate, Outcome, Proposer
 from hopmill.fleet.voter import Memory, Voter
 from hopmill.fleet.wire import (
--- a/hopmill/lab/clients.py
+++ b/hopmill/lab/clients.py
@@ -13,7 +13,7 @@
 from hopmill.lab.calls import HeldMessage
 
 if TYPE_CHECKING:
-    from hopmill.lab.world import Simulation
+    from hopmill.lab.simulation import Simulation
 
 DRAWN_ATTEMPTS = 6  # attempts of each message whose work is drawn in advance
 NOISE_CV = 0.25  # coefficient of variation of an attempt's work around its message's
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -12,7 +12,7 @@
 from hopmill.lab.rules import END_GRACE_US
 
 if TYPE_CHECKING:
-    from hopmill.lab.world import Simulation
+    from hopmill.lab.simulation import Simulation
 
 # After SIGTERM: calls may run until the first time, the process exits at the second.
 SHUTDOWN_CALLS_US, SHUTDOWN_EXIT_US = 3_200_000, 3_400_000
--- a/hopmill/lab/live.py
+++ b/hopmill/lab/live.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from hopmill.lab.scenario import Scenario, draw, load
-from hopmill.lab.world import Simulation
+from hopmill.lab.simulation import Simulation
 from hopmill.standin.load import LoadClass
 from hopmill.standin.partner import PartnerSettings
-from hopmill.standin.scene import Options, LoopbackSystem
+from hopmill.standin.loopback_system import Options, LoopbackSystem
 
 STAND_IN_FAULTS = {
     "down": "down",
--- a/hopmill/lab/losses.py
+++ b/hopmill/lab/losses.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from hopmill.lab.clients import ClientRequest
-    from hopmill.lab.world import Simulation
+    from hopmill.lab.simulation import Simulation
 
 
 def loss_cause(simulation: Simulation, request: ClientRequest) -> str:
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -14,7 +14,7 @@
 from hopmill.lab.result import calls_by_lane, worth_by_second, result
 from hopmill.lab.rules import RuleBrokenError
 from hopmill.lab.scenario import Scenario
-from hopmill.lab.world import Simulation
+from hopmill.lab.simulation import Simulation
 
 
 # Former paths of constants, which command lines and recorded comparisons still name.
--- a/hopmill/lab/policy.py
+++ b/hopmill/lab/policy.py
@@ -1,6 +1,6 @@
 """The fleet's policy in the simulation: couriers act under leases on it, and operators change it.
 
-hopmill/net/in_force.py does the same for a real courier; here it is done in virtual time.
+hopmill/net/active_policy.py does the same for a real courier; here it is done in virtual time.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from hopmill.lab.calls import HeldMessage
-    from hopmill.lab.world import Simulation
+    from hopmill.lab.simulation import Simulation
 
 MAX_WAIT_US = 500_000  # a client waits so long for a policy change to end
 Reply = Callable[[str, int], None]
--- a/hopmill/lab/replay.py
+++ b/hopmill/lab/replay.py
@@ -12,7 +12,7 @@
 
 from hopmill.lab.dialect import Dialect
 from hopmill.lab.scenario import Scenario
-from hopmill.lab.world import Simulation
+from hopmill.lab.simulation import Simulation
 
 
 def _encode_object(value: Any) -> list[Any]:
--- a/hopmill/lab/result.py
+++ b/hopmill/lab/result.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from hopmill.lab.clients import ClientRequest
     from hopmill.lab.scenario import MessageClass
-    from hopmill.lab.world import Simulation
+    from hopmill.lab.simulation import Simulation
 
 STEP_S = 0.1
 
--- a/hopmill/lab/troubles.py
+++ b/hopmill/lab/troubles.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from hopmill.lab.courier import CourierModel
-    from hopmill.lab.world import Simulation
+    from hopmill.lab.simulation import Simulation
 
 RECOVERY_GRACE_US = 1_500_000  # after a restart, a missing outcome breaks no rule for so long
 SHUTDOWN_NOTICE_US = 400_000  # the load balancer learns of a SIGTERM after so long
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/active_policy.py
@@ -9,7 +9,7 @@
 import dataclasses
 from typing import TYPE_CHECKING, Any
 
-from hopmill import book as policy_history
+from hopmill import policy_history
 from hopmill import interface
 from hopmill import logs, overlay
 from hopmill.document import Document
@@ -17,7 +17,7 @@
 from hopmill.fleet.wire import OutcomeTotals
 from hopmill.net.clients import Reply
 from hopmill.net.intake import refusal
-from hopmill.net.peers import MemberTransport, elapsed_us
+from hopmill.net.member_transport import MemberTransport, elapsed_us
 from hopmill.net.put import Put
 from hopmill.net.resp import MAX_REQUEST_BYTES
 
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/fleet_actions.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from hopmill.net.operator import Handler, WithBody
-from hopmill.net.staff_policy import policy_routes
+from hopmill.net.operator_server import Handler, WithBody
+from hopmill.net.policy_actions import policy_routes
 
 Answer = tuple[int, dict[str, Any]]
 MAX_OUTCOMES = 256
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -23,13 +23,13 @@
 from hopmill.net.handover import Handover
 from hopmill.net.intake import Intake, refusal
 from hopmill.net.observer import Observer
-from hopmill.net.operator import OperatorServer
+from hopmill.net.operator_server import OperatorServer
 from hopmill.net.pool import REQUESTED_BY_POLICY, Pool
 from hopmill.net.resp import MAX_REQUEST_BYTES
 from hopmill.net.restart import Restart
-from hopmill.net.roster import EndpointRegistry
-from hopmill.net.staff import OperatorActions
-from hopmill.net.state import Journal, JournaledMessage
+from hopmill.net.endpoint_registry import EndpointRegistry
+from hopmill.net.operator_actions import OperatorActions
+from hopmill.net.journal import Journal, JournaledMessage
 from hopmill.net.upgrade import FolderOwnership, HandoverPayload
 from hopmill.policy.courier import Courier
 
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -31,7 +31,7 @@
     )
     if document is None or not (bounded or members and members.policy):
         return
-    from hopmill.net.in_force import ActivePolicy
+    from hopmill.net.active_policy import ActivePolicy
 
     host.active_policy = host.operator_actions.active_policy = ActivePolicy(host, document)
     host.events += host.active_policy.initial_events()
@@ -41,7 +41,7 @@
     """Joins the fleet; its files lie beside the journal."""
     if not host.config.members:
         return
-    from hopmill.net.peers import MemberTransport
+    from hopmill.net.member_transport import MemberTransport
 
     carried = host.handover.carried.get("fleet")
     sock = host.handover.socket_at(carried["socket"]) if carried else None
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -10,7 +10,7 @@
 
 from hopmill import interface
 from hopmill import logs
-from hopmill.net.state import JournaledMessage
+from hopmill.net.journal import JournaledMessage
 
 log = logs.part("messages")
 
--- a/hopmill/net/staff.py
+++ b/hopmill/net/operator_actions.py
@@ -8,11 +8,11 @@
 from hopmill import interface
 from hopmill import observe
 from hopmill.net.clients import ClientServer
-from hopmill.net.operator import Page, Routes
+from hopmill.net.operator_server import Page, Routes
 from hopmill.net.pool import MAX_ROWS, Pool
-from hopmill.net.roster import EndpointRegistry
-from hopmill.net.staff_fleet import fleet_routes
-from hopmill.net.state import Journal
+from hopmill.net.endpoint_registry import EndpointRegistry
+from hopmill.net.fleet_actions import fleet_routes
+from hopmill.net.journal import Journal
 from hopmill.policy.courier import Courier
 
 Answer = tuple[int, dict[str, Any]]
@@ -38,9 +38,9 @@
         """
         self.courier, self.journal, self.registry = courier, journal, registry
         self.pool, self.clients, self.clock, self.act, self.is_taking = pool, clients, clock, act, is_taking
-        self.metrics: Any = None  # hopmill/net/metrics.py, while the operator API is open
-        self.active_policy: Any = None  # hopmill/net/in_force.py, if the policy may differ from the file
-        self.member_transport: Any = None  # hopmill/net/peers.py, if the configuration names a fleet
+        self.metrics: Any = None  # net/metrics.py, while the operator API is open
+        self.active_policy: Any = None  # net/active_policy.py, if the policy may differ from the file
+        self.member_transport: Any = None  # net/member_transport.py, if the configuration names a fleet
 
     def routes(self) -> Routes:
         """All routes of the operator API."""
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/policy_actions.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from hopmill.fields import ConfigError
-from hopmill.net.operator import Handler, WithBody
+from hopmill.net.operator_server import Handler, WithBody
 
 Answer = tuple[int, dict[str, Any]]
 MAX_OUTCOMES = 64
@@ -78,7 +78,7 @@
         """Checks a proposal and begins its change."""
         if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
-        from hopmill import book as policy_history
+        from hopmill import policy_history
         from hopmill.overlay import read_patch
 
         try:
--- a/hopmill/trial/couriers.py
+++ b/hopmill/trial/couriers.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill.net.peers import ANCHOR, STATE
+from hopmill.net.member_transport import ANCHOR, STATE
 from hopmill.standin.courier import CourierProcess, free_port
 from hopmill.standin.server import HOST
 from hopmill.trial.relay import COURIER_HOST, Relay
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -45,9 +45,9 @@
     import json
 
     from hopmill.net.host import Host
-    from hopmill.net.in_force import ActivePolicy
+    from hopmill.net.active_policy import ActivePolicy
     from hopmill.net.intake import Intake
-    from hopmill.net.peers import elapsed_us
+    from hopmill.net.member_transport import elapsed_us
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     looked_at_us = [0]
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -16,7 +16,7 @@
 from hopmill.standin.discovery import Discovery
 from hopmill.standin.load import LoadGenerator
 from hopmill.standin.partner import Partner
-from hopmill.standin.scene import MESSAGE_CLASSES, Options, courier_toml, demo_partners
+from hopmill.standin.loopback_system import MESSAGE_CLASSES, Options, courier_toml, demo_partners
 from hopmill.trial import policy_rules, rules
 from hopmill.trial.couriers import LEASE, Courier, free_udp_ports, members_toml
 from hopmill.trial.faults import FaultInjector
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,7 +26,7 @@
 from hopmill.net import calls as c
 from hopmill.net.accept import Acceptor, listening_socket
 from hopmill.net.discovery import NoticeSender, DiscoveryWatch
-from hopmill.net.state import (
+from hopmill.net.journal import (
     JOURNAL_FILE,
     Journal,
     JournaledMessage,
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -19,10 +19,10 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from hopmill.bench.subject import MeasuredCourier
-from hopmill.bench.world import Endpoint, Environment
-from hopmill.cli import door, journal
+from hopmill.bench.environment import Endpoint, Environment
+from hopmill.cli import journal, operator_client
 from hopmill.cli import top as top_
-from hopmill.net import state
+from hopmill.net.journal import JOURNAL_FILE, Journal, JournaledMessage, encode_record
 from hopmill.net.metrics import MAX_LABEL_VALUES, OTHER, Metrics, LabelValues
 from hopmill.standin.ledger import Entry, Ledger
 
@@ -101,7 +101,7 @@
 
 
 async def ask(fleet, path):
-    return await asyncio.to_thread(door.call, f"{DOOR}:{fleet.door}", "GET", path)
+    return await asyncio.to_thread(operator_client.call, f"{DOOR}:{fleet.door}", "GET", path)
 
 
 async def scrape(fleet):
@@ -267,20 +267,20 @@
 
 
 def folder_with(tmp_path, *, cut=0, more=b""):
-    j = state.Journal(tmp_path, 10**6)
+    j = Journal(tmp_path, 10**6)
     for n in (1, 2):
-        j.record_message(state.JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 5, False, b"body"))
+        j.record_message(JournaledMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 5, False, b"body"))
     j.record_attempt([1], time.time())
     j.record_end(2, "deferred", 100)
     j.record_endpoint_excluded("a", True)
     j.close()
-    path = tmp_path / state.JOURNAL_FILE
+    path = tmp_path / JOURNAL_FILE
     data = path.read_bytes()
     path.write_bytes(data[: len(data) - cut] + more)
     return path
 
 
-WHOLE = state.encode_record(["known", 0, {}, {}])
+WHOLE = encode_record(["known", 0, {}, {}])
 
 
 @pytest.mark.parametrize(
@@ -292,7 +292,7 @@
         (0, WHOLE[:3], 0, 3),
         # above: a record is being written; below:
         (0, WHOLE[:-1] + b"\0" + WHOLE, 1, 2 * len(WHOLE)),  # damaged in the middle
-        (0, state.encode_record(["later", 1]), 1, 0),
+        (0, encode_record(["later", 1]), 1, 0),
     ],
 )  # of an unknown version
 def test_a_folder_is_shown_as_it_is(tmp_path, capsys, cut, more, status, tail):
@@ -303,7 +303,7 @@
     assert journal.show(tmp_path, True) == 0
     told = json.loads(capsys.readouterr().out)
     assert [m["state"] for m in told["messages"]] == ["open", "deferred"] and told["notices_owed"] == 1
-    assert path.read_bytes() == before and os.listdir(tmp_path) == [state.JOURNAL_FILE]
+    assert path.read_bytes() == before and os.listdir(tmp_path) == [JOURNAL_FILE]
 
 
 @courier
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,7 +23,7 @@
 from hopmill.lab.dialect import Dialect
 from hopmill.lab.rules import RuleBrokenError
 from hopmill.lab.scenario import Kind, ScenarioError, Trouble, load
-from hopmill.lab.world import Simulation
+from hopmill.lab.simulation import Simulation
 
 
 def small(name="calm", couriers=6, **changes):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from hopmill.fleet import document as doc
-from hopmill.explorer import known
-from hopmill.explorer import world as explore
+from hopmill.explorer import known_schedules
+from hopmill.explorer import simulation as explore
 from hopmill.fleet import wire
 from hopmill.fleet.document import RegisterDocument, Lease
-from hopmill.fleet.lease import LeaseHolder
+from hopmill.fleet.lease_holder import LeaseHolder
 from hopmill.explorer.mutants import PLANTED, planted
 from hopmill.fleet.node import Node, Stored, Write
 from hopmill.fleet.proposer import Outcome
@@ -485,13 +485,14 @@
 
 def test_every_planted_fault_has_its_schedule():
     assert {*FAILING_SEEDS, *KNOWN_SCHEDULES} == set(PLANTED) and set(KNOWN_SCHEDULES.values()) == set(
-        known.KNOWN_SCHEDULES
+        known_schedules.KNOWN_SCHEDULES
     )
 
 
 @pytest.mark.parametrize(("name", "schedule"), KNOWN_SCHEDULES.items())
 def test_each_known_schedule_needs_its_guard(name, schedule):
-    assert known.find_violation(schedule, planted(name)) and not known.find_violation(schedule)
+    assert known_schedules.find_violation(schedule, planted(name))
+    assert not known_schedules.find_violation(schedule)
 
 
 @pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import DOOR, Client, bounded, courier, until
 
-from hopmill.net.state import Journal
+from hopmill.net.journal import Journal
 
 CALL = b"%s %s HTTP/1.1\r\nHost: door\r\n%s\r\n"
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,7 +19,7 @@
 
 from hopmill.fleet.node import Stored
 from hopmill.fleet.voter import Memory
-from hopmill.net import peers
+from hopmill.net import member_transport
 from hopmill.standin.ledger import Entry, Ledger
 from hopmill.trial import rules, scenario
 from hopmill.trial.history import History
@@ -86,7 +86,7 @@
 def test_off_reads_none_of_it():
     code = (
         "import sys, hopmill.serve; "
-        "print([m for m in sys.modules if m.startswith(('hopmill.fleet.', 'hopmill.net.peers'))])"
+        "print([m for m in sys.modules if m.startswith(('hopmill.fleet.', 'hopmill.net.member_transport'))])"
     )
     said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout
     assert said.strip() == "['hopmill.fleet.settings']"
@@ -132,7 +132,7 @@
 
 
 def written(folder, *counts):
-    storage = peers.Storage(folder)
+    storage = member_transport.Storage(folder)
     storage.ensure_anchor(storage.load()[1])
     for count in counts:
         storage.write(stored(count))
@@ -146,7 +146,7 @@
     folder, other = tmp_path / "state", tmp_path / "other"
     folder.mkdir()
     written(folder, 1, 2, 3)
-    slots = bytearray((folder / peers.STATE).read_bytes())
+    slots = bytearray((folder / member_transport.STATE).read_bytes())
     if how == "copied back":
         shutil.copytree(folder, other)
         shutil.rmtree(folder)
@@ -160,13 +160,13 @@
         shutil.rmtree(folder)
         folder.mkdir()
     elif how in ("torn", "both torn"):
-        slots[peers.SLOT_BYTES + 12] ^= 1  # the third write's slot
+        slots[member_transport.SLOT_BYTES + 12] ^= 1  # the third write's slot
         slots[12] ^= how == "both torn"
-        (folder / peers.STATE).write_bytes(slots)
+        (folder / member_transport.STATE).write_bytes(slots)
     elif how == "anchor new":
-        (folder / peers.ANCHOR).unlink()
-        (folder / peers.ANCHOR).write_text("x")
-    got, same = peers.Storage(folder).load()
+        (folder / member_transport.ANCHOR).unlink()
+        (folder / member_transport.ANCHOR).write_text("x")
+    got, same = member_transport.Storage(folder).load()
     expected = {
         "left": (3, True),
         "torn": (2, True),
@@ -180,10 +180,10 @@
 @pytest.mark.parametrize("before", [1, 2, 3])
 def test_another_process_writes_later_than_all_before(tmp_path, before):
     written(tmp_path, *range(1, before + 1))
-    peers.Storage(tmp_path).write(
+    member_transport.Storage(tmp_path).write(
         stored(9)
     )  # as after an upgrade, which hands over the state and not the file
-    got, same = peers.Storage(tmp_path).load()
+    got, same = member_transport.Storage(tmp_path).load()
     assert (got.ceiling, same) == (9, True)
 
 
@@ -192,7 +192,7 @@
     sizes = [-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()]
     assert sum(sizes) <= 16_384
     with pytest.raises(OSError, match="exceeds its slot size"):
-        peers.Storage(tmp_path).write(b"x" * peers.SLOT_BYTES)
+        member_transport.Storage(tmp_path).write(b"x" * member_transport.SLOT_BYTES)
 
 
 @courier
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -20,15 +20,15 @@
 from test_peers import with_members
 from test_upgrade import healthy, hold_socket
 
-from hopmill import book as policy_history
+from hopmill import policy_history
 from hopmill import overlay
 from hopmill.explorer import policy as explore
-from hopmill.explorer import policy_known as known
+from hopmill.explorer import known_policy_schedules
 from hopmill.explorer.policy_mutants import PLANTED, planted
 from hopmill.fields import ConfigError
 from hopmill.fleet import document as doc
 from hopmill.fleet import policy as steps
-from hopmill.fleet import texts, watch, wire
+from hopmill.fleet import canary_watch, texts, wire
 from hopmill.fleet.actions import Send
 from hopmill.fleet.node import DeleteTexts, WriteText
 from hopmill.fleet.policy import BACK, STAGE, PolicyChange, EndedChange, CanaryGroup, Policy, CanaryStage
@@ -72,13 +72,14 @@
 
 def test_every_planted_fault_has_its_schedule():
     assert {*FAILING_SEEDS, *KNOWN_SCHEDULES} == set(PLANTED) and set(KNOWN_SCHEDULES.values()) == set(
-        known.KNOWN_SCHEDULES
+        known_policy_schedules.KNOWN_SCHEDULES
     )
 
 
 @pytest.mark.parametrize(("name", "schedule"), KNOWN_SCHEDULES.items())
 def test_each_known_schedule_needs_its_guard(name, schedule):
-    assert known.find_violation(schedule, planted(name)) and not known.find_violation(schedule)
+    assert known_policy_schedules.find_violation(schedule, planted(name))
+    assert not known_policy_schedules.find_violation(schedule)
 
 
 @pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
@@ -562,7 +563,7 @@
     ],
 )
 def test_a_canary_group_is_rolled_back_only_if_it_does_worse_beyond_chance(canary, rest, expected):
-    found = watch.regression(canary, rest, 60)
+    found = canary_watch.regression(canary, rest, 60)
     assert found.startswith(expected) and bool(found) is bool(expected)
 
 
@@ -573,7 +574,7 @@
         def pair():
             return tuple(totals(200, sum(rng.random() < 0.9 for _ in range(200))) for _ in range(2))
 
-        ended += any(watch.regression([pair()], [pair() for _ in range(4)], 5) for _ in range(5))
+        ended += any(canary_watch.regression([pair()], [pair() for _ in range(4)], 5) for _ in range(5))
     assert ended <= 3
 
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 from loopback import ROOT, Client, Discovery, Fleet, answer, bounded, courier
 
-from hopmill.net.state import RECORD_HEADER, Journal, JournaledMessage, encode_record
+from hopmill.net.journal import RECORD_HEADER, Journal, JournaledMessage, encode_record
 from hopmill.net.timescale import boot_id
 
 
@@ -221,7 +221,7 @@
 
 def another_boot(monkeypatch, name, wall):
     monkeypatch.setattr("hopmill.net.timescale.boot_id", lambda: name)
-    monkeypatch.setattr("hopmill.net.state.boot_id", lambda: name)
+    monkeypatch.setattr("hopmill.net.journal.boot_id", lambda: name)
     monkeypatch.setattr("hopmill.net.timescale.time.time", lambda: wall)
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -30,7 +30,7 @@
     SetZoneByHand,
     ZoneCarried,
 )
-from hopmill.net.state import Journal
+from hopmill.net.journal import Journal
 from hopmill.policy.courier import Courier
 from hopmill.policy.zones import Zones
 
