--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -59,8 +59,10 @@
 
 class OnlyTheNewVoters(Proposer):
     def is_accepted(self, attempt: BallotAttempt) -> bool:
-        assert attempt.next is not None
-        return 2 * len(attempt.accepted_by & set(attempt.next.voters)) > len(attempt.next.voters)
+        assert attempt.next_document is not None
+        return 2 * len(attempt.accepted_by & set(attempt.next_document.voters)) > len(
+            attempt.next_document.voters
+        )
 
 
 class ForgetsItsTicket(Proposer):
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -32,7 +32,8 @@
 MAX_GRANTS = 4000  # members with a grant
 MAX_NAMED_MEMBERS = 12  # pending members in one reply
 # Random delay before it reads the register to learn what is chosen, doubled a few times.
-READ_DELAY_US, MAX_READ_DOUBLINGS = (60_000, 300_000), 4
+MIN_READ_DELAY_US, MAX_READ_DELAY_US = 60_000, 300_000
+MAX_READ_DOUBLINGS = 4
 
 
 @dataclass
@@ -52,22 +53,22 @@
         self,
         me: str,
         register: Register,
-        length_us: int,
-        drift: float,
+        lease_us: int,
+        max_drift_share: float,
         continues_alone: bool,
-        names: Iterable[str],
+        member_names: Iterable[str],
     ) -> None:
-        """names: all members of the configuration, this one included."""
+        """member_names: all members of the configuration, this one included."""
         self.me, self.register, self.continues_alone = me, register, continues_alone
-        self.lease_end_wait_us = int(length_us * (1 + drift)) + 1
-        self.configured_members = frozenset(names)
+        self.lease_end_wait_us = int(lease_us * (1 + max_drift_share)) + 1
+        self.configured_members = frozenset(member_names)
         self.grants: dict[str, Grant] = {}
         self.stopped_epochs: dict[str, int] = {}  # by member: the epoch that it has stopped for
         self.heard_members: set[str] = set()  # since the wait for unknown grants began
         self.grants_complete_at = -1  # when all unknown grants have expired; -1: the wait has not begun
         self.voter_set_version = 0  # that `grants_complete_at` is for
         self.refusals: dict[str, str] = {}  # by change: a member and its reason to refuse
-        self.last_waited_for = ""  # the pending member found last
+        self.last_pending_member = ""  # the pending member found last
         self.drain_queries: dict[str, int] = {}  # by member: the epoch of its unanswered query
         self.next_read_at, self.read_count, self.read_proposal_id = 0, 0, ""
         self.accepted_cache: tuple[bytes, RegisterDocument] = b"", register.document  # (encoded, decoded)
@@ -197,10 +198,10 @@
 
         Called for each datagram of each member, so the member found last is checked first.
         """
-        if self.last_waited_for and self._pending_reason(self.last_waited_for, policy, now):
+        if self.last_pending_member and self._pending_reason(self.last_pending_member, policy, now):
             return True
-        self.last_waited_for = next((name for name, _ in self.pending_members(policy, now)), "")
-        return bool(self.last_waited_for)
+        self.last_pending_member = next((name for name, _ in self.pending_members(policy, now)), "")
+        return bool(self.last_pending_member)
 
     def _answer(self, sender: str, epoch: int, now: int, always: bool) -> None:
         policy = self.accepted_document().policy
@@ -297,7 +298,8 @@
         if now >= self.next_read_at:  # random: voters that read at once would preempt each other
             rng, self.read_count = self.register.proposer.rng, self.read_count + 1
             self.next_read_at = now + (
-                rng.randrange(*READ_DELAY_US) << min(self.read_count - 1, MAX_READ_DOUBLINGS)
+                rng.randrange(MIN_READ_DELAY_US, MAX_READ_DELAY_US)
+                << min(self.read_count - 1, MAX_READ_DOUBLINGS)
             )
         return min(self.next_read_at, self.next_wake_at(now))
 
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -19,9 +19,9 @@
 from hopmill.fleet.wire import Accept, Accepted, Ballot, BallotRejected, Prepare, Promise
 
 # Without answers of a majority the requests are sent again, after a multiple of the recent ballot time.
-RETRY_US, MAX_RETRY_US, RETRY_FACTOR = 100_000, 1_000_000, 3
+MIN_RETRY_US, MAX_RETRY_US, RETRY_FACTOR = 100_000, 1_000_000, 3
 # Random back-off of proposers that preempt each other: at most the maximum or a multiple of a ballot time.
-BACKOFF_US, MAX_BACKOFF_US, MAX_BACKOFF_FACTOR = 20_000, 1_000_000, 8
+MIN_BACKOFF_US, MAX_BACKOFF_US, MAX_BACKOFF_FACTOR = 20_000, 1_000_000, 8
 DURATION_WEIGHT = 0.2  # of the newest ballot in the mean ballot time
 MAX_SENDS_PER_BALLOT = 4  # then another ballot is started
 MAX_PENDING = 64  # changes in the queue
@@ -49,10 +49,10 @@
             or self.proposal_id not in self.document.recent_proposals
         ):
             return 0
-        after = (
+        later_count = (
             len(self.document.recent_proposals) - 1 - self.document.recent_proposals.index(self.proposal_id)
         )
-        return self.document.version - after
+        return self.document.version - later_count
 
 
 @dataclass
@@ -76,13 +76,13 @@
     promises: dict[str, Promise] = field(default_factory=dict)
     accepted_by: set[str] = field(default_factory=set)
     base: RegisterDocument | None = None  # the newest document among the promises
-    next: RegisterDocument | None = None  # the document to be accepted
-    payload: bytes = b""  # `next`, encoded
-    has_change: bool = False  # `next` contains the pending change
+    next_document: RegisterDocument | None = None  # the document to be accepted
+    payload: bytes = b""  # `next_document`, encoded
+    has_change: bool = False  # `next_document` contains the pending change
     refusal: str = ""  # why the change can't be made
-    sends: int = 0  # times that its current requests were sent
+    send_count: int = 0  # times that its current requests were sent
     began_at: int = 0  # us
-    joining_voters: set[str] = field(default_factory=set)  # whom the next document adds
+    next_voters: set[str] = field(default_factory=set)  # whom the next document adds
     generations: dict[str, int] = field(default_factory=dict)  # of the voters that promised
 
 
@@ -121,7 +121,7 @@
         """
         while self.pending and now >= self.pending[0].deadline:
             missing_voters = (
-                self.attempt.joining_voters.difference(self.attempt.promises) if self.attempt else ()
+                self.attempt.next_voters.difference(self.attempt.promises) if self.attempt else ()
             )
             why = (
                 f"no vote from {', '.join(sorted(missing_voters))}"
@@ -132,13 +132,13 @@
         if self.pending and now >= self.next_wake_at:
             self._send_requests(
                 now
-            ) if self.attempt and self.attempt.sends < MAX_SENDS_PER_BALLOT else self._start_ballot(now)
+            ) if self.attempt and self.attempt.send_count < MAX_SENDS_PER_BALLOT else self._start_ballot(now)
         return min(self.next_wake_at, self.pending[0].deadline) if self.pending else None
 
     # Ballots
 
     def _retry_us(self) -> int:
-        return int(min(MAX_RETRY_US, max(RETRY_US, RETRY_FACTOR * self.mean_ballot_us)))
+        return int(min(MAX_RETRY_US, max(MIN_RETRY_US, RETRY_FACTOR * self.mean_ballot_us)))
 
     def _start_ballot(self, now: int) -> None:
         self.round += 1
@@ -149,9 +149,9 @@
     def _send_requests(self, now: int) -> None:
         attempt = self.attempt
         assert attempt is not None
-        attempt.sends += 1
+        attempt.send_count += 1
         self.next_wake_at = now + self._retry_us()
-        if attempt.next is not None:
+        if attempt.next_document is not None:
             self._send_accepts(attempt)
             return
         for voter in sorted(self.expected_voters(attempt)):
@@ -161,7 +161,7 @@
     def expected_voters(self, attempt: BallotAttempt) -> set[str]:
         """Whom to ask: the known voters, those that answers have named, and those that are to join."""
         return self.known_document.all_voters.union(
-            attempt.joining_voters, *(self._document_of(p).all_voters for p in attempt.promises.values())
+            attempt.next_voters, *(self._document_of(p).all_voters for p in attempt.promises.values())
         )
 
     def _document_of(self, promise: Promise) -> RegisterDocument:
@@ -170,7 +170,7 @@
     def on_promise(self, sender: str, promise: Promise, now: int) -> None:
         """Count a promise; with a majority of them, choose the document to be accepted."""
         attempt = self.attempt
-        if attempt is None or promise.ballot != attempt.ballot or attempt.next is not None:
+        if attempt is None or promise.ballot != attempt.ballot or attempt.next_document is not None:
             return
         asked = self.expected_voters(attempt)
         attempt.promises[sender] = promise
@@ -178,7 +178,7 @@
         attempt.base = self.newest_document(attempt)
         if attempt.base.has_majority(attempt.promises) and self.known_document.has_majority(attempt.promises):
             self._choose_value(attempt, newest.accepted, now)
-        if attempt is self.attempt and attempt.next is None:
+        if attempt is self.attempt and attempt.next_document is None:
             self.outbox += [
                 Send(v, Prepare(attempt.ballot)) for v in sorted(self.expected_voters(attempt) - asked)
             ]
@@ -191,7 +191,7 @@
         change_in_progress, base = self.pending[0], attempt.base
         assert base is not None
         if self.is_already_done(change_in_progress.proposal_id, base):
-            attempt.next = base  # from an attempt whose answers were lost: accept it again
+            attempt.next_document = base  # from an attempt whose answers were lost: accept it again
             attempt.has_change = True
         else:
             if (
@@ -200,65 +200,65 @@
             ):
                 self._end("unknown", now, why="too many later changes to tell whether it was made")
                 return
-            after = None
+            next_document = None
             try:
-                after = change_in_progress.change(base)
-                attempt.payload = doc.encode(after or base)
+                next_document = change_in_progress.change(base)
+                attempt.payload = doc.encode(next_document or base)
             except ValueError as error:
-                attempt.refusal, after = str(error), None
+                attempt.refusal, next_document = str(error), None
             if attempt.refusal and not change_in_progress.may_have_happened:
                 self._end("refused", now, why=attempt.refusal)
                 return
-            if after is not None and not self.can_switch_voters(after, attempt):
-                attempt.joining_voters = after.all_voters
+            if next_document is not None and not self.can_switch_voters(next_document, attempt):
+                attempt.next_voters = next_document.all_voters
                 return
-            attempt.next, attempt.has_change = after or base, after is not None
+            attempt.next_document, attempt.has_change = next_document or base, next_document is not None
             # If another proposer may still complete an earlier attempt, the same document is accepted once
             # more under this ballot: no majority can then choose the earlier attempt.
             if (
-                after is None
+                next_document is None
                 and not change_in_progress.may_have_happened
                 and all(p.accepted == accepted for p in attempt.promises.values())
             ):
                 self._done(now)  # a majority has accepted it: it is chosen already
                 return
-        attempt.payload = doc.encode(attempt.next)
+        attempt.payload = doc.encode(attempt.next_document)
         attempt.generations = {v: p.generation for v, p in attempt.promises.items()}
-        attempt.sends = 1
+        attempt.send_count = 1
         self.next_wake_at = now + self._retry_us()
         self._send_accepts(attempt)
 
-    def can_switch_voters(self, after: RegisterDocument, attempt: BallotAttempt) -> bool:
+    def can_switch_voters(self, next_document: RegisterDocument, attempt: BallotAttempt) -> bool:
         """Whether all new voters vote already, and a majority with them.
 
         A document accepted anywhere before that would name voters without whom neither they nor a voter that
         lost its folder could be readmitted.
         """
         assert attempt.base is not None
-        return after.all_voters - attempt.base.all_voters <= set(attempt.promises) and after.has_majority(
+        return next_document.all_voters - attempt.base.all_voters <= set(
             attempt.promises
-        )
+        ) and next_document.has_majority(attempt.promises)
 
     def is_already_done(self, proposal_id: str, base: RegisterDocument) -> bool:
         """Whether the document contains the change already."""
         return proposal_id in base.recent_proposals
 
     def _send_accepts(self, attempt: BallotAttempt) -> None:
-        assert attempt.next is not None and attempt.base is not None
+        assert attempt.next_document is not None and attempt.base is not None
         change_in_progress = self.pending[0]
         if attempt.has_change and not change_in_progress.may_have_happened:
             change_in_progress.may_have_happened, change_in_progress.first_version = (
                 True,
-                attempt.next.version,
+                attempt.next_document.version,
             )
         body = Accept(attempt.ballot, attempt.payload, tuple(sorted(attempt.generations.items())))
-        voters = attempt.next.all_voters | attempt.base.all_voters
+        voters = attempt.next_document.all_voters | attempt.base.all_voters
         self.outbox += [Send(v, body) for v in sorted(voters - attempt.accepted_by)]
 
     def on_accepted(self, sender: str, accepted: Accepted, now: int) -> None:
         """Count an acceptance; with a majority of them, the change is done."""
         attempt = self.attempt
-        if attempt is None or attempt.next is None or accepted.ballot != attempt.ballot:
+        if attempt is None or attempt.next_document is None or accepted.ballot != attempt.ballot:
             return
         attempt.accepted_by.add(sender)
         if self.is_accepted(attempt):
@@ -266,8 +266,8 @@
 
     def is_accepted(self, attempt: BallotAttempt) -> bool:
         """Whether a majority of the voters has accepted, by the document before and after the change."""
-        assert attempt.next is not None and attempt.base is not None
-        return attempt.next.has_majority(attempt.accepted_by) and attempt.base.has_majority(
+        assert attempt.next_document is not None and attempt.base is not None
+        return attempt.next_document.has_majority(attempt.accepted_by) and attempt.base.has_majority(
             attempt.accepted_by
         )
 
@@ -278,7 +278,7 @@
         if attempt is None or rejected.ballot != attempt.ballot:
             return
         self.attempt = None  # a later tick starts another ballot, after a random delay
-        min_backoff_us = max(BACKOFF_US, self.mean_ballot_us)
+        min_backoff_us = max(MIN_BACKOFF_US, self.mean_ballot_us)
         max_backoff_us = max(MAX_BACKOFF_US, int(MAX_BACKOFF_FACTOR * self.mean_ballot_us))
         limit_us = min(max_backoff_us, int(min_backoff_us) << min(self.pending[0].ballots, 10))
         self.next_wake_at = now + self.backoff_us(limit_us) // (4 if self.pending[0].is_urgent else 1)
@@ -291,13 +291,13 @@
 
     def _done(self, now: int) -> None:
         attempt = self.attempt
-        assert attempt is not None and attempt.next is not None
-        self.learn(attempt.next)
+        assert attempt is not None and attempt.next_document is not None
+        self.learn(attempt.next_document)
         self.mean_ballot_us += DURATION_WEIGHT * (now - attempt.began_at - self.mean_ballot_us)
         self._end(
             "done" if attempt.has_change else "refused" if attempt.refusal else "left",
             now,
-            attempt.next,
+            attempt.next_document,
             attempt.refusal,
         )
 
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -30,6 +30,8 @@
 MAX_HEALTH_SCORE = 8
 GOSSIP_FACTOR = 3  # an update is sent so many times the logarithm of the fleet's size
 RANDOM_UPDATES = 2  # random members added to a datagram with room, so that a partition heals
+MAX_QUEUED_UPDATES = 12  # recent updates in a datagram
+FEW_UPDATES = 8  # a datagram with fewer also gets random members and the sender
 DEAD_PROBE_EVERY = 8  # one probe in so many goes to a dead member
 FORGET_DEAD_US = 60_000_000  # then a dead member is forgotten, unless it is configured
 MAX_RELAYS = 256  # open pings for other members
@@ -70,7 +72,7 @@
     target: str
     sent_at: int  # us
     is_indirect: bool = False  # helpers were asked
-    failed_helpers: int = 0  # that got no answer either
+    nack_count: int = 0  # that got no answer either
     helper_count: int = 0
 
 
@@ -260,13 +262,13 @@
             ]
         )
 
-    def on_stall(self, late_us: int) -> None:
+    def on_stall(self, stall_us: int) -> None:
         """Handle that this process did not run for so long: drop open probes and extend suspicions."""
         self.probes.clear()
         self.relays.clear()
         for name in self.suspects:
-            self.peers[name].state_since += late_us
-        self.next_probe_at += late_us
+            self.peers[name].state_since += stall_us
+        self.next_probe_at += stall_us
 
     def _ack_timeout_us(self) -> int:
         return self.period_us * (1 + self.health_score)
@@ -327,7 +329,7 @@
             self.outbox.append(Send(helper, IndirectPing(seq, probe.target)))
 
     def _on_probe_failed(self, probe: Probe, now: int) -> None:
-        if probe.failed_helpers < probe.helper_count or not probe.helper_count:
+        if probe.nack_count < probe.helper_count or not probe.helper_count:
             # Helpers that do not answer either suggest that this member is at fault.
             self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         peer = self.peers.get(probe.target)
@@ -353,7 +355,7 @@
             elif self.probes.pop(body.seq, None):
                 self.health_score = max(0, self.health_score - 1)
         elif body.seq in self.probes:
-            self.probes[body.seq].failed_helpers += 1
+            self.probes[body.seq].nack_count += 1
 
     def live_members(self) -> list[str]:
         """All others that are alive or suspected."""
@@ -380,19 +382,21 @@
             update = msgspec.structs.replace(update, suspected_by=by)
         self.gossip_counts[peer.id], self.encoded_updates[peer.id] = 0, encode(update)
 
-    def updates_for(self, to: str) -> list[bytes]:
+    def updates_for(self, receiver: str) -> list[bytes]:
         """Gossip for a datagram: first the state of its receiver, unless that is known to be alive."""
         rows = []
-        peer = self.peers.get(to)
-        if peer and (peer.state in (SUSPECT, DEAD) or to in self.outdated_senders) and peer.incarnation:
+        peer = self.peers.get(receiver)
+        if peer and (peer.state in (SUSPECT, DEAD) or receiver in self.outdated_senders) and peer.incarnation:
             rows.append(encode(peer.to_update()))
         limit = GOSSIP_FACTOR * math.ceil(math.log2(self.live_count + 2))
-        for name in heapq.nsmallest(12, self.gossip_counts, key=self.gossip_counts.__getitem__):
+        for name in heapq.nsmallest(
+            MAX_QUEUED_UPDATES, self.gossip_counts, key=self.gossip_counts.__getitem__
+        ):
             rows.append(self.encoded_updates[name])
             self.gossip_counts[name] += 1
             if self.gossip_counts[name] >= limit:
                 del self.gossip_counts[name]
-        if len(rows) < 8 and self.peers:
+        if len(rows) < FEW_UPDATES and self.peers:
             names = self._sample(list(self.peers), RANDOM_UPDATES)
             rows += [encode(p.to_update()) for p in map(self.peers.__getitem__, names) if p.incarnation > 0]
             rows.append(encode(self.me.to_update()))
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -21,7 +21,7 @@
 CONSTANT_ALIASES = {
     "policy.links.HALF": "policy.links.FULL_TABLE_FACTOR",
     "policy.pacing.BASE_US": "policy.pacing.FIRST_BACKOFF_US",
-    "policy.pacing.BURST_PRICED_S": "policy.pacing.PRICED_BURST_S",
+    "policy.pacing.BURST_PRICED_S": "policy.pacing.BURST_WITH_REFUSAL_COST_S",
     "policy.pacing.FLOOR": "policy.pacing.MIN_LIMIT_SHARE",
     "policy.pacing.GROW": "policy.pacing.GROWTH_SHARE",
     "policy.turn.TICKS": "policy.turn.DEADLINE_MARGIN_TICKS",
--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -23,7 +23,7 @@
         self.pacing = pacing
         self.max_attempts = max_attempts
         self.is_full = False
-        self.unreturned_refusals = 0  # since the last resubmission
+        self.refusals_without_resubmission = 0  # since the last resubmission
 
     def is_spent(self, message: Message) -> bool:
         """Whether no attempt is left: the final answer is due at once."""
@@ -79,6 +79,6 @@
         """
         return (
             self.settings.clients_mark_retries
-            and self.unreturned_refusals >= UNRETURNED_LIMIT
+            and self.refusals_without_resubmission >= UNRETURNED_LIMIT
             and message.attempts < self.max_attempts
         )
--- a/hopmill/policy/carried.py
+++ b/hopmill/policy/carried.py
@@ -57,7 +57,7 @@
         "new_lost": "new_loss_share",
         "keep": "max_idle_us",
         "reaped": "idle_losses",
-        "unreturned": "unreturned_refusals",
+        "unreturned": "refusals_without_resubmission",
     },
 }
 
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hopmill.interface import EndpointState, Result
-from hopmill.policy.pacing import SPARE_FACTOR
+from hopmill.policy.pacing import ASSUMED_CAPACITY_FACTOR
 from hopmill.policy.state import CircuitBreaker, Endpoint
 from hopmill.policy.turn import Turn
 
@@ -12,7 +12,7 @@
 TWO_FAILURES_SHARE = 0.4  # failure share after two failures in a row
 FIRST_TRIAL_GAP_US = 400_000  # upper bound of the jittered gap before the first half-open trial call
 MAX_TRIAL_GAP_US = 2_500_000
-AMBIGUOUS_FADE_FACTOR = 0.6  # the ambiguous share fades to 0 within this multiple of Settings.cold_us
+AMBIGUOUS_DECAY_FACTOR = 0.6  # the ambiguous share fades to 0 within this multiple of Settings.cold_us
 MIN_WARM_RATE_PER_S = 0.5
 MIN_SLOW_START_RATE_PER_S = 0.05
 MIN_FLEET_SLOW_START_RATE_PER_S = 0.001  # of one courier in a large fleet, since the rates of all add up
@@ -57,14 +57,14 @@
         )
         best_rate_per_s = max(
             endpoint.breaker.warm_rate_per_s,
-            endpoint.lane.limit_share_per_s or endpoint.lane.success_rate_per_s * SPARE_FACTOR,
+            endpoint.lane.limit_share_per_s or endpoint.lane.success_rate_per_s * ASSUMED_CAPACITY_FACTOR,
             MIN_WARM_RATE_PER_S,
         )
         endpoint.breaker.warm_rate_per_s = (
             (endpoint.lane.limit_share_per_s or own_rate_per_s) if turn.is_large_fleet else best_rate_per_s
         )
 
-    def start_cold(self, endpoint: Endpoint) -> None:
+    def begin_slow_start(self, endpoint: Endpoint) -> None:
         """Begin a slow start: an operator had excluded the endpoint, and it may have been restarted."""
         self.set_warm_rate(endpoint)
         endpoint.failure_share = endpoint.ambiguous_share = endpoint.breaker.failure_share = 0.0
@@ -77,7 +77,7 @@
         endpoint.breaker.slow_start_began_us = endpoint.breaker.refilled_us = self.turn.now_us
         self.turn.log(f"endpoint {endpoint.id} may serve again: slow start")
 
-    def trip(self, endpoint: Endpoint, reason: str) -> None:
+    def open_breaker(self, endpoint: Endpoint, reason: str) -> None:
         """Open the breaker: half-open trial calls only, with growing jittered gaps."""
         turn = self.turn
         if not endpoint.breaker.is_open:
@@ -93,26 +93,27 @@
             turn.rng.uniform(0.5, 1) * endpoint.breaker.trial_gap_us
         )
 
-    def ambiguous_share(self, endpoint: Endpoint) -> float:
+    def current_ambiguous_share(self, endpoint: Endpoint) -> float:
         """Moving share of calls that failed but may have run, faded by the time since."""
         return endpoint.ambiguous_share * max(
             0.0,
             1
             - (self.turn.now_us - endpoint.ambiguous_updated_us)
-            / max(1.0, AMBIGUOUS_FADE_FACTOR * self.settings.cold_us),
+            / max(1.0, AMBIGUOUS_DECAY_FACTOR * self.settings.cold_us),
         )
 
     def record_ambiguous_failure(self, endpoint: Endpoint) -> None:
         """A call failed after which the message may have been processed all the same."""
         endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
-            self.ambiguous_share(endpoint) + OUTCOME_WEIGHT * (1 - self.ambiguous_share(endpoint)),
+            self.current_ambiguous_share(endpoint)
+            + OUTCOME_WEIGHT * (1 - self.current_ambiguous_share(endpoint)),
             self.turn.now_us,
         )
 
     def record_outage_wait(self, endpoint: Endpoint) -> None:
         """A refusal came with a retry-after too long for the end of a rate-limit window: an outage."""
         endpoint.failure_share = endpoint.breaker.failure_share = 1.0
-        self.trip(endpoint, "long retry-after")
+        self.open_breaker(endpoint, "long retry-after")
 
     def record_failure(self, endpoint: Endpoint, result: Result, is_trial: bool, weight: float) -> None:
         """A call failed. `weight`, from 0 to 1, says how much the failure counts as evidence."""
@@ -135,7 +136,7 @@
             or opens_at_once
         ):
             if result is not Result.ERROR or is_large_fleet:
-                self.trip(endpoint, result.value)
+                self.open_breaker(endpoint, result.value)
                 return
             # The endpoint answers, but with errors. Trial calls alone would lose what an endpoint that fails
             # half its calls still delivers, so it continues at the pace of a slow start, which it can take
@@ -149,18 +150,18 @@
                 self.turn.now_us,
             )
 
-    def record_answer(self, endpoint: Endpoint) -> None:
+    def lower_failure_shares(self, endpoint: Endpoint) -> None:
         """A call succeeded: lower the failure shares."""
         endpoint.failure_share, endpoint.breaker.failure_share = (
             endpoint.failure_share * (1 - OUTCOME_WEIGHT),
             endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT),
         )
         endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
-            self.ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT),
+            self.current_ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT),
             self.turn.now_us,
         )
 
-    def record_delivery(self, endpoint: Endpoint) -> None:
+    def close_after_success(self, endpoint: Endpoint) -> None:
         """After a delivery: an open breaker closes, and a slow start ends if its time is over."""
         now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
         if endpoint.breaker.is_open:
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -51,7 +51,7 @@
 from hopmill.policy.zones import Zones
 
 DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; the retry note's default
-RESERVED_MESSAGES = 2  # places kept free for new messages
+RESERVED_FOR_NEW_MESSAGES = 2  # places kept free for new messages
 QUICK_FAILURE_US = 200_000  # after a faster failure a message may be repeated even during an outage
 
 
@@ -151,7 +151,7 @@
         elif event.endpoint in excluded:
             excluded.remove(event.endpoint)
             if endpoint := self.state.endpoints.get(event.endpoint):
-                self.breakers.start_cold(endpoint)
+                self.breakers.begin_slow_start(endpoint)
 
     def _on_set_zone_by_hand(self, event: SetZoneByHand) -> None:
         in_zone = [endpoint for endpoint in self.state.endpoints.values() if endpoint.zone == event.zone]
@@ -170,7 +170,7 @@
                 if endpoint.id not in self.state.excluded_endpoints and not any(
                     self.gate.is_serving(other) for other in others
                 ):
-                    self.breakers.start_cold(endpoint)
+                    self.breakers.begin_slow_start(endpoint)
         state, share, reason = self.zones.state(event.zone, self.turn.now_us)
         self.turn.log(f"zone {event.zone}: {state}, share {share:.2f}, {reason}, {len(in_zone)} endpoints")
 
@@ -234,7 +234,7 @@
             return
         self.sequence += 1
         if event.resubmitted:
-            self.admission.unreturned_refusals = 0
+            self.admission.refusals_without_resubmission = 0
         destination = state.destinations.setdefault(event.destination, Destination(event.destination))
         message = Message(
             event.message,
@@ -275,12 +275,12 @@
         message.attempts_in_flight -= 1
         if event.idle_us is not None:
             call.connection_idle_us = event.idle_us
-        if event.report and not call.is_judged:
+        if event.report and not call.is_outcome_recorded:
             self.pacing.record_report(endpoint.lane, event.report)
         if event.retry_after_us:
             self.pacing.record_retry_after(endpoint.lane, event.retry_after_us)
-        if not call.is_judged:
-            call.is_judged = True
+        if not call.is_outcome_recorded:
+            call.is_outcome_recorded = True
             if event.result not in (Result.FULL, Result.MOOT):
                 self.timeouts.record_slot_time(endpoint.lane, event.latency_us)
             self.evidence.record_outcome(endpoint, event.result, call, event.latency_us, event.retry_after_us)
@@ -334,7 +334,7 @@
             if message.valid_until_us - now_us > max(
                 self.settings.max_retry_after_us, message.message_class.aim_us
             ):
-                self.admission.unreturned_refusals += 1
+                self.admission.refusals_without_resubmission += 1
             # Without an announced wait: half the longest one that clients respect, if the message has that
             # time.
             if not wait_us and message.valid_until_us - now_us > self.settings.max_retry_after_us:
@@ -370,7 +370,7 @@
 
     def _make_room(self) -> None:
         """Hand back messages of the longest queue before they keep out others that could be sent at once."""
-        while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_MESSAGES):
+        while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_FOR_NEW_MESSAGES):
             destination = max(self.state.destinations.values(), key=lambda d: len(d.queue))
             if len(destination.queue) < 2:
                 return
@@ -398,7 +398,7 @@
             if destination.queue and not self.is_holding and (picked := pick(destination))
         }
         while picks and self.state.calls_in_flight < self.settings.slots:
-            number = min(picks, key=lambda n: picks[n][:2])
+            number = min(picks, key=lambda candidate: picks[candidate][:2])
             _, _, message, endpoint = picks.pop(number)
             self._send(message, endpoint)
             destination = destinations[number]
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -78,8 +78,8 @@
     def record_success(self, endpoint: Endpoint, latency_us: int) -> None:
         """Record a delivery. latency_us: 0 if it is not known."""
         endpoint.last_success_us = self.turn.now_us
-        self.breakers.record_answer(endpoint)
+        self.breakers.lower_failure_shares(endpoint)
         if latency_us:
             self.timeouts.record_latency(endpoint.lane, latency_us)
         self.pacing.record_success(endpoint.lane)
-        self.breakers.record_delivery(endpoint)
+        self.breakers.close_after_success(endpoint)
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -104,7 +104,7 @@
         # An unsafe message that may have run cannot be repeated: it waits while calls there fail that way.
         if (
             message.message_class.effect is Effect.UNSAFE
-            and self.breakers.ambiguous_share(endpoint) > MAX_AMBIGUOUS_SHARE
+            and self.breakers.current_ambiguous_share(endpoint) > MAX_AMBIGUOUS_SHARE
             and left_us > 4 * endpoint.lane.mean_latency_us
         ):
             turn.wake_at(now_us + AMBIGUOUS_WAIT_US)
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -13,7 +13,7 @@
 LANE_REFUSAL_WEIGHT = 0.5  # of the newest call in a lane's moving share of refused calls
 KIND_REFUSAL_WEIGHT = 1 / 16  # the same, over all calls to a kind of destination
 BURST_S = 0.8  # a token bucket holds the tokens of this time at the lane's pace
-PRICED_BURST_S = 0.4  # the same where refused calls cost something
+BURST_WITH_REFUSAL_COST_S = 0.4  # the same where refused calls cost something
 CUT_FACTOR = 0.75  # of the pace that is left after an overload, once per round trip
 GROWTH_SHARE = 0.1  # of the limit share (of the pace, if none is known) that a success adds to the pace
 NEAR_REFUSAL_SHARE = 0.9  # of the last refused rate: above it the pace grows slowly
@@ -27,7 +27,7 @@
 SUCCESS_WINDOW_US = 4e6  # of the moving rate of successes
 SUCCESS_STEP_PER_S = 0.25  # that one success adds to it
 ROUNDING_MARGIN_US = 1_000  # announced waits are cut to whole milliseconds
-SPARE_FACTOR = 2.0  # assumed capacity of an unlisted lane, as a multiple of its rate of successes
+ASSUMED_CAPACITY_FACTOR = 2.0  # assumed capacity of an unlisted lane, as a multiple of its rate of successes
 
 
 class Pacing:
@@ -67,9 +67,9 @@
                 rate_per_s / self.settings.couriers
             )
 
-    def backoff_us(self, retry: int) -> int:
+    def backoff_us(self, failures: int) -> int:
         """Full-jitter exponential backoff before a retry, numbered from 0."""
-        return int(self.turn.rng.uniform(0, min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(retry, 30))))
+        return int(self.turn.rng.uniform(0, min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(failures, 30))))
 
     # Token bucket
 
@@ -98,7 +98,7 @@
         if self.turn.now_us > lane.refilled_us:
             pace_per_s, burst_s = (
                 self.current_pace_per_s(lane),
-                PRICED_BURST_S if self.settings.refused_price else BURST_S,
+                BURST_WITH_REFUSAL_COST_S if self.settings.refused_price else BURST_S,
             )
             tokens = lane.tokens + pace_per_s * (self.turn.now_us - lane.refilled_us) / 1e6
             lane.tokens, lane.refilled_us = min(tokens, max(1.0, pace_per_s * burst_s)), self.turn.now_us
@@ -206,7 +206,9 @@
         if now_us >= lane.next_cut_us:
             lane.next_cut_us = now_us + max(int(lane.mean_latency_us), 2 * self.settings.tick_us)
             lane.window = max(1.0, lane.window / 2)
-            lane.last_refused_rate_per_s = lane.pace_per_s or lane.success_rate_per_s * SPARE_FACTOR
+            lane.last_refused_rate_per_s = (
+                lane.pace_per_s or lane.success_rate_per_s * ASSUMED_CAPACITY_FACTOR
+            )
             if lane.pace_per_s:
                 # At most the equal share: the equal shares of all couriers sum to the limit.
                 cut_pace_per_s = min(lane.pace_per_s * CUT_FACTOR, lane.limit_share_per_s or math.inf)
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -143,7 +143,7 @@
         self.endpoint = endpoint
         self.sent_us = now_us
         self.open_attempts = 0  # of its messages, not ended yet
-        self.is_judged = False  # its outcome has been recorded
+        self.is_outcome_recorded = False  # its outcome has been recorded
         self.connection_idle_us = -1  # how long its connection had been idle; -1: a new connection
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -286,7 +286,7 @@
 
 def test_a_message_refused_as_full_waits_where_clients_do_not_resubmit():
     host = Host(clients_mark_retries=True, classes=CLASSES)
-    host.courier.admission.unreturned_refusals = 20
+    host.courier.admission.refusals_without_resubmission = 20
     host.arrive()
     actions = host.end(1, Result.FULL, retry_after_us=S)
     assert (
@@ -413,7 +413,7 @@
         "all.new_lost": courier.connections.new_loss_share,
         "all.keep": courier.connections.max_idle_us,
         "all.reaped": courier.connections.idle_losses,
-        "all.unreturned": courier.admission.unreturned_refusals,
+        "all.unreturned": courier.admission.refusals_without_resubmission,
     }
 
 
