--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -398,16 +398,16 @@
             if destination.queue and not self.is_holding and (picked := pick(destination))
         }
         while picks and self.state.calls_in_flight < self.settings.slots:
-            number = min(picks, key=lambda candidate: picks[candidate][:2])
-            _, _, message, endpoint = picks.pop(number)
-            self._send(message, endpoint)
+            number = min(picks, key=lambda candidate: picks[candidate].urgency)
+            picked = picks.pop(number)
+            self._send(picked.message, picked.endpoint)
             destination = destinations[number]
             if (
                 destination.queue
                 and self.settings.kinds[destination.kind].batch == 1
-                and (picked := pick(destination))
+                and (next_pick := pick(destination))
             ):
-                picks[number] = picked
+                picks[number] = next_pick
 
     def _send(self, message: Message, endpoint: Endpoint) -> None:
         call = self._begin_call(endpoint, self.turn.now_us)
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from hopmill.policy.connections import Connections
 from hopmill.policy.gate import Gate
 from hopmill.policy.state import CourierState, Destination, Endpoint, Message
@@ -13,7 +15,19 @@
 SLOW_ROUTE_FACTOR = 3.0  # a route with this many times the latency of the fastest one ranks behind it
 SHORTAGE_WAIT_FACTOR = 2.0  # of the expected wait for a slot, since newer messages may be sent first
 
-Pick = tuple[float, int, Message, Endpoint]  # change of worth per slot time by waiting, sequence number
+
+class Pick(NamedTuple):
+    """A message that can be sent now, and the endpoint for it. Picks with a smaller `urgency` go first."""
+
+    priority: float  # change of worth by waiting, per slot time: negative, so the greatest loss is smallest
+    sequence: int  # order of arrival
+    message: Message
+    endpoint: Endpoint
+
+    @property
+    def urgency(self) -> tuple[float, int]:
+        """Sort key; no two picks have the same one."""
+        return self.priority, self.sequence
 
 
 class Ranking:
@@ -73,10 +87,10 @@
                 (self.worth.at(message, late_us) - self.worth.at(message, soon_us)) / slot_time_us,
                 message.sequence,
             )
-            if (best is None or key < best[:2]) and (
+            if (best is None or key < best.urgency) and (
                 usable := [endpoint for endpoint in free if self.gate.may_send(message, endpoint)]
             ):
-                best = (
+                best = Pick(
                     *key,
                     message,
                     min(usable, key=lambda endpoint, message=message: self.rank(endpoint, message)),
