--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -100,10 +100,8 @@
         """Whether grants of an earlier start or set of voters have expired."""
         known = self.register.document
         if self.grants_complete_at < 0 or self.voter_set_version != known.voter_set_version:
-            self.voter_set_version, self.grants_complete_at = (
-                known.voter_set_version,
-                now + self.lease_end_wait_us,
-            )
+            self.voter_set_version = known.voter_set_version
+            self.grants_complete_at = now + self.lease_end_wait_us
             self.heard_members.clear()
         return now >= self.grants_complete_at
 
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -247,10 +247,8 @@
         assert attempt.next_document is not None and attempt.base is not None
         change_in_progress = self.pending[0]
         if attempt.has_change and not change_in_progress.may_have_happened:
-            change_in_progress.may_have_happened, change_in_progress.first_version = (
-                True,
-                attempt.next_document.version,
-            )
+            change_in_progress.may_have_happened = True
+            change_in_progress.first_version = attempt.next_document.version
         body = Accept(attempt.ballot, attempt.payload, tuple(sorted(attempt.generations.items())))
         voters = attempt.next_document.all_voters | attempt.base.all_voters
         self.outbox += [Send(v, body) for v in sorted(voters - attempt.accepted_by)]
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -68,12 +68,10 @@
         """Begin a slow start: an operator had excluded the endpoint, and it may have been restarted."""
         self.set_warm_rate(endpoint)
         endpoint.failure_share = endpoint.ambiguous_share = endpoint.breaker.failure_share = 0.0
-        (
-            endpoint.breaker.is_open,
-            endpoint.breaker.trial_call,
-            endpoint.breaker.trial_gap_us,
-            endpoint.breaker.tokens,
-        ) = False, None, 0, 1.0
+        endpoint.breaker.is_open = False
+        endpoint.breaker.trial_call = None
+        endpoint.breaker.trial_gap_us = 0
+        endpoint.breaker.tokens = 1.0
         endpoint.breaker.slow_start_began_us = endpoint.breaker.refilled_us = self.turn.now_us
         self.turn.log(f"endpoint {endpoint.id} may serve again: slow start")
 
@@ -104,11 +102,9 @@
 
     def record_ambiguous_failure(self, endpoint: Endpoint) -> None:
         """A call failed after which the message may have been processed all the same."""
-        endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
-            self.current_ambiguous_share(endpoint)
-            + OUTCOME_WEIGHT * (1 - self.current_ambiguous_share(endpoint)),
-            self.turn.now_us,
-        )
+        share = self.current_ambiguous_share(endpoint)
+        endpoint.ambiguous_share = share + OUTCOME_WEIGHT * (1 - share)
+        endpoint.ambiguous_updated_us = self.turn.now_us
 
     def record_outage_wait(self, endpoint: Endpoint) -> None:
         """A refusal came with a retry-after too long for the end of a rate-limit window: an outage."""
@@ -144,22 +140,16 @@
             if endpoint.breaker.slow_start_began_us < 0:
                 self.turn.log(f"endpoint {endpoint.id} answers with errors: slow start")
             self.set_warm_rate(endpoint)
-            endpoint.breaker.is_open, endpoint.breaker.trial_gap_us, endpoint.breaker.slow_start_began_us = (
-                False,
-                0,
-                self.turn.now_us,
-            )
+            endpoint.breaker.is_open = False
+            endpoint.breaker.trial_gap_us = 0
+            endpoint.breaker.slow_start_began_us = self.turn.now_us
 
     def lower_failure_shares(self, endpoint: Endpoint) -> None:
         """A call succeeded: lower the failure shares."""
-        endpoint.failure_share, endpoint.breaker.failure_share = (
-            endpoint.failure_share * (1 - OUTCOME_WEIGHT),
-            endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT),
-        )
-        endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
-            self.current_ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT),
-            self.turn.now_us,
-        )
+        endpoint.failure_share = endpoint.failure_share * (1 - OUTCOME_WEIGHT)
+        endpoint.breaker.failure_share = endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT)
+        endpoint.ambiguous_share = self.current_ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT)
+        endpoint.ambiguous_updated_us = self.turn.now_us
 
     def close_after_success(self, endpoint: Endpoint) -> None:
         """After a delivery: an open breaker closes, and a slow start ends if its time is over."""
@@ -174,9 +164,9 @@
                 if not is_large_fleet:
                     endpoint.breaker.tokens = 1.0
                 self.turn.log(f"endpoint {endpoint.id} answers again: circuit closed, slow start")
-            endpoint.breaker.trial_gap_us, endpoint.breaker.failure_share = (
-                0,
-                min(endpoint.breaker.failure_share, OPENING_SHARE * CLOSING_SHARE_FACTOR),
+            endpoint.breaker.trial_gap_us = 0
+            endpoint.breaker.failure_share = min(
+                endpoint.breaker.failure_share, OPENING_SHARE * CLOSING_SHARE_FACTOR
             )
         elif (
             0 <= endpoint.breaker.slow_start_began_us <= now_us - self.settings.cold_us
@@ -215,12 +205,9 @@
             rate_per_s = max(
                 rate_per_s, MIN_FLEET_SLOW_START_RATE_PER_S if is_large_fleet else MIN_SLOW_START_RATE_PER_S
             )
-            endpoint.breaker.tokens, endpoint.breaker.refilled_us = (
-                min(
-                    1.0, endpoint.breaker.tokens + rate_per_s * (now_us - endpoint.breaker.refilled_us) / 1e6
-                ),
-                now_us,
-            )
+            new_tokens = rate_per_s * (now_us - endpoint.breaker.refilled_us) / 1e6
+            endpoint.breaker.tokens = min(1.0, endpoint.breaker.tokens + new_tokens)
+            endpoint.breaker.refilled_us = now_us
             if endpoint.breaker.tokens < 1.0:
                 self.turn.wake_at(now_us + int((1 - endpoint.breaker.tokens) / rate_per_s * 1e6) + 1)
                 return False
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -85,10 +85,8 @@
             if lane.has_reported_limit
             else 0.0
         )
-        pace_per_s, max_pace_per_s = (
-            max(lane.pace_per_s, lane.limit_share_per_s * recovered_share),
-            self._policy_limit_per_s(lane),
-        )
+        pace_per_s = max(lane.pace_per_s, lane.limit_share_per_s * recovered_share)
+        max_pace_per_s = self._policy_limit_per_s(lane)
         return pace_per_s if max_pace_per_s == math.inf else min(pace_per_s or max_pace_per_s, max_pace_per_s)
 
     def refill(self, lane: Lane) -> float:
@@ -96,12 +94,11 @@
         if not lane.pace_per_s and self._policy_limit_per_s(lane) == math.inf:
             return 1.0
         if self.turn.now_us > lane.refilled_us:
-            pace_per_s, burst_s = (
-                self.current_pace_per_s(lane),
-                BURST_WITH_REFUSAL_COST_S if self.settings.refused_price else BURST_S,
-            )
+            pace_per_s = self.current_pace_per_s(lane)
+            burst_s = BURST_WITH_REFUSAL_COST_S if self.settings.refused_price else BURST_S
             tokens = lane.tokens + pace_per_s * (self.turn.now_us - lane.refilled_us) / 1e6
-            lane.tokens, lane.refilled_us = min(tokens, max(1.0, pace_per_s * burst_s)), self.turn.now_us
+            lane.tokens = min(tokens, max(1.0, pace_per_s * burst_s))
+            lane.refilled_us = self.turn.now_us
         return lane.tokens
 
     def spend_token(self, lane: Lane) -> None:
@@ -142,10 +139,8 @@
             return
         lane.last_report = report
         reported = dict(zip(self.settings.report_fields, report, strict=False))
-        reported_share_per_s, left_share = (
-            reported.get("x1", 0.0) / self.settings.couriers,
-            min(1.0, max(0.0, reported.get("x0", 0.0))),
-        )
+        reported_share_per_s = reported.get("x1", 0.0) / self.settings.couriers
+        left_share = min(1.0, max(0.0, reported.get("x0", 0.0)))
         lane.has_reported_limit = reported_share_per_s > 0
         if not lane.has_reported_limit:
             return
@@ -174,12 +169,11 @@
     def record_success(self, lane: Lane) -> None:
         """Widen the window and raise the pace."""
         now_us = self.turn.now_us
-        lane.success_rate_per_s, lane.last_success_us = (
-            lane.success_rate_per_s * max(0.0, 1 - (now_us - lane.last_success_us) / SUCCESS_WINDOW_US)
-            + SUCCESS_STEP_PER_S,
-            now_us,
-        )
-        lane.consecutive_refusals, lane.refused_share = 0, lane.refused_share * (1 - LANE_REFUSAL_WEIGHT)
+        left_share = max(0.0, 1 - (now_us - lane.last_success_us) / SUCCESS_WINDOW_US)
+        lane.success_rate_per_s = lane.success_rate_per_s * left_share + SUCCESS_STEP_PER_S
+        lane.last_success_us = now_us
+        lane.consecutive_refusals = 0
+        lane.refused_share = lane.refused_share * (1 - LANE_REFUSAL_WEIGHT)
         self.refused_share_by_kind[lane.destination.kind] *= 1 - KIND_REFUSAL_WEIGHT
         lane.window = min(self.max_calls_per_destination, lane.window + 1)
         if lane.pace_per_s and not lane.has_reported_limit:
