--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -31,7 +31,7 @@
 
 MAX_GRANTS = 4000  # members with a grant
 MAX_NAMED_MEMBERS = 12  # pending members in one reply
-# Random delay before it reads the register to learn what is chosen, doubled a few times.
+# Random delay before this voter reads the register to learn what is chosen, doubled a few times.
 MIN_READ_DELAY_US, MAX_READ_DELAY_US = 60_000, 300_000
 MAX_READ_DOUBLINGS = 4
 
@@ -64,10 +64,10 @@
         self.configured_members = frozenset(member_names)
         self.grants: dict[str, Grant] = {}
         self.stopped_epochs: dict[str, int] = {}  # by member: the epoch that it has stopped for
-        self.heard_members: set[str] = set()  # since the wait for unknown grants began
+        self.heard_members: set[str] = set()  # that got a lease since the wait for unknown grants began
         self.grants_complete_at = -1  # when all unknown grants have expired; -1: the wait has not begun
-        self.voter_set_version = 0  # that `grants_complete_at` is for
-        self.refusals: dict[str, str] = {}  # by change: a member and its reason to refuse
+        self.voter_set_version = 0  # voter set for which `grants_complete_at` holds
+        self.refusals: dict[str, str] = {}  # by change: a member and its reason to refuse; one entry at most
         self.last_pending_member = ""  # the pending member found last
         self.drain_queries: dict[str, int] = {}  # by member: the epoch of its unanswered query
         self.next_read_at, self.read_count, self.read_proposal_id = 0, 0, ""
@@ -94,6 +94,7 @@
 
     def is_policy_chosen(self, known: RegisterDocument, accepted: RegisterDocument) -> bool:
         """Whether the accepted policy is the known one: each step raises the epoch, so none lies between."""
+        # A method of its own, so that the explorer can remove this guard.
         return accepted.policy == known.policy and accepted.voter_set_version == known.voter_set_version
 
     def _knows_all_grants(self, now: int) -> bool:
@@ -162,14 +163,17 @@
 
     def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
         """Whether the request is for the version in force for this member."""
+        # A method of its own, so that the explorer can remove this guard.
         return request.version == policy.version_for(sender)
 
     def refuses_while_closing(self) -> bool:
         """Whether no lease is granted while a change is closing."""
+        # A method of its own, so that the explorer can remove this guard.
         return True
 
     def is_ready_for_change(self, policy: Policy, request: LeaseRequest) -> bool:
         """While a change is prepared, only members that are ready for it get a lease."""
+        # A method of its own, so that the explorer can remove this guard.
         return policy.change is None or request.ready_for == policy.change.id
 
     def on_stopped(self, sender: str, stopped: WorkStopped, now: int) -> None:
@@ -228,6 +232,7 @@
 
     def send_drained(self, sender: str, answer: DrainReply) -> None:
         """Send it once the vote for the closing is on disk, after which no lease is granted."""
+        # A method of its own, so that the explorer can remove this guard.
         self.register.voter.persist(Send(sender, answer))
 
     def pending_members(self, policy: Policy, now: int) -> Iterable[tuple[str, str]]:
@@ -265,10 +270,12 @@
 
     def has_stopped(self, name: str, policy: Policy) -> bool:
         """Whether it has stopped for this closing: it may have resumed after an earlier one."""
+        # A method of its own, so that the explorer can remove this guard.
         return self.stopped_epochs.get(name) == policy.epoch
 
     def waits_full_lease(self) -> bool:
         """Whether unknown grants have to expire first."""
+        # A method of its own, so that the explorer can remove this guard.
         return True
 
     def next_wake_at(self, now: int) -> int:
@@ -290,6 +297,7 @@
                 self.read_proposal_id = ""
             return self.next_wake_at(now)
         if self.next_read_at and now >= self.next_read_at and not self.register.proposer.pending:
+            # A change that changes nothing: a read.
             self.read_proposal_id = self.register.propose(
                 lambda proposal_id, document: None, now, self._on_read
             )
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -93,7 +93,7 @@
     digest: bytes = b""  # of the text of that version
     change: PolicyChange | None = None
     ended: tuple[EndedChange, ...] = ()
-    cancelled_members: tuple[str, ...] = ()  # withdrawn by an operator
+    cancelled_members: tuple[str, ...] = ()  # cancelled by an operator
     stage: CanaryStage | None = None
 
     def version_for(self, member: str) -> int:
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -65,7 +65,7 @@
     may_have_happened: bool = False  # an Accept was sent: the change may have been made
     first_version: int = 0  # the version that it was to make when it was first sent
     ballots: int = 0  # started for it
-    is_urgent: bool = False  # work waits for it: it backs off for a quarter of the time
+    is_urgent: bool = False  # calls may be paused until it ends: it backs off for a quarter of the time
 
 
 @dataclass
@@ -82,7 +82,7 @@
     refusal: str = ""  # why the change can't be made
     send_count: int = 0  # times that its current requests were sent
     began_at: int = 0  # us
-    next_voters: set[str] = field(default_factory=set)  # whom the next document adds
+    next_voters: set[str] = field(default_factory=set)  # all of the next document, if some have not joined
     generations: dict[str, int] = field(default_factory=dict)  # of the voters that promised
 
 
@@ -93,8 +93,8 @@
         """name: of this generation of this member and no other, so that no ballot is used twice."""
         self.name, self.initial, self.rng, self.round = name, initial, rng, 0
         self.known_document = initial  # the newest that is known to be chosen
-        self.pending: deque[PendingChange] = deque()
-        self.attempt: BallotAttempt | None = None
+        self.pending: deque[PendingChange] = deque()  # the first one is in progress
+        self.attempt: BallotAttempt | None = None  # the ballot for it; None while idle or backing off
         self.next_wake_at = 0
         self.mean_ballot_us = 0.0  # moving mean, from start to end of a ballot
         self.outbox: list[Send] = []
@@ -185,6 +185,7 @@
 
     def newest_document(self, attempt: BallotAttempt) -> RegisterDocument:
         """The document accepted under the latest ballot among the promises."""
+        # A method of its own, so that the explorer can remove this guard.
         return self._document_of(max(attempt.promises.values(), key=lambda p: p.accepted))
 
     def _choose_value(self, attempt: BallotAttempt, accepted: Ballot, now: int) -> None:
@@ -241,6 +242,7 @@
 
     def is_already_done(self, proposal_id: str, base: RegisterDocument) -> bool:
         """Whether the document contains the change already."""
+        # A method of its own, so that the explorer can remove this guard.
         return proposal_id in base.recent_proposals
 
     def _send_accepts(self, attempt: BallotAttempt) -> None:
@@ -264,6 +266,7 @@
 
     def is_accepted(self, attempt: BallotAttempt) -> bool:
         """Whether a majority of the voters has accepted, by the document before and after the change."""
+        # A method of its own, so that the explorer can remove this guard.
         assert attempt.next_document is not None and attempt.base is not None
         return attempt.next_document.has_majority(attempt.accepted_by) and attempt.base.has_majority(
             attempt.accepted_by
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -22,10 +22,10 @@
 from hopmill.fleet.settings import MAX_MEMBERS, Members
 from hopmill.fleet.wire import Ack, IndirectPing, MemberUpdate, Ping, ProbeFailed, encode
 
-ALIVE, SUSPECT, DEAD, LEFT = range(4)
+ALIVE, SUSPECT, DEAD, LEFT = range(4)  # ordered: a later state overrides at equal incarnation
 STATES = ("alive", "suspect", "dead", "left")
 INDIRECT_PROBES = 3  # members asked to ping a silent one
-MAX_CONFIRMATIONS = 3  # with so many members that share it, a suspicion is shortest
+MAX_CONFIRMATIONS = 3  # members beyond the first that share a suspicion, after which it is shortest
 UNCONFIRMED_FACTOR = 2.0  # how much longer a suspicion lasts that no other member shares
 MAX_HEALTH_SCORE = 8
 GOSSIP_FACTOR = 3  # an update is sent so many times the logarithm of the fleet's size
@@ -47,7 +47,7 @@
     region: str
     is_configured: bool  # named in the own configuration
     state: int = DEAD
-    incarnation: int = 0
+    incarnation: int = 0  # 0: configured, not heard of yet; -1: new, replaced by the first update
     state_since: int = 0  # us
     heard_at: int = 0  # us, of its last datagram
     suspected_by: set[str] = field(default_factory=set)
@@ -72,8 +72,8 @@
     target: str
     sent_at: int  # us
     is_indirect: bool = False  # helpers were asked
-    nack_count: int = 0  # that got no answer either
-    helper_count: int = 0
+    nack_count: int = 0  # helpers that reported that they got no answer either (nack of Lifeguard)
+    helper_count: int = 0  # members asked to ping the target
 
 
 @dataclass(frozen=True)
@@ -101,11 +101,13 @@
         self.settings, self.rng, self.next_incarnation = members, rng, next_incarnation
         self.me = Peer(members.id, members.address, members.zone, members.region, True, ALIVE, incarnation)
         self.peers = {o.id: Peer(o.id, o.address, o.zone, o.region, True) for o in members.others}
+        # period_us: between two probes, and for the ack of the direct ping. probe_timeout_us: for a whole
+        # probe, its indirect pings included.
         self.period_us, self.probe_timeout_us = int(members.period_ms * 1e3), int(members.probe_ms * 1e3)
         self.suspicion_us = int(members.patience_ms * 1e3)
         self.health_score = 0  # local health of Lifeguard: 0 is healthy, failed probes raise it
-        self.seq = 0
-        self.probes: dict[int, Probe] = {}
+        self.seq = 0  # of the last ping
+        self.probes: dict[int, Probe] = {}  # by seq of the ping
         self.relays: dict[int, tuple[str, int, int]] = {}  # by own seq: (member that asked, its seq, us)
         self.probe_order: list[str] = []
         self.probe_count = 0
@@ -116,7 +118,7 @@
         self.outdated_senders: set[str] = set()  # used an earlier incarnation than is known
         self.outbox: list[Send] = []
         self.changes: list[MemberChange] = []
-        self.dropped: Counter[str] = Counter()
+        self.dropped: Counter[str] = Counter()  # datagrams and updates, by reason
         self.is_leaving = False
         self.live_count = 1  # alive or suspected members, this one included
 
@@ -149,7 +151,8 @@
             return False
         if incarnation < peer.incarnation:
             self.dropped["old incarnation"] += 1
-            # Its folder may be new: it has to learn the incarnation that it had before.
+            # It may have lost its state directory. The ping carries what is known of it, so that it chooses
+            # an incarnation above the earlier one.
             if sender not in self.outdated_senders:
                 self.outdated_senders.add(sender)
                 self._ping(sender, now)
@@ -181,6 +184,7 @@
             )
         if update.incarnation > peer.incarnation and not peer.is_configured:  # the address may have changed
             peer.address, peer.zone, peer.region = update.address, update.zone, update.region
+        # A later incarnation overrides; at an equal one, a later state does.
         if (update.incarnation, update.state) > (peer.incarnation, peer.state):
             self._set_state(peer, update.state, update.incarnation, update.suspected_by or sender, now)
         elif (update.incarnation, update.state) == (peer.incarnation, SUSPECT):
@@ -275,6 +279,7 @@
 
     def _suspicion_timeout_us(self, peer: Peer) -> int:
         """Shorter the more members share the suspicion, as in Lifeguard."""
+        # Not counted: this member, the suspected one, and the one that suspected it first.
         limit = min(MAX_CONFIRMATIONS, self.live_count - 3)
         if limit <= 0:
             return self.suspicion_us
--- a/hopmill/interface.py
+++ b/hopmill/interface.py
@@ -22,12 +22,17 @@
     """How an attempt or a probe ended. Only FULL, CONNECT_FAILED and MOOT prove that it was not processed."""
 
     OK = "ok"
-    ERROR = "error"
+    ERROR = "error"  # answered, but not as a success or a refusal: it may have been processed
+    # 429 or 503 (in a batch: "busy"): the endpoint or a limit is full, and the call was not processed. Also a
+    # probe that was answered by another status than 200.
     FULL = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    CANCELLED = "cancelled"
+    CANCELLED = "cancelled"  # the host stopped waiting after a Cancel; it had been sent and may be processed
+    # Never sent (no connection, calls to the endpoint stopped, message ended, cancelled before), or answered
+    # that it was not processed, which is no evidence about the endpoint: 400, 410, 413, 504, or 429 and 503
+    # with "slots-taken: 1" (in a batch: "void", "used_up").
     MOOT = "moot"
 
 
@@ -71,7 +76,11 @@
     effect: Effect = Effect.SAFE
     worth: float = 1.0
     late_share: float = 0.0  # of the worth, left at the deadline
-    key_scope: str = "all"  # KEYED: which endpoints drop repeats: all, or only those of one "zone" or "cell"
+    # KEYED: which endpoints drop repeats: all, or only those of one "zone" or "cell". With "zone" the courier
+    # repeats a message only in the zone of the first attempt that may have run, with "cell" at any endpoint
+    # of its destination. With either it never refuses a message that may have been processed, since the
+    # client might resubmit it where repeats are not dropped.
+    key_scope: str = "all"
     key_window_us: int = 0  # KEYED: how long they drop them
     ordered: bool = False  # messages with the same order key are delivered one at a time
 
@@ -91,7 +100,7 @@
     """A customer, whose traffic within its quota counts in full."""
 
     name: str
-    share: float
+    share: float  # of all traffic, from 0 to 1; the courier does not read it
     quota_per_s: float  # messages per second, all couriers together
 
     def __post_init__(self) -> None:
@@ -124,21 +133,21 @@
     me: int = 0  # number of this courier, from 0
     max_attempts: int = 3
     second_copies: bool = False  # two attempts of one message may be in flight at once
-    may_probe: bool = False
-    may_cancel: bool = False
-    peer_notes: bool = False
+    may_probe: bool = False  # Probe is allowed; the courier does not read it
+    may_cancel: bool = False  # Cancel is allowed; the courier does not read it
+    peer_notes: bool = False  # SendNote is allowed; the courier does not read it
     tick_us: int = 1000  # minimum time between two turns
     max_retry_after_us: int = 0  # longest retry-after that clients respect; 0: they get none
     clients_mark_retries: bool = False  # MessageArrived.resubmitted is set
     connection_idle_us: int = 10_000_000  # endpoints close connections that are idle for longer
     connect_timeout_us: int = 1_000_000
-    drain_grace_us: int = 0
+    drain_grace_us: int = 0  # how long calls may begin after a drain; the courier does not read it
     cold_share: float = 0.1  # of its capacity, that a returning destination has at least
     cold_us: int = 10_000_000  # until it has all of its capacity
     fall_multiple: float = 2.0  # load above this multiple of its present capacity
     fall_us: int = 1_000_000  # for this long makes a destination fail
     key_rest_us: int = 0  # pause of an order key after an attempt that may still run
-    answer_slack_us: int = 0
+    answer_slack_us: int = 0  # the courier does not read it
     list_on_request: bool = False  # the endpoint list is sent only after Subscribe or FetchList
     report_fields: tuple[str, ...] = ()  # names of the values in AttemptEnded.report
     rates_listed: bool = False  # ListEntry.rate_per_s is valid
@@ -198,7 +207,7 @@
     ran_at_us: int = -1  # when the first attempt that may have run was sent; -1 if there is none
     ran_zone: int = -1  # the zone that it was sent to; -1 if unknown
     out: bool = False  # the newest attempt is still in flight: CallCarried follows in the same turn
-    restored: bool = False  # taken on by the previous process
+    restored: bool = False  # accepted by the previous process
 
 
 @dataclass(frozen=True, slots=True)
@@ -268,7 +277,7 @@
     """An operator excludes an endpoint, whatever the list says, or readmits it, with a slow start."""
 
     endpoint: int
-    out: bool
+    out: bool  # excluded
 
 
 @dataclass(frozen=True, slots=True)
@@ -276,7 +285,7 @@
     """An operator excludes a whole zone, or lets it return: gradually, with slow starts."""
 
     zone: int
-    out: bool
+    out: bool  # excluded
 
 
 @dataclass(frozen=True, slots=True)
--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -23,7 +23,7 @@
         self.pacing = pacing
         self.max_attempts = max_attempts
         self.is_full = False
-        self.refusals_without_resubmission = 0  # since the last resubmission
+        self.refusals_without_resubmission = 0  # of messages that had time for one, since the last one
 
     def is_spent(self, message: Message) -> bool:
         """Whether no attempt is left: the final answer is due at once."""
--- a/hopmill/policy/carried.py
+++ b/hopmill/policy/carried.py
@@ -9,7 +9,7 @@
 from hopmill.policy.state import Endpoint
 from hopmill.policy.timeouts import Timeouts
 
-# By part: the name that other builds know, and the attribute that holds the value.
+# By part: the name under which a figure is handed over, and the attribute that holds the value.
 CARRIED = {
     "ep": {
         "bad": "failure_share",
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -7,17 +7,19 @@
 from hopmill.policy.state import CircuitBreaker, Endpoint
 from hopmill.policy.turn import Turn
 
-OUTCOME_WEIGHT = 0.25  # of the newest outcome in the moving failure share
+OUTCOME_WEIGHT = 0.25  # weight of the newest outcome in the moving failure share
 OPENING_SHARE = 0.5  # failure share that opens a breaker: three failures in a row after none
 TWO_FAILURES_SHARE = 0.4  # failure share after two failures in a row
 FIRST_TRIAL_GAP_US = 400_000  # upper bound of the jittered gap before the first half-open trial call
 MAX_TRIAL_GAP_US = 2_500_000
-AMBIGUOUS_DECAY_FACTOR = 0.6  # the ambiguous share fades to 0 within this multiple of Settings.cold_us
+AMBIGUOUS_DECAY_FACTOR = 0.6  # the ambiguous share decays to 0 within this multiple of Settings.cold_us
 MIN_WARM_RATE_PER_S = 0.5
 MIN_SLOW_START_RATE_PER_S = 0.05
 MIN_FLEET_SLOW_START_RATE_PER_S = 0.001  # of one courier in a large fleet, since the rates of all add up
-CLOSING_SHARE_FACTOR = 0.8  # of OPENING_SHARE, the highest failure share that a closing breaker keeps
-RECOVERY_FACTOR = 0.8  # of Settings.fall_multiple that recovery uses; the rest allows for random variation
+CLOSING_SHARE_FACTOR = 0.8  # a closing breaker keeps at most this part of OPENING_SHARE as its failure share
+# Part of Settings.fall_multiple that recovery uses: to stay below the load at which a cold destination fails
+# again, with a margin for random variation.
+RECOVERY_FACTOR = 0.8
 
 
 class CircuitBreakers:
@@ -45,10 +47,10 @@
             breaker.tokens = min(1.0, breaker.tokens + self.warm_share(breaker) / lane_count)
 
     def set_warm_rate(self, endpoint: Endpoint) -> None:
-        # A lane that fails repeatedly has few successes, so the highest rate seen counts. In a large fleet
-        # the minimum rates of hundreds of couriers add up: there it is the courier's own traffic, since the
-        # sum of that over the fleet follows the total.
         """Set the rate that the slow start leads to."""
+        # A lane that fails repeatedly has few successes, so the highest rate seen counts. In a large fleet
+        # the minimum rates of hundreds of couriers add up: there the warm rate is the rate of this courier's
+        # own messages, since the sum of those over the fleet follows the total.
         turn = self.turn
         own_rate_per_s = (
             endpoint.lane.destination.arrivals
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -50,8 +50,8 @@
 from hopmill.policy.worth import Worth
 from hopmill.policy.zones import Zones
 
-DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; the retry note's default
-RESERVED_FOR_NEW_MESSAGES = 2  # places kept free for new messages
+DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; Retries (Agents SDK design)
+RESERVED_FOR_NEW_MESSAGES = 2  # of Settings.max_held, kept free for new messages
 QUICK_FAILURE_US = 200_000  # after a faster failure a message may be repeated even during an outage
 
 
@@ -80,8 +80,8 @@
         self.ranking = Ranking(
             turn, self.state, self.gate, self.worth, self.timeouts, self.connections, self.zones
         )
-        self.sequence = 0
-        self.is_holding = False
+        self.sequence = 0  # number of the newest message, in order of arrival
+        self.is_holding = False  # no calls are started (event Hold)
         self.expiries: list[tuple[int, int]] = []  # heap of (time, message)
 
     # Events
@@ -145,7 +145,7 @@
     def _on_set_by_hand(self, event: SetByHand) -> None:
         """Exclude or readmit an endpoint; kept apart from its listed state, so no list change undoes it."""
         excluded = self.state.excluded_endpoints
-        if event.out:
+        if event.out:  # excluded
             excluded.add(event.endpoint)
             self.turn.actions.append(CloseIdle(event.endpoint))
         elif event.endpoint in excluded:
@@ -155,7 +155,7 @@
 
     def _on_set_zone_by_hand(self, event: SetZoneByHand) -> None:
         in_zone = [endpoint for endpoint in self.state.endpoints.values() if endpoint.zone == event.zone]
-        if event.out:
+        if event.out:  # excluded
             self.zones.exclude(event.zone)
             self.turn.actions += [CloseIdle(endpoint.id) for endpoint in in_zone]
         elif self.zones.bring_back(event.zone, self.turn.now_us):
@@ -254,7 +254,8 @@
         destination.queue.append(message)
         if message.order_key:
             state.order_queues.setdefault(message.order_key, []).append(message)
-        # A message restored after a restart was taken on before: it is tried.
+        # A message restored after a restart has been accepted before, so it is not refused unsent. event.out:
+        # an attempt is in flight, whose outcome decides how the message ends.
         is_refused = not event.restored and self.admission.should_refuse(message)
         if (is_refused or self.admission.is_spent(message)) and not event.out:
             self._finish(message, self.settings.max_retry_after_us)
@@ -362,7 +363,7 @@
         while self.expiries and self.expiries[0][0] <= now_us:
             message = self.state.messages.get(heapq.heappop(self.expiries)[1])
             if message and not message.is_closed and not message.is_streaming:
-                # The time-out of the attempt in flight is due soon and gives the answer.
+                # The attempt in flight will produce the final outcome, at the latest until the expiry.
                 if message.attempts_in_flight and now_us < message.valid_until_us:
                     heapq.heappush(self.expiries, (message.valid_until_us, message.id))
                 elif now_us >= message.last_send_us(self.turn.deadline_margin_us):
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -10,7 +10,7 @@
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 
-OUTAGE_RETRY_AFTER_US = 2_500_000  # a longer retry-after means an outage, not the end of a rate-limit window
+OUTAGE_RETRY_AFTER_US = 2_500_000  # longer than any rate-limit window: such a retry-after means an outage
 
 
 class Evidence:
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -7,26 +7,26 @@
 from hopmill.policy.state import Destination, Lane
 from hopmill.policy.turn import Turn
 
-FIRST_BACKOFF_US = 100_000  # upper bound of the first jittered wait; the retry note's default
-MAX_BACKOFF_US = 3_000_000  # highest upper bound; the retry note's default
-MAX_DESTINATION_SLOT_SHARE = 0.75  # of the courier's slots, for the calls of one destination
-LANE_REFUSAL_WEIGHT = 0.5  # of the newest call in a lane's moving share of refused calls
+FIRST_BACKOFF_US = 100_000  # upper bound of the first jittered wait; Retries (Agents SDK design)
+MAX_BACKOFF_US = 3_000_000  # highest upper bound; Retries (Agents SDK design)
+MAX_DESTINATION_SLOT_SHARE = 0.75  # share of the courier's slots that calls of one destination may use
+LANE_REFUSAL_WEIGHT = 0.5  # weight of the newest call in a lane's moving share of refused calls
 KIND_REFUSAL_WEIGHT = 1 / 16  # the same, over all calls to a kind of destination
 BURST_S = 0.8  # a token bucket holds the tokens of this time at the lane's pace
-BURST_WITH_REFUSAL_COST_S = 0.4  # the same where refused calls cost something
-CUT_FACTOR = 0.75  # of the pace that is left after an overload, once per round trip
-GROWTH_SHARE = 0.1  # of the limit share (of the pace, if none is known) that a success adds to the pace
-NEAR_REFUSAL_SHARE = 0.9  # of the last refused rate: above it the pace grows slowly
+BURST_WITH_REFUSAL_COST_S = 0.4  # the same where refused calls have a cost (Settings.refused_price)
+CUT_FACTOR = 0.75  # share of the pace that remains after an overload; applied once per round trip
+GROWTH_SHARE = 0.1  # a success adds this share of the limit share (of the pace, if none is known)
+NEAR_REFUSAL_SHARE = 0.9  # above this share of the last refused rate the pace grows slowly
 RECOVERY_US = 5_000_000  # time after a cut in which growth near the refused rate returns to full speed
 LIMIT_STEP_SHARE = 0.25  # a reported limit that differs by more is a new limit; less is random variation
-REPORT_WEIGHT = 0.2  # of a reported limit that differs by less
-MIN_LIMIT_SHARE = 0.4  # of the limit share: a cut leaves at least this, and recovery starts from it
-MIN_PACE_PER_S = 0.2  # after a cut, outside large fleets
-MIN_LEARNED_PACE_PER_S = 0.5  # when a lane without a pace gets one at its first overload
-MIN_GROWTH_FACTOR = 0.1  # of GROWTH_SHARE, right after a cut
-SUCCESS_WINDOW_US = 4e6  # of the moving rate of successes
-SUCCESS_STEP_PER_S = 0.25  # that one success adds to it
-ROUNDING_MARGIN_US = 1_000  # announced waits are cut to whole milliseconds
+REPORT_WEIGHT = 0.2  # weight of a reported limit that differs by less
+MIN_LIMIT_SHARE = 0.4  # a cut leaves at least this part of the limit share, and recovery starts from it
+MIN_PACE_PER_S = 0.2  # lowest pace after a cut, outside large fleets
+MIN_LEARNED_PACE_PER_S = 0.5  # lowest pace of a lane that gets its first one by an overload
+MIN_GROWTH_FACTOR = 0.1  # part of GROWTH_SHARE that applies right after a cut
+SUCCESS_WINDOW_US = 4e6  # without successes their moving rate decays to 0 within this time
+SUCCESS_STEP_PER_S = 0.25  # one success adds this to the moving rate
+ROUNDING_MARGIN_US = 1_000  # announced waits are rounded down to whole milliseconds
 ASSUMED_CAPACITY_FACTOR = 2.0  # assumed capacity of an unlisted lane, as a multiple of its rate of successes
 
 
@@ -38,7 +38,8 @@
         self.turn = turn
         self.settings = settings
         self.max_calls_per_destination = max(1, int(MAX_DESTINATION_SLOT_SHARE * settings.slots))
-        self.ceilings: dict[int, tuple[int, float]] = {}  # by destination: PolicySet.ceilings
+        # By destination: (max calls in flight, max calls per second of all couriers); 0: none.
+        self.ceilings: dict[int, tuple[int, float]] = {}
         # Buckets that many couriers empty at the same time also refill at the same time, seconds later where
         # each courier has one call in several seconds. A call therefore costs a random amount around one
         # token.
@@ -63,6 +64,7 @@
         """Take a lane's rate from the endpoint list as the limit, if it has changed."""
         if self.settings.rates_listed and rate_per_s > 0 and lane.listed_rate_per_s != rate_per_s:
             lane.listed_rate_per_s = rate_per_s
+            # The listed rate is where refusals are expected, so growth near it is slow from the beginning.
             lane.limit_share_per_s = lane.pace_per_s = lane.last_refused_rate_per_s = (
                 rate_per_s / self.settings.couriers
             )
@@ -79,6 +81,7 @@
         After a refusal the pace returns to the equal share by itself: one of many couriers gets answers of a
         lane so rarely that answers alone would keep it down for as long as the limit had been lowered.
         """
+        # next_cut_us is the time of the last cut plus one round trip: recovery counts from there.
         since_us = self.turn.now_us - lane.next_cut_us
         recovered_share = (
             min(1.0, MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * since_us / RECOVERY_US)
@@ -133,6 +136,7 @@
         The endpoint list keeps naming the usual limit. What is left is the only sign of what all other
         couriers send.
         """
+        # x1: limit in calls per second of all couriers; x0: share of it that is unused, 0 to 1.
         # Endpoints renew their reports a few times per second at most; many answers repeat one. Each counts
         # once.
         if report == lane.last_report:
@@ -179,7 +183,7 @@
         if lane.pace_per_s and not lane.has_reported_limit:
             max_pace_per_s = lane.limit_share_per_s * self.settings.couriers or math.inf
             # Fast growth up to the rate that was last refused, then slow growth, faster the longer ago that
-            # was: growth at one speed had one refusal in ten calls.
+            # was. Constant growth causes about 10 % refusals.
             is_near = lane.pace_per_s >= NEAR_REFUSAL_SHARE * lane.last_refused_rate_per_s
             growth_share = (
                 GROWTH_SHARE * min(1.0, max(MIN_GROWTH_FACTOR, (now_us - lane.next_cut_us) / RECOVERY_US))
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -19,9 +19,9 @@
 
     def __init__(self) -> None:
         self.failure_share = 0.0  # moving share of failed calls
-        self.is_open = False  # half-open trial calls only
+        self.is_open = False  # open; only single trial calls are let through
         self.trial_call: Call | None = None  # the half-open trial call in flight
-        self.next_trial_us = self.trial_gap_us = 0
+        self.next_trial_us = self.trial_gap_us = 0  # time of the next trial call; gap between two
         self.slow_start_began_us = -1  # -1 outside a slow start
         self.warm_rate_per_s = 0.0  # calls per second from this courier after the slow start
         self.tokens = 1.0
@@ -56,18 +56,19 @@
         self.listed_rate_per_s = 0.0  # of all couriers, from the endpoint list; 0 if none
         # This courier's share of the limit, as listed or as reported by answers since; 0 if none is known.
         self.limit_share_per_s = 0.0
-        # The pace that calls are held to (0: not paced), and the pace at which the lane was last refused.
+        # The pace that calls are limited to (0: not paced), and the rate from which on growth is slow: the
+        # pace at which the lane was last refused, or its listed rate.
         self.pace_per_s = self.last_refused_rate_per_s = 0.0
         self.tokens = 1.0
         self.refilled_us = 0
         self.wait_until_us = 0  # no call before: retry-after or backoff
-        self.next_cut_us = 0  # the pace is not cut again before
-        self.refused_share = 0.0  # moving share of calls refused as full
+        self.next_cut_us = 0  # the pace is not cut again before: the last cut plus one round trip
+        self.refused_share = 0.0  # moving share of calls refused (Result.FULL)
         self.last_report: tuple[float, ...] = ()  # load report of the newest answer that had one
         self.has_reported_limit = False
         self.window = 1.0  # calls that may be in flight
         self.calls_in_flight = 0
-        self.consecutive_refusals = 0  # as full
+        self.consecutive_refusals = 0  # Result.FULL in a row, counted once per cut of the pace
         self.mean_latency_us = self.latency_deviation_us = 0.0  # of answered calls; 0: none yet
         self.slot_time_us = 1e5  # mean time that a call occupies a slot, failed calls included
         self.success_rate_per_s = 0.0
