--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -64,7 +64,7 @@
         return self.register.document.policy
 
     def propose(self, change: PolicyChange, base: int, now: int, callback: OutcomeCallback) -> str:
-        """Propose a change of the policy that was made from version `base`. Returns the proposal id."""
+        """Propose a change of the policy that was made from version `base`. Return the proposal id."""
 
         def ended(outcome: Outcome) -> None:
             self.announce_if_done(outcome)
@@ -73,11 +73,11 @@
         return self.register.propose(prepare(change, base), now, ended)
 
     def waiting_for(self) -> dict[str, str]:
-        """The members that the change waits for, with reasons, by all voters that have answered."""
+        """Return the members that the change waits for, with reasons, by all voters that have answered."""
         return {name: why for reply in self.replies.values() for name, why in reply.pending}
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         policy, document = self.policy, self.register.document
         if policy.epoch != self.epoch:
             self._on_new_epoch(policy, now)
@@ -155,7 +155,7 @@
     def _step(
         self, policy: Policy, document: RegisterDocument, now: int
     ) -> Callable[[str, RegisterDocument], RegisterDocument | None] | None:
-        """The step that can be taken now, None if none can."""
+        """Return the step that can be taken now, None if none can."""
         assert policy.change is not None
         refused = next((a.refused for a in self.replies.values() if a.refused), "")
         if refused and policy.change.scope != BACK:
@@ -167,7 +167,7 @@
         return None
 
     def all_leases_ended(self, document: RegisterDocument) -> bool:
-        """Whether a majority of the voters reports that nobody is pending."""
+        """Return whether a majority of the voters reports that nobody is pending."""
         return document.has_majority(
             {
                 v
@@ -202,7 +202,7 @@
         self.outbox += [Send(name, ChosenDocument(data)) for name in self.other_members()]
 
     def on_drain_reply(self, sender: str, reply: DrainReply, now: int) -> bool:
-        """Note a voter's reply. Returns whether a step can be taken."""
+        """Note a voter's reply. Return whether a step can be taken."""
         policy, document = self.policy, self.register.document
         if reply.epoch != policy.epoch or sender not in document.all_voters:
             return False
--- a/hopmill/fleet/document.py
+++ b/hopmill/fleet/document.py
@@ -41,14 +41,14 @@
     policy: Policy = Policy()
 
     def next(self, proposal_id: str, **changes: object) -> RegisterDocument:
-        """The document after a change."""
+        """Return the document after a change."""
         recent_proposals = (*self.recent_proposals, proposal_id)[-MAX_RECENT_PROPOSALS:]
         return msgspec.structs.replace(
             self, version=self.version + 1, recent_proposals=recent_proposals, **changes
         )
 
     def has_majority(self, voters: Iterable[str]) -> bool:
-        """Whether these are a majority of its voters, and of the previous ones while they change."""
+        """Return whether these are a majority of its voters, and of the previous ones while they change."""
         agreeing = set(voters)
         sets = [self.voters, self.previous_voters] if self.previous_voters else [self.voters]
         return all(2 * len(agreeing.intersection(each)) > len(each) for each in sets)
--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -3,8 +3,9 @@
 A voter grants leases by the policy that it knows to be chosen, and none while it has itself accepted a policy
 that may or may not be chosen. In that case it reads the register, since all members that knew the result may
 have stopped. Grants are not kept on disk: after a start, or when the set of voters has changed, the voter
-waits for one lease length before it reports that nobody holds a lease. If couriers continue alone, all
-configured members count as holders until they are heard.
+waits for one lease length before it reports that nobody holds a lease. If couriers continue alone, that is,
+without the voters under the last version, leases do not expire; all configured members then count as holders
+until this voter has granted them a lease itself.
 """
 
 from __future__ import annotations
@@ -58,7 +59,11 @@
         continues_alone: bool,
         member_names: Iterable[str],
     ) -> None:
-        """member_names: all members of the configuration, this one included."""
+        """max_drift_share: by which clocks may run fast or slow.
+
+        continues_alone: without the voters, couriers go on under the last version, and leases do not expire.
+        member_names: all members of the configuration, this one included.
+        """
         self.me, self.register, self.continues_alone = me, register, continues_alone
         self.lease_end_wait_us = int(lease_us * (1 + max_drift_share)) + 1
         self.configured_members = frozenset(member_names)
@@ -77,14 +82,14 @@
     # The policy that grants are given by
 
     def accepted_document(self) -> RegisterDocument:
-        """The document that this voter has accepted last."""
+        """Return the document that this voter has accepted last."""
         data = self.register.voter.memory.document
         if data != self.accepted_cache[0]:
             self.accepted_cache = data, self.register.voter.document()
         return self.accepted_cache[1] if data else self.register.voter.initial
 
     def policy_for_grants(self) -> Policy | None:
-        """The policy that it may grant leases by; None while that is unknown."""
+        """Return the policy that it may grant leases by; None while that is unknown."""
         known, accepted = self.register.document, self.accepted_document()
         if not self.register.voter.is_voting or self.me not in known.all_voters:
             return None
@@ -93,12 +98,19 @@
         return known.policy
 
     def is_policy_chosen(self, known: RegisterDocument, accepted: RegisterDocument) -> bool:
-        """Whether the accepted policy is the known one: each step raises the epoch, so none lies between."""
+        """Return whether the accepted policy is known to be chosen.
+
+        Each step raises the epoch. Equal policies (epoch included) and an equal voter set therefore mean that
+        the accepted policy is already chosen.
+        """
         # A method of its own, so that the explorer can remove this guard.
         return accepted.policy == known.policy and accepted.voter_set_version == known.voter_set_version
 
     def _knows_all_grants(self, now: int) -> bool:
-        """Whether grants of an earlier start or set of voters have expired."""
+        """Return whether grants of an earlier start or voter set have expired.
+
+        After a start, and when the voter set has changed, begin the wait for that and clear `heard_members`.
+        """
         known = self.register.document
         if self.grants_complete_at < 0 or self.voter_set_version != known.voter_set_version:
             self.voter_set_version = known.voter_set_version
@@ -135,7 +147,7 @@
         self._notify_waiting(now)
 
     def _denial_reason(self, sender: str, request: LeaseRequest, now: int) -> str:
-        """Why no lease is granted, "" if one is."""
+        """Return why no lease is granted, "" if one is."""
         policy = self.policy_for_grants()
         self._knows_all_grants(now)
         if policy is None:
@@ -162,17 +174,17 @@
         return ""
 
     def is_version_in_force(self, policy: Policy, sender: str, request: LeaseRequest) -> bool:
-        """Whether the request is for the version in force for this member."""
+        """Return whether the request is for the version in force for this member."""
         # A method of its own, so that the explorer can remove this guard.
         return request.version == policy.version_for(sender)
 
     def refuses_while_closing(self) -> bool:
-        """Whether no lease is granted while a change is closing."""
+        """Return whether no lease is granted while a change is closing."""
         # A method of its own, so that the explorer can remove this guard.
         return True
 
     def is_ready_for_change(self, policy: Policy, request: LeaseRequest) -> bool:
-        """While a change is prepared, only members that are ready for it get a lease."""
+        """Return whether the member is ready for the pending change, if any: no other gets a lease."""
         # A method of its own, so that the explorer can remove this guard.
         return policy.change is None or request.ready_for == policy.change.id
 
@@ -185,7 +197,7 @@
     # Members that a change waits for
 
     def on_drain_query(self, sender: str, query: DrainQuery, now: int) -> None:
-        """Answer which members a change waits for."""
+        """Answer which members a change waits for: until they are ready, when it closes until they stop."""
         if len(self.drain_queries) < MAX_GRANTS:
             self.drain_queries[sender] = query.epoch
         self._answer(sender, query.epoch, now, True)
@@ -196,7 +208,7 @@
             self._answer(sender, epoch, now, False)
 
     def _has_pending_members(self, policy: Policy, now: int) -> bool:
-        """Whether `pending_members` would name anybody.
+        """Return whether `pending_members` would name anybody.
 
         Called for each datagram of each member, so the member found last is checked first.
         """
@@ -231,7 +243,7 @@
             self.outbox.append(Send(sender, answer))
 
     def send_drained(self, sender: str, answer: DrainReply) -> None:
-        """Send it once the vote for the closing is on disk, after which no lease is granted."""
+        """Send the reply only after the accepted closing is on disk: from then on no lease is granted."""
         # A method of its own, so that the explorer can remove this guard.
         self.register.voter.persist(Send(sender, answer))
 
@@ -252,7 +264,7 @@
                 yield name, why
 
     def _pending_reason(self, name: str, policy: Policy, now: int) -> str:
-        """What this member has yet to do, "" if nothing."""
+        """Return what this member has yet to do, "" if nothing."""
         change, grant = policy.change, self.grants.get(name)
         assert change is not None
         presumed = self.continues_alone and name not in self.heard_members and name in self.configured_members
@@ -269,24 +281,24 @@
         return "" if grant.ready_for == change.id else "is not ready"
 
     def has_stopped(self, name: str, policy: Policy) -> bool:
-        """Whether it has stopped for this closing: it may have resumed after an earlier one."""
+        """Return whether it has stopped for this closing: it may have resumed after an earlier one."""
         # A method of its own, so that the explorer can remove this guard.
         return self.stopped_epochs.get(name) == policy.epoch
 
     def waits_full_lease(self) -> bool:
-        """Whether unknown grants have to expire first."""
+        """Return whether unknown grants have to expire first."""
         # A method of its own, so that the explorer can remove this guard.
         return True
 
     def next_wake_at(self, now: int) -> int:
-        """When the next lease that an open query waits for expires."""
+        """Return when the next lease that an open query waits for expires."""
         if not self.drain_queries:
             return NO_EXPIRY_US
         ends = [g.expires_at for g in self.grants.values() if g.expires_at > now] + [self.grants_complete_at]
         return min((at for at in ends if at > now), default=NO_EXPIRY_US)
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         self._knows_all_grants(now)
         self._notify_waiting(now)
         known, accepted = self.register.document, self.accepted_document()
--- a/hopmill/fleet/govern.py
+++ b/hopmill/fleet/govern.py
@@ -83,7 +83,7 @@
     # Texts
 
     def _lacks_texts(self, document: RegisterDocument, sender: str) -> bool:
-        """Whether a text of the document is not on disk yet; it is then fetched, from the sender first."""
+        """Return whether a text of the document is not on disk; fetch it then, from the sender first."""
         missing = document.policy.texts - self.texts.on_disk
         for digest in missing:
             self.missing_texts.pop(digest, None)
@@ -113,7 +113,7 @@
     # Messages
 
     def receive(self, sender: str, body: Body, now: int) -> bool:
-        """Handle a message of the policy's protocol. Returns whether `tick` has something to do at once."""
+        """Handle a message of the policy's protocol. Return whether `tick` has something to do at once."""
         if isinstance(body, LeaseRequest):
             self.grantor.on_lease_request(sender, body, now)
             return False
@@ -146,7 +146,7 @@
         return False
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         self._update_texts()
         self.watch.tick(now)
         if (stage := self.register.document.policy.stage) and self.lease.valid_version(now) >= 0:
@@ -174,7 +174,7 @@
         share: float = 1.0,
         watch_ms: int = 0,
     ) -> str:
-        """Propose a change of the policy. Returns the proposal id.
+        """Propose a change of the policy. Return the proposal id.
 
         change_id: of this proposal and no other, however often it is sent. share: if under 1, this share of
         the members is a canary group and is watched. Raises ValueError if the text is too long.
@@ -194,7 +194,7 @@
         return self.coordinator.propose(change, base, now, ended)
 
     def _canary_group(self, share: float, watch_ms: int) -> CanaryGroup:
-        """The group whose size is nearest to the share of the live members: at least one, and not all."""
+        """Return the group nearest in size to the share of the live members: at least one, and not all."""
         names = [self.me, *self.coordinator.other_members()]
         wanted = min(max(1, round(share * len(names))), max(1, len(names) - 1))
         return min(
@@ -218,5 +218,5 @@
         return self.register.propose(step, now, lambda outcome: self.coordinator.announce_if_done(outcome))
 
     def cancel_member(self, member: str, is_cancelled: bool, now: int, callback: OutcomeCallback) -> str:
-        """Withdraw a member by name, or let it back."""
+        """Cancel a member by name, or readmit it. A cancelled one gets no lease; no change waits for it."""
         return self.register.propose(cancel_member(member, is_cancelled), now, callback)
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -40,7 +40,7 @@
         self.proposal_count = 0
 
     def fencing_token(self, now: int) -> int:
-        """The token to act under, 0 if it may not act. To be called in the turn that acts."""
+        """Return the token to act under, 0 if it may not act. To be called in the turn that acts."""
         return self.token if self.token and now < self.valid_until else 0
 
     def observe(self, now: int, document: RegisterDocument) -> None:
@@ -52,7 +52,7 @@
             self.token = self.valid_until = 0
 
     def tick(self, now: int, document: RegisterDocument) -> tuple[str, DocumentUpdate] | None:
-        """Returns (proposal id, change) to propose, if any."""
+        """Return (proposal id, change) to propose, if any."""
         self.observe(now, document)
         if self.pending is not None:
             return None
@@ -69,23 +69,23 @@
         return None
 
     def can_wait(self, now: int) -> bool:
-        """Whether nothing is proposed and the lease is not held here or has half of its time left."""
+        """Return whether nothing is proposed and the lease is not held here or has half of its time left."""
         return self.pending is None and (not self.token or self.valid_until - now > self.usable_us() // 2)
 
     def is_free(self, now: int) -> bool:
-        """Whether its owner has released it or let it expire."""
+        """Return whether its owner has released it or let it expire."""
         return not self.last_seen.owner or now - self.last_seen_at >= self.takeover_wait_us()
 
     def takeover_wait_us(self) -> int:
-        """How long after its last renewal another member may take the lease."""
+        """Return how long after its last renewal another member may take the lease."""
         return int(self.last_seen.length_us * (1 + self.drift)) + 1
 
     def usable_us(self) -> int:
-        """How long after asking for a renewal its holder may act."""
+        """Return how long after asking for a renewal its holder may act."""
         return int(self.length_us * (1 - self.drift))
 
     def next_wake_at(self, now: int) -> int:
-        """When to call `tick` again."""
+        """Return when to call `tick` again."""
         if self.fencing_token(now):
             return max(now + 1000, self.valid_until - self.usable_us() * (RENEWALS - 1) // RENEWALS)
         return (
@@ -125,15 +125,15 @@
         self.token = self.valid_until = 0
 
     def next_fencing_token(self, seen: Lease) -> int:
-        """The token for a takeover."""
+        """Return the token for a takeover."""
         return seen.fencing_token + 1
 
     def requires_unchanged(self) -> bool:
-        """Whether to take it only as it was last seen: the wait was for that renewal."""
+        """Return whether to take it only as it was last seen: the wait was for that renewal."""
         return True
 
     def on_outcome(self, outcome: Outcome, now: int) -> bool:
-        """Handle the outcome of a proposal. Returns whether it is one of its own."""
+        """Handle the outcome of a proposal. Return whether it is one of its own."""
         proposal = self.pending
         if proposal is None or outcome.proposal_id != proposal.proposal_id:
             return False
@@ -149,7 +149,7 @@
         return True
 
     def counts_from(self, asked_at: int, now: int) -> int:
-        """The time before it asked: other members may count from any moment after that."""
+        """Return the time before it asked: other members may count from any moment after that."""
         return asked_at
 
     def carry(self) -> dict[str, int]:
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -210,7 +210,7 @@
     # Datagrams
 
     def datagram(self, data: bytes, now: int) -> bool:
-        """Handle a datagram. Returns whether `tick` has something to do at once."""
+        """Handle a datagram. Return whether `tick` has something to do at once."""
         self.counts.received += 1
         try:
             frame, body, updates = wire.read(data, self.settings.fleet)
@@ -248,7 +248,7 @@
             self.due_at = now
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         if not self.started:
             self._start(now)
         if not self.started:
@@ -344,16 +344,16 @@
         now: int,
         callback: Callable[[Outcome], None],
     ) -> str:
-        """Propose a change of the document. Returns the proposal id."""
+        """Propose a change of the document. Return the proposal id."""
         return self.register.propose(change, now, callback)
 
     def fencing_token(self, lease: str, now: int) -> int:
-        """The token to act under, 0 if it may not act. To be called in the turn that acts."""
+        """Return the token to act under, 0 if it may not act. To be called in the turn that acts."""
         holder = self.register.lease_holders.get(lease)
         return holder.fencing_token(now) if holder else 0
 
     def status(self, now: int) -> dict[str, Any]:
-        """The status for operators; ages are in ms."""
+        """Return the status for operators; ages are in ms."""
         me, register = self.swim.me, self.register
         peers = sorted(self.swim.peers.values(), key=lambda peer: peer.id)
         rows = [
--- a/hopmill/fleet/policy.py
+++ b/hopmill/fleet/policy.py
@@ -45,7 +45,7 @@
     watch_ms: int  # how long the group is watched
 
     def includes(self, member: str) -> bool:
-        """Whether the member belongs to the group."""
+        """Return whether the member belongs to the group."""
         return zlib.crc32(f"{self.salt} {member}".encode()) < self.share * (1 << 32)
 
 
@@ -61,7 +61,7 @@
     reopen_count: int = 0  # times that its closing was reopened
 
     def affects(self, member: str) -> bool:
-        """Whether it would bring this member to another version."""
+        """Return whether it would bring this member to another version."""
         if self.canary is None or self.scope in (ALL, BACK):
             return True
         return self.canary.includes(member) is (self.scope == STAGE)
@@ -97,19 +97,19 @@
     stage: CanaryStage | None = None
 
     def version_for(self, member: str) -> int:
-        """The version in force for this member."""
+        """Return the version in force for this member."""
         return self.stage.version if self.stage and self.stage.canary.includes(member) else self.version
 
     def digest_for(self, member: str) -> bytes:
-        """The digest of the text in force for this member."""
+        """Return the digest of the text in force for this member."""
         return self.stage.digest if self.stage and self.stage.canary.includes(member) else self.digest
 
     def closing_for(self, member: str) -> bool:
-        """Whether this member has to stop."""
+        """Return whether this member has to stop."""
         return self.change is not None and self.change.closing and self.change.affects(member)
 
     def outcome(self, change_id: str) -> EndedChange | None:
-        """How a change ended, None if it has not or is no longer kept."""
+        """Return how a change ended, None if it has not or is no longer kept."""
         return next((e for e in self.ended if e.id == change_id), None)
 
     @property
@@ -273,10 +273,10 @@
 
 
 def cancel_member(member: str, is_cancelled: bool = True) -> Step:
-    """Withdraw a member by name, or let it back.
+    """Cancel a member by name, or readmit it.
 
     An operator declares that the member does not run: no change waits for it, and it gets no lease. The step
-    raises ChangeRefusedError if too many are withdrawn.
+    raises ChangeRefusedError if too many are cancelled.
     """
 
     def step(proposal_id: str, document: RegisterDocument) -> RegisterDocument | None:
--- a/hopmill/fleet/proposer.py
+++ b/hopmill/fleet/proposer.py
@@ -32,7 +32,8 @@
 class Outcome:
     """How a change ended.
 
-    state: 'done', 'left' (the document was left as it was), 'refused' with the reason in `why`, or 'unknown'.
+    state: 'done', 'left' (as it was: there was nothing to change), 'refused' with the reason in `why`, or
+    'unknown'.
     """
 
     proposal_id: str
@@ -42,7 +43,7 @@
 
     @property
     def made_version(self) -> int:
-        """The version that the change made, 0 if none: the document may have changed since."""
+        """Return the version that the change made, 0 if none: the document may have changed since."""
         if (
             self.state != "done"
             or self.document is None
@@ -90,7 +91,7 @@
     """Makes changes to the register. Messages are gathered in `outbox`, results in `outcomes`."""
 
     def __init__(self, name: str, initial: RegisterDocument, rng: random.Random) -> None:
-        """name: of this generation of this member and no other, so that no ballot is used twice."""
+        """name: unique per member and generation, so that no ballot is used twice."""
         self.name, self.initial, self.rng, self.round = name, initial, rng, 0
         self.known_document = initial  # the newest that is known to be chosen
         self.pending: deque[PendingChange] = deque()  # the first one is in progress
@@ -106,7 +107,7 @@
         """Queue a change.
 
         proposal_id: of this change and no other. The change ends by `deadline` (us), then possibly as
-        unknown. urgent: work waits for it.
+        unknown. urgent: calls may be paused until it ends, so it backs off for a shorter time.
         """
         if len(self.pending) >= MAX_PENDING:
             self.outcomes.append(Outcome(proposal_id, "refused", why=f"{MAX_PENDING} changes are pending"))
@@ -116,8 +117,9 @@
             self._start_ballot(now)
 
     def tick(self, now: int) -> int | None:
-        """End overdue changes and send again what is unanswered. Returns the time of the next call, None if
-        idle.
+        """End overdue changes and send again what is unanswered.
+
+        Return the time of the next call, None if idle.
         """
         while self.pending and now >= self.pending[0].deadline:
             missing_voters = (
@@ -159,7 +161,7 @@
                 self.outbox.append(Send(voter, Prepare(attempt.ballot)))
 
     def expected_voters(self, attempt: BallotAttempt) -> set[str]:
-        """Whom to ask: the known voters, those that answers have named, and those that are to join."""
+        """Return whom to ask: the known voters, those named in answers, and those of the next document."""
         return self.known_document.all_voters.union(
             attempt.next_voters, *(self._document_of(p).all_voters for p in attempt.promises.values())
         )
@@ -184,7 +186,7 @@
             ]
 
     def newest_document(self, attempt: BallotAttempt) -> RegisterDocument:
-        """The document accepted under the latest ballot among the promises."""
+        """Return the document accepted under the latest ballot among the promises."""
         # A method of its own, so that the explorer can remove this guard.
         return self._document_of(max(attempt.promises.values(), key=lambda p: p.accepted))
 
@@ -230,10 +232,10 @@
         self._send_accepts(attempt)
 
     def can_switch_voters(self, next_document: RegisterDocument, attempt: BallotAttempt) -> bool:
-        """Whether all new voters vote already, and a majority with them.
+        """Return whether all new voters have promised already, and with them a majority.
 
-        A document accepted anywhere before that would name voters without whom neither they nor a voter that
-        lost its folder could be readmitted.
+        Otherwise an accepted document could require votes from voters that have not joined; then no majority
+        could admit them, or readmit a voter that lost its state directory.
         """
         assert attempt.base is not None
         return next_document.all_voters - attempt.base.all_voters <= set(
@@ -241,7 +243,7 @@
         ) and next_document.has_majority(attempt.promises)
 
     def is_already_done(self, proposal_id: str, base: RegisterDocument) -> bool:
-        """Whether the document contains the change already."""
+        """Return whether the document contains the change already."""
         # A method of its own, so that the explorer can remove this guard.
         return proposal_id in base.recent_proposals
 
@@ -265,7 +267,7 @@
             self._done(now)
 
     def is_accepted(self, attempt: BallotAttempt) -> bool:
-        """Whether a majority of the voters has accepted, by the document before and after the change."""
+        """Return whether majorities have accepted, by the documents before and after the change."""
         # A method of its own, so that the explorer can remove this guard.
         assert attempt.next_document is not None and attempt.base is not None
         return attempt.next_document.has_majority(attempt.accepted_by) and attempt.base.has_majority(
@@ -285,7 +287,7 @@
         self.next_wake_at = now + self.backoff_us(limit_us) // (4 if self.pending[0].is_urgent else 1)
 
     def backoff_us(self, limit_us: int) -> int:
-        """A random delay before the next ballot."""
+        """Return a random delay before the next ballot."""
         return self.rng.randrange(limit_us // 4, limit_us)
 
     # Results
@@ -310,14 +312,17 @@
             self._start_ballot(now)
 
     def cancel(self, proposal_id: str, now: int) -> None:
-        """Drop a read that is no longer needed. Requests already sent for it do no harm."""
+        """Drop a read that is no longer needed, whether it is in progress or queued.
+
+        Requests already sent for it do no harm: a read changes nothing.
+        """
         if self.pending and self.pending[0].proposal_id == proposal_id:
             self._end("refused", now, why="no longer needed")
         else:
             self.pending = deque(pending for pending in self.pending if pending.proposal_id != proposal_id)
 
     def learn(self, document: RegisterDocument) -> bool:
-        """Note a document that is known to be chosen. Returns whether it is newer."""
+        """Note a document that is known to be chosen. Return whether it is newer."""
         if document.version <= self.known_document.version:
             return False
         self.known_document = document
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -80,7 +80,7 @@
         """Propose a change of the document.
 
         change: takes its proposal id and the document, and returns the next document or None. callback: gets
-        the outcome. within: us. Returns the proposal id.
+        the outcome. within: us. Return the proposal id.
         """
         self.proposal_count += 1
         proposal_id = doc.proposal_id_of(f"{self.name}/{self.proposal_count}")
@@ -132,14 +132,14 @@
             self.receive(sender, body, now)
 
     def note_version(self, sender: str, version: int) -> bool:
-        """Note the version that another member knows. Returns whether it is newer than the one known here."""
+        """Note the version that another member knows. Return whether it is newer than the one known here."""
         if version <= self.document.version:
             return False
         self.newer_versions[sender] = version
         return True
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         due = now + 1_000_000
         if (at := self.proposer.tick(now)) is not None:
             due = min(due, at)
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -65,11 +65,11 @@
     # Permission to act
 
     def valid_version(self, now: int) -> int:
-        """The version to act under, -1 if it may not act. To be called in the turn that acts."""
+        """Return the version to act under, -1 if it may not act. To be called in the turn that acts."""
         return self.applied_version if now < self.valid_until() else -1
 
     def valid_until(self) -> int:
-        """When the permission to act ends, 0 if there is none."""
+        """Return when the permission to act ends, 0 if there is none."""
         document = self.register.document
         if (
             self.applied_version != document.policy.version_for(self.me)
@@ -89,11 +89,11 @@
         return 0
 
     def counts_from(self, voter: str) -> int:
-        """The time from which this voter's grant counts."""
+        """Return the time from which this voter's grant counts."""
         return self.granted_at[voter]
 
     def must_stop(self) -> bool:
-        """Whether a change that concerns this member is closing."""
+        """Return whether a change that concerns this member is closing."""
         return self.policy.closing_for(self.me)
 
     # Reports of the courier
@@ -118,7 +118,7 @@
     # Timer and replies
 
     def tick(self, now: int) -> int:
-        """Send the requests that are due. Returns the time of the next call."""
+        """Send the requests that are due. Return the time of the next call."""
         policy, document = self.policy, self.register.document
         if self.must_stop():
             return self._announce_stop(policy, document, now)
@@ -179,13 +179,14 @@
         self.denial_reasons.pop(sender, None)
 
     def matches_request(self, grant: LeaseGrant, request: GrantRequest) -> bool:
-        """Whether it answers the newest request of this generation; requests of each generation count from
-        one.
+        """Return whether it answers the newest request of this generation.
+
+        Each generation counts its requests from one.
         """
         return grant.generation == self.generation and grant.seq == request.seq
 
     def has_same_voters(self, grant: LeaseGrant) -> bool:
-        """Whether voter and member know the same set of voters."""
+        """Return whether voter and member know the same set of voters."""
         return grant.voter_set_version == self.register.document.voter_set_version == self.voter_set_version
 
     def on_denial(self, sender: str, denial: LeaseDenial) -> None:
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -53,7 +53,7 @@
     suspected_by: set[str] = field(default_factory=set)
 
     def to_update(self) -> MemberUpdate:
-        """The gossip about this member."""
+        """Return the gossip about this member."""
         return MemberUpdate(
             self.id,
             self.state,
@@ -132,16 +132,17 @@
     # State
 
     def is_alive(self, name: str) -> bool:
-        """Whether the member is this one, alive or suspected."""
+        """Return whether the member is this one, alive or suspected."""
         return name == self.me.id or (p := self.peers.get(name)) is not None and p.state in (ALIVE, SUSPECT)
 
     def address(self, name: str) -> str:
-        """Where the member receives datagrams, "" if that is not known."""
+        """Return where the member receives datagrams, "" if that is not known."""
         return p.address if (p := self.peers.get(name)) else ""
 
     def on_datagram(self, sender: str, incarnation: int, updates: list[MemberUpdate], now: int) -> bool:
-        """Handle sender and updates. Returns False if the datagram is to be dropped: outdated or unknown
-        sender.
+        """Handle sender and updates.
+
+        Return False if the datagram is to be dropped: its sender is unknown or its incarnation outdated.
         """
         for update in updates:
             self._on_update(update, now, sender)
@@ -191,7 +192,7 @@
             self._confirm(peer, update.suspected_by)
 
     def _confirm(self, peer: Peer, by: str) -> None:
-        """Count one more member that suspects it; only so many count, and so many are gossiped."""
+        """Count and gossip one more member that suspects it, at most MAX_CONFIRMATIONS beyond the first."""
         if by and by not in peer.suspected_by and len(peer.suspected_by) <= MAX_CONFIRMATIONS:
             peer.suspected_by.add(by)
             self._enqueue_update(peer, by)
@@ -226,7 +227,7 @@
     # Timer
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         for seq, probe in list(self.probes.items()):
             waited_us = now - probe.sent_at
             if waited_us >= self.probe_timeout_us * (1 + self.health_score):
@@ -267,7 +268,7 @@
         )
 
     def on_stall(self, stall_us: int) -> None:
-        """Handle that this process did not run for so long: drop open probes and extend suspicions."""
+        """Handle that this process did not run for `stall_us`: drop open probes and extend suspicions."""
         self.probes.clear()
         self.relays.clear()
         for name in self.suspects:
@@ -275,10 +276,11 @@
         self.next_probe_at += stall_us
 
     def _ack_timeout_us(self) -> int:
+        """Return how long the ack of a direct ping may take before others are asked to ping."""
         return self.period_us * (1 + self.health_score)
 
     def _suspicion_timeout_us(self, peer: Peer) -> int:
-        """Shorter the more members share the suspicion, as in Lifeguard."""
+        """Return how long a suspicion lasts: shorter the more members share it, as in Lifeguard."""
         # Not counted: this member, the suspected one, and the one that suspected it first.
         limit = min(MAX_CONFIRMATIONS, self.live_count - 3)
         if limit <= 0:
@@ -363,7 +365,7 @@
             self.probes[body.seq].nack_count += 1
 
     def live_members(self) -> list[str]:
-        """All others that are alive or suspected."""
+        """Return all others that are alive or suspected and have been heard of (incarnation above 0)."""
         return [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT) and p.incarnation > 0]
 
     def leave(self) -> None:
@@ -388,7 +390,7 @@
         self.gossip_counts[peer.id], self.encoded_updates[peer.id] = 0, encode(update)
 
     def updates_for(self, receiver: str) -> list[bytes]:
-        """Gossip for a datagram: first the state of its receiver, unless that is known to be alive."""
+        """Return the gossip for a datagram: first the receiver's state, unless it is known to be alive."""
         rows = []
         peer = self.peers.get(receiver)
         if peer and (peer.state in (SUSPECT, DEAD) or receiver in self.outdated_senders) and peer.incarnation:
--- a/hopmill/fleet/texts.py
+++ b/hopmill/fleet/texts.py
@@ -46,7 +46,7 @@
         self.writes: list[tuple[bytes, bytes]] = []  # (digest, text) to be written
 
     def add(self, text: bytes) -> bytes:
-        """Take a text. Returns its digest; raises ValueError if it is too long."""
+        """Take a text. Return its digest. Raise ValueError if it is too long."""
         if len(text) > MAX_TEXT_BYTES:
             raise ValueError(f"the policy would take {len(text)} of {MAX_TEXT_BYTES} bytes")
         self.by_digest[digest := digest_of(text)] = text
@@ -75,7 +75,7 @@
             self.on_disk.add(digest)
 
     def retain(self, digests: set[bytes]) -> set[bytes]:
-        """Drop all other texts. Returns the digests of those that may be deleted from the disk."""
+        """Drop all other texts. Return the digests of those that may be deleted from the disk."""
         for digest in [d for d in self.by_digest if d not in digests]:
             del self.by_digest[digest]
         for digest in [d for d in self.fetches if d not in digests]:
@@ -131,7 +131,7 @@
         self.outbox.append(Send(source, TextRequest(digest, self._contiguous_bytes(fetch))))
 
     def tick(self, now: int) -> int:
-        """Ask for what is missing. Returns the time of the next call."""
+        """Ask for what is missing. Return the time of the next call."""
         for digest, fetch in self.fetches.items():
             if now - fetch.requested_at >= RETRY_US:
                 self._request(digest, fetch, fetch.sources[fetch.tries % len(fetch.sources)], now)
--- a/hopmill/fleet/voter.py
+++ b/hopmill/fleet/voter.py
@@ -71,15 +71,15 @@
         self.outbox: list[Action] = []
 
     def trusts_folder(self, same_folder: bool) -> bool:
-        """Whether the memory in the folder may be used for voting."""
+        """Return whether the memory in the folder may be used for voting."""
         return same_folder
 
     def document(self) -> RegisterDocument:
-        """The document accepted last, or the initial one."""
+        """Return the document accepted last, or the initial one."""
         return doc.decode(self.memory.document) if self.memory.document else self.initial
 
     def is_expected_to_vote(self, known: RegisterDocument) -> bool:
-        """Whether the fleet counts on this voter.
+        """Return whether the fleet counts on this voter.
 
         True by its own memory, by what is known to be chosen, or because it was asked for a vote: the change
         that makes it a voter may need its vote.
@@ -87,8 +87,9 @@
         return self.was_asked_to_vote or self.me in self._known_voters(known)
 
     def _known_voters(self, known: RegisterDocument) -> set[str]:
-        """The voters by what is known to be chosen and what was accepted here; else those of the initial
-        document.
+        """Return the voters by what is known to be chosen and what was accepted here.
+
+        If there is neither: those of the initial document.
         """
         known_voters = known.all_voters if known.version else set()
         return known_voters | (
@@ -102,7 +103,7 @@
     # Recovery: a voter that starts without trusted memory is readmitted by the others
 
     def tick(self, now: int, known: RegisterDocument) -> int:
-        """Send recovery requests while it may not vote yet. Returns the time of the next call, in us."""
+        """Send recovery requests while it may not vote yet. Return the time of the next call, in us."""
         if self.is_voting or not self.is_expected_to_vote(known):
             return now + RECOVERY_RETRY_US
         if now - self.last_request_at >= RECOVERY_RETRY_US:
@@ -191,7 +192,7 @@
             self.replies, self.last_request_at = {}, -RECOVERY_RETRY_US
 
     def _is_future_voter(self) -> bool:
-        """Whether a majority votes and none of it knows this member as a voter, nor a generation of it.
+        """Return whether a majority votes that knows this member neither as a voter nor by a generation.
 
         A majority recorded each member that was readmitted without being a voter, before its first vote.
         """
@@ -200,7 +201,7 @@
         return self.me not in named and self.majority_of_others(voting)
 
     def is_readmitted(self, replies: dict[str, RecoveryReply]) -> bool:
-        """Whether enough have recorded the claim: all others for a new voter, else a voting majority."""
+        """Return whether enough recorded the claim: all others for a new voter, else a voting majority."""
         if self.is_new:
             return self.other_voters <= set(replies)
         return self.majority_of_others({s: k for s, k in replies.items() if k.is_voting})
@@ -219,7 +220,7 @@
         self.persist()
 
     def majority_of_others(self, replies: dict[str, RecoveryReply]) -> bool:
-        """Whether these replies come from a majority of the voters, this one not counted among them."""
+        """Return whether these replies come from a majority of the voters, this one not counted."""
         newest = max(replies.values(), key=lambda k: k.accepted, default=None)
         document = doc.decode(newest.document) if newest and newest.document else self.initial
         return document.has_majority(set(replies) - {self.me}) if len(document.all_voters) > 1 else False
@@ -239,7 +240,7 @@
         self.persist(Send(sender, Promise(prepare.ballot, memory.life, memory.accepted, memory.document)))
 
     def may_promise(self, ballot: Ballot) -> bool:
-        """Whether no later ballot is promised."""
+        """Return whether no later ballot is promised."""
         return ballot >= self.memory.promised  # the same ballot may be prepared twice
 
     def on_accept(self, sender: str, accept: Accept) -> None:
@@ -255,11 +256,11 @@
         self.persist(Send(sender, Accepted(accept.ballot, memory.life)))
 
     def may_accept(self, ballot: Ballot) -> bool:
-        """Whether no later ballot is promised."""
+        """Return whether no later ballot is promised."""
         return ballot >= self.memory.promised
 
     def is_basis_valid(self, basis: tuple[tuple[str, int], ...]) -> bool:
-        """Whether no promise that the accept is based on was given in a generation that has ended since."""
+        """Return whether the accept is based on no promise of a generation that has ended since."""
         generations = self.memory.lives
         return all(
             generation == self.memory.life if voter == self.me else generation >= generations.get(voter, 0)
--- a/hopmill/interface.py
+++ b/hopmill/interface.py
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
-    """The courier has taken on a message and owes it one final answer before valid_until_us."""
+    """The courier has accepted a message and owes it one final answer before valid_until_us."""
 
     message: int
     message_class: int
@@ -221,7 +221,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The outcome of one Send; each has exactly one. closed: the message is finished."""
+    """The outcome of one Send; each has exactly one.
+
+    closed: the host has no use for a further attempt or answer: the message was delivered, the endpoint
+    declared it finished (410, in a batch "void"), or the host no longer holds it.
+    """
 
     message: int
     attempt: int
@@ -299,7 +303,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Carried:
-    """After an upgrade: what the previous process learned of an endpoint, by the names of Courier.carry().
+    """After an upgrade: what the previous process learned of an endpoint and handed over by Courier.carry().
 
     Times are on the same clock. Names unknown to this version are ignored.
     """
--- a/hopmill/policy/admission.py
+++ b/hopmill/policy/admission.py
@@ -26,7 +26,7 @@
         self.refusals_without_resubmission = 0  # of messages that had time for one, since the last one
 
     def is_spent(self, message: Message) -> bool:
-        """Whether no attempt is left: the final answer is due at once."""
+        """Return whether no attempt is left: the final answer is due at once."""
         return message.attempts >= self.max_attempts or self.turn.now_us >= message.last_send_us(
             self.turn.deadline_margin_us
         )
@@ -36,7 +36,7 @@
         return int(self.settings.max_retry_after_us * self.turn.rng.uniform(0.5, 1))
 
     def refusal_share(self, destination: Destination, lifetime_us: int) -> float:
-        """Share of new messages to refuse unsent: the share of the destination's calls refused as full.
+        """Return the share of new messages to refuse unsent: the share of the destination's refused calls.
 
         Where refused calls use up the limit too, a destination of many couriers refuses nearly all calls once
         they exceed its limit, and resubmissions keep it there. One courier sees too few refusals to pace
@@ -58,7 +58,7 @@
         return min(MAX_UNSENT_SHARE, sum(shares) / max(1, len(destination.lanes)))
 
     def should_refuse(self, message: Message) -> bool:
-        """Whether to refuse a new message, at random by the refusal share; in a large fleet only."""
+        """Return whether to refuse a new message, at random by the refusal share; in a large fleet only."""
         return self.turn.is_large_fleet and self.turn.rng.random() < self.refusal_share(
             message.destination, message.valid_until_us - self.turn.now_us
         )
@@ -73,7 +73,7 @@
             )
 
     def should_wait(self, message: Message) -> bool:
-        """Whether a message refused as full waits here instead of being handed back with the retry-after.
+        """Return whether a message whose call was refused waits here instead of being refused as well.
 
         It does where clients mark resubmissions and many refusals brought none: there a refusal is a loss.
         """
--- a/hopmill/policy/carried.py
+++ b/hopmill/policy/carried.py
@@ -1,4 +1,7 @@
-"""What an upgrade hands over from one process to the next: figures by names that other builds know."""
+"""What the policy has learned, handed over to the next process at an upgrade.
+
+The figures are handed over by names that other builds know; "carried" in names means "handed over".
+"""
 
 from __future__ import annotations
 
@@ -63,16 +66,16 @@
 
 
 class CarriedFigures:
-    """Collects and restores what a courier has learned."""
+    """Collects what a courier has learned, to hand it over at an upgrade, and restores it afterwards."""
 
     def __init__(self, timeouts: Timeouts, connections: Connections, admission: Admission) -> None:
-        """The modules that hold figures over all endpoints."""
+        """Take the modules that hold the overall figures."""
         self.timeouts = timeouts
         self.connections = connections
         self.admission = admission
 
     def collect(self, endpoint: Endpoint) -> dict[str, float]:
-        """The figures of an endpoint, its breaker, lane and connections, and those over all endpoints."""
+        """Return the figures of an endpoint, its breaker, lane and connections, and the overall ones."""
         return {name: getattr(owner, attribute) for name, owner, attribute in self._attributes(endpoint)}
 
     def restore(self, endpoint: Endpoint, figures: dict[str, float]) -> None:
@@ -89,7 +92,7 @@
                 yield f"{part}.{name}", owner, attribute
 
     def _owners(self, endpoint: Endpoint) -> dict[str, tuple[object, ...]]:
-        """The objects that may hold the attributes of each part of CARRIED."""
+        """Return the objects that may hold the attributes of each part of CARRIED."""
         return {
             "ep": (endpoint,),
             "circuit": (endpoint.breaker,),
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -30,18 +30,22 @@
         self.settings = turn.settings
 
     def warm_share(self, breaker: CircuitBreaker) -> float:
-        """Share of the warm rate that a returning endpoint may get, from 0 to 1."""
+        """Return the share of the warm rate that a returning endpoint may get, from 0 to 1.
+
+        Its capacity grows from cold_share to 1 within cold_us. It fails again at fall_multiple times its
+        present capacity, so it may get that load, less a margin.
+        """
         cold_share = self.settings.cold_share
         since_us = self.turn.now_us if breaker.is_open else breaker.slow_start_began_us
         share = cold_share + (1 - cold_share) * (self.turn.now_us - since_us) / max(1, self.settings.cold_us)
         return min(1.0, RECOVERY_FACTOR * self.settings.fall_multiple * share)
 
     def record_arrival(self, breaker: CircuitBreaker, lane_count: int) -> None:
-        """A new message for a lane whose breaker the whole lane shares.
+        """Add slow-start tokens for a new message (large fleets: one breaker per lane).
 
-        A returning destination gets a share of new messages: summed over a large fleet it follows the total,
-        whichever courier gets them. At most one token is kept, since all couriers that were told to wait
-        return in the same moment.
+        lane_count: lanes of the message's destination. A returning destination gets a share of new messages:
+        summed over a large fleet it follows the total, whichever courier gets them. At most one token is
+        kept, since all couriers that were given the same retry-after return at the same moment.
         """
         if breaker.is_open or breaker.slow_start_began_us >= 0:
             breaker.tokens = min(1.0, breaker.tokens + self.warm_share(breaker) / lane_count)
@@ -78,7 +82,7 @@
         self.turn.log(f"endpoint {endpoint.id} may serve again: slow start")
 
     def open_breaker(self, endpoint: Endpoint, reason: str) -> None:
-        """Open the breaker: half-open trial calls only, with growing jittered gaps."""
+        """Open the breaker: only single trial calls, with growing jittered gaps."""
         turn = self.turn
         if not endpoint.breaker.is_open:
             self.set_warm_rate(endpoint)
@@ -94,7 +98,7 @@
         )
 
     def current_ambiguous_share(self, endpoint: Endpoint) -> float:
-        """Moving share of calls that failed but may have run, faded by the time since."""
+        """Return the moving share of calls that failed but may have run, decayed since its last update."""
         return endpoint.ambiguous_share * max(
             0.0,
             1
@@ -103,18 +107,18 @@
         )
 
     def record_ambiguous_failure(self, endpoint: Endpoint) -> None:
-        """A call failed after which the message may have been processed all the same."""
+        """Record a failed call after which the message may have been processed all the same."""
         share = self.current_ambiguous_share(endpoint)
         endpoint.ambiguous_share = share + OUTCOME_WEIGHT * (1 - share)
         endpoint.ambiguous_updated_us = self.turn.now_us
 
     def record_outage_wait(self, endpoint: Endpoint) -> None:
-        """A refusal came with a retry-after too long for the end of a rate-limit window: an outage."""
+        """Record an outage: a refusal whose retry-after is longer than any rate-limit window."""
         endpoint.failure_share = endpoint.breaker.failure_share = 1.0
         self.open_breaker(endpoint, "long retry-after")
 
     def record_failure(self, endpoint: Endpoint, result: Result, is_trial: bool, weight: float) -> None:
-        """A call failed. `weight`, from 0 to 1, says how much the failure counts as evidence."""
+        """Record a failed call. weight: how much the failure counts as evidence, from 0 to 1."""
         is_large_fleet = self.turn.is_large_fleet
         endpoint.failure_share += OUTCOME_WEIGHT * (1 - endpoint.failure_share) * weight
         endpoint.breaker.failure_share += OUTCOME_WEIGHT * (1 - endpoint.breaker.failure_share) * weight
@@ -147,14 +151,14 @@
             endpoint.breaker.slow_start_began_us = self.turn.now_us
 
     def lower_failure_shares(self, endpoint: Endpoint) -> None:
-        """A call succeeded: lower the failure shares."""
+        """After a successful call, lower the failure shares and the ambiguous share."""
         endpoint.failure_share = endpoint.failure_share * (1 - OUTCOME_WEIGHT)
         endpoint.breaker.failure_share = endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT)
         endpoint.ambiguous_share = self.current_ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT)
         endpoint.ambiguous_updated_us = self.turn.now_us
 
     def close_after_success(self, endpoint: Endpoint) -> None:
-        """After a delivery: an open breaker closes, and a slow start ends if its time is over."""
+        """After a successful call, close an open breaker, or end a slow start whose time is over."""
         now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
         if endpoint.breaker.is_open:
             endpoint.breaker.is_open = False
@@ -178,7 +182,7 @@
             endpoint.breaker.slow_start_began_us = -1
 
     def allows(self, endpoint: Endpoint, has_quick_retry: bool) -> bool:
-        """Whether the breaker lets a call through now; if not, asks for a turn when it may.
+        """Return whether the breaker lets a call through now; if not, request a turn for when it may.
 
         has_quick_retry: a message waits whose first attempt failed so soon that it may be repeated during an
         outage.
--- a/hopmill/policy/connections.py
+++ b/hopmill/policy/connections.py
@@ -49,7 +49,7 @@
                 )
 
     def has_warm(self, endpoint: Endpoint) -> bool:
-        """Whether an idle connection can be used."""
+        """Return whether an idle connection can be used."""
         return any(
             since_us > self.turn.now_us - self.max_idle_us
             for since_us in endpoint.connection_budget.idle_since_us
@@ -91,7 +91,7 @@
             self.turn.actions.append(OpenIdle(endpoint.id))
 
     def record_full_table(self, endpoint: Endpoint) -> None:
-        """The endpoint serves but takes no further connection: keep fewer connections to it."""
+        """Keep fewer connections to an endpoint that serves but takes no further one."""
         connections, pause_us = (
             len(endpoint.calls_in_flight) + len(endpoint.connection_budget.idle_since_us),
             max(int(endpoint.lane.mean_latency_us), 2 * self.settings.tick_us),
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -56,10 +56,15 @@
 
 
 class Courier:
-    """Decides for one courier: `handle` takes the events of a turn and returns its actions."""
+    """Decides for one courier: `handle` takes the events of a turn and returns its actions.
+
+    Its main modules: `turn` holds the time, random numbers and actions of the events handled together;
+    `evidence` passes the outcomes of calls on to the modules that learn from them; `gate` decides whether an
+    endpoint may get a call and a message may be sent there; `worth` says what delivering a message is worth.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """The same settings, seed and events give the same actions."""
+        """Start a courier. The same settings, seed and events give the same actions."""
         self.settings = settings
         self.turn = turn = Turn(settings, seed)
         self.max_attempts = min(DEFAULT_MAX_ATTEMPTS, settings.max_attempts)
@@ -87,7 +92,7 @@
     # Events
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Handle the events of a turn at `now_us` (monotonic clock); returns the actions in order."""
+        """Handle the events of a turn at `now_us` (monotonic clock) and return the actions in order."""
         turn, state = self.turn, self.state
         first = turn.started_us < 0
         turn.begin(now_us)
@@ -133,11 +138,11 @@
         return turn.actions
 
     def come_back_us(self) -> int:
-        """Retry-after in microseconds for a message that the courier has no room for."""
+        """Return the retry-after for a client when the courier is full, in us."""
         return self.admission.come_back_us()
 
     def may_serve(self, endpoint_id: int, zone: int) -> bool:
-        """Whether operators let the endpoint have calls, and connections for them."""
+        """Return whether operators let the endpoint have calls, and connections for them."""
         return self.gate.may_serve(endpoint_id, zone)
 
     # Operators
@@ -202,7 +207,10 @@
     # Upgrades
 
     def carry(self) -> list[tuple[int, dict[str, float]]]:
-        """What was learned of each endpoint, for the process that takes over: [(endpoint, {name: value})]."""
+        """Return what was learned of each endpoint, to be handed over to the next process at an upgrade.
+
+        The result is [(endpoint, {name: value})]; the next process gets it as Carried events.
+        """
         return [(endpoint.id, self.carried.collect(endpoint)) for endpoint in self.state.endpoints.values()]
 
     def _on_call_carried(self, event: CallCarried) -> None:
@@ -320,7 +328,9 @@
             heapq.heappush(self.expiries, (last_send_us, message.id))
 
     def _finish(self, message: Message, wait_us: int) -> None:
-        """End a message; nothing else does. Refuse if a resubmission is known to be harmless, else fail.
+        """End a message with a final answer, then forget it; the only place that emits Refuse or Fail.
+
+        Refuse if a resubmission is known to be harmless, else Fail.
 
         wait_us: the announced wait, 0 if none.
         """
@@ -346,6 +356,7 @@
         self._close(message)
 
     def _close(self, message: Message) -> None:
+        """Forget a message that has or needs no answer, as soon as no attempt of it is in flight."""
         if not message.is_closed:
             message.is_closed = True
             if message in message.destination.queue:
@@ -370,7 +381,10 @@
                     self._finish(message, 0)
 
     def _make_room(self) -> None:
-        """Hand back messages of the longest queue before they keep out others that could be sent at once."""
+        """End the least valuable messages of the longest queue while too many are held.
+
+        They would keep out new messages that could be sent at once.
+        """
         while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_FOR_NEW_MESSAGES):
             destination = max(self.state.destinations.values(), key=lambda d: len(d.queue))
             if len(destination.queue) < 2:
--- a/hopmill/policy/gate.py
+++ b/hopmill/policy/gate.py
@@ -40,15 +40,15 @@
         self.zones = zones
 
     def may_serve(self, endpoint_id: int, zone: int) -> bool:
-        """Whether operators let the endpoint have calls, and connections for them."""
+        """Return whether operators let the endpoint have calls, and connections for them."""
         return endpoint_id not in self.state.excluded_endpoints and zone not in self.zones.excluded
 
     def is_serving(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint list and the operators let the endpoint have calls."""
+        """Return whether the endpoint list and the operators let the endpoint have calls."""
         return endpoint.state is EndpointState.READY and self.may_serve(endpoint.id, endpoint.zone)
 
     def has_capacity(self, endpoint: Endpoint, has_quick_retry: bool = False) -> bool:
-        """The lane's side: drain, retry-after, slots, windows, pace, circuit breaker."""
+        """Return whether the lane permits a call: drain, retry-after, slots, windows, pace, breaker."""
         lane, state, max_calls = endpoint.lane, self.state, self.pacing.max_calls(endpoint.lane.destination)
         is_busy = (
             state.calls_in_flight >= self.settings.slots
@@ -63,7 +63,7 @@
         return self.breakers.allows(endpoint, has_quick_retry) and self.pacing.allows(lane)
 
     def may_send(self, message: Message, endpoint: Endpoint) -> bool:
-        """The message's side: attempts, effect class, key order, deadline."""
+        """Return whether the message permits an attempt now: attempts, effect class, key order, deadline."""
         turn, state, now_us = self.turn, self.state, self.turn.now_us
         left_us = min(message.valid_until_us, turn.shutdown_deadline_us) - now_us - turn.deadline_margin_us
         # Before a shutdown the call has to end in time.
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -31,7 +31,7 @@
         self.announced = -1  # how many connections the pool was last told to keep
 
     def check_out(self, now_us: int, oldest_us: int) -> int:
-        """Take the most recently used connection; returns how long it was idle, -1 for a new one.
+        """Take the most recently used connection. Return how long it was idle, -1 for a new one.
 
         Connections idle since `oldest_us` or before are not used.
         """
@@ -64,7 +64,7 @@
         )
 
     def max_idle(self, now_us: int, slot_time_us: float, window: int) -> int:
-        """How many idle connections to keep: as needed, within the window and the share of a full table."""
+        """Return how many idle connections to keep: as needed, within window and share of a full table."""
         mean_calls = self.mean_calls_in_flight(now_us, slot_time_us)
         needed = max(1, min(window, math.ceil(mean_calls + CONCURRENCY_DEVIATIONS * math.sqrt(mean_calls))))
         self._grow(now_us, needed)
@@ -73,9 +73,9 @@
     # A full connection table: many couriers hold a few connections each and know nothing of each other's.
 
     def record_refusal(self, is_new: bool) -> bool:
-        """A call was refused though others are served and the limit is not used up.
+        """Record a call that was refused though others are served and the limit is not used up.
 
-        Returns whether the connection table seems to be full: refusals happen on new connections only.
+        Return whether the connection table seems to be full: refusals happen on new connections only.
         """
         self.consecutive_new_refusals = self.consecutive_new_refusals + 1 if is_new else 0
         return self.consecutive_new_refusals >= FULL_TABLE_REFUSALS
@@ -83,7 +83,7 @@
     def record_full_table(self, now_us: int, connections: int, pause_us: int) -> bool:
         """Keep half of what is held. Each courier that notices a full table does.
 
-        Returns False for a further sign within `pause_us`, which belongs to calls that were in flight
+        Return False for a further sign within `pause_us`, which belongs to calls that were in flight
         already.
         """
         if now_us < self.next_cut_us:
--- a/hopmill/policy/pacing.py
+++ b/hopmill/policy/pacing.py
@@ -47,14 +47,14 @@
         self.refused_share_by_kind = [0.0] * len(settings.kinds)  # moving share of calls refused
 
     def max_calls(self, destination: Destination) -> int:
-        """Calls to the destination that may be in flight at once."""
+        """Return how many calls to the destination may be in flight at once."""
         return min(
             self.max_calls_per_destination,
             self.ceilings.get(destination.number, (0, 0.0))[0] or self.max_calls_per_destination,
         )
 
     def _policy_limit_per_s(self, lane: Lane) -> float:
-        """This courier's share of the policy's rate limit per lane of a destination; inf: none."""
+        """Return this courier's share of the policy's rate limit per lane of a destination; inf: no limit."""
         limit_per_s = (
             self.ceilings[lane.destination.number][1] if lane.destination.number in self.ceilings else 0.0
         )
@@ -70,16 +70,20 @@
             )
 
     def backoff_us(self, failures: int) -> int:
-        """Full-jitter exponential backoff before a retry, numbered from 0."""
+        """Return a full-jitter exponential backoff.
+
+        failures: before a retry, the number of the retry, from 0. After a refusal without an announced
+        wait: Lane.consecutive_refusals.
+        """
         return int(self.turn.rng.uniform(0, min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(failures, 30))))
 
     # Token bucket
 
     def current_pace_per_s(self, lane: Lane) -> float:
-        """Calls per second that the lane is held to now.
+        """Return the calls per second that the lane is limited to now.
 
-        After a refusal the pace returns to the equal share by itself: one of many couriers gets answers of a
-        lane so rarely that answers alone would keep it down for as long as the limit had been lowered.
+        Where answers report the limit, the pace returns to the equal share by itself after a refusal: one of
+        many couriers sees few answers, so answers alone would restore the pace too slowly.
         """
         # next_cut_us is the time of the last cut plus one round trip: recovery counts from there.
         since_us = self.turn.now_us - lane.next_cut_us
@@ -93,7 +97,7 @@
         return pace_per_s if max_pace_per_s == math.inf else min(pace_per_s or max_pace_per_s, max_pace_per_s)
 
     def refill(self, lane: Lane) -> float:
-        """Add the tokens of the time since the last refill; returns the tokens of the lane."""
+        """Add the tokens of the time since the last refill and return the tokens of the lane."""
         if not lane.pace_per_s and self._policy_limit_per_s(lane) == math.inf:
             return 1.0
         if self.turn.now_us > lane.refilled_us:
@@ -110,7 +114,7 @@
             lane.tokens -= 1.0 + self.turn.rng.uniform(-self.token_jitter, self.token_jitter)
 
     def allows(self, lane: Lane) -> bool:
-        """Whether a token is there; if not, asks for a turn when it will be."""
+        """Return whether a token is available; if not, request a turn for when it will be."""
         if self.refill(lane) < 1.0:
             self.turn.wake_at(
                 max(self.turn.now_us, lane.refilled_us)
@@ -123,10 +127,10 @@
     # Evidence from answers
 
     def record_retry_after(self, lane: Lane, wait_us: int) -> None:
-        """Wait as announced. Counted for each message: those of one batched call may get different waits.
+        """Wait as announced. The longest wait of a batch's messages applies.
 
-        An announced wait is cut to whole milliseconds, so one more keeps a call from being sent just before
-        its end.
+        An announced wait is rounded down to whole milliseconds; ROUNDING_MARGIN_US keeps a call from being
+        sent just before its end.
         """
         lane.wait_until_us = max(lane.wait_until_us, self.turn.now_us + wait_us + ROUNDING_MARGIN_US)
 
@@ -166,12 +170,12 @@
         )
 
     def has_limit_left(self, lane: Lane) -> bool:
-        """Whether part of the limit is left, as far as reports say."""
+        """Return whether part of the limit (x0, its unused share) is left, as far as reports say."""
         reported = dict(zip(self.settings.report_fields, lane.last_report, strict=False))
         return not lane.has_reported_limit or reported.get("x0", 0.0) > 0
 
     def record_success(self, lane: Lane) -> None:
-        """Widen the window and raise the pace."""
+        """Record a delivery: widen the window and raise the pace."""
         now_us = self.turn.now_us
         left_share = max(0.0, 1 - (now_us - lane.last_success_us) / SUCCESS_WINDOW_US)
         lane.success_rate_per_s = lane.success_rate_per_s * left_share + SUCCESS_STEP_PER_S
@@ -195,7 +199,10 @@
             )
 
     def record_overload(self, lane: Lane, retry_after_us: int) -> None:
-        """A refusal as full: lower the pace, halve the window, and wait as announced, else with backoff."""
+        """Record a refusal (Result.FULL): lower the pace, halve the window, and wait.
+
+        retry_after_us: the announced wait; 0: none, then the wait is a backoff.
+        """
         now_us, turn = self.turn.now_us, self.turn
         lane.refused_share += (1 - lane.refused_share) * LANE_REFUSAL_WEIGHT
         self.refused_share_by_kind[lane.destination.kind] += (
@@ -226,5 +233,5 @@
         lane.refilled_us = max(now_us, lane.wait_until_us)
 
     def record_timeout(self, lane: Lane, others_answered: bool) -> None:
-        """Narrow the window: by one if other calls were answered meanwhile, else by half."""
+        """Record a time-out: narrow the window, by one if other calls were answered, else by half."""
         lane.window = max(1.0, lane.window - 1 if others_answered else lane.window / 2)
--- a/hopmill/policy/ranking.py
+++ b/hopmill/policy/ranking.py
@@ -53,7 +53,7 @@
         self.zones = zones
 
     def pick(self, destination: Destination) -> Pick | None:
-        """The message that loses most worth by waiting, and the best endpoint for it; None if none can go."""
+        """Return the message that loses most worth by waiting, and the best endpoint for it, if any."""
         now_us, state = self.turn.now_us, self.state
         has_quick_retry = self.turn.is_large_fleet and any(
             message.failed_quickly and message.ready_us <= now_us for message in destination.queue
--- a/hopmill/policy/state.py
+++ b/hopmill/policy/state.py
@@ -118,7 +118,7 @@
         self.is_zone_bound = message_class.effect is Effect.KEYED and message_class.key_scope == "zone"
 
     def last_send_us(self, margin_us: int) -> int:
-        """The latest time for a further attempt, `margin_us` before the limit.
+        """Return the latest time for a further attempt, `margin_us` before the limit.
 
         The limit is the deadline; once an attempt may have run it is also what the message class allows for
         repeats.
--- a/hopmill/policy/timeouts.py
+++ b/hopmill/policy/timeouts.py
@@ -42,12 +42,12 @@
         )
 
     def record_slot_time(self, lane: Lane, latency_us: int) -> None:
-        """A call has released its slot."""
+        """Record how long a call has occupied its slot."""
         lane.slot_time_us += (latency_us - lane.slot_time_us) / 8
         self.mean_slot_time_us += (latency_us - self.mean_slot_time_us) / 32
 
     def record_latency(self, lane: Lane, latency_us: int) -> None:
-        """A call was answered: update the moving mean and deviation (after RFC 6298) and the loss share."""
+        """Update the moving mean and deviation (after RFC 6298) and the loss share by an answered call."""
         self.loss_share = max(MIN_LOSS_SHARE, self.loss_share * (1 - LOSS_WEIGHT))
         if not lane.mean_latency_us:
             # One fast answer does not justify a short time-out: start from the mean of all calls.
@@ -56,11 +56,11 @@
         lane.mean_latency_us += (latency_us - lane.mean_latency_us) / 8
 
     def record_loss(self) -> None:
-        """A call was lost while others were answered."""
+        """Record a call that was lost while others were answered."""
         self.loss_share += LOSS_WEIGHT * (1 - self.loss_share)
 
     def loss_discount(self) -> float:
-        """How little a time-out says about its endpoint, from 0 to 1: nothing where many calls are lost."""
+        """Return how much less a time-out counts as evidence, from 0 to 1: more, the more calls are lost."""
         return min(1.0, LOSS_DISCOUNT_FACTOR * self.loss_share)
 
     def time_left_us(self, message: Message) -> int:
@@ -72,7 +72,7 @@
         )
 
     def may_share_call(self, message: Message, other: Message, lane: Lane) -> bool:
-        """Whether `other` may travel in the call of `message`, which ends with the earliest deadline in it.
+        """Return whether `other` may travel in the call of `message`, which ends by its earliest deadline.
 
         A message with less time left than calls usually take would end the call too early for the others.
         """
--- a/hopmill/policy/zones.py
+++ b/hopmill/policy/zones.py
@@ -38,7 +38,7 @@
         return True
 
     def share(self, zone: int, now_us: int) -> float:
-        """Share of its usual traffic that the zone may get now, from 0 to 1."""
+        """Return the share of its usual traffic that the zone may get now, from 0 to 1."""
         if zone in self.excluded:
             return 0.0
         if zone not in self.returning:
