--- a/hopmill/fleet/giver.py
+++ b/hopmill/fleet/giver.py
@@ -69,7 +69,7 @@
         self.configured_members = frozenset(member_names)
         self.grants: dict[str, Grant] = {}
         self.stopped_epochs: dict[str, int] = {}  # by member: the epoch that it has stopped for
-        self.heard_members: set[str] = set()  # that got a lease since the wait for unknown grants began
+        self.granted_members: set[str] = set()  # that got a lease since the wait for unknown grants began
         self.grants_complete_at = -1  # when all unknown grants have expired; -1: the wait has not begun
         self.voter_set_version = 0  # voter set for which `grants_complete_at` holds
         self.refusals: dict[str, str] = {}  # by change: a member and its reason to refuse; one entry at most
@@ -109,13 +109,14 @@
     def _knows_all_grants(self, now: int) -> bool:
         """Return whether grants of an earlier start or voter set have expired.
 
-        After a start, and when the voter set has changed, begin the wait for that and clear `heard_members`.
+        After a start, and when the voter set has changed, begin the wait for that and clear
+        `granted_members`.
         """
         known = self.register.document
         if self.grants_complete_at < 0 or self.voter_set_version != known.voter_set_version:
             self.voter_set_version = known.voter_set_version
             self.grants_complete_at = now + self.lease_end_wait_us
-            self.heard_members.clear()
+            self.granted_members.clear()
         return now >= self.grants_complete_at
 
     # Leases
@@ -136,7 +137,7 @@
             max(expires_at, grant.expires_at if grant else 0),
             request.ready_for,
         )
-        self.heard_members.add(sender)
+        self.granted_members.add(sender)
         voter_set_version = self.register.document.voter_set_version
         self.outbox.append(
             Send(
@@ -256,7 +257,7 @@
         assert policy.change is not None
         if not self._knows_all_grants(now) and self.waits_full_lease():
             yield self.me, f"waits {(self.grants_complete_at - now) // 1000} ms"
-        for name in self.configured_members - self.heard_members if self.continues_alone else ():
+        for name in self.configured_members - self.granted_members if self.continues_alone else ():
             if why := self._pending_reason(name, policy, now):
                 yield name, why
         for name in self.grants:
@@ -267,7 +268,9 @@
         """Return what this member has yet to do, "" if nothing."""
         change, grant = policy.change, self.grants.get(name)
         assert change is not None
-        presumed = self.continues_alone and name not in self.heard_members and name in self.configured_members
+        presumed = (
+            self.continues_alone and name not in self.granted_members and name in self.configured_members
+        )
         if (
             not (presumed or grant and grant.expires_at > now)
             or self.continues_alone
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -374,7 +374,7 @@
                 "zone": peer.zone,
                 "region": peer.region,
                 "incarnation": peer.incarnation,
-                "age_ms": (now - peer.heard_at) // 1000 if peer.heard_at else None,
+                "age_ms": (now - peer.last_datagram_at) // 1000 if peer.last_datagram_at else None,
                 "self": False,
             }
             for peer in peers
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -49,7 +49,7 @@
     state: int = DEAD
     incarnation: int = 0  # 0: configured, not heard of yet; -1: new, replaced by the first update
     state_since: int = 0  # us
-    heard_at: int = 0  # us, of its last datagram
+    last_datagram_at: int = 0  # us, of its last datagram
     suspected_by: set[str] = field(default_factory=set)
 
     def to_update(self) -> MemberUpdate:
@@ -161,7 +161,7 @@
         self.outdated_senders.discard(sender)
         if incarnation > peer.incarnation:
             self._set_state(peer, ALIVE, incarnation, "its own datagram", now)
-        peer.heard_at = now
+        peer.last_datagram_at = now
         return True
 
     def _on_update(self, update: MemberUpdate, now: int, sender: str) -> None:
@@ -340,7 +340,7 @@
             # Helpers that do not answer either suggest that this member is at fault.
             self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         peer = self.peers.get(probe.target)
-        if peer and peer.state == ALIVE and peer.heard_at <= probe.sent_at:
+        if peer and peer.state == ALIVE and peer.last_datagram_at <= probe.sent_at:
             self._set_state(peer, SUSPECT, peer.incarnation, self.me.id, now)
         elif peer and peer.state == SUSPECT:
             self._confirm(peer, self.me.id)
