--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -89,8 +89,10 @@
 
     def is_accepted(self, attempt: BallotAttempt) -> bool:
         """Ask only the voters of the next document for a majority."""
-        assert attempt.next is not None
-        return 2 * len(attempt.accepted_by & set(attempt.next.voters)) > len(attempt.next.voters)
+        assert attempt.next_document is not None
+        return 2 * len(attempt.accepted_by & set(attempt.next_document.voters)) > len(
+            attempt.next_document.voters
+        )
 
 
 class RepeatsDoneProposal(Proposer):
