--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -20,7 +20,7 @@
 MIN_LIFETIME_S = 0.01  # a message that is closer to its deadline is not submitted
 POLL_INTERVAL_S = 0.02  # between two checks for messages without a final answer
 MAX_BACKLOG = 4096  # connections waiting to be accepted by an endpoint
-SLACK_S = 0.3  # grace after a message's deadline before it counts as late or lost
+GRACE_S = 0.3  # grace after a message's deadline before it counts as late or lost
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -67,7 +67,7 @@
     failed: int = 0
     delivered: int = 0
     lost: int = 0
-    late_ends: int = 0  # deliveries and notices after the message's deadline and its grace
+    ended_late: int = 0  # deliveries and notices after the message's deadline and its grace
     latencies_s: list[float] = field(default_factory=list)
     by_second: dict[int, int] = field(default_factory=dict)  # deliveries in each second of the load
 
@@ -100,7 +100,7 @@
         self.discovery = Discovery(self._end_by_notice)
         self.servers: list[asyncio.Server] = []
         self.connections_opened = 0
-        self.due_and_end: dict[str, tuple[float, float]] = {}  # by message id: due time and deadline
+        self.due_and_deadline: dict[str, tuple[float, float]] = {}  # by message id: due time and deadline
         self.open_ids: set[str] = set()  # ids of messages taken on, neither delivered nor ended by a notice
         self.ended_ids: set[str] = set()
         self.result = LoadResult()
@@ -175,7 +175,7 @@
         self,
         port: int,
         rate_per_s: float,
-        seconds: float,
+        duration_s: float,
         connections: int = 20,
         lifetime_s: float = 8.0,
         resubmissions: int = 0,
@@ -195,16 +195,16 @@
             for _ in range(connections)
         ]
         due_at, offered_count = loop.time(), 0
-        while (due_at := due_at + rng.expovariate(rate_per_s)) < self.began_at + seconds:
+        while (due_at := due_at + rng.expovariate(rate_per_s)) < self.began_at + duration_s:
             if (wait_s := due_at - loop.time()) > 0:
                 await asyncio.sleep(wait_s)
             offered_count += 1
             message_id = f"b{seed:x}-{offered_count:x}"
-            self.due_and_end[message_id] = due_at, due_at + lifetime_s
+            self.due_and_deadline[message_id] = due_at, due_at + lifetime_s
             self.result.offered += 1
             queue.put_nowait((message_id, partner or rng.randint(1, self.partner_count), resubmissions))
         await queue.join()
-        deadline = loop.time() + lifetime_s + SLACK_S
+        deadline = loop.time() + lifetime_s + GRACE_S
         while self.open_ids and loop.time() < deadline:
             await asyncio.sleep(POLL_INTERVAL_S)
         for worker in workers:
@@ -221,7 +221,7 @@
         writer: asyncio.StreamWriter | None = None
         while True:
             message_id, partner, resubmissions = await queue.get()
-            remaining_s = self.due_and_end[message_id][1] - loop.time()
+            remaining_s = self.due_and_deadline[message_id][1] - loop.time()
             try:
                 if remaining_s <= MIN_LIFETIME_S:
                     self.result.failed += 1
@@ -266,19 +266,19 @@
                 int(fields[1]) / 1e3 if len(fields) > 1 else rng.uniform(MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S)
             )
             new_id = f"{message_id}a"
-            self.due_and_end[new_id] = self.due_and_end[message_id]
+            self.due_and_deadline[new_id] = self.due_and_deadline[message_id]
             loop.call_later(wait_s, queue.put_nowait, (new_id, partner, resubmissions - 1))
 
     def record_delivery(self, message_id: str) -> None:
         """Count the first 200 of a message."""
         now = asyncio.get_running_loop().time()
-        due_at, end_at = self.due_and_end.get(message_id, (now, now))
+        due_at, deadline = self.due_and_deadline.get(message_id, (now, now))
         if message_id in self.ended_ids:
             return
         self.ended_ids.add(message_id)
         self.open_ids.discard(message_id)
         self.result.delivered += 1
-        self.result.late_ends += now > end_at + SLACK_S
+        self.result.ended_late += now > deadline + GRACE_S
         self.result.latencies_s.append(now - due_at)
         second = int(now - self.began_at)
         self.result.by_second[second] = self.result.by_second.get(second, 0) + 1
@@ -286,9 +286,9 @@
     def _end_by_notice(self, notice: dict[str, str]) -> None:
         """Record that the courier reported a final status for a message."""
         message_id = notice["id"]
-        if message_id in self.due_and_end:
-            self.result.late_ends += (
-                asyncio.get_running_loop().time() > self.due_and_end[message_id][1] + SLACK_S
+        if message_id in self.due_and_deadline:
+            self.result.ended_late += (
+                asyncio.get_running_loop().time() > self.due_and_deadline[message_id][1] + GRACE_S
             )
         self.ended_ids.add(message_id)
         self.open_ids.discard(message_id)
@@ -304,7 +304,7 @@
             "failed": result.failed,
             "delivered": result.delivered,
             "lost": result.lost,
-            "late_ends": result.late_ends,
+            "late_ends": result.ended_late,
             "p50_ms": round(result.percentile_ms(0.5), 1),
             "p99_ms": round(result.percentile_ms(0.99), 1),
         }
--- a/hopmill/book.py
+++ b/hopmill/book.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hopmill.overlay import ValuesByPath, merged
+from hopmill.overlay import ValuesByPath, merge
 
 FORMAT = 1
 MAX_BYTES = 40_000  # of the encoded history: the oldest changes are dropped first, the values are not
@@ -51,7 +51,7 @@
 
         Raises HistoryTooLongError.
         """
-        values = merged(self.values, patch, unset)
+        values = merge(self.values, patch, unset)
         changes = [
             (path, self.values.get(path), values.get(path))
             for path in sorted({*self.values, *values})
--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -91,7 +91,7 @@
     console.print(account(result, scene.restarts))
     if as_json:
         print(json.dumps(result.as_json() | {"restarts": scene.restarts}))
-    return int(result.failed)
+    return int(result.has_violations)
 
 
 def _watch(scene: LoopbackSystem, console: Console) -> Result:
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -31,8 +31,8 @@
 LINGER_S, FIRST_REQUEST_GRACE_S = 0.15, 0.4
 MAX_ERROR_BYTES = 200  # of the text of an error answer
 LINGERING_DIVISOR = 10  # one in so many of the clients' connections may linger
-MAX_ACCEPTS_PER_TURN = 16  # new connections in one iteration of the event loop
-MAX_REQUESTS_PER_TURN = 32  # handled for one client before other clients' requests
+MAX_ACCEPTS_PER_ITERATION = 16  # new connections in one iteration of the event loop
+MAX_REQUESTS_PER_ITERATION = 32  # handled for one client before other clients' requests
 MAX_INVALID_REQUESTS = 16  # in a row; a peer that sends more is disconnected
 log = logs.part("clients")
 
@@ -41,17 +41,17 @@
     """The place of one answer in its connection: answers are sent in the order of their requests."""
 
     def __init__(self, client: ClientConnection) -> None:
-        self.client, self.text = client, b""
+        self.client, self.data = client, b""
 
     @property
     def is_wanted(self) -> bool:
         """Whether the client is still connected."""
         return not self.client.is_lost
 
-    def send(self, text: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Answer the request; only the first answer counts."""
-        if not self.text:
-            self.text = text
+        if not self.data:
+            self.data = data
             self.client.flush()
 
 
@@ -69,7 +69,7 @@
         self.is_lost = self.is_closing = self.writing_paused = False
         # Whether this side, and whether the peer, has announced that it sends no more.
         self.is_lingering = self.peer_sent_eof = False
-        self.has_served = bool(carried)  # it has sent a valid request
+        self.has_sent_request = bool(carried)  # it has sent a valid request
         self.invalid_count = 0  # requests since the last valid one
         self.resume_handle: asyncio.Handle | None = None  # set while data waits to be processed
         self.last_data_at = 0.0  # when it last sent data, or connected; these times are the event loop's
@@ -104,9 +104,9 @@
         """Run the time-out for the next valid request, or for reading the answers, if it is not running."""
         if self.timer is None and not self.is_lost:
             loop = asyncio.get_running_loop()
-            is_late = self.is_closing or self.writing_paused  # must read its answers within the time-out
+            must_read_answers = self.is_closing or self.writing_paused
             self.timer = loop.call_at(
-                loop.time() + REQUEST_TIMEOUT_S if is_late else self._deadline(), self._on_timeout
+                loop.time() + REQUEST_TIMEOUT_S if must_read_answers else self._deadline(), self._on_timeout
             )
 
     def _deadline(self) -> float:
@@ -179,7 +179,7 @@
         self.resume_handle = None
         try:
             self._note_request_start()
-            for _ in range(MAX_REQUESTS_PER_TURN):
+            for _ in range(MAX_REQUESTS_PER_ITERATION):
                 if self.is_closing or self.writing_paused or (request := self.reader.next_request()) is None:
                     break
                 self._handle(request)
@@ -210,7 +210,7 @@
 
     def _request_completed(self) -> None:
         """Note a complete valid request: the time for the next one starts again."""
-        self.last_request_at, self.awaits_first_byte, self.has_served, self.invalid_count = (
+        self.last_request_at, self.awaits_first_byte, self.has_sent_request, self.invalid_count = (
             self.last_data_at,
             True,
             True,
@@ -250,8 +250,8 @@
     def flush(self) -> None:
         """Write the answers that are due, and close if the connection is to end."""
         answers = []
-        while self.pending_replies and self.pending_replies[0].text:
-            answers.append(self.pending_replies.popleft().text)
+        while self.pending_replies and self.pending_replies[0].data:
+            answers.append(self.pending_replies.popleft().data)
         # The transport may be closing before connection_lost is called.
         if answers and not self.is_lost and not self.transport.is_closing():
             self.transport.write(b"".join(answers))
@@ -342,19 +342,21 @@
         if self.sweep_timer:
             self.sweep_timer.cancel()
         if drained:
-            self.sweep_timer = asyncio.get_running_loop().call_later(DRAIN_GRACE_S, self._close_quiet)
+            self.sweep_timer = asyncio.get_running_loop().call_later(
+                DRAIN_GRACE_S, self._close_idle_while_draining
+            )
 
-    def _close_quiet(self) -> None:
+    def _close_idle_while_draining(self) -> None:
         loop = asyncio.get_running_loop()
         self.closes_after_answer = True  # from now on busy connections are closed after their answer
         for client in list(self.connections):
             if loop.time() - client.last_data_at >= DRAIN_IDLE_S:
                 client.close_if_idle()
-        self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_quiet)
+        self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_idle_while_draining)
 
     def listen(self, sock: socket.socket) -> int:
         """Accept clients on this socket; returns its port."""
-        self.acceptor = Acceptor(sock, lambda: ClientConnection(self), MAX_ACCEPTS_PER_TURN)
+        self.acceptor = Acceptor(sock, lambda: ClientConnection(self), MAX_ACCEPTS_PER_ITERATION)
         return self.acceptor.port
 
     def connection_joined(self, client: ClientConnection) -> None:
@@ -437,7 +439,7 @@
         """
         now = asyncio.get_running_loop().time()
         for client in list(self.connections):
-            if client.has_served or now - client.last_request_at >= FIRST_REQUEST_GRACE_S:
+            if client.has_sent_request or now - client.last_request_at >= FIRST_REQUEST_GRACE_S:
                 client.close_if_idle()
 
     def reject_all(self) -> None:
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -15,14 +15,14 @@
 SILENCE_TIMEOUT_S = 3.2  # discovery sends an empty line every 2 s; the watch is reopened after this silence
 CONNECT_TIMEOUT_S = 1.0
 # First and largest upper bound of the jittered wait before a retry, for a single courier.
-RETRY_CEILINGS_S = (0.1, 1.0)
+RETRY_MAX_WAITS_S = (0.1, 1.0)
 # A watch that has worked for ESTABLISHED_S is reopened after REOPEN_DELAY_S (range), since its loss does not
 # indicate an overloaded server.
 ESTABLISHED_S, REOPEN_DELAY_S = 1.0, (0.02, 0.3)
 MAX_LIST_BYTES = 4 << 20  # of a list that arrives in several lines
 # An agent on this machine answers notices at once. After this time they are sent again on a new connection.
 NOTICE_TIMEOUT_S = 0.3
-MAX_BATCH = 200  # notices in one request
+MAX_NOTICES_PER_REQUEST = 200  # notices in one request
 log = logs.part("discovery")
 
 
@@ -35,18 +35,18 @@
         Waits grow with it, so that all together retry as often as one alone would. An overloaded server lets
         calls wait until their clients give up, and then has worked for none of them.
         """
-        self.first_ceiling, self.max_ceiling = (s * couriers for s in RETRY_CEILINGS_S)
-        self.ceiling = self.first_ceiling
+        self.first_max_wait_s, self.longest_max_wait_s = (s * couriers for s in RETRY_MAX_WAITS_S)
+        self.max_wait_s = self.first_max_wait_s
 
     def next(self) -> float:
         """The next wait in seconds."""
-        wait = random.uniform(self.ceiling / 4, self.ceiling)
-        self.ceiling = min(self.max_ceiling, self.ceiling * 2)
+        wait = random.uniform(self.max_wait_s / 4, self.max_wait_s)
+        self.max_wait_s = min(self.longest_max_wait_s, self.max_wait_s * 2)
         return wait
 
     def reset(self) -> None:
         """Returns to the first upper bound after a success."""
-        self.ceiling = self.first_ceiling
+        self.max_wait_s = self.first_max_wait_s
 
 
 class ReconnectingClient:
@@ -134,12 +134,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        rev: int,
+        revision: int,
         on_change: Callable[[dict[str, Any]], None],
         couriers: int = 1,
     ) -> None:
         super().__init__(loop, address, Backoff(couriers))
-        self.rev, self.on_change = rev, on_change
+        self.revision, self.on_change = revision, on_change
         self.partial_line, self.partial_change, self.status, self.connected_at = b"", b"", 0, 0.0
 
     def connected(self) -> None:
@@ -147,7 +147,7 @@
         assert self.connection is not None
         self.partial_line, self.partial_change, self.status, self.connected_at = b"", b"", 0, self.loop.time()
         self.set_timer(SILENCE_TIMEOUT_S, self.open)
-        self.connection.request("GET", f"/discovery/hosts?watch=1&from={self.rev}", [], b"", self)
+        self.connection.request("GET", f"/discovery/hosts?watch=1&from={self.revision}", [], b"", self)
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
         """Retries unless the status is 200."""
@@ -178,16 +178,16 @@
     def _apply_change(self, line: bytes) -> None:
         try:
             change = json.loads(line)
-            rev, targets = int(change["rev"]), change["targets"]
+            revision, targets = int(change["rev"]), change["targets"]
             if not isinstance(targets, list):
                 raise ValueError("targets")
         except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
             log.error("discovery.unreadable", error=error)
-            self.rev = 0  # its content is lost: ask for the whole list again
+            self.revision = 0  # its content is lost: ask for the whole list again
             self.retry()
             return
         self.backoff.reset()
-        self.rev = rev
+        self.revision = revision
         self.on_change(change)
 
     def response_complete(self) -> None:
@@ -210,21 +210,21 @@
     """Sends notices in batches, each until it is answered 204."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: Address, on_accepted: Callable[[list[int]], None]
+        self, loop: asyncio.AbstractEventLoop, address: Address, on_done: Callable[[list[int]], None]
     ) -> None:
         super().__init__(loop, address, Backoff())  # the agent on this machine serves one courier only
-        self.on_accepted = on_accepted
+        self.on_done = on_done
         self.waiting: dict[int, bytes] = {}
         self.sent_numbers: list[int] = []
         self.is_sending = False
-        self.batch_size = MAX_BATCH
+        self.batch_size = MAX_NOTICES_PER_REQUEST
         self.status = 0
 
-    def add(self, number: int, ident: str, status: str, again_ms: int) -> None:
+    def add(self, number: int, message_id: str, status: str, retry_after_ms: int) -> None:
         """Queues the notice of one message."""
-        line: dict[str, Any] = {"id": ident, "status": status}
-        if again_ms:
-            line["again_ms"] = again_ms
+        line: dict[str, Any] = {"id": message_id, "status": status}
+        if retry_after_ms:
+            line["again_ms"] = retry_after_ms
         self.waiting[number] = json.dumps(line, separators=(",", ":")).encode() + b"\n"
         if not self.is_sending:
             self.is_sending = True
@@ -264,23 +264,23 @@
         """Drops the batch if it was accepted, halves it if it was rejected as unreadable, else retries."""
         if self.status == 204:
             self.backoff.reset()
-            self._remove_sent()
-            self.batch_size = MAX_BATCH
+            self._finish_batch()
+            self.batch_size = MAX_NOTICES_PER_REQUEST
         elif self.status == 400 and len(self.sent_numbers) > 1:  # bisect to find the line that is rejected
             self.batch_size = len(self.sent_numbers) // 2
         elif self.status == 400:
             log.error("notice.turned_down", text=self.waiting[self.sent_numbers[0]])
-            self._remove_sent()
+            self._finish_batch()
         else:
             log.warning("notice.not_accepted", status=self.status)
             self.retry()
             return
         self._send_next()
 
-    def _remove_sent(self) -> None:
+    def _finish_batch(self) -> None:
         for number in self.sent_numbers:
             self.waiting.pop(number, None)
-        self.on_accepted(self.sent_numbers)
+        self.on_done(self.sent_numbers)
 
     def connection_lost(self, written: bool) -> None:
         """Sends the batch again after a backoff."""
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -114,7 +114,7 @@
         payload = HandoverPayload({"format": PAYLOAD_FORMAT})
         payload.values.update(
             uids=host.registry.uids,
-            known={"rev": host.watch.rev, "targets": list(host.registry.targets.values())},
+            known={"rev": host.watch.revision, "targets": list(host.registry.targets.values())},
             waits=[[*key, until] for key, until in host.registry.retry_after_until.items()],
             learned=host.courier.carry(),
             returning=self._returning_zones(),
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -99,7 +99,7 @@
         self.clients = ClientServer(self.intake.put, max(8, int(max_clients)))
         self.notices = NoticeSender(loop, config.discovery, self._notices_accepted)
         self.watch = DiscoveryWatch(
-            loop, config.discovery, config.known["rev"], self.listed, self.settings.couriers
+            loop, config.discovery, config.known["rev"], self.on_endpoint_list, self.settings.couriers
         )
         self.options = Options()
         self.observer = Observer(self.settings)
@@ -126,7 +126,7 @@
         carried = self.handover.carried
         self.registry.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
-        self.listed({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
+        self.on_endpoint_list({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
         number, zone = self.registry.number, self.registry.zone
         self.events += [
             interface.SetByHand(number(uid), True) for uid in sorted(self.journal.excluded_endpoints)
@@ -134,7 +134,7 @@
         self.events += [
             interface.SetZoneByHand(zone(name), True) for name in sorted(self.journal.excluded_zones)
         ]
-        self.watch.rev = known["rev"]
+        self.watch.revision = known["rev"]
         self.set_options(self.config.options)
         joining.apply_policy(self)
         if carried:
@@ -176,7 +176,7 @@
         """Return the monotonic clock in microseconds, the time that the module works with."""
         return time.monotonic_ns() // 1000
 
-    def _to_module_time(self, at: float) -> int:
+    def _to_core_time(self, at: float) -> int:
         """Convert a time of the journal to the module's clock, in microseconds."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
@@ -196,12 +196,12 @@
             message.number,
             message.class_index,
             message.destination,
-            self._to_module_time(message.expires_at),
+            self._to_core_time(message.expires_at),
             message.tenant,
             message.order_key,
             message.resubmitted,
             message.attempts,
-            self._to_module_time(ran_at) if ran_at else -1,
+            self._to_core_time(ran_at) if ran_at else -1,
             self.registry.zones.get(zone, -1),
             in_flight,
             restored,
@@ -233,7 +233,7 @@
         self.last_turn_us = now = self.clock()
         late_us, self.turn_due_us = now - (self.turn_due_us or now), 0
         events: list[interface.Event] = [
-            interface.Connections(*news) for news in self.pool.take_idle_changes()
+            interface.Connections(*idle_change) for idle_change in self.pool.take_idle_changes()
         ]
         events += self.events
         self.events = []
@@ -480,7 +480,7 @@
 
     # Changes of endpoints, options and configuration
 
-    def listed(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
+    def on_endpoint_list(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
         """Apply a complete list or a change of endpoints from discovery."""
         self.post(self.registry.apply_list(change, form, self.pool))
 
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -42,9 +42,9 @@
         self.history = policy_history.PolicyHistory()
         self.applied_version = -1  # version that the policy module uses, -1 for none
         self.excluded: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
-        self.rejection = ""  # why the version in force can not be applied, or ""
-        self.is_holding = self.has_policy
-        self.holding_since = host.loop.time()
+        self.rejection_reason = ""  # why the version in force can not be applied, or ""
+        self.is_paused = self.has_policy
+        self.paused_since = host.loop.time()
         self.waiting: list[tuple[Put, Reply, float]] = []
 
     # Permission to act
@@ -63,9 +63,9 @@
     def queue(self, put: Put, reply: Reply) -> None:
         """Queues a message that arrived while none may be accepted."""
         now = self.host.loop.time()
-        if not self.is_holding:  # noticed only now, by this message
-            self._set_holding(True)
-        if now - self.holding_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.settings.max_held:
+        if not self.is_paused:  # noticed only now, by this message
+            self._set_paused(True)
+        if now - self.paused_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.settings.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
             return
         if not self.waiting:
@@ -74,7 +74,7 @@
 
     def _refuse_expired(self) -> None:
         wait_began_before = self.host.loop.time() - MAX_CHANGE_WAIT_S
-        while self.waiting and (self.waiting[0][2] <= wait_began_before or not self.is_holding):
+        while self.waiting and (self.waiting[0][2] <= wait_began_before or not self.is_paused):
             self.waiting.pop(0)[1].send(refusal(self.host.courier.come_back_us()))
         if self.waiting:
             self.host.loop.call_later(
@@ -87,15 +87,15 @@
             reply.send(refusal(self.host.courier.come_back_us()))
         self.waiting.clear()
 
-    def _set_holding(self, is_holding: bool) -> None:
-        if is_holding is self.is_holding:
+    def _set_paused(self, is_paused: bool) -> None:
+        if is_paused is self.is_paused:
             return
-        self.is_holding = is_holding
-        if is_holding:
-            self.holding_since = self.host.loop.time()
-        log.info("fleet.standing", may_act=not is_holding, version=self.applied_version)
-        self.host.handle_now(interface.Hold(is_holding))
-        if not is_holding:
+        self.is_paused = is_paused
+        if is_paused:
+            self.paused_since = self.host.loop.time()
+        log.info("fleet.standing", may_act=not is_paused, version=self.applied_version)
+        self.host.handle_now(interface.Hold(is_paused))
+        if not is_paused:
             waiting, self.waiting, now = self.waiting, [], self.host.loop.time()
             for put, reply, queued_at in waiting:
                 if reply.is_wanted:
@@ -109,9 +109,9 @@
 
         With a fleet, nothing begins before it is heard.
         """
-        blank = Document(classes=self.document.classes)
+        defaults = Document(classes=self.document.classes)
         events: list[interface.Event] = [interface.Hold(True)] if self.has_policy else []
-        if (self.document.left_out, self.document.ceilings) != (blank.left_out, blank.ceilings):
+        if (self.document.left_out, self.document.ceilings) != (defaults.left_out, defaults.ceilings):
             events.append(self._policy_event(self.document))
         return events
 
@@ -148,14 +148,14 @@
             and change.id != policy_member.lease.ready_for
             and (not change.digest or change.digest in texts)
         ):
-            reason = self.reason_to_reject(texts.get(change.digest, EMPTY_POLICY))
+            reason = self.find_rejection_reason(texts.get(change.digest, EMPTY_POLICY))
             log.info("fleet.policy_checked", change=change.id, by=change.by, why=reason or None)
             policy_member.lease.report_check(change.id, reason)
             self.member_transport.run_due_work()
             return
-        self._set_holding(not self.may_act())
+        self._set_paused(not self.may_act())
 
-    def reason_to_reject(self, text: bytes) -> str:
+    def find_rejection_reason(self, text: bytes) -> str:
         """Why this courier can not apply a policy text, "" if it can."""
         try:
             self._parse(text)
@@ -183,8 +183,8 @@
         try:
             history, document = self._parse(text)
         except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
-            if self.rejection != str(error):
-                self.rejection = str(error)
+            if self.rejection_reason != str(error):
+                self.rejection_reason = str(error)
                 log.error("fleet.policy_not_taken", version=version, error=error)
             return
         changes = sum(
@@ -192,7 +192,7 @@
             for path in {*self.history.values, *history.values}
             if self.history.values.get(path) != history.values.get(path)
         )
-        self.rejection, self.history, self.applied_version = "", history, version
+        self.rejection_reason, self.history, self.applied_version = "", history, version
         self.host.handle_now(self._policy_event(document))
         log.info("fleet.policy", version=version, fields=len(history.values), changed=changes)
         self.on_file_reloaded(self.document)
@@ -229,7 +229,7 @@
         return {
             "applied": self.applied_version,
             "may_act": self.may_act(),
-            "trouble": self.rejection,
+            "trouble": self.rejection_reason,
             "values": self.history.values,
             "waiting_clients": len(self.waiting),
         }
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -79,7 +79,7 @@
     max_idle: int = 1  # idle connections that are kept
     idle: OrderedDict[PooledConnection, None] = field(default_factory=OrderedDict)  # most recently used last
     connections: set[PooledConnection] = field(default_factory=set)  # in any state
-    canary: PooledConnection | None = None  # checked out untrusted, no response yet
+    trial_connection: PooledConnection | None = None  # checked out untrusted, no response yet
     last_response_at: float = -math.inf  # loop time of the last response, and
     last_response_opened_at: float = math.inf  # wall clock at which its connection was opened
     opened: int = 0
@@ -123,9 +123,9 @@
 
     The opening time is stored beside the rows, because older versions expect rows of a fixed length.
     """
-    place = payload.add_descriptor(connection.sock.fileno())
-    payload.values.setdefault("born", {})[place] = connection.opened_at
-    return place
+    index = payload.add_descriptor(connection.sock.fileno())
+    payload.values.setdefault("born", {})[index] = connection.opened_at
+    return index
 
 
 class Pool:
@@ -134,8 +134,8 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        idle_us: int,
-        connect_us: int,
+        endpoint_idle_timeout_us: int,
+        connect_timeout_us: int,
         max_idle: int,
         is_usable: Callable[[int], bool] = lambda endpoint: True,
     ) -> None:
@@ -148,11 +148,11 @@
         # The endpoint's idle timeout starts when it writes its response, and the next request needs time to
         # reach it. A connect takes a round trip and is given connect_us. Closing that much earlier avoids
         # that a request crosses the endpoint's close on the wire.
-        self.idle_s = max(idle_us / 2, idle_us - connect_us) / 1e6
-        self.connect_s, self.max_idle = connect_us / 1e6, max_idle
+        self.idle_s = max(endpoint_idle_timeout_us / 2, endpoint_idle_timeout_us - connect_timeout_us) / 1e6
+        self.connect_s, self.max_idle = connect_timeout_us / 1e6, max_idle
         self.endpoints: dict[int, EndpointConnections] = {}
         self.idle: OrderedDict[PooledConnection, None] = OrderedDict()  # of all endpoints, longest idle first
-        self.removed_endpoints: set[PooledConnection] = set()  # checked out, endpoint no longer listed
+        self.orphaned_connections: set[PooledConnection] = set()  # checked out, endpoint no longer listed
         self.waiting_for_descriptor: deque[Checkout] = deque()
         self.idle_changed: set[int] = set()  # endpoints with idle connections not reported yet
         self.removed_totals: Counter[str] = Counter()  # counters of endpoints no longer listed
@@ -183,7 +183,7 @@
             if connection.state == IDLE:
                 self.drop(connection, ENDPOINT_REMOVED)
             else:  # closed when its call ends
-                self.removed_endpoints.add(connection)
+                self.orphaned_connections.add(connection)
         self.idle_changed.discard(endpoint)
         self.removed_totals.update({"opened": entry.opened, "reused": entry.reused})
         self.removed_totals.update(entry.closed)
@@ -209,7 +209,7 @@
         for entry in self.endpoints.values():
             for connection in list(entry.connections):
                 self.drop(connection, ENDPOINT_REMOVED)
-        for connection in list(self.removed_endpoints):
+        for connection in list(self.orphaned_connections):
             self.drop(connection, ENDPOINT_REMOVED)
 
     # Checking out
@@ -238,11 +238,11 @@
         Its result is not reported to the policy, since it is not a probe.
         """
         entry = self.endpoints.get(endpoint)
-        room = (
+        has_room = (
             entry
             and sum(connection.state != CHECKED_OUT for connection in entry.connections) < entry.max_idle
         )
-        if room and not self.waiting_for_descriptor and len(self.idle) < self.max_idle:
+        if has_room and not self.waiting_for_descriptor and len(self.idle) < self.max_idle:
             self._open(
                 Checkout(
                     endpoint, lambda connection, error: self.check_in(connection) if connection else None
@@ -253,7 +253,7 @@
         while entry.idle:
             connection = next(reversed(entry.idle))
             is_trusted = self._is_trusted(entry, connection)
-            if not is_trusted and entry.canary:
+            if not is_trusted and entry.trial_connection:
                 return None  # if all are dead, one call finds out for all
             if connection.stale():
                 self.drop(connection, CLOSED_BY_ENDPOINT)
@@ -265,7 +265,7 @@
                 now,
                 int((now - connection.idle_at) * 1e6),
             )
-            entry.canary = entry.canary if is_trusted else connection
+            entry.trial_connection = entry.trial_connection if is_trusted else connection
             entry.reused += 1
             return connection
         return None
@@ -391,10 +391,10 @@
         else:
             self._make_idle(connection, entry, self.loop.time())
 
-    def _make_idle(self, connection: PooledConnection, entry: EndpointConnections, since: float) -> None:
-        if entry.canary is connection:
-            entry.canary = None
-        connection.state, connection.idle_at = IDLE, since
+    def _make_idle(self, connection: PooledConnection, entry: EndpointConnections, idle_since: float) -> None:
+        if entry.trial_connection is connection:
+            entry.trial_connection = None
+        connection.state, connection.idle_at = IDLE, idle_since
         entry.idle[connection] = self.idle[connection] = None
         self.idle_changed.add(connection.endpoint)
         self._trim(entry)
@@ -431,8 +431,8 @@
             or now - entry.last_response_at > self.connect_s
         ):
             entry.last_response_at, entry.last_response_opened_at = now, connection.opened_at
-        if entry.canary is connection:
-            entry.canary = None
+        if entry.trial_connection is connection:
+            entry.trial_connection = None
 
     def call_failed(self, connection: PooledConnection) -> None:
         """Records that a call on the connection broke or timed out."""
@@ -440,11 +440,11 @@
         if entry is not None and connection.address == entry.address:
             self._distrust_idle(entry, connection.checked_out_at)
 
-    def _distrust_idle(self, entry: EndpointConnections, since: float) -> None:
+    def _distrust_idle(self, entry: EndpointConnections, failure_began_at: float) -> None:
         """Closes connections idle since before then, unless the endpoint has responded after it."""
-        if entry.last_response_at >= since:
+        if entry.last_response_at >= failure_began_at:
             return
-        for connection in [idle for idle in entry.idle if idle.idle_at <= since]:
+        for connection in [idle for idle in entry.idle if idle.idle_at <= failure_began_at]:
             self.drop(connection, NOT_TRUSTED)
 
     # Closing
@@ -464,7 +464,7 @@
 
     def _connection_closed(self, connection: PooledConnection, entry: EndpointConnections) -> None:
         """Removes a closed connection from all collections. Every close ends here."""
-        self.removed_endpoints.discard(connection)
+        self.orphaned_connections.discard(connection)
         if connection not in entry.connections:
             return
         entry.connections.discard(connection)
@@ -472,8 +472,8 @@
             connection.timer.cancel()
         if connection.state == IDLE:
             self._remove_from_idle(connection, entry)
-        if entry.canary is connection:
-            entry.canary = None
+        if entry.trial_connection is connection:
+            entry.trial_connection = None
         if not connection.reason:
             connection.reason = (
                 NEVER_CONNECTED
@@ -516,7 +516,7 @@
         shown = [{"endpoint": name(endpoint), **entry.status()} for endpoint, entry in rows[:MAX_ROWS]]
         return {
             "open": sum(len(entry.connections) for entry in self.endpoints.values())
-            + len(self.removed_endpoints),
+            + len(self.orphaned_connections),
             "idle": len(self.idle),
             "idle_at_most": self.max_idle,
             "waiting": len(self.waiting_for_descriptor),
@@ -548,7 +548,7 @@
         entry = self.endpoints.get(endpoint)
         if entry is None or entry.address != address:
             entry = EndpointConnections(address)
-            self.removed_endpoints.add(connection)
+            self.orphaned_connections.add(connection)
         entry.connections.add(connection)
         connection.on_close = lambda: self._connection_closed(connection, entry)
         connection.state, connection.checked_out_at, connection.idle_us = CHECKED_OUT, self.loop.time(), 0
@@ -559,7 +559,7 @@
 
         Rows: endpoint, address, socket, idle since (loop time, s), opened at (wall clock, s).
         """
-        for endpoint, address, sock, since, opened_at in sorted(rows, key=lambda row: row[3]):
+        for endpoint, address, sock, idle_since, opened_at in sorted(rows, key=lambda row: row[3]):
             connection = self.resume(endpoint, address, sock, opened_at)
             entry = self.endpoints.get(endpoint)
             if (
@@ -571,4 +571,4 @@
                 self.drop(connection, ENDPOINT_REMOVED)
             else:
                 entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)  # until the policy sets the number
-                self._make_idle(connection, entry, since)
+                self._make_idle(connection, entry, idle_since)
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -115,7 +115,7 @@
         if not changes:
             return 400, {"error": "the patch: changes nothing"}
         text = history.encode()
-        if why := active_policy.reason_to_reject(text):
+        if why := active_policy.find_rejection_reason(text):
             return 409, {"error": f"this courier can't go by it: {why}"}
         if proposal.dry_run:
             return 200, {"state": "not proposed", "base": policy.version, "changes": changes}
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -77,7 +77,7 @@
         return ["take", *(getattr(self, f.name) for f in fields(self))]
 
     @property
-    def size_bytes(self) -> int:
+    def reserved_bytes(self) -> int:
         """An upper bound on what the message takes in the journal, with its later records."""
         return len(self.body) + len(self.id) + len(self.idempotency_key) + ENTRY_RESERVE_BYTES
 
@@ -176,7 +176,7 @@
         self.messages[message.number], self.numbers_by_id[message.id] = message, message.number
         self.open_count += not message.status
         self.last_number = max(self.last_number, message.number)
-        self.live_bytes += message.size_bytes
+        self.live_bytes += message.reserved_bytes
 
     def _apply_attempt(self, record: list[Any]) -> None:
         """Note an attempt of messages, which may run from now on."""
@@ -207,7 +207,7 @@
             if message := self.messages.pop(number, None):
                 self.open_count -= not message.status
                 self.numbers_by_id.pop(message.id, None)
-                self.live_bytes -= message.size_bytes
+                self.live_bytes -= message.reserved_bytes
                 self._remember_ended_id(message.id, record[2])
 
     def mark_ended(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
@@ -249,7 +249,7 @@
         self.limit_bytes = limit_bytes
         self.new_path.unlink(missing_ok=True)
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
-        self.size_bytes = self._restore()
+        self.file_bytes = self._restore()
         self._set_time_scale()
 
     def _restore(self) -> int:
@@ -302,10 +302,12 @@
 
     def record_message(self, message: JournaledMessage) -> None:
         """Record that the courier has accepted the message."""
-        if not self._has_room_for(message.size_bytes):
+        if not self._has_room_for(message.reserved_bytes):
             self.compact()  # drops ids and keys that have outlived their retention
-            if not self._has_room_for(message.size_bytes):
-                raise JournalFullError(f"no room in the journal for a message of {message.size_bytes} bytes")
+            if not self._has_room_for(message.reserved_bytes):
+                raise JournalFullError(
+                    f"no room in the journal for a message of {message.reserved_bytes} bytes"
+                )
         self._write(message.to_record())
 
     def record_attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
@@ -342,23 +344,23 @@
 
     def _write(self, record: list[Any]) -> None:
         data = encode_record(record)
-        if self.size_bytes + len(data) > max(
+        if self.file_bytes + len(data) > max(
             MIN_COMPACTION_BYTES, 4 * self.live_bytes
         ) or not self._can_compact_after(len(data)):
             self.compact()
-        if round_up_to_blocks(self.size_bytes + len(data)) > self.limit_bytes:
+        if round_up_to_blocks(self.file_bytes + len(data)) > self.limit_bytes:
             raise JournalFullError(
                 f"a record of {len(data)} bytes exceeds the disk limit of {self.limit_bytes} bytes"
             )
         try:
             written = os.write(self.fd, data)
         except OSError:
-            os.ftruncate(self.fd, self.size_bytes)
+            os.ftruncate(self.fd, self.file_bytes)
             raise
         if written != len(data):  # a partial record would make all later ones unreadable
-            os.ftruncate(self.fd, self.size_bytes)
+            os.ftruncate(self.fd, self.file_bytes)
             raise JournalFullError(f"disk full: {written} of {len(data)} bytes written")
-        self.size_bytes += written
+        self.file_bytes += written
         self.apply(record)
 
     def _has_room_for(self, extra_bytes: int) -> bool:
@@ -368,7 +370,7 @@
     def _can_compact_after(self, extra_bytes: int) -> bool:
         """Return whether a compacted copy still fits beside the file after a write of this size."""
         return (
-            round_up_to_blocks(self.size_bytes + extra_bytes)
+            round_up_to_blocks(self.file_bytes + extra_bytes)
             + round_up_to_blocks(self.live_bytes + SPARE_BYTES)
             <= self.limit_bytes
         )
@@ -383,12 +385,12 @@
             key: at for key, at in self.first_run_by_key.items() if now - at < self.key_retention_s
         }
         self.live_bytes = sum(
-            message.size_bytes for message in self.messages.values()
+            message.reserved_bytes for message in self.messages.values()
         ) + ENTRY_RESERVE_BYTES * (len(self.ended_ids) + len(self.first_run_by_key))
         self.live_bytes += sum(
             len(name) + ENTRY_RESERVE_BYTES for name in (*self.excluded_endpoints, *self.excluded_zones)
         )
-        frames = [
+        records = [
             encode_record(["clock", self.scale.boot_id, self.scale.offset_s]),
             encode_record(["known", self.last_number, self.ended_ids, self.first_run_by_key]),
             encode_record(["drain", self.drained]),
@@ -396,9 +398,9 @@
             *(encode_record(["zone", name, True]) for name in self.excluded_zones),
         ]
         for message in self.messages.values():
-            frames.append(encode_record(message.to_record()))
-        data = b"".join(frames)
-        if round_up_to_blocks(self.size_bytes) + round_up_to_blocks(len(data)) > self.limit_bytes:
+            records.append(encode_record(message.to_record()))
+        data = b"".join(records)
+        if round_up_to_blocks(self.file_bytes) + round_up_to_blocks(len(data)) > self.limit_bytes:
             return
         new_fd = os.open(self.new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
@@ -411,4 +413,4 @@
             self.new_path.unlink(missing_ok=True)
             return
         os.close(self.fd)
-        self.fd, self.size_bytes = new_fd, len(data)
+        self.fd, self.file_bytes = new_fd, len(data)
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -47,36 +47,36 @@
     unset = raw.get(UNSET, [])
     if not isinstance(unset, list) or not all(isinstance(path, str) for path in unset):
         raise ConfigError(f"{UNSET}: must be a list of paths")
-    flat: ValuesByPath = {}
-    for name, value in raw.items():
+    overrides: ValuesByPath = {}
+    for name, entry in raw.items():
         if name == UNSET:
             continue
         if name in CHANGEABLE_ROWS:
-            flat |= _read_rows(name, value)
-        elif isinstance(value, dict) and value:
-            for field, inner in value.items():
-                flat[_require_changeable(f"{name}.{field}")] = inner
+            overrides |= _read_rows(name, entry)
+        elif isinstance(entry, dict) and entry:
+            for field, value in entry.items():
+                overrides[_require_changeable(f"{name}.{field}")] = value
         else:
-            flat[_require_changeable(name)] = value
+            overrides[_require_changeable(name)] = entry
     for path in unset:
         _require_changeable(path)
-    if not flat and not unset:
+    if not overrides and not unset:
         raise ConfigError("the patch: changes nothing")
-    if len(flat) + len(unset) > MAX_FIELDS:
+    if len(overrides) + len(unset) > MAX_FIELDS:
         raise ConfigError(f"the patch: has over {MAX_FIELDS} fields")
-    return flat, tuple(unset)
+    return overrides, tuple(unset)
 
 
 def _read_rows(name: str, rows: Any) -> ValuesByPath:
     key, _, _ = CHANGEABLE_ROWS[name]
-    flat: ValuesByPath = {}
+    overrides: ValuesByPath = {}
     if not isinstance(rows, list) or not all(isinstance(row, dict) and key in row for row in rows):
         raise ConfigError(f"{name}: must be rows with a {key} each")
     for row in rows:
         for field, value in row.items():
             if field != key:
-                flat[_require_changeable(f"{name}[{row[key]}].{field}")] = value
-    return flat
+                overrides[_require_changeable(f"{name}[{row[key]}].{field}")] = value
+    return overrides
 
 
 def _require_changeable(path: str) -> str:
@@ -111,18 +111,18 @@
     return Document(classes=(doc.MessageClass(name="any", aim_ms=1.0, deadline_ms=1.0),))
 
 
-def merged(overlay: ValuesByPath, patch: ValuesByPath, unset: tuple[str, ...]) -> ValuesByPath:
+def merge(overrides: ValuesByPath, patch: ValuesByPath, unset: tuple[str, ...]) -> ValuesByPath:
     """Returns the values of a policy after a patch; `unset` wins over `patch`."""
-    return {path: value for path, value in (overlay | patch).items() if path not in unset}
+    return {path: value for path, value in (overrides | patch).items() if path not in unset}
 
 
-def apply(document: Document, overlay: ValuesByPath) -> Document:
+def apply(document: Document, overrides: ValuesByPath) -> Document:
     """Returns the document with the values of a policy in it.
 
     Raises ConfigError, whose text is one line that names a value that does not fit this document.
     """
     tree = msgspec.to_builtins(document)
-    for path, value in overlay.items():
+    for path, value in overrides.items():
         _require_changeable(path)
         match = ROW_PATH.match(path)
         if match is None:
@@ -144,13 +144,13 @@
     return changed
 
 
-def overridden_paths(document: Document, overlay: ValuesByPath) -> Iterator[str]:
+def overridden_paths(document: Document, overrides: ValuesByPath) -> Iterator[str]:
     """Yields the paths whose value in a courier's own file is overridden by a different one.
 
     A field that has its default counts as left out of the file.
     """
     own, defaults = dict(_changeable_values(document)), dict(_changeable_values(_minimal_document()))
-    for path, value in overlay.items():
+    for path, value in overrides.items():
         if path in own and own[path] != value and own[path] != defaults.get(path):
             yield path
 
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK_S = 0.3  # grace after a message's deadline before it counts as lost
+GRACE_S = 0.3  # grace after a message's deadline before it counts as lost
 
 
 @dataclass
-class Entry:
+class Submission:
     """One submission of a message. Points in time are seconds on the monotonic clock."""
 
     class_name: str
@@ -27,14 +27,14 @@
 class Ledger:
     """Records what clients, partners and discovery observe; each submission has a `message_id` of its own."""
 
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, Submission] = field(default_factory=dict)
     calls: Counter[str] = field(default_factory=Counter)  # by outcome
     connections_opened: int = 0  # at endpoints
     overloads: int = 0  # overloads of partners in warm-up
 
-    def record_submission(self, message_id: str, entry: Entry) -> None:
+    def record_submission(self, message_id: str, submission: Submission) -> None:
         """Record a submission before it is sent to a courier."""
-        self.entries[message_id] = entry
+        self.entries[message_id] = submission
 
     def record_answer(self, message_id: str, answer: str) -> None:
         """Record the courier's answer: taken, refused or failed."""
@@ -48,47 +48,47 @@
 
     def record_effect(self, message_id: str) -> None:
         """Record that a call with this message took effect at its partner."""
-        if entry := self.entries.get(message_id):
-            entry.effects += 1
+        if submission := self.entries.get(message_id):
+            submission.effects += 1
 
     def record_delivery(self, message_id: str, now: float) -> None:
         """Record that an endpoint has answered 200; only the first such answer counts."""
-        entry = self.entries.get(message_id)
-        if entry and not entry.delivered_at:
-            entry.delivered_at = now
+        submission = self.entries.get(message_id)
+        if submission and not submission.delivered_at:
+            submission.delivered_at = now
 
     def record_notice(self, notice: dict[str, str]) -> None:
         """Record the final status that the courier reported to discovery."""
-        if entry := self.entries.get(notice["id"]):
-            entry.notice = notice["status"]
+        if submission := self.entries.get(notice["id"]):
+            submission.notice = notice["status"]
 
     def count_open(self, now: float) -> int:
         """Return the number of messages taken on that have no final answer yet and are not lost yet."""
         return sum(
-            entry.answer == "taken"
-            and not entry.delivered_at
-            and not entry.notice
-            and now < entry.submitted_at + entry.lifetime_s + SLACK_S
-            for entry in self.entries.values()
+            submission.answer == "taken"
+            and not submission.delivered_at
+            and not submission.notice
+            and now < submission.submitted_at + submission.lifetime_s + GRACE_S
+            for submission in self.entries.values()
         )
 
     def result(self) -> Result:
         """Count the outcomes; `taken` is the sum of delivered, deferred, undeliverable, withdrawn, lost."""
         counts: Counter[str] = Counter()
         latencies_s: list[float] = []
-        for entry in self.entries.values():
+        for submission in self.entries.values():
             counts["handed_in"] += 1
-            counts[entry.answer or "failed"] += 1
-            if entry.answer != "taken":
+            counts[submission.answer or "failed"] += 1
+            if submission.answer != "taken":
                 continue
-            counts["twice"] += entry.unsafe and entry.effects > 1
-            if entry.delivered_at:
-                latency_s = entry.delivered_at - entry.submitted_at
+            counts["twice"] += submission.unsafe and submission.effects > 1
+            if submission.delivered_at:
+                latency_s = submission.delivered_at - submission.submitted_at
                 latencies_s.append(latency_s)
                 counts["delivered"] += 1
-                counts["in_time" if latency_s <= entry.aim_s else "late"] += 1
+                counts["in_time" if latency_s <= submission.aim_s else "late"] += 1
             else:
-                counts[entry.notice or "lost"] += 1
+                counts[submission.notice or "lost"] += 1
         return Result(counts, sorted(latencies_s), self)
 
 
@@ -107,7 +107,7 @@
         return self.latencies_s[min(len(self.latencies_s) - 1, int(share * len(self.latencies_s)))] * 1e3
 
     @property
-    def failed(self) -> bool:
+    def has_violations(self) -> bool:
         """Whether a message was lost, or an unsafe one took effect twice."""
         return bool(self.counts["lost"] or self.counts["twice"])
 
--- a/hopmill/standin/load.py
+++ b/hopmill/standin/load.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from hopmill.standin.client import ANSWER_TIMEOUT_S, Client
-from hopmill.standin.ledger import Entry, Ledger
+from hopmill.standin.ledger import Submission, Ledger
 
 MAX_RESUBMISSIONS = 2  # how often a refused message is submitted again before its deadline
 MIN_LIFETIME_S = 0.05  # a message that is closer to its deadline is not submitted
@@ -73,7 +73,7 @@
             message_id = f"d{self.submissions:08x}"
             self.ledger.record_submission(
                 message_id,
-                Entry(
+                Submission(
                     message_class.name, message_class.unsafe, loop.time(), message_class.aim_s, remaining_s
                 ),
             )
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -119,12 +119,12 @@
         settings: PartnerSettings,
         uid: str,
         zone: str,
-        limit: RateLimit,
+        rate_limit: RateLimit,
         ledger: Ledger,
         rng: random.Random,
     ) -> None:
         super().__init__()
-        self.settings, self.uid, self.zone, self.limit = settings, uid, zone, limit
+        self.settings, self.uid, self.zone, self.rate_limit = settings, uid, zone, rate_limit
         self.ledger, self.rng = ledger, rng
         self.trouble = ""
         self.slots = asyncio.Semaphore(settings.max_concurrent_calls or UNLIMITED_SLOTS)
@@ -166,7 +166,7 @@
             self.ledger.record_delivery(message_id, now)
         self.ledger.calls["delivered"] += 1
         rows = json.dumps([{"id": message_id, "state": "done"} for message_id, _ in messages]).encode()
-        return answer(200, rows if path.endswith("/bundle") else b"", **self.limit.load_headers())
+        return answer(200, rows if path.endswith("/bundle") else b"", **self.rate_limit.load_headers())
 
     def _refusal(self) -> bytes:
         """Return the answer that refuses the call, or nothing if the call is accepted."""
@@ -174,11 +174,11 @@
         if self.trouble == "shut":
             self.ledger.calls["told to wait"] += 1
             return answer(429, Retry_After=SHUT_RETRY_AFTER_S)
-        if self.limit.register_call(now):
+        if self.rate_limit.register_call(now):
             self.ledger.overloads += 1
-        if wait_s := self.limit.take_token(now):
+        if wait_s := self.rate_limit.take_token(now):
             self.ledger.calls["told to wait"] += 1
-            return answer(429, Retry_After=f"{wait_s:.3f}", **self.limit.load_headers())
+            return answer(429, Retry_After=f"{wait_s:.3f}", **self.rate_limit.load_headers())
         if self.slots.locked() and self.queued_calls >= self.settings.max_queued_calls:
             self.ledger.calls["refused"] += 1
             return answer(503)
@@ -199,7 +199,7 @@
     async def end_trouble(self) -> None:
         """End the trouble. An endpoint that was down listens again and warms up."""
         if self.trouble == "down":
-            self.limit.begin_warm_up(asyncio.get_running_loop().time())
+            self.rate_limit.begin_warm_up(asyncio.get_running_loop().time())
             await self.start()
         self.trouble = ""
 
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -11,7 +11,7 @@
 
 from hopmill.standin.courier import CourierProcess
 from hopmill.standin.discovery import Discovery
-from hopmill.standin.ledger import SLACK_S, Ledger, Result
+from hopmill.standin.ledger import GRACE_S, Ledger, Result
 from hopmill.standin.load import LoadClass, LoadGenerator
 from hopmill.standin.partner import Partner, PartnerEndpoint, PartnerSettings
 from hopmill.standin.server import HOST
@@ -145,7 +145,7 @@
             submitting = group.create_task(load.run(self.options.rate_per_s, self.options.seconds))
             trouble = group.create_task(self._make_trouble())
             deadline = (
-                started_at + self.options.seconds + max(c.lifetime_s for c in self.classes) + 2 * SLACK_S
+                started_at + self.options.seconds + max(c.lifetime_s for c in self.classes) + 2 * GRACE_S
             )
             while not (submitting.done() and trouble.done() and not self.ledger.count_open(loop.time())):
                 await asyncio.sleep(POLL_INTERVAL_S)
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill.standin.ledger import Entry, Ledger
+from hopmill.standin.ledger import Submission, Ledger
 
 
 def elapsed_us() -> int:
@@ -43,7 +43,7 @@
         self.names: dict[int, str] = {}  # of couriers, by their clients' port
         self.given: dict[str, str] = {}  # message: the courier that has it, which alone delivers it
 
-    def record_submission(self, message_id: str, entry: Entry) -> None:
+    def record_submission(self, message_id: str, entry: Submission) -> None:
         super().record_submission(message_id, entry)
         self.history.add("load", "put", message=message_id, cls=entry.class_name)
 
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -50,7 +50,7 @@
         Host._record_attempts,
         Intake.accept,
         ActivePolicy._apply,
-        ActivePolicy._set_holding,
+        ActivePolicy._set_paused,
     )
 
     def say(what: str, **more: Any) -> None:
@@ -86,12 +86,12 @@
             )
 
     def holds(self: ActivePolicy, on: bool) -> None:
-        if on is not self.is_holding:
+        if on is not self.is_paused:
             say("holds", on=on, version=self.applied_version)
         hold(self, on)
 
     ActivePolicy.may_act, Host._record_attempts, Intake.accept = looks, begins, takes  # type: ignore[method-assign]
-    ActivePolicy._apply, ActivePolicy._set_holding = sets_up, holds  # type: ignore[method-assign]
+    ActivePolicy._apply, ActivePolicy._set_paused = sets_up, holds  # type: ignore[method-assign]
 
 
 def main() -> int:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -26,7 +26,12 @@
             lambda e, w: self.waits.append(w),
             lambda e, r, latency: self.probes.put_nowait(r),
         )
-        given = {"idle_us": 10_000_000, "connect_us": 1_000_000, "max_idle": 20, **changes}
+        given = {
+            "endpoint_idle_timeout_us": 10_000_000,
+            "connect_timeout_us": 1_000_000,
+            "max_idle": 20,
+            **changes,
+        }
         loop = asyncio.get_running_loop()
         self.pool = Pool(loop, is_usable=lambda e: self.wanted, **given)
         self.calls = c.Calls(loop, hooks, self.pool)
@@ -202,7 +207,7 @@
                 f.setblocking(False)
                 f.connect_ex(s.getsockname())
             await asyncio.sleep(0.05)
-            o = Outcomes(connect_us=100_000)
+            o = Outcomes(connect_timeout_us=100_000)
             assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
             for f in fill:
                 f.close()
@@ -264,7 +269,7 @@
 def test_idle_connections_close_well_before_the_endpoint_would():
     async def run():
         endpoint = await Endpoint().start()
-        o = Outcomes(idle_us=100_000)
+        o = Outcomes(endpoint_idle_timeout_us=100_000)
         await o.send(endpoint.port, "a")
         await bounded(endpoint.ended.get())  # closed by the pool
         assert not o.pool.idle
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -58,7 +58,7 @@
     for n in range(4):
         await client.put(f"m{n}")
     fleet.discovery.change("a", state="terminating")
-    while fleet.host.watch.rev != fleet.discovery.rev:
+    while fleet.host.watch.revision != fleet.discovery.rev:
         await asyncio.sleep(0.01)
     before = a.calls.qsize()
     for n in range(4, 12):
@@ -178,7 +178,9 @@
             await fleet.endpoint("a")
             await fleet.inside()
             good = dict(fleet.discovery.target("b", 80, 8))
-            fleet.host.listed({"all": False, "targets": [{**good, "uid": "c", **bad}, good, None, 5]})
+            fleet.host.on_endpoint_list(
+                {"all": False, "targets": [{**good, "uid": "c", **bad}, good, None, 5]}
+            )
             uids = fleet.host.registry.uids
             entries = fleet.host.registry.entries
             assert [n for n in ("a", "b", "c", "None") if uids.get(n) in entries] == ["a", "b"]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -473,7 +473,7 @@
         for start in range(0, len(text), cut):
             lists.say(text[start : start + cut])
         await until(lambda: len(told) == 3)
-        assert [t["rev"] for t in told] == [4, 5, 6] and watch.rev == 6
+        assert [t["rev"] for t in told] == [4, 5, 6] and watch.revision == 6
         watch.stop()
         lists.server.close()
 
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -24,7 +24,7 @@
 from hopmill.cli import top as top_
 from hopmill.net import state
 from hopmill.net.metrics import MAX_LABEL_VALUES, OTHER, Metrics, LabelValues
-from hopmill.standin.ledger import Entry, Ledger
+from hopmill.standin.ledger import Submission, Ledger
 
 EXAMPLE = ROOT / "deploy" / "courier.example.toml"
 
@@ -331,7 +331,7 @@
         ]
     ):
         ledger.record_submission(
-            str(n), Entry("c", n == 0, 1.0, 1.0, 6.0, answer_, delivered, effects, notice)
+            str(n), Submission("c", n == 0, 1.0, 1.0, 6.0, answer_, delivered, effects, notice)
         )
     got = ledger.result().as_json()
     assert {
@@ -362,7 +362,7 @@
         "lost": 1,
         "twice": 1,
     }
-    assert ledger.result().failed and ledger.count_open(2.0) == 1 and ledger.count_open(7.4) == 0
+    assert ledger.result().has_violations and ledger.count_open(2.0) == 1 and ledger.count_open(7.4) == 0
 
 
 def running_demo(tmp_path, *args):
@@ -471,7 +471,8 @@
     deferred, delivered = set(noted), answered - set(noted)
     assert len(delivered) + len(deferred) + load.refused + load.failed == load.offered and load.lost == 0
     assert (
-        deferred | delivered == environment.ended_ids <= set(environment.due_and_end) and load.late_ends == 0
+        deferred | delivered == environment.ended_ids <= set(environment.due_and_deadline)
+        and load.ended_late == 0
     )
     assert all(len(said) == 1 and {status for status, _ in said} == {"deferred"} for said in noted.values())
     assert all(calls[ident] == tries for ident in deferred) and max(calls.values()) <= tries
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -163,7 +163,7 @@
     before = a.calls.qsize()
     for state in ("terminated", "in_service"):  # removed and listed again
         fleet.discovery.change("a", state=state)
-    while fleet.host.watch.rev != fleet.discovery.rev:
+    while fleet.host.watch.revision != fleet.discovery.rev:
         await asyncio.sleep(0.01)
     for n in range(8):
         await client.put(f"n{n}")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 from hopmill.fleet.node import Stored
 from hopmill.fleet.voter import Memory
 from hopmill.net import peers
-from hopmill.standin.ledger import Entry, Ledger
+from hopmill.standin.ledger import Submission, Ledger
 from hopmill.trial import rules, scenario
 from hopmill.trial.history import History
 
@@ -358,9 +358,9 @@
 def test_a_lost_message_and_an_effect_twice_are_found():
     ledger = Ledger()
     for ident, entry in (
-        ("a", Entry("news", False, 0, 1, 2, "taken")),
-        ("b", Entry("payout", True, 0, 1, 2, "taken", 1.0, 2)),
-        ("c", Entry("news", False, 0, 1, 2, "refused")),
+        ("a", Submission("news", False, 0, 1, 2, "taken")),
+        ("b", Submission("payout", True, 0, 1, 2, "taken", 1.0, 2)),
+        ("c", Submission("news", False, 0, 1, 2, "refused")),
     ):
         ledger.record_submission(ident, entry)
     assert [text.split()[1] for text in rules.violations(History(), ledger)] == ["a", "b"]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -250,7 +250,7 @@
     document = overlay._minimal_document()
     try:
         flat, unset = overlay.read_patch(patch)
-        changed = overlay.apply(document, overlay.merged({}, flat, unset))
+        changed = overlay.apply(document, overlay.merge({}, flat, unset))
     except ConfigError as error:
         assert said and re.search(said, str(error)), error
         return
@@ -277,7 +277,7 @@
     assert policy_history.decode(history.encode()) == history
     for version, values in enumerate(states):
         patch, unset = history.patch_to(version)
-        assert overlay.merged(history.values, patch, unset) == values
+        assert overlay.merge(history.values, patch, unset) == values
 
 
 def test_a_book_drops_its_oldest_changes_and_says_what_it_no_longer_knows():
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -102,7 +102,7 @@
 
 def test_one_timer_expires_idle_connections_in_order():
     async def go():
-        endpoint, o = await Endpoint().start(), Outcomes(idle_us=200_000)
+        endpoint, o = await Endpoint().start(), Outcomes(endpoint_idle_timeout_us=200_000)
         connections = await idle(o, endpoint, 2)
         await until(lambda: connections[0].closed and connections[1].closed)
         assert o.pool.endpoints[1].closed == {p.IDLE_EXPIRED: 2} and o.pool.expiry_timer is None
@@ -115,7 +115,7 @@
 def test_idle_connections_close_a_round_trip_before_the_endpoint_would(idle_us, idle_s):
     # With three quarters of the idle timeout one call in ten of hundreds of couriers arrived too late.
     async def go():
-        assert Outcomes(idle_us=idle_us).pool.idle_s == idle_s
+        assert Outcomes(endpoint_idle_timeout_us=idle_us).pool.idle_s == idle_s
 
     asyncio.run(go())
 
@@ -215,7 +215,7 @@
     assert connections[0].closed and not busy.closed and o.pool.take_idle_changes() == [(1, ())]
     assert o.pool.status(str)["open"] == 1  # still counted, and closed with the pool
     o.pool.check_in(busy)
-    assert busy.closed and not o.pool.removed_endpoints
+    assert busy.closed and not o.pool.orphaned_connections
     assert o.pool.totals() == {"opened": 2, "reused": 1, p.ENDPOINT_REMOVED: 2}
 
 
@@ -299,7 +299,7 @@
 def test_without_descriptors_idle_connections_are_evicted_and_calls_wait(monkeypatch):
     async def go():
         a, b = await Endpoint().start(), await Endpoint().start()
-        o = Outcomes(connect_us=300_000)
+        o = Outcomes(connect_timeout_us=300_000)
         await idle(o, a, 1)
         o.pool.set_endpoint(2, ("127.0.0.1", b.port))
         files = Full(monkeypatch)
@@ -332,7 +332,7 @@
             for f in fill:
                 f.setblocking(False)
                 f.connect_ex(s.getsockname())
-            o, before = Outcomes(connect_us=200_000), open_files()
+            o, before = Outcomes(connect_timeout_us=200_000), open_files()
             o.pool.set_endpoint(1, s.getsockname())
             ends = await asyncio.gather(*(o.send(s.getsockname()[1], str(n)) for n in range(30)))
             assert {outcome.result for ((_, outcome),) in ends} == {Result.CONNECT_FAILED}
@@ -375,7 +375,7 @@
     assert (
         open_files() == before
         and not o.pool.endpoints
-        and not o.pool.removed_endpoints
+        and not o.pool.orphaned_connections
         and not o.pool.idle_changed
     )
     assert o.pool.totals() == {"opened": 2000, "reused": 0, p.ENDPOINT_REMOVED: 2000}
@@ -453,7 +453,7 @@
     host.pool.close_idle(number)
     assert agree() and not host.pool.idle
     fleet.discovery.change("a", endpoint=f"127.0.0.1:{free_port()}")
-    await until(lambda: host.watch.rev == fleet.discovery.rev)
+    await until(lambda: host.watch.revision == fleet.discovery.rev)
     assert agree()
 
 
@@ -503,7 +503,7 @@
                 fleet.discovery.target(f"a{n}", e.port, 7)
                 fleet.discovery.rev += 1
                 fleet.discovery.push(fleet.discovery.full_list())
-                await until(lambda: host.watch.rev == fleet.discovery.rev)
+                await until(lambda: host.watch.revision == fleet.discovery.rev)
                 assert await client.put(f"m{n}") == "+OK"
                 await e.call()
                 await until(lambda: not host.calls.in_flight)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -173,7 +173,7 @@
         journal.record_not_run(n)
         journal.record_done(n)
         journal.ended_ids.clear()
-        journal.live_bytes = sum(m.size_bytes for m in journal.messages.values())
+        journal.live_bytes = sum(m.reserved_bytes for m in journal.messages.values())
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
     again = Journal(tmp_path, limit)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -345,6 +345,6 @@
     host = fleet.host
     for n in range(1000):
         target = {**fleet.discovery.targets["a"], "uid": f"u{n}", "az": f"z{n}"}
-        host.listed({"all": False, "targets": [target]})
+        host.on_endpoint_list({"all": False, "targets": [target]})
     await until(lambda: not host.events)
     assert len(host.registry.zones) == 256
