--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -101,8 +101,8 @@
         self.servers: list[asyncio.Server] = []
         self.connections_opened = 0
         self.due_and_deadline: dict[str, tuple[float, float]] = {}  # by message id: due time and deadline
-        self.open_ids: set[str] = set()  # ids of messages taken on, neither delivered nor ended by a notice
-        self.ended_ids: set[str] = set()
+        self.open_ids: set[str] = set()  # ids of accepted messages that are not in ended_ids
+        self.ended_ids: set[str] = set()  # ids of messages delivered or ended by a notice
         self.result = LoadResult()
         self.began_at = 0.0
 
@@ -228,6 +228,7 @@
                     continue
                 if writer is None:
                     reader, writer = await asyncio.open_connection(HOST, port)
+                # Class, tenant, remaining lifetime in milliseconds, destination.
                 fields = f"c=safe,t=t,d={int(remaining_s * 1e3)},dest={partner}".encode()
                 writer.write(
                     b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n"
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -30,7 +30,7 @@
     "config",
     "courier",
     "discovery",
-    "door",
+    "door",  # the operator API
     "fleet",
     "journal",
     "messages",
@@ -63,7 +63,9 @@
     def __init__(self, stream: TextIO | int, lines_per_s: int) -> None:
         """lines_per_s: the most lines in a second of the monotonic clock; further ones are dropped."""
         self.descriptor = stream if isinstance(stream, int) else stream.fileno()
+        # The limit; the current second and the lines in it; lines dropped and not reported yet.
         self.lines_per_s, self.second, self.lines_this_second, self.dropped = lines_per_s, 0, 0, 0
+        # Formats the line that reports the number of dropped lines; set by `configure`.
         self.render_dropped: Callable[[str, int], bytes] = lambda event, count: b""
         self.poller = select.poll()
         self.poller.register(self.descriptor, select.POLLOUT)
@@ -82,6 +84,7 @@
         if self.lines_this_second > self.lines_per_s or not self._write(line.encode("utf-8", "replace")):
             self.dropped += 1
 
+    # structlog calls the method named after the level of the event.
     debug = info = warning = error = critical = exception = log = msg
 
     def _write(self, line: bytes) -> bool:
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -16,19 +16,20 @@
 from hopmill.net.resp import MALFORMED, MalformedValue, ProtocolError, RequestReader
 from hopmill.net.upgrade import HandoverPayload
 
-# In seconds. A client without a request, in the middle of one, or with unread answers is closed once it has
-# been idle for REQUEST_TIMEOUT_S: the platform's terms require an error line or a close within 3 s and allow
-# idle connections to be closed after 2 s, and their number is limited, so idle ones keep other clients out.
-# A request that arrives slowly may take MAX_REQUEST_S.
-REQUEST_TIMEOUT_S, MAX_REQUEST_S = 2.05, 2.8
+# A client without a request, in the middle of one, or with unread answers is closed once it has been idle for
+# this time. The platform requires that an incomplete request is answered with an error line or a close within
+# 3 s. It allows idle connections to be closed after 2 s; their number is limited, so idle ones keep other
+# clients out.
+REQUEST_TIMEOUT_S = 2.05
+MAX_REQUEST_S = 2.8  # for a request that arrives slowly
 BACKLOG = 512  # connections waiting to be accepted
-# In seconds after an operator drains the courier. The load balancer asks ten times a second, and new clients
-# may come until 0.2 s after the first error answer. From DRAIN_GRACE_S on connections are closed between
-# requests, those of idle clients after DRAIN_IDLE_S without data.
-DRAIN_GRACE_S, DRAIN_IDLE_S, DRAIN_SWEEP_S = 0.5, 0.2, 0.05
-# In seconds. After the last answer a connection is read for LINGER_S, and what comes is discarded. A client
-# that has not sent its first request yet may take FIRST_REQUEST_GRACE_S before it counts as idle.
-LINGER_S, FIRST_REQUEST_GRACE_S = 0.15, 0.4
+# After an operator drains the courier, connections are closed between requests from this time on. The load
+# balancer sends a PING ten times a second, and new clients may come until 0.2 s after the first error answer.
+DRAIN_GRACE_S = 0.5
+DRAIN_IDLE_S = 0.2  # a drained courier closes connections without data for this time
+DRAIN_SWEEP_S = 0.05  # interval of the sweep that closes idle connections while the courier is drained
+LINGER_S = 0.15  # after the last answer a connection is read for this time, and what comes is discarded
+FIRST_REQUEST_GRACE_S = 0.4  # a client that has not sent its first request yet counts as idle after this time
 MAX_ERROR_BYTES = 200  # of the text of an error answer
 LINGERING_DIVISOR = 10  # one in so many of the clients' connections may linger
 MAX_ACCEPTS_PER_ITERATION = 16  # new connections in one iteration of the event loop
@@ -104,6 +105,7 @@
         """Run the time-out for the next valid request, or for reading the answers, if it is not running."""
         if self.timer is None and not self.is_lost:
             loop = asyncio.get_running_loop()
+            # The client gets no further request handled; it must read its answers within the time-out.
             must_read_answers = self.is_closing or self.writing_paused
             self.timer = loop.call_at(
                 loop.time() + REQUEST_TIMEOUT_S if must_read_answers else self._deadline(), self._on_timeout
@@ -135,6 +137,7 @@
         elif self._deadline() > loop.time():
             self._ensure_timer()
         elif not self.reader.has_partial_request and self.has_unread_bytes:  # its next request is arriving
+            # LINGER_S gives the event loop time to read these bytes.
             self.timer = loop.call_later(LINGER_S, self._on_timeout)
         else:
             self.reject()
@@ -299,6 +302,7 @@
     @property
     def has_unread_bytes(self) -> bool:
         """Whether the kernel has data that was not read yet: closing now would cut off a request."""
+        # FIONREAD returns the number of unread bytes as a C int; it is 0 if all bytes of the int are.
         return any(fcntl.ioctl(self.fileno, termios.FIONREAD, bytes(4)))
 
     @property
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -14,15 +14,15 @@
 
 SILENCE_TIMEOUT_S = 3.2  # discovery sends an empty line every 2 s; the watch is reopened after this silence
 CONNECT_TIMEOUT_S = 1.0
-# First and largest upper bound of the jittered wait before a retry, for a single courier.
+# First and largest upper bound of the jittered wait before a retry, if a single courier uses the server.
 RETRY_MAX_WAITS_S = (0.1, 1.0)
 # A watch that has worked for ESTABLISHED_S is reopened after REOPEN_DELAY_S (range), since its loss does not
 # indicate an overloaded server.
 ESTABLISHED_S, REOPEN_DELAY_S = 1.0, (0.02, 0.3)
 MAX_LIST_BYTES = 4 << 20  # of a list that arrives in several lines
-# An agent on this machine answers notices at once. After this time they are sent again on a new connection.
+# The agent answers notices at once. After this time they are sent again on a new connection.
 NOTICE_TIMEOUT_S = 0.3
-MAX_NOTICES_PER_REQUEST = 200  # notices in one request
+MAX_NOTICES_PER_REQUEST = 200
 log = logs.part("discovery")
 
 
@@ -212,9 +212,9 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, on_done: Callable[[list[int]], None]
     ) -> None:
-        super().__init__(loop, address, Backoff())  # the agent on this machine serves one courier only
+        super().__init__(loop, address, Backoff())  # the agent serves one courier only
         self.on_done = on_done
-        self.waiting: dict[int, bytes] = {}
+        self.waiting: dict[int, bytes] = {}  # JSON lines of notices not accepted yet, by message number
         self.sent_numbers: list[int] = []
         self.is_sending = False
         self.batch_size = MAX_NOTICES_PER_REQUEST
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -34,11 +34,12 @@
 from hopmill.policy.courier import Courier
 
 KEY_WINDOW_MARGIN_TICKS = 3  # no attempt begins this close to the end of its key's window
-TIMER_MARGIN_S = 5e-5  # added to the module's timers
-END_OVERDUE_S = 0.1  # a message this long past its expiry is ended here, should the module have failed to
+TIMER_MARGIN_S = 5e-5  # added to the decision core's timers
+END_OVERDUE_S = 0.1  # a message that the decision core has not ended this long after its expiry is ended here
 NOT_RUN_RESULTS = (interface.Result.FULL, interface.Result.CONNECT_FAILED, interface.Result.MOOT)
-# Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself. Clients
-# may hold a third; beyond that none can connect, so idle connections are closed before there are so many.
+# Shares of the limit on file descriptors; the rest is for calls, discovery, the journal and Python itself.
+# Clients may hold a third of the descriptors, and beyond that none can connect. From 0.3 on a connection is
+# closed for each new one, the least recently used idle one first.
 CLIENT_DESCRIPTOR_SHARE, IDLE_DESCRIPTOR_SHARE = 0.3, 0.2
 # Share of the memory for partly received requests, each of which may have the maximum size.
 REQUEST_MEMORY_SHARE = 1 / 8
@@ -62,8 +63,8 @@
         self.loop, self.config, self.settings = loop, config, config.settings
         self.handover = Handover(self, ownership, payload)
         self.courier = Courier(self.settings, config.seed)
-        self.member_transport: Any = None  # set if the configuration names a fleet
-        self.active_policy: Any = None  # set if settings may differ from the file's
+        self.member_transport: Any = None  # net.peers.MemberTransport, if the configuration names a fleet
+        self.active_policy: Any = None  # net.in_force.ActivePolicy, if settings may differ from the file's
         self.journal = Journal(
             ownership.folder,
             config.disk_bytes - joining.fleet_bytes(config),
@@ -88,7 +89,7 @@
             loop,
             self.settings.connection_idle_us,
             self.settings.connect_timeout_us,
-            int(config.sockets * IDLE_DESCRIPTOR_SHARE),
+            int(config.sockets * IDLE_DESCRIPTOR_SHARE),  # sockets: limit on file descriptors
             self.registry.is_usable,
         )
         self.calls = Calls(loop, hooks, self.pool)
@@ -103,7 +104,7 @@
         )
         self.options = Options()
         self.observer = Observer(self.settings)
-        self.metrics: Any = None  # set only while the operator API is enabled
+        self.metrics: Any = None  # net.metrics.Metrics, only if the operator API is enabled
         self.turn_due_us = 0  # when the next turn is due, on the monotonic clock; 0 for none
         self.discovery_moved_to: Address | None = None  # address of discovery after a reload
         self.operator_actions = OperatorActions(
@@ -123,7 +124,7 @@
 
         Returns the clients' port.
         """
-        carried = self.handover.carried
+        carried = self.handover.carried  # what the previous process handed over; empty without an upgrade
         self.registry.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
         self.on_endpoint_list({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
@@ -416,9 +417,8 @@
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
-        if (
-            self.active_policy and not self.active_policy.may_act()
-        ):  # the last check before the call is written
+        # The lease may have expired during the write. This is the last check before the call is written.
+        if self.active_policy and not self.active_policy.may_act():
             for item in items:
                 self.record_best_effort(self.journal.record_not_run, item.number)
             return []
@@ -494,6 +494,7 @@
         from hopmill.net.metrics import HostState, Metrics
 
         self.metrics = Metrics(tuple(c.name for c in self.settings.classes), HostState(self))
+        # The observer counts messages and attempts on them, the operator API serves them.
         self.observer.meters = self.operator_actions.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -40,12 +40,12 @@
         self.has_policy = bool(host.config.members and host.config.members.policy)
         self.file_settings = host.settings  # from this courier's configuration file
         self.history = policy_history.PolicyHistory()
-        self.applied_version = -1  # version that the policy module uses, -1 for none
+        self.applied_version = -1  # version that the decision core works with, -1 for none
         self.excluded: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
         self.rejection_reason = ""  # why the version in force can not be applied, or ""
-        self.is_paused = self.has_policy
+        self.is_paused = self.has_policy  # no call begins and no message is accepted
         self.paused_since = host.loop.time()
-        self.waiting: list[tuple[Put, Reply, float]] = []
+        self.waiting: list[tuple[Put, Reply, float]] = []  # message, its reply, queued at (loop time, s)
 
     # Permission to act
 
@@ -63,7 +63,7 @@
     def queue(self, put: Put, reply: Reply) -> None:
         """Queues a message that arrived while none may be accepted."""
         now = self.host.loop.time()
-        if not self.is_paused:  # noticed only now, by this message
+        if not self.is_paused:  # `may_act` has become false since the last check: the lease expired
             self._set_paused(True)
         if now - self.paused_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.settings.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
@@ -73,6 +73,8 @@
         self.waiting.append((put, reply, now))
 
     def _refuse_expired(self) -> None:
+        # Once the pause has ended the messages are submitted again; whoever is still queued then is refused
+        # rather than left without an answer.
         wait_began_before = self.host.loop.time() - MAX_CHANGE_WAIT_S
         while self.waiting and (self.waiting[0][2] <= wait_began_before or not self.is_paused):
             self.waiting.pop(0)[1].send(refusal(self.host.courier.come_back_us()))
@@ -122,6 +124,7 @@
             transport.on_change = self.on_member_change
             policy_member = transport.node.policy_member
             assert policy_member is not None
+            # Totals for the comparison of the canary group with the other members.
             policy_member.watch.counts = lambda: OutcomeTotals(*self.host.observer.totals)
             self.host.observer.is_counting = True
             self.on_member_change()
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -27,7 +27,17 @@
 OPENING, CHECKED_OUT, IDLE, CLOSED = "opening", "checked out", "idle", "closed"  # states of a connection
 log = logs.part("pool")
 
-# Reasons for closing a connection, as the operator API and the metrics show them.
+# Reasons for closing a connection, as the operator API and the metrics show them:
+# - IDLE_EXPIRED: idle so long that the endpoint may close it at any moment.
+# - OVER_LIMIT: more idle connections than are kept to this endpoint.
+# - EVICTED: the one idle longest, for lack of descriptors or since the pool keeps no more idle connections.
+# - CLOSED_BY_ENDPOINT, BROKE_DURING_CALL, NEVER_CONNECTED: closed from outside while idle, during a call, or
+#   before it was established; a connect that times out counts as NEVER_CONNECTED too.
+# - CALL_ABANDONED: closed by the call that used it or waited for it.
+# - ENDPOINT_REMOVED: the endpoint is no longer listed, has another address or may not be called.
+# - ENDPOINT_RESTARTED: opened before the endpoint last started.
+# - NOT_TRUSTED: idle since before a call or connect that failed without any later response.
+# - REQUESTED_BY_POLICY: the decision core asked for it.
 IDLE_EXPIRED, OVER_LIMIT, EVICTED = "aged", "over the endpoint's number", "room for others"
 CLOSED_BY_ENDPOINT, BROKE_DURING_CALL, CALL_ABANDONED = (
     "ended by the endpoint",
@@ -79,9 +89,13 @@
     max_idle: int = 1  # idle connections that are kept
     idle: OrderedDict[PooledConnection, None] = field(default_factory=OrderedDict)  # most recently used last
     connections: set[PooledConnection] = field(default_factory=set)  # in any state
-    trial_connection: PooledConnection | None = None  # checked out untrusted, no response yet
-    last_response_at: float = -math.inf  # loop time of the last response, and
-    last_response_opened_at: float = math.inf  # wall clock at which its connection was opened
+    # Reused connection that tests whether the idle ones are alive; None if no such test is running.
+    trial_connection: PooledConnection | None = None
+    # The response that shows idle connections to be alive: when it arrived (loop time), and when its
+    # connection was opened (wall clock). A later response replaces it if its connection is no newer, or once
+    # the earlier response is older than the connect timeout.
+    last_response_at: float = -math.inf
+    last_response_opened_at: float = math.inf
     opened: int = 0
     reused: int = 0
     closed: Counter[str] = field(default_factory=Counter)
@@ -145,14 +159,15 @@
         connection is kept for one that may not.
         """
         self.loop, self.is_usable = loop, is_usable
-        # The endpoint's idle timeout starts when it writes its response, and the next request needs time to
-        # reach it. A connect takes a round trip and is given connect_us. Closing that much earlier avoids
-        # that a request crosses the endpoint's close on the wire.
+        # Idle connections close connect_timeout_us early, so that a request does not cross the endpoint's
+        # close on the wire: the endpoint's idle timeout starts when it writes its response, and the next
+        # request needs time to reach it. A connect takes a round trip, so its timeout covers that time.
+        # Half of the endpoint's idle timeout is used in any case.
         self.idle_s = max(endpoint_idle_timeout_us / 2, endpoint_idle_timeout_us - connect_timeout_us) / 1e6
         self.connect_s, self.max_idle = connect_timeout_us / 1e6, max_idle
         self.endpoints: dict[int, EndpointConnections] = {}
         self.idle: OrderedDict[PooledConnection, None] = OrderedDict()  # of all endpoints, longest idle first
-        self.orphaned_connections: set[PooledConnection] = set()  # checked out, endpoint no longer listed
+        self.orphaned_connections: set[PooledConnection] = set()  # in use, endpoint removed or moved
         self.waiting_for_descriptor: deque[Checkout] = deque()
         self.idle_changed: set[int] = set()  # endpoints with idle connections not reported yet
         self.removed_totals: Counter[str] = Counter()  # counters of endpoints no longer listed
@@ -386,7 +401,7 @@
             self.drop(connection, ENDPOINT_REMOVED)
         elif connection.opened_at < entry.booted_at:
             self.drop(connection, ENDPOINT_RESTARTED)
-        elif self.idle_s <= 0:
+        elif self.idle_s <= 0:  # endpoints keep no idle connections, so the number to keep is 0
             self.drop(connection, OVER_LIMIT)
         else:
             self._make_idle(connection, entry, self.loop.time())
@@ -570,5 +585,6 @@
             ):
                 self.drop(connection, ENDPOINT_REMOVED)
             else:
-                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)  # until the policy sets the number
+                # This limit holds until the decision core sets another one.
+                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)
                 self._make_idle(connection, entry, idle_since)
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -76,7 +76,7 @@
         number = self.number(str(target["uid"]))
         kind, zone = self.kinds.get(target.get("model", ""), 0), self.zone(str(target.get("az", "")))
         rate = float(target.get("capacity_hint") or 0.0)
-        if not math.isfinite(rate):  # the policy paces calls by it
+        if not math.isfinite(rate):  # the decision core paces calls by it
             raise ValueError("capacity_hint")
         entry = interface.ListEntry(
             number, int(target["pod_group"]), ENDPOINT_STATES[target["state"]], rate, kind, zone
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -26,7 +26,8 @@
 SPARE_BYTES = 8192  # reserved for all other records
 ENDED_ID_RETENTION_S = 30.0  # ids of ended messages are recognized for this long
 KEY_EXTRA_RETENTION_S = 60.0  # idempotency keys are remembered for this long after their window
-# The wall clock counts as set back if the new time scale begins no later than this after the latest record.
+# If a time scale that starts after a boot reads no later than the latest record plus this, the wall clock is
+# assumed to have been set back between the boots.
 SET_BACK_TOLERANCE_S = 0.001
 MIN_COMPACTION_BYTES = 1 << 17  # smaller files are compacted only for lack of space
 log = logs.part("journal")
@@ -56,9 +57,9 @@
     order_key: int = 0  # shared by messages that are kept in order, 0 for none
     attempts: int = 0  # begun so far
     latest_attempt_at: float = 0.0  # start of the newest attempt; 0 once it is known not to have run
-    earlier_run_at: float = 0.0  # start of the first attempt before it that may have run, 0 for none
-    status: str = ""  # of the final notice that is owed; "" while the message is open
-    retry_after_ms: int = 0  # goes into that notice
+    earlier_run_at: float = 0.0  # start of the first attempt before the newest that may have run, 0 for none
+    status: str = ""  # final status ("deferred", "undeliverable"), "" while open
+    retry_after_ms: int = 0  # goes into the notice of the final status, 0 for none
     latest_attempt_zone: str = ""  # zone of the newest attempt, "" if not known
     earlier_run_zone: str = ""  # zone of the attempt of earlier_run_at, "" if not known
 
@@ -127,7 +128,7 @@
         self.ended_ids: dict[str, float] = {}  # id: when the message ended, in that order
         # Idempotency key: start of the first attempt with it that may have run.
         self.first_run_by_key: dict[str, float] = {}
-        self.drained = False  # by an operator
+        self.drained = False  # whether an operator drains the courier of clients
         self.excluded_endpoints: set[str] = set()  # uids, excluded by an operator
         self.excluded_zones: set[str] = set()  # names, excluded by an operator
         # live_bytes: upper bound on what a compacted journal takes, with the reserve for later records.
@@ -284,6 +285,9 @@
 
         The wall clock went back between two boots, so it is not known how long the machine was down.
         """
+        # Keys move back by their window only: moved back by the whole retention they would be forgotten at
+        # the next compaction, and a message with such a key would count as never attempted. Messages are kept
+        # whatever the time of their attempts.
         for message in self.messages.values():
             if message.may_have_run_at:
                 message.earlier_run_zone, message.earlier_run_at = (
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -17,7 +17,7 @@
 from hopmill.fields import ConfigError
 
 ValuesByPath = dict[str, Any]
-# Table: its fields that a policy may change; "" is the top level.
+# Table: its fields that overrides may change; "" is the top level of the configuration file.
 CHANGEABLE_FIELDS = {
     "retries": ("attempts", "longest_told_wait_ms"),
     "worth": ("over_share", "late", "refused_price"),
@@ -139,7 +139,7 @@
             tree[table] = [*tree[table], row]
         row[field] = value
     changed = doc.convert(tree)
-    for problem in doc.problems(changed):
+    for problem in doc.problems(changed):  # the first one is reported
         raise ConfigError(problem)
     return changed
 
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -13,7 +13,7 @@
     """One submission of a message. Points in time are seconds on the monotonic clock."""
 
     class_name: str
-    unsafe: bool
+    unsafe: bool  # must not take effect twice
     submitted_at: float
     aim_s: float  # a delivery within this is in time
     lifetime_s: float  # from submission to the deadline
@@ -28,9 +28,10 @@
     """Records what clients, partners and discovery observe; each submission has a `message_id` of its own."""
 
     entries: dict[str, Submission] = field(default_factory=dict)
-    calls: Counter[str] = field(default_factory=Counter)  # by outcome
+    # By outcome: delivered (200), error (500), refused (503), told to wait (429).
+    calls: Counter[str] = field(default_factory=Counter)
     connections_opened: int = 0  # at endpoints
-    overloads: int = 0  # overloads of partners in warm-up
+    overloads: int = 0  # how often a partner was overloaded during a warm-up
 
     def record_submission(self, message_id: str, submission: Submission) -> None:
         """Record a submission before it is sent to a courier."""
@@ -114,7 +115,7 @@
     def as_json(self) -> dict[str, object]:
         """Return the account as commands print it in JSON."""
         names = (
-            "handed_in",
+            "handed_in",  # submissions
             "taken",
             "refused",
             "failed",
@@ -124,7 +125,7 @@
             "deferred",
             "undeliverable",
             "lost",
-            "twice",
+            "twice",  # unsafe messages that took effect more than once
         )
         calls = self.ledger.calls
         return {
@@ -135,5 +136,6 @@
             "calls": sum(calls.values()),
             "calls_refused": calls["refused"] + calls["told to wait"],
             "connections": self.ledger.connections_opened,
+            # Overloads of partners during a warm-up.
             "pushed_over": self.ledger.overloads,
         }
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -17,7 +17,13 @@
 from hopmill.standin.ledger import Ledger
 from hopmill.standin.server import Server, answer, read_request
 
-TROUBLES = ("down", "silent", "slow", "errors", "shut")
+TROUBLES = (
+    "down",  # does not listen; all connections are closed
+    "silent",  # accepts calls and does not answer them before the trouble ends
+    "slow",  # answers SLOW_FACTOR times later
+    "errors",  # answers every call that it does not refuse with 500
+    "shut",  # refuses every call with 429 and a Retry-After
+)
 SLOW_FACTOR = 10.0  # a slow endpoint multiplies the latency of its calls by this
 SHUT_RETRY_AFTER_S = 2.0  # Retry-After of an endpoint that refuses every call
 SILENCE_POLL_S = 0.05  # interval at which a silent endpoint checks whether its trouble is over
@@ -43,8 +49,10 @@
     routes_apart: bool = False  # each endpoint has a rate limit of its own
     cold_share: float = 0.2  # share of the capacity at the beginning of a warm-up
     cold_s: float = 2.0  # duration of a warm-up, in which the share grows linearly to 1
-    fall_multiple: float = 2.5  # during a warm-up, more than this times the capacity overloads the partner
-    fall_s: float = 1.0  # span over which the calls are counted, and duration of the outage that follows
+    # During a warm-up, more calls within fall_s than this times the current capacity overload the partner.
+    fall_multiple: float = 2.5
+    # Span over which the calls are counted, and for which an overloaded partner refuses all calls.
+    fall_s: float = 1.0
 
 
 class RateLimit:
@@ -54,7 +62,7 @@
         self.settings, self.tokens, self.refilled_at = settings, settings.rate_per_s, now
         self.warm_up_began_at = -math.inf
         self.overloaded_until = -math.inf
-        self.recent_calls: deque[float] = deque()
+        self.recent_calls: deque[float] = deque()  # times of the calls counted for an overload
 
     def capacity_share(self, now: float) -> float:
         """Return the share of the full rate that is available now."""
@@ -128,14 +136,14 @@
         self.ledger, self.rng = ledger, rng
         self.trouble = ""
         self.slots = asyncio.Semaphore(settings.max_concurrent_calls or UNLIMITED_SLOTS)
-        self.queued_calls = 0
+        self.queued_calls = 0  # calls that wait for a free slot
         self.applied_keys: set[str] = set()  # idempotency keys of calls that took effect
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the calls of one connection, which is closed at once if there are too many."""
         self.ledger.connections_opened += 1
         if len(self.writers) > self.settings.max_connections:
-            return
+            return  # closes the connection
         while True:
             _, path, headers, body = await read_request(reader)
             while self.trouble == "silent":
