--- a/hopmill/bench/world.py
+++ b/hopmill/bench/world.py
@@ -1,6 +1,6 @@
 """The environment of a measured courier: partners and a load, both cheap enough not to be the bottleneck.
 
-Messages are counted by id: one is delivered when an endpoint has written its 200, and lost if it was taken on
+Messages are counted by id: one is delivered when an endpoint has written its 200, and lost if it was accepted
 and neither delivered nor ended by a notice before its deadline and the grace.
 """
 
@@ -129,7 +129,10 @@
         return self.discovery.full_list()
 
     def settings(self) -> dict[str, Any]:
-        """Return the courier's settings in the platform's format, which every revision reads."""
+        """Return the courier's settings in the platform's format.
+
+        Every git revision of the courier that can be measured reads this format.
+        """
         return {
             "classes": [
                 {
@@ -254,7 +257,10 @@
         partner: int,
         rng: random.Random,
     ) -> None:
-        """Count the answer; queue a refused message again under a new id once its wait is over."""
+        """Count the answer; queue a refused message again under a new id once its wait is over.
+
+        resubmissions: how often the message may still be submitted again.
+        """
         if reply.startswith(b"+"):
             self.result.taken += 1
             if message_id not in self.ended_ids:
@@ -285,7 +291,7 @@
         self.result.by_second[second] = self.result.by_second.get(second, 0) + 1
 
     def _end_by_notice(self, notice: dict[str, str]) -> None:
-        """Record that the courier reported a final status for a message."""
+        """Record that the courier reported a final status for a message, in time or not."""
         message_id = notice["id"]
         if message_id in self.due_and_deadline:
             self.result.ended_late += (
--- a/hopmill/logs.py
+++ b/hopmill/logs.py
@@ -61,7 +61,10 @@
     """Writes lines to a file descriptor; drops and counts those that it can't accept without blocking."""
 
     def __init__(self, stream: TextIO | int, lines_per_s: int) -> None:
-        """lines_per_s: the most lines in a second of the monotonic clock; further ones are dropped."""
+        """Take over an open stream or descriptor.
+
+        lines_per_s: limit for each second of the monotonic clock; further lines are dropped and counted.
+        """
         self.descriptor = stream if isinstance(stream, int) else stream.fileno()
         # The limit; the current second and the lines in it; lines dropped and not reported yet.
         self.lines_per_s, self.second, self.lines_this_second, self.dropped = lines_per_s, 0, 0, 0
@@ -74,7 +77,7 @@
         self.may_block = stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode) or os.isatty(self.descriptor)
 
     def msg(self, line: str) -> None:
-        """Writes a line, after a `log.dropped` line at the start of a second if lines were dropped before."""
+        """Write a line, after a `log.dropped` line at the start of a second if lines were dropped before."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.lines_this_second = second, 0
@@ -101,7 +104,7 @@
     """Passes on what libraries log through `logging`, mostly asyncio."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a record as the event `library` of the part asyncio."""
+        """Write a record as the event `library` of the part asyncio."""
         method = "error" if record.levelno >= logging.ERROR else "warning"
         getattr(part("asyncio"), method)(
             "library", text=record.getMessage(), logger=record.name, exc_info=record.exc_info or None
@@ -109,7 +112,7 @@
 
 
 def _order_fields(_: Any, method: str, event: dict[str, Any]) -> dict[str, Any]:
-    """Puts time, level, part and event first and drops fields without a value."""
+    """Put time, level, part and event first and drop fields without a value."""
     head = {
         "at": event.pop("at"),
         "level": method if method != "exception" else "error",
@@ -133,7 +136,7 @@
 
 
 def _quoted(value: Any) -> str:
-    """Returns a value as text, quoted if it is empty or would not be a single word."""
+    """Return a value as text, quoted if it is empty or would not be a single word."""
     text = _encode_other(value) if not isinstance(value, float) else f"{value:g}"
     if text and text.isprintable() and not set(text) & set(' "='):
         return text
@@ -145,7 +148,7 @@
 
 
 def part(name: str) -> PartLogger:
-    """Returns the logger of a part, the same object at each call."""
+    """Return the logger of a part, the same object at each call."""
     if name not in _loggers:
         _loggers[name] = PartLogger(name)
         _bind_methods(_loggers[name])
@@ -159,7 +162,7 @@
     lines_per_s: int = 50,
     stream: TextIO | int | None = None,
 ) -> None:
-    """Sets the output of all loggers, including those that exist already.
+    """Set the output of all loggers, including those that exist already.
 
     output_format: one of FORMATS.
     level: one of LEVELS, for all parts that are not in `levels`.
@@ -206,4 +209,4 @@
 
 
 def _discard(event: str, **fields: Any) -> None:
-    """Discards an event: tests and tools use parts of the program without configuring logs."""
+    """Discard an event: tests and tools use parts of the program without configuring logs."""
--- a/hopmill/net/__init__.py
+++ b/hopmill/net/__init__.py
@@ -1,1 +1,1 @@
-"""The courier on real sockets: network, journal and clock around the policy. No decisions are made here."""
+"""The courier on real sockets: network, journal and clock around the decision core."""
--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -89,7 +89,7 @@
 
 
 def parse_load_report(headers: dict[str, str]) -> tuple[tuple[str, float], ...]:
-    """Parses 'x0=0.4,x1=25'. If one value can't be read the whole report is discarded."""
+    """Parse 'x0=0.4,x1=25'. If one value can't be read the whole report is discarded."""
     try:
         pairs = [part.partition("=") for part in headers.get("x-server-load", "").split(",") if part]
         report = tuple((name.strip(), float(value)) for name, _, value in pairs)
@@ -152,11 +152,11 @@
         return self.started + min((item.timeout_us for item in self.items if not item.ended), default=0) / 1e6
 
     def timer(self, delay: float, action: Callable[[], None]) -> None:
-        """Schedules an action that is cancelled when the call ends."""
+        """Schedule an action that is cancelled when the call ends."""
         self.timers.append(self.calls.loop.call_later(max(0.0, delay), action))
 
     def response_complete(self) -> None:
-        """Ends a probe or the items of a batch, and releases the connection."""
+        """End a probe or the items of a batch, and release the connection."""
         if self.path:
             self.calls.probe_ended(self, Result.OK if self.status == 200 else Result.FULL)
         elif self.status == 200 and len(self.items) > 1:
@@ -167,7 +167,7 @@
         self.calls.release(self)
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
-        """Ends a single call by its status; reports an announced wait at once."""
+        """End a single call by its status; report an announced wait at once."""
         self.status, self.headers = status, headers
         if self.connection is not None:
             self.calls.pool.response_received(self.connection)
@@ -180,7 +180,7 @@
         self.timer(RESPONSE_TAIL_S, self.abandon)
 
     def body_received(self, data: bytes) -> None:
-        """Collects the body of a batch response; abandons a response over MAX_RESPONSE_BYTES."""
+        """Collect the body of a batch response; abandon a response over MAX_RESPONSE_BYTES."""
         self.body_bytes += len(data)
         if self.body_bytes > MAX_RESPONSE_BYTES:
             log.warning("answer.too_long", endpoint_number=self.endpoint, most=MAX_RESPONSE_BYTES)
@@ -190,7 +190,7 @@
             self.body += data
 
     def connection_lost(self, written: bool) -> None:
-        """Ends all items: without the last byte written the call has not run."""
+        """End all items: without the last byte written the call has not run."""
         if self.connection is not None:
             self.calls.pool.call_failed(self.connection)
         if self.path:
@@ -208,7 +208,7 @@
         return Outcome(result)
 
     def timed_out(self) -> None:
-        """Ends the call and closes the connection, since a late response would meet the next call."""
+        """End the call and close the connection, since a late response would meet the next call."""
         if not self.is_open and not self.path:  # the head has been received, only the rest is missing
             return
         sent = self.connection is not None and self.connection.exchange is self and self.connection.written
@@ -221,18 +221,18 @@
         self.finish_all(outcome)
 
     def abandon(self) -> None:
-        """Closes the connection without waiting for the rest of the response."""
+        """Close the connection without waiting for the rest of the response."""
         if self.connection is not None:
             self.calls.pool.drop(self.connection, CALL_ABANDONED)
         self.calls.release(self)
 
     def finish_all(self, outcome: Outcome) -> None:
-        """Ends each item that has not ended yet."""
+        """End each item that has not ended yet."""
         for item in self.items:
             self.finish(item, outcome)
 
     def finish(self, item: CallItem, outcome: Outcome) -> None:
-        """Ends one item, once."""
+        """End one item, once."""
         if not item.ended:
             item.ended = True
             self.calls.hooks.ended(item, self.endpoint, outcome, self.latency_us)
@@ -246,14 +246,14 @@
         self.in_flight: set[Call] = set()
 
     def close(self) -> None:
-        """Abandons all calls."""
+        """Abandon all calls."""
         for call in list(self.in_flight):
             call.abandon()
 
     # Upgrades
 
     def carry(self, payload: HandoverPayload) -> list[list[Any]]:
-        """Packs the calls whose request is written for the next process.
+        """Pack the calls whose request is written, to hand over to the next process.
 
         All others have not run; their connections close.
         """
@@ -279,7 +279,7 @@
         return rows
 
     def unwritten(self) -> list[int]:
-        """Messages whose newest attempt has begun but not run, since its last byte is not written."""
+        """Return the messages whose newest attempt has begun but not run: its last byte is not written."""
         return [
             item.number
             for call in self.in_flight
@@ -298,7 +298,7 @@
         items: list[CallItem],
         received: bytes,
     ) -> None:
-        """Continues a call of the previous process."""
+        """Continue a call of the previous process."""
         call = Call(self, endpoint, items)
         call.started = started
         call.connection = self.pool.resume(endpoint, address, sock, opened_at)
@@ -309,19 +309,19 @@
     # Starting
 
     def send(self, endpoint: int, items: list[CallItem]) -> None:
-        """Starts one call with these messages; the end of each item is reported once."""
+        """Start one call with these messages; the end of each item is reported once."""
         call = Call(self, endpoint, items)
         call.timer(call.deadline - call.started, call.timed_out)
         self._start(call)
 
     def probe(self, endpoint: int, path: str = "/alive") -> None:
-        """Starts a GET that tells whether the endpoint responds."""
+        """Start a GET that tells whether the endpoint responds."""
         call = Call(self, endpoint, [], path)
         call.timer(self.pool.connect_s, call.timed_out)
         self._start(call)
 
     def cancel(self, number: int, attempt: int) -> None:
-        """Stops waiting for a single call. A message in a batch stays with its batch."""
+        """Stop waiting for a single call. A message in a batch stays with its batch."""
         for call in list(self.in_flight):
             item = call.items[0] if len(call.items) == 1 else None
             if item and item.number == number and item.attempt == attempt and not item.ended:
@@ -398,7 +398,7 @@
         call.finish_all(Outcome(result))
 
     def probe_ended(self, call: Call, result: Result) -> None:
-        """Reports the result of a probe, once."""
+        """Report the result of a probe, once."""
         if call.path:
             call.path, latency = "", call.latency_us
             self.hooks.probed(call.endpoint, result, latency)
@@ -411,7 +411,7 @@
             self.pool.cancel(call.checkout)
 
     def release(self, call: Call) -> None:
-        """Ends the call; returns its connection to the pool if it is still usable."""
+        """End the call; return its connection to the pool if it is still usable."""
         if call not in self.in_flight:
             return
         self._forget(call)
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -59,8 +59,8 @@
 class ClientConnection(asyncio.Protocol):
     """One client's connection.
 
-    carried: what the previous process handed over of this connection: state of the reader, last_data_at,
-    last_request_at, request_began_at, awaits_first_byte.
+    carried: what the previous process handed over at an upgrade: state of the reader, last_data_at,
+    last_request_at, request_began_at, awaits_first_byte. It is empty for a new connection.
     """
 
     def __init__(self, server: ClientServer, carried: tuple[Any, ...] = ()) -> None:
@@ -126,9 +126,9 @@
             self.timer = None
 
     def _on_timeout(self) -> None:
-        """End a peer that is idle or never completes its request.
+        """Close a connection that is idle, or whose request or reading of answers takes too long.
 
-        Nothing else would, and it occupies a descriptor.
+        Such a connection occupies a descriptor, and no other timer closes it.
         """
         self.timer = None
         loop = asyncio.get_running_loop()
@@ -143,7 +143,7 @@
             self.reject()
 
     def reject(self) -> None:
-        """Answer an incomplete request with an error line, then close."""
+        """Close the connection; an incomplete request gets an error line first."""
         self.is_closing = True
         if self.reader.has_partial_request:
             self._add_reply().send(b"-ERR no whole request in time\r\n")
@@ -414,7 +414,7 @@
             self.acceptor.close()
 
     def carry(self, payload: HandoverPayload, limit: int) -> list[list[Any]]:
-        """Return up to `limit` connections for the next process, the most recently used ones.
+        """Return up to `limit` connections to hand over to the next process, the most recently used ones.
 
         Between two turns no answer is pending on them.
         """
@@ -432,7 +432,7 @@
         ]
 
     def resume(self, sock: socket.socket, *carried: Any) -> None:
-        """Go on with a connection of the previous process."""
+        """Go on with a connection that the previous process handed over at an upgrade."""
         assert self.acceptor is not None
         self.acceptor.join(sock, lambda: ClientConnection(self, carried))
 
--- a/hopmill/net/config.py
+++ b/hopmill/net/config.py
@@ -57,7 +57,7 @@
     file: Path | None = None  # TOML; if None, the JSON file that LB_CONFIG names
 
     def read(self) -> tuple[Document, Settings, dict[str, Any]]:
-        """Returns (document, policy settings, endpoints known before discovery responds)."""
+        """Return (document, settings for the decision core, endpoints known before discovery responds)."""
         if self.file is not None:
             document = doc.read_toml(self.file)
             return document, document.settings(), document.known_endpoints()
@@ -76,7 +76,7 @@
 
 
 def parse_address(text: Any, field: str) -> Address:
-    """Parses '10.0.0.4:6379' into (host, port).
+    """Parse '10.0.0.4:6379' into (host, port).
 
     Raises ConfigError.
     """
@@ -87,7 +87,7 @@
 
 
 def load(env: Mapping[str, str], file: Path | None = None) -> Config:
-    """Loads the configuration; the environment overrides the file.
+    """Load the configuration; the environment overrides the file.
 
     Raises ConfigError with a message of one line.
     """
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: the watch of the endpoint list, and the notices of messages that ended undelivered."""
+"""Discovery: the watch of the endpoint list, and the notices of messages that ended undelivered.
+
+Discovery is reached through an agent on this machine. The agent answers notices itself and at once; the lists
+come from a server that all couriers share.
+"""
 
 from __future__ import annotations
 
@@ -32,20 +36,20 @@
     def __init__(self, couriers: int = 1) -> None:
         """couriers: how many ask the same server.
 
-        Waits grow with it, so that all together retry as often as one alone would. An overloaded server lets
-        calls wait until their clients give up, and then has worked for none of them.
+        Waits grow with it, so that all together retry as often as one alone would. More retries could keep
+        the server overloaded: requests that it answers after its clients have given up are wasted work.
         """
         self.first_max_wait_s, self.longest_max_wait_s = (s * couriers for s in RETRY_MAX_WAITS_S)
         self.max_wait_s = self.first_max_wait_s
 
     def next(self) -> float:
-        """The next wait in seconds."""
+        """Return the next wait in seconds."""
         wait = random.uniform(self.max_wait_s / 4, self.max_wait_s)
         self.max_wait_s = min(self.longest_max_wait_s, self.max_wait_s * 2)
         return wait
 
     def reset(self) -> None:
-        """Returns to the first upper bound after a success."""
+        """Return to the first upper bound after a success."""
         self.max_wait_s = self.first_max_wait_s
 
 
@@ -59,13 +63,13 @@
         self.is_stopped = False
 
     def set_timer(self, delay: float, action: Callable[[], None]) -> None:
-        """Sets the single timer; it replaces the previous one."""
+        """Set the single timer; it replaces the previous one."""
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(delay, action)
 
     def open(self) -> None:
-        """Opens a new connection in place of the current one."""
+        """Open a new connection in place of the current one."""
         if self.is_stopped:
             return
         if self.connection is not None:
@@ -86,18 +90,18 @@
             self.connected()
 
     def connected(self) -> None:
-        """Called when the connection is established."""
+        """Go on after the connection was established."""
         raise NotImplementedError
 
     def retry(self) -> None:
-        """Closes the connection and reopens it after a backoff."""
+        """Close the connection and reopen it after a backoff."""
         if self.connection is not None:
             self.connection.close()
         if not self.is_stopped:
             self.set_timer(self.backoff.next(), self.open)
 
     def move(self, address: Address) -> None:
-        """Continues at another address; unanswered requests are repeated there."""
+        """Continue at another address; unanswered requests are repeated there."""
         self.address = address
         self.backoff.reset()
         if self.connection is not None:
@@ -111,7 +115,7 @@
         return True
 
     def stop(self) -> None:
-        """Closes the connection for good."""
+        """Close the connection for good."""
         self.is_stopped = True
         if self.timer:
             self.timer.cancel()
@@ -143,21 +147,21 @@
         self.partial_line, self.partial_change, self.status, self.connected_at = b"", b"", 0, 0.0
 
     def connected(self) -> None:
-        """Starts the watch."""
+        """Start the watch."""
         assert self.connection is not None
         self.partial_line, self.partial_change, self.status, self.connected_at = b"", b"", 0, self.loop.time()
         self.set_timer(SILENCE_TIMEOUT_S, self.open)
         self.connection.request("GET", f"/discovery/hosts?watch=1&from={self.revision}", [], b"", self)
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
-        """Retries unless the status is 200."""
+        """Retry unless the status is 200."""
         self.status = status
         if status != 200:
             log.warning("discovery.turned_down", status=status)
             self.retry()
 
     def body_received(self, data: bytes) -> None:
-        """Splits the stream into lines."""
+        """Split the stream into lines."""
         self.set_timer(SILENCE_TIMEOUT_S, self.open)
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
@@ -165,7 +169,7 @@
                 self._add_line(line)
 
     def _add_line(self, line: bytes) -> None:
-        """Collects lines until they form a JSON document, since a list may arrive indented."""
+        """Collect lines until they form a JSON document, since a list may arrive indented."""
         self.partial_change += line + b"\n"
         is_partial = len(self.partial_change) <= MAX_LIST_BYTES and self.partial_change.count(
             b"{"
@@ -195,9 +199,9 @@
         self.connection_lost(True)
 
     def connection_lost(self, written: bool) -> None:
-        """Reopens a watch that has worked after a short delay, else after a backoff.
+        """Reopen a watch that has worked after a short delay, else after a backoff.
 
-        Changes published while the watch is down count as announced to this courier all the same.
+        The courier is held to changes published while it is disconnected, so it reopens quickly.
         """
         was_established = self.status == 200 and self.loop.time() - self.connected_at >= ESTABLISHED_S
         if was_established and not self.is_stopped:
@@ -221,7 +225,7 @@
         self.status = 0
 
     def add(self, number: int, message_id: str, status: str, retry_after_ms: int) -> None:
-        """Queues the notice of one message."""
+        """Queue the notice of one message."""
         line: dict[str, Any] = {"id": message_id, "status": status}
         if retry_after_ms:
             line["again_ms"] = retry_after_ms
@@ -248,7 +252,7 @@
             self.connected()
 
     def connected(self) -> None:
-        """Sends the next batch."""
+        """Send the next batch."""
         assert self.connection is not None
         self.sent_numbers = list(self.waiting)[: self.batch_size]
         body = b"".join(self.waiting[n] for n in self.sent_numbers)
@@ -257,11 +261,14 @@
         self.connection.request("POST", "/v2/finals", [("Content-Type", "application/x-ndjson")], body, self)
 
     def head_received(self, status: int, headers: dict[str, str]) -> None:
-        """Notes the status."""
+        """Note the status."""
         self.status = status
 
     def response_complete(self) -> None:
-        """Drops the batch if it was accepted, halves it if it was rejected as unreadable, else retries."""
+        """Drop the batch if it was accepted, halve it if it was rejected as unreadable, else retry.
+
+        A single notice that is rejected is logged and dropped as well, since it would be rejected each time.
+        """
         if self.status == 204:
             self.backoff.reset()
             self._finish_batch()
@@ -278,10 +285,11 @@
         self._send_next()
 
     def _finish_batch(self) -> None:
+        """Drop the notices that were sent and report them as done, whether accepted or rejected for good."""
         for number in self.sent_numbers:
             self.waiting.pop(number, None)
         self.on_done(self.sent_numbers)
 
     def connection_lost(self, written: bool) -> None:
-        """Sends the batch again after a backoff."""
+        """Send the batch again after a backoff."""
         self.retry()
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -1,7 +1,7 @@
 """Runs the courier's turns on real sockets.
 
-A turn hands the events gathered since the last one to the decision module and carries out its actions in
-order.
+A turn passes the events gathered since the last one to the decision core (hopmill.policy.courier.Courier) and
+carries out its actions in order.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Host:
-    """One courier: owns the event loop's parts, the journal and the decision module."""
+    """One courier: the decision core with its journal, timers, connections and servers."""
 
     def __init__(
         self,
@@ -174,17 +174,17 @@
                 self.start_expiry_timer(message)
 
     def clock(self) -> int:
-        """Return the monotonic clock in microseconds, the time that the module works with."""
+        """Return the monotonic clock in microseconds, the time that the decision core works with."""
         return time.monotonic_ns() // 1000
 
     def _to_core_time(self, at: float) -> int:
-        """Convert a time of the journal to the module's clock, in microseconds."""
+        """Convert a time of the journal to the decision core's clock, in microseconds."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
     def arrival_event(
         self, message: JournaledMessage, in_flight: bool = False, restored: bool = False
     ) -> interface.MessageArrived:
-        """Return the event that makes a message known to the module.
+        """Return the event that makes a message known to the decision core.
 
         in_flight: its newest attempt continues in this process, so only earlier ones count as having run.
         """
@@ -229,7 +229,7 @@
             self.loop.call_later(early_us / 1e6, self.turn)
 
     def turn(self) -> None:
-        """Let the module handle the events gathered so far, and carry out its actions."""
+        """Let the decision core handle the events gathered so far, and carry out its actions."""
         self.turn_scheduled = False
         self.last_turn_us = now = self.clock()
         late_us, self.turn_due_us = now - (self.turn_due_us or now), 0
@@ -273,7 +273,7 @@
     def _answer_refused(
         self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
     ) -> None:
-        """Answer the new messages that the module refuses, and remove them from `arrived`."""
+        """Answer the new messages that the decision core refuses, and remove them from `arrived`."""
         for action in actions:
             if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in arrived:
                 message, replies = arrived.pop(action.message)
@@ -313,7 +313,7 @@
     # Ends of messages
 
     def start_expiry_timer(self, message: JournaledMessage) -> None:
-        """Make sure that the message ends shortly after its expiry, whatever the module does."""
+        """Make sure that the message ends shortly after its expiry, whatever the decision core does."""
         delay_s = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
         self.expiry_timers[message.number] = self.loop.call_later(delay_s, self._expire, message.number)
 
@@ -357,7 +357,10 @@
         self.restart.maybe_exit()
 
     def record_best_effort(self, write: Any, *args: Any) -> None:
-        """Write a record whose loss is harmless: without it a restart takes the more cautious view."""
+        """Write a record whose loss is harmless.
+
+        Without it a restart assumes that an attempt may have run, or that a notice is still owed.
+        """
         try:
             write(*args)
         except OSError as error:
@@ -427,7 +430,7 @@
     def _may_attempt_now(self, message: JournaledMessage, now: float) -> bool:
         """Return whether the message's class allows another attempt at this moment.
 
-        The module's decision may be some time old, since a connection may have taken long to open.
+        The decision may be some time old, since a connection may have taken long to open.
         """
         message_class, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
         if not ran_at or message_class.effect is interface.Effect.SAFE:
@@ -498,7 +501,7 @@
         self.observer.meters = self.operator_actions.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
-        """Apply the options; the module is notified only of changes."""
+        """Apply the options; the decision core is notified only of changes."""
         if options != self.options:
             log.info("config.options", warm_up=options.warm_up)
             self.options = options
--- a/hopmill/net/http.py
+++ b/hopmill/net/http.py
@@ -74,7 +74,7 @@
         return bytes(self._received) if len(self._received) < MAX_KEPT_BYTES else None
 
     def resume(self, exchange: Exchange, received: bytes) -> None:
-        """Waits for the response to a request that the previous process has written."""
+        """Wait for the response to a request that the previous process has written."""
         self.exchange = exchange
         self.http.send(h11.Request(method="POST", target="/events", headers=[("Host", "x")]))
         self.http.send(h11.EndOfMessage())
@@ -96,7 +96,7 @@
         return int(line[1]) if line else 0
 
     def connect(self, done: Callable[[OSError | None], None]) -> None:
-        """Connects; calls `done` once, from the loop, with the error or None."""
+        """Connect; call `done` once, from the loop, with the error or None."""
         code = self.sock.connect_ex(self.address)
         if code not in (0, errno.EINPROGRESS):
             self.loop.call_soon(self._connected, done, code)
@@ -119,7 +119,7 @@
         done(None)
 
     def stale(self) -> bool:
-        """Whether the peer has closed this idle connection. Unread bytes count as closed."""
+        """Return whether the peer has closed this idle connection. Unread bytes count as closed."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -129,7 +129,7 @@
         return True
 
     def request(self, method: str, target: str, headers: Headers, body: bytes, exchange: Exchange) -> None:
-        """Writes a request; `exchange` receives its events."""
+        """Write a request; `exchange` receives its events."""
         self.exchange = exchange
         fields = [("Host", f"{self.address[0]}:{self.address[1]}"), *headers]
         if method == "POST":
@@ -209,7 +209,7 @@
             exchange.connection_lost(written)
 
     def close(self) -> None:
-        """Closes the connection; its exchange receives no further event."""
+        """Close the connection; its exchange receives no further event."""
         if self.closed:
             return
         self.closed, self.broke_during_exchange, self.exchange = True, self.exchange is not None, None
--- a/hopmill/net/in_force.py
+++ b/hopmill/net/in_force.py
@@ -1,4 +1,7 @@
-"""The policy that this courier acts under: the fleet's, if it has one, applied over the courier's own file.
+"""The operators' policy that this courier acts under: the fleet's, if any, applied over the courier's file.
+
+A policy here is a set of overrides of the configuration (hopmill/overlay.py). The package hopmill.policy is
+something else: the decision core, which receives the resulting settings.
 
 Before a call is begun or a message accepted, `may_act` is asked. While it is false no call begins, held
 messages are still answered in time, and clients wait briefly or receive a retry-after.
@@ -50,7 +53,10 @@
     # Permission to act
 
     def may_act(self) -> bool:
-        """Whether this courier holds the lease on the version it applies. Ask immediately before acting."""
+        """Return whether this courier holds the lease on the version it applies.
+
+        Ask immediately before acting.
+        """
         if not self.has_policy:
             return True
         policy_member = self.member_transport and self.member_transport.node.policy_member
@@ -61,7 +67,7 @@
         )
 
     def queue(self, put: Put, reply: Reply) -> None:
-        """Queues a message that arrived while none may be accepted."""
+        """Queue a message that arrived while none may be accepted."""
         now = self.host.loop.time()
         if not self.is_paused:  # `may_act` has become false since the last check: the lease expired
             self._set_paused(True)
@@ -84,7 +90,7 @@
             )
 
     def refuse_waiting(self) -> None:
-        """Answers all waiting clients with a retry-after, since this process hands over."""
+        """Answer all waiting clients with a retry-after, since this process hands over."""
         for _, reply, _ in self.waiting:
             reply.send(refusal(self.host.courier.come_back_us()))
         self.waiting.clear()
@@ -107,9 +113,9 @@
     # Policy versions
 
     def initial_events(self) -> list[interface.Event]:
-        """Events for the first turn: exclusions and ceilings of the file.
+        """Return the events for the first turn: exclusions and ceilings of the file.
 
-        With a fleet, nothing begins before it is heard.
+        With a fleet's policy, no calls begin until the fleet's policy is known.
         """
         defaults = Document(classes=self.document.classes)
         events: list[interface.Event] = [interface.Hold(True)] if self.has_policy else []
@@ -118,7 +124,7 @@
         return events
 
     def join(self, transport: MemberTransport) -> None:
-        """Follows the policy of the fleet from now on."""
+        """Follow the policy of the fleet from now on."""
         self.member_transport = transport
         if self.has_policy:
             transport.on_change = self.on_member_change
@@ -130,7 +136,7 @@
             self.on_member_change()
 
     def on_member_change(self) -> None:
-        """Checks version in force, proposed change and lease; any of them may have changed."""
+        """Check version in force, proposed change and lease; any of them may have changed."""
         policy_member = self.member_transport and self.member_transport.node.policy_member
         if not policy_member:
             return
@@ -159,7 +165,7 @@
         self._set_paused(not self.may_act())
 
     def find_rejection_reason(self, text: bytes) -> str:
-        """Why this courier can not apply a policy text, "" if it can."""
+        """Return why this courier can not apply a policy text, "" if it can."""
         try:
             self._parse(text)
         except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
@@ -182,7 +188,7 @@
         return history, document
 
     def _apply(self, version: int, text: bytes) -> None:
-        """Applies a version; the module receives all of it as one event."""
+        """Apply a version; the decision core receives all of it as one event."""
         try:
             history, document = self._parse(text)
         except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
@@ -201,6 +207,10 @@
         self.on_file_reloaded(self.document)
 
     def _policy_event(self, document: Document) -> interface.PolicySet:
+        """Return the event that puts a document in force.
+
+        Also sets the host's settings and the endpoints and zones that the document excludes (`excluded`).
+        """
         before, after = self.document.settings(), document.settings()
         changed = {
             setting.name: getattr(after, setting.name)
@@ -223,12 +233,12 @@
         )
 
     def on_file_reloaded(self, document: Document) -> None:
-        """Logs the settings of the local file that the policy overrides."""
+        """Log the settings of the local file that the policy overrides."""
         if paths := [*overlay.overridden_paths(document, self.history.values)]:
             log.warning("fleet.policy_prevails", paths=",".join(paths))
 
     def status(self) -> dict[str, Any]:
-        """State for the operator API."""
+        """Return the state for the operator API."""
         return {
             "applied": self.applied_version,
             "may_act": self.may_act(),
--- a/hopmill/net/intake.py
+++ b/hopmill/net/intake.py
@@ -120,7 +120,7 @@
                 return
 
     def accept(self, message: JournaledMessage, replies: list[Reply]) -> None:
-        """Record a message that the module has admitted, then answer the client."""
+        """Record a message that the decision core has admitted, then answer the client."""
         host, answer = self.host, b"+OK\r\n"
         if host.active_policy and not host.active_policy.may_act():
             host.post(interface.MessageGone(message.number))  # the lease ended during this turn
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -24,7 +24,7 @@
 
 
 def apply_policy(host: Host) -> None:
-    """Sets up the active policy where the fleet, exclusions or ceilings may change the initial settings."""
+    """Set up the active policy where the fleet, exclusions or ceilings may change the initial settings."""
     document, members = host.config.document, host.config.members
     bounded = document is not None and (
         document.ceilings or document.left_out.endpoints or document.left_out.zones
@@ -38,7 +38,7 @@
 
 
 def join_fleet(host: Host) -> None:
-    """Joins the fleet; its files lie beside the journal."""
+    """Join the fleet; its files lie beside the journal."""
     if not host.config.members:
         return
     from hopmill.net.peers import MemberTransport
--- a/hopmill/net/metrics.py
+++ b/hopmill/net/metrics.py
@@ -89,20 +89,20 @@
             registry.register(state_collector)
 
     def count_message(self, cls: int, end: str, latency_s: float | None = None) -> None:
-        """Counts a message that was accepted or ended."""
+        """Count a message that was accepted or ended."""
         name = self.classes[cls]
         self.messages.labels(name, end).inc()
         if latency_s is not None:
             self.message_s.labels(name, end).observe(latency_s)
 
     def count_attempt(self, partner: int, result: str, latency_s: float) -> None:
-        """Counts an ended attempt."""
+        """Count an ended attempt."""
         label = self.partners.label(partner)
         self.calls.labels(label, result).inc()
         self.call_s.labels(label).observe(latency_s)
 
     def observe_turn(self, seconds: float, late_s: float) -> None:
-        """Records duration and delay of a turn."""
+        """Record duration and delay of a turn."""
         self.turn_s.observe(seconds)
         self.lag_s.observe(max(0.0, late_s))
 
@@ -118,7 +118,7 @@
         self.host = host
 
     def collect(self) -> Iterator[Metric]:
-        """Reads the metrics from the host."""
+        """Read the metrics from the host."""
         host = self.host
         for name, text, value in (
             ("hopmill_messages_held", "Accepted messages that have not ended.", host.journal.open_count),
--- a/hopmill/net/observer.py
+++ b/hopmill/net/observer.py
@@ -19,13 +19,13 @@
     """Receiver of counts: hopmill/net/metrics.py."""
 
     def count_message(self, cls: int, end: str, latency_s: float | None = None) -> None:
-        """Counts a message that was accepted or ended."""
+        """Count a message that was accepted or ended."""
 
     def count_attempt(self, partner: int, result: str, latency_s: float) -> None:
-        """Counts an ended attempt."""
+        """Count an ended attempt."""
 
     def observe_turn(self, seconds: float, late_s: float) -> None:
-        """Records duration and delay of a turn."""
+        """Record duration and delay of a turn."""
 
 
 class Observer:
--- a/hopmill/net/operator.py
+++ b/hopmill/net/operator.py
@@ -67,7 +67,7 @@
         ]
 
     def answer(self, method: str, target: str, body: bytes = b"") -> tuple[int, Body]:
-        """Calls the handler of a target.
+        """Call the handler of a target.
 
         Raises CallRefusedError if there is none.
         """
@@ -105,7 +105,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the connection and starts its timeout."""
+        """Register the connection and start its timeout."""
         self.transport = transport  # type: ignore[assignment]
         self._set_timer(CALL_TIMEOUT_S, self._timed_out)
         self.server.connection_made(self)
@@ -113,7 +113,7 @@
             self.data_received(self.carried)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Unregisters the connection."""
+        """Unregister the connection."""
         if self.timer:
             self.timer.cancel()
         self.server.callers.pop(self, None)
@@ -127,14 +127,14 @@
         self._answer(408, {"error": "no whole call in time"})
 
     def eof_received(self) -> bool:
-        """Handles what has been received of the call."""
+        """Handle what has been received of the call."""
         if self.answered:
             return False
         self._read(b"")  # a truncated call is answered too; the caller may still read
         return not self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
-        """Collects the call; ignores data after it."""
+        """Collect the call; ignore data after it."""
         if self.answered:
             return  # one call per connection
         self.received += data
@@ -214,13 +214,13 @@
         self.former: Acceptor | None = None  # at the address of the previous process
 
     def listen(self, address: Address) -> None:
-        """Starts to listen."""
+        """Start to listen."""
         self.acceptor = Acceptor(
             listening_socket(address, BACKLOG), lambda: OperatorConnection(self), self.max_callers
         )
 
     def connection_made(self, caller: OperatorConnection) -> None:
-        """Registers a connection and evicts another one beyond the limit."""
+        """Register a connection and evict another one beyond the limit."""
         self.callers[caller] = None
         if len(self.callers) > self.max_callers:  # evict an answered one, else the oldest
             evicted = next((c for c in self.callers if c.answered), next(iter(self.callers)))
@@ -234,7 +234,7 @@
         return [a for a in (self.acceptor, self.former) if a and a.is_open]
 
     def carry(self, payload: HandoverPayload) -> dict[str, Any]:
-        """Packs the listening socket and unanswered calls for the next process."""
+        """Pack the listening socket and unanswered calls, to hand over to the next process."""
         callers = [
             [payload.add_descriptor(c.transport.get_extra_info("socket").fileno()), bytes(c.received)]
             for c in self.callers
@@ -246,7 +246,7 @@
         }
 
     def resume(self, sock: socket.socket, callers: list[tuple[socket.socket, bytes]]) -> None:
-        """Serves the previous process's address for a while, with the calls that had begun there."""
+        """Serve the previous process's address for a while, with the calls that had begun there."""
         self.former = Acceptor(sock, lambda: OperatorConnection(self), self.max_callers)
         asyncio.get_running_loop().call_later(FORMER_ADDRESS_S, self.former.close)
         for connection, received in callers:
@@ -254,7 +254,7 @@
             self.former.join(connection, lambda received=received: OperatorConnection(self, received))
 
     def close(self) -> None:
-        """Closes all listeners and connections."""
+        """Close all listeners and connections."""
         for acceptor in self.acceptors:
             acceptor.close()
         for caller in list(self.callers):
--- a/hopmill/net/peers.py
+++ b/hopmill/net/peers.py
@@ -66,7 +66,7 @@
         self.write_count = -1  # of the latest write, -1 before the file is read
 
     def load(self) -> tuple[Stored, bool]:
-        """Returns (stored state, whether it is the one last written here).
+        """Return (stored state, whether it is the one last written here).
 
         Raises OSError if it can not be read.
         """
@@ -116,7 +116,7 @@
         return found
 
     def write_text(self, digest: bytes, text: bytes) -> None:
-        """Writes a text under its digest; it is durable on return."""
+        """Write a text under its digest; it is durable on return."""
         partial = self.folder / f"{TEXT_PREFIX}half"
         fd = os.open(partial, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
@@ -129,7 +129,7 @@
         self._sync_folder()
 
     def drop_texts(self, digests: frozenset[bytes]) -> None:
-        """Deletes texts that are no longer needed."""
+        """Delete texts that are no longer needed."""
         for digest in digests:
             (self.folder / (TEXT_PREFIX + digest.hex())).unlink(missing_ok=True)
 
@@ -141,14 +141,14 @@
             os.close(folder)
 
     def ensure_anchor(self, is_same_folder: bool) -> None:
-        """Creates a new anchor unless the stored state belongs to the current one."""
+        """Create a new anchor unless the stored state belongs to the current one."""
         if not is_same_folder:
             self.anchor.unlink(missing_ok=True)
             self.anchor.write_text(secrets.token_hex(16))
             self._sync_folder()
 
     def write(self, state: bytes) -> None:
-        """Writes the state; it is durable on return.
+        """Write the state; it is durable on return.
 
         Raises OSError; then the previous state may still be in place.
         """
@@ -258,7 +258,7 @@
             self._perform_actions(now)
 
     def run_due_work(self) -> None:
-        """Runs the node's due work and sets the next timer.
+        """Run the node's due work and set the next timer.
 
         No exception may end the courier or the member's timers.
         """
@@ -277,7 +277,7 @@
         self.timer = self.loop.call_at(due, self.run_due_work)
 
     def _tick(self, now: int) -> int:
-        """Runs the node; returns the time until it is due again (us)."""
+        """Run the node; return the time until it is due again (us)."""
         due = self.node.tick(now)
         self._perform_actions(now)
         self._log_changes(now)
@@ -310,7 +310,7 @@
             self.node.counts.dropped["not sent"] += 1
 
     def _write(self) -> None:
-        """Writes the newest state in a thread, one write at a time; it covers the earlier ones."""
+        """Write the newest state in a thread, one write at a time; it covers the earlier ones."""
         if self.current_write or not self.pending_writes:
             return
         batch, self.pending_writes = self.pending_writes, []
@@ -374,25 +374,25 @@
         change: Callable[[str, RegisterDocument], RegisterDocument | None],
         then: Callable[[Outcome], None],
     ) -> str:
-        """Proposes a change of the register; returns its proposal id."""
+        """Propose a change of the register; return its proposal id."""
         proposal_id = self.node.propose(change, elapsed_us(), then)
         self.run_due_work()
         return proposal_id
 
     def update_policy(self, act: Callable[[Any, int], Any]) -> None:
-        """Calls `act` with this member's part in the fleet policy and carries out the result."""
+        """Call `act` with this member's part in the fleet policy and carry out the result."""
         act(self.node.policy_member, elapsed_us())
         self.run_due_work()
 
     def fencing_token(self, lease: str) -> tuple[int, int]:
-        """Returns (fencing token, 0 if the lease is not held; elapsed time of the answer, us)."""
+        """Return (fencing token, 0 if the lease is not held; elapsed time of the answer, us)."""
         now = elapsed_us()
         return self.node.fencing_token(lease, now), now
 
     # Shutdown and upgrade
 
     def leave(self) -> None:
-        """Announces a planned restart, so that the other members need not detect it."""
+        """Announce a planned restart, so that the other members need not detect it."""
         if self.is_open and self.node.started:
             for lease_holder in self.node.register.lease_holders.values():
                 lease_holder.wanted = False  # released at once
@@ -400,7 +400,7 @@
             self.run_due_work()
 
     def freeze(self) -> dict[str, Any]:
-        """Stops sending and receiving, and returns the state for the next process.
+        """Stop sending and receiving, and return the state for the next process.
 
         Raises FreezeTimeoutError if a write does not complete in time.
         """
@@ -418,7 +418,7 @@
         return self.node.carry()
 
     def thaw(self) -> None:
-        """Continues after a failed upgrade."""
+        """Continue after a failed upgrade."""
         if self.is_open:
             return
         self.is_open = True
@@ -427,7 +427,7 @@
         self.run_due_work()
 
     def close(self) -> None:
-        """Closes the socket and stops the writer."""
+        """Close the socket and stop the writer."""
         if self.is_open:
             self.loop.remove_reader(self.sock)
         self.is_open = False
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -1,6 +1,6 @@
 """Connection pool: opens, checks out, keeps, closes and counts the connections to endpoints.
 
-How many idle connections are kept per endpoint is decided by the policy (hopmill/policy/links.py).
+How many idle connections are kept per endpoint is decided by the decision core (hopmill/policy/links.py).
 docs/operations.md describes the design.
 """
 
@@ -101,7 +101,7 @@
     closed: Counter[str] = field(default_factory=Counter)
 
     def status(self) -> dict[str, Any]:
-        """Counters and limits for the operator API."""
+        """Return counters and limits for the operator API."""
         states = Counter(connection.state for connection in self.connections)
         return {
             "open": len(self.connections),
@@ -125,7 +125,7 @@
     timer: asyncio.TimerHandle | None = None
 
     def complete(self, connection: PooledConnection | None, error: OSError | None) -> None:
-        """Ends the checkout with a connection or with the error that prevented one."""
+        """End the checkout with a connection or with the error that prevented one."""
         if self.timer:
             self.timer.cancel()
         self.connection = connection
@@ -133,7 +133,7 @@
 
 
 def carry_connection(payload: HandoverPayload, connection: PooledConnection) -> int:
-    """Returns the index of its socket in the handover payload.
+    """Add a connection's socket to what is handed over to the next process, and return its index there.
 
     The opening time is stored beside the rows, because older versions expect rows of a fixed length.
     """
@@ -153,10 +153,11 @@
         max_idle: int,
         is_usable: Callable[[int], bool] = lambda endpoint: True,
     ) -> None:
-        """Creates an empty pool.
+        """Create an empty pool.
 
-        idle_us is the idle timeout of endpoints. is_usable tells whether an endpoint may be called at all; no
-        connection is kept for one that may not.
+        endpoint_idle_timeout_us: after which endpoints close an idle connection. connect_timeout_us: for a
+        connect. max_idle: idle connections to all endpoints together. is_usable: whether an endpoint may be
+        called at all; no connection is kept for one that may not.
         """
         self.loop, self.is_usable = loop, is_usable
         # Idle connections close connect_timeout_us early, so that a request does not cross the endpoint's
@@ -177,7 +178,7 @@
     # Endpoints
 
     def set_endpoint(self, endpoint: int, address: Address, boot_ms: float = 0.0) -> None:
-        """Sets address and start time of an endpoint; connections opened before its start are closed."""
+        """Set address and start time of an endpoint; connections opened before its start are closed."""
         entry = self.endpoints.get(endpoint)
         if entry is not None and entry.address != address:
             self.forget(endpoint)
@@ -190,7 +191,7 @@
             self.drop(connection, ENDPOINT_RESTARTED)
 
     def forget(self, endpoint: int) -> None:
-        """Removes an endpoint. Idle connections close now, connections in use when their call ends."""
+        """Remove an endpoint. Idle connections close now, connections in use when their call ends."""
         entry = self.endpoints.pop(endpoint, None)
         if entry is None:
             return
@@ -204,19 +205,19 @@
         self.removed_totals.update(entry.closed)
 
     def close_idle(self, endpoint: int, reason: str = ENDPOINT_REMOVED) -> None:
-        """Closes the idle connections of an endpoint."""
+        """Close the idle connections of an endpoint."""
         if entry := self.endpoints.get(endpoint):
             for connection in list(entry.idle):
                 self.drop(connection, reason)
 
     def set_max_idle(self, endpoint: int, max_idle: int) -> None:
-        """Sets how many idle connections are kept from now on."""
+        """Set how many idle connections are kept from now on."""
         if entry := self.endpoints.get(endpoint):
             entry.max_idle = max_idle
             self._trim(entry)
 
     def close(self) -> None:
-        """Closes all connections and cancels timers."""
+        """Close all connections and cancel timers."""
         for timer in (self.expiry_timer, self.retry_timer):
             if timer:
                 timer.cancel()
@@ -230,7 +231,7 @@
     # Checking out
 
     def check_out(self, endpoint: int, done: CheckoutCallback) -> Checkout:
-        """Hands out the most recently used idle connection, so that surplus ones expire; else opens one."""
+        """Hand out the most recently used idle connection, so that surplus ones expire; else opens one."""
         checkout, entry = Checkout(endpoint, done), self.endpoints.get(endpoint)
         if entry and (connection := self._take_idle(entry)):
             checkout.complete(connection, None)
@@ -239,7 +240,7 @@
         return checkout
 
     def cancel(self, checkout: Checkout) -> None:
-        """Ends a checkout that its call no longer wants, and closes a connection being opened for it."""
+        """End a checkout that its call no longer wants, and close a connection being opened for it."""
         if checkout.timer:
             checkout.timer.cancel()
         if checkout in self.waiting_for_descriptor:
@@ -248,9 +249,9 @@
             self.drop(checkout.connection, CALL_ABANDONED)
 
     def open_spare(self, endpoint: int) -> None:
-        """Opens a connection before a message needs it.
+        """Open a connection before a message needs it.
 
-        Its result is not reported to the policy, since it is not a probe.
+        Its result is not reported to the decision core, since it is not a probe.
         """
         entry = self.endpoints.get(endpoint)
         has_room = (
@@ -286,7 +287,7 @@
         return None
 
     def _is_trusted(self, entry: EndpointConnections, connection: PooledConnection) -> bool:
-        """Whether an idle connection is known to be alive.
+        """Return whether an idle connection is known to be alive.
 
         It is if a response has arrived within the time that a connect may take, over a connection opened
         before this one became idle: then the machine has neither vanished nor restarted since.
@@ -339,7 +340,7 @@
     def _connect_timed_out(
         self, checkout: Checkout, connection: PooledConnection, entry: EndpointConnections
     ) -> None:
-        """Handles a connect without any reply.
+        """Handle a connect without any reply.
 
         If the endpoint has responded to other calls meanwhile its accept queue is full. Otherwise its machine
         may have vanished, and idle connections would cost a call each; they are closed.
@@ -393,7 +394,7 @@
     # Checking in
 
     def check_in(self, connection: PooledConnection) -> None:
-        """Takes back the connection of a finished call: it becomes idle, or is closed."""
+        """Take back the connection of a finished call: it becomes idle, or is closed."""
         entry = self.endpoints.get(connection.endpoint)
         if connection.closed or connection.state != CHECKED_OUT:
             return
@@ -436,7 +437,7 @@
     # Evidence from calls
 
     def response_received(self, connection: PooledConnection) -> None:
-        """Records a response: connections that were idle while this one was open are alive as well."""
+        """Record a response: connections that were idle while this one was open are alive as well."""
         entry = self.endpoints.get(connection.endpoint)
         if entry is None or connection not in entry.connections:
             return
@@ -450,13 +451,16 @@
             entry.trial_connection = None
 
     def call_failed(self, connection: PooledConnection) -> None:
-        """Records that a call on the connection broke or timed out."""
+        """Record that a call on the connection broke or timed out."""
         entry = self.endpoints.get(connection.endpoint)
         if entry is not None and connection.address == entry.address:
             self._distrust_idle(entry, connection.checked_out_at)
 
     def _distrust_idle(self, entry: EndpointConnections, failure_began_at: float) -> None:
-        """Closes connections idle since before then, unless the endpoint has responded after it."""
+        """Close connections idle since before the failed call or connect began.
+
+        They stay if the endpoint has responded since then.
+        """
         if entry.last_response_at >= failure_began_at:
             return
         for connection in [idle for idle in entry.idle if idle.idle_at <= failure_began_at]:
@@ -465,7 +469,7 @@
     # Closing
 
     def drop(self, connection: PooledConnection, reason: str) -> None:
-        """Closes a connection; the first reason given is counted."""
+        """Close a connection; the first reason given is counted."""
         connection.reason = connection.reason or reason
         connection.close()
 
@@ -478,7 +482,7 @@
             self.expiry_timer = None
 
     def _connection_closed(self, connection: PooledConnection, entry: EndpointConnections) -> None:
-        """Removes a closed connection from all collections. Every close ends here."""
+        """Remove a closed connection from all collections. Every close ends here."""
         self.orphaned_connections.discard(connection)
         if connection not in entry.connections:
             return
@@ -506,7 +510,7 @@
     # Reporting
 
     def take_idle_changes(self) -> list[tuple[int, tuple[int, ...]]]:
-        """Endpoints whose idle connections changed since the last call.
+        """Return the endpoints whose idle connections changed since the last call.
 
         Each with the loop times (us) at which its connections became idle, oldest first.
         """
@@ -518,7 +522,7 @@
         ]
 
     def totals(self) -> Counter[str]:
-        """Counters over all endpoints, those no longer listed included."""
+        """Return the counters over all endpoints, those no longer listed included."""
         total = Counter(self.removed_totals)
         for entry in self.endpoints.values():
             total.update({"opened": entry.opened, "reused": entry.reused})
@@ -526,7 +530,10 @@
         return total
 
     def status(self, name: Callable[[int], str]) -> dict[str, Any]:
-        """State for the operator API: endpoints with the most connections first, at most MAX_ROWS."""
+        """Return the state for the operator API.
+
+        Endpoints with the most connections come first, at most MAX_ROWS of them.
+        """
         rows = sorted(self.endpoints.items(), key=lambda row: -len(row[1].connections))
         shown = [{"endpoint": name(endpoint), **entry.status()} for endpoint, entry in rows[:MAX_ROWS]]
         return {
@@ -543,7 +550,7 @@
     # Upgrades
 
     def carry_idle(self, payload: HandoverPayload, max_count: int) -> list[list[Any]]:
-        """Packs the most recently used idle connections for the next process."""
+        """Pack the most recently used idle connections, to hand over to the next process."""
         idle = [connection for connection in reversed(self.idle) if not connection.stale()]
         return [
             [
@@ -558,7 +565,7 @@
     def resume(
         self, endpoint: int, address: Address, sock: socket.socket, opened_at: float
     ) -> PooledConnection:
-        """Takes over a connection in use; its endpoint may have been removed since the upgrade began."""
+        """Take over a connection in use; its endpoint may have been removed since the upgrade began."""
         connection = PooledConnection(self.loop, endpoint, address, opened_at, sock)
         entry = self.endpoints.get(endpoint)
         if entry is None or entry.address != address:
@@ -570,7 +577,7 @@
         return connection
 
     def resume_idle(self, rows: list[tuple[int, Address, socket.socket, float, float]]) -> None:
-        """Takes over idle connections.
+        """Take over idle connections.
 
         Rows: endpoint, address, socket, idle since (loop time, s), opened at (wall clock, s).
         """
--- a/hopmill/net/roster.py
+++ b/hopmill/net/roster.py
@@ -22,14 +22,14 @@
 
 
 class EndpointRegistry:
-    """State received from discovery. The policy receives it as events, the pool as addresses."""
+    """State received from discovery. The decision core receives it as events, the pool as addresses."""
 
     def __init__(
         self, settings: interface.Settings, zones: tuple[str, ...], may_serve: Callable[[int, int], bool]
     ) -> None:
         """zones: names from the settings, in order.
 
-        may_serve(endpoint, zone): false where an operator or the policy excludes it.
+        may_serve(endpoint, zone): false where an operator or the policy in force excludes it.
         """
         self.settings, self.may_serve = settings, may_serve
         self.kinds = {k.name: n for n, k in enumerate(settings.kinds)}
@@ -44,7 +44,7 @@
     def apply_list(
         self, change: dict[str, Any], form: interface.ListForm | None, pool: Pool
     ) -> interface.EndpointsListed:
-        """Applies a list or a change of it; entries that can not be read are logged and left out."""
+        """Apply a list or a change of it; entries that can not be read are logged and left out."""
         form = form or (interface.ListForm.FULL if change.get("all") else interface.ListForm.DELTA)
         entries = []
         for target in change.get("targets", []):
@@ -119,7 +119,7 @@
         return self.settings.kinds[min(entry.kind, len(self.settings.kinds) - 1)]
 
     def max_batch(self, endpoint: int) -> int:
-        """Messages per call, at most."""
+        """Return the maximum number of messages per call."""
         entry = self.entries.get(endpoint)
         return self._kind(entry).batch if entry else 1
 
@@ -130,18 +130,18 @@
         return (entry.destination, endpoint if self._kind(entry).routes_apart else -1)
 
     def set_retry_after(self, endpoint: int, until_us: int) -> None:
-        """Records a wait announced by the endpoint; a longer one stays."""
+        """Record a wait announced by the endpoint; a longer one stays."""
         key = self._retry_after_key(endpoint)
         self.retry_after_until[key] = max(self.retry_after_until.get(key, 0), until_us)
 
     def is_usable(self, endpoint: int) -> bool:
-        """Whether the endpoint may be called: listed, not draining and not excluded."""
+        """Return whether the endpoint may be called: listed, not draining and not excluded."""
         entry = self.entries.get(endpoint)
         is_ready = entry is not None and entry.state is interface.EndpointState.READY
         return is_ready and self.may_serve(endpoint, entry.zone)
 
     def may_write(self, endpoint: int, now_us: int) -> bool:
-        """Whether a call may be written now.
+        """Return whether a call may be written now.
 
         Asked again after a connect, since the list or a wait may have changed meanwhile.
         """
--- a/hopmill/net/staff.py
+++ b/hopmill/net/staff.py
@@ -32,7 +32,7 @@
         act: Callable[[interface.Event], None],
         is_taking: Callable[[], bool],
     ) -> None:
-        """act: passes an event to the policy in an immediate turn.
+        """act: passes an event to the decision core in an immediate turn.
 
         is_taking: whether new clients are accepted.
         """
@@ -64,7 +64,7 @@
     # Queries
 
     def _healthcheck(self) -> Answer:
-        """Whether clients are accepted, and why not."""
+        """Return whether clients are accepted, and why not."""
         is_taking = self.is_taking() and not self.clients.drained
         return 200 if is_taking else 503, {
             "taking_clients": is_taking,
@@ -133,14 +133,14 @@
     # Commands
 
     def _drain(self, on: bool) -> Answer:
-        """Records the drain first, so that it lasts over a restart."""
+        """Record the drain first, so that it lasts over a restart."""
         if on is not self.journal.drained:
             self.journal.record_drained(on)
         self.clients.set_drained(on)
         return 200, {"drained": on}
 
     def _set_endpoint_excluded(self, uid: str, is_excluded: bool) -> Answer:
-        """Excludes or readmits an endpoint; no call to it begins after the response."""
+        """Exclude or readmit an endpoint; no call to it begins after the response."""
         if uid not in self.registry.uids:
             return 404, {"error": "no such endpoint was ever listed"}
         if is_excluded is not (uid in self.journal.excluded_endpoints):
@@ -151,7 +151,7 @@
         return 200, {"endpoint": uid, "out_by_hand": is_excluded}
 
     def _set_zone_excluded(self, name: str, is_excluded: bool) -> Answer:
-        """Excludes or readmits a zone; no call to it begins after the response."""
+        """Exclude or readmit a zone; no call to it begins after the response."""
         if name not in self.registry.zones:
             return 404, {"error": "no such zone was ever named"}
         if is_excluded is not (name in self.journal.excluded_zones):
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/staff_fleet.py
@@ -49,7 +49,7 @@
         return 202, answer
 
     def store_entry(self, name: str, text: str) -> Answer:
-        """Stores a short text in the register; an empty text removes it."""
+        """Store a short text in the register; an empty text removes it."""
         if self.member_transport() is None:
             return 404, {"error": "no fleet is configured"}
         from hopmill.fleet.register import say
@@ -59,17 +59,17 @@
         return self._begin(say(name, text))
 
     def remove_entry(self, name: str) -> Answer:
-        """Removes a text from the register."""
+        """Remove a text from the register."""
         return self.store_entry(name, "")
 
     def read(self) -> Answer:
-        """Reads the register from a majority; the local copy may be older."""
+        """Read the register from a majority; the local copy may be older."""
         if self.member_transport() is None:
             return 404, {"error": "no fleet is configured"}
         return self._begin(lambda proposal_id, document: None)
 
     def replace(self, old_voter: str, new_voter: str) -> Answer:
-        """Replaces a voter by a member that is alive."""
+        """Replace a voter by a member that is alive."""
         transport = self.member_transport()
         if transport is None:
             return 404, {"error": "no fleet is configured"}
@@ -80,7 +80,7 @@
         return self._begin(replace_voter(old_voter, new_voter))
 
     def lease(self, name: str) -> Answer:
-        """Whether this courier may act under a lease now, and the elapsed time of the answer."""
+        """Return whether this courier may act under a lease now, and the elapsed time of the answer."""
         if (transport := self.member_transport()) is None:
             return 404, {"error": "no fleet is configured"}
         fencing_token, at_us = transport.fencing_token(name)
@@ -92,7 +92,7 @@
         }
 
     def outcome(self, proposal_id: str) -> Answer:
-        """State of a change begun here."""
+        """Return the state of a change begun here."""
         answer = self.outcomes.get(proposal_id)
         return (200, answer) if answer else (404, {"error": "no such change was begun here lately"})
 
@@ -100,7 +100,7 @@
 def fleet_routes(
     transport: Callable[[], Any], active_policy: Callable[[], Any]
 ) -> list[tuple[str, str, Handler | WithBody]]:
-    """Routes of the fleet, those of its policy included."""
+    """Return the routes of the fleet, those of its policy included."""
     actions = FleetActions(transport)
     return [
         *policy_routes(transport, active_policy),
--- a/hopmill/net/staff_policy.py
+++ b/hopmill/net/staff_policy.py
@@ -49,13 +49,13 @@
         return transport.node.policy_member if transport else None
 
     def status(self) -> Answer:
-        """State of the policy in the fleet and here."""
+        """Return the state of the policy in the fleet and here."""
         if self._policy_member() is None:
             return 404, {"error": "no fleet with a policy is configured"}
         return 200, self.member_transport().status()["policy"] | self.active_policy().status()
 
     def history(self) -> Answer:
-        """Changes that came into force, and the newest that did not."""
+        """Return the changes that came into force, and the newest that did not."""
         if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
         policy = policy_member.register.document.policy
@@ -75,7 +75,7 @@
         }
 
     def propose(self, body: bytes) -> Answer:
-        """Checks a proposal and begins its change."""
+        """Check a proposal and begin its change."""
         if (policy_member := self._policy_member()) is None:
             return 404, {"error": "no fleet with a policy is configured"}
         from hopmill import book as policy_history
@@ -185,7 +185,7 @@
         return 202, {"state": "under way"}
 
     def cancel_member(self, member: str, is_cancelled: bool = True) -> Answer:
-        """Records an operator's statement that a courier does not run, or revokes it.
+        """Record an operator's statement that a courier does not run, or revoke it.
 
         The leases of such a courier count as ended.
         """
@@ -196,14 +196,14 @@
         )
 
     def withdraw(self, change_id: str) -> Answer:
-        """Withdraws a change that is not in force yet."""
+        """Withdraw a change that is not in force yet."""
         return self._step(lambda policy_member, now: policy_member.withdraw(change_id, now))
 
 
 def policy_routes(
     transport: Callable[[], Any], active_policy: Callable[[], Any]
 ) -> list[tuple[str, str, Handler | WithBody]]:
-    """Routes of the fleet policy."""
+    """Return the routes of the fleet policy."""
     actions = PolicyActions(transport, active_policy)
     return [
         ("GET", "/fleet/policy", actions.status),
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -3,6 +3,25 @@
 The file is append-only. Each record has its length and checksum, and is written with os.write before the
 action that it records. What was written survives SIGKILL without fsync. After a crash a torn record at the
 end is cut off and the rest is used.
+
+A record is a list; the first element is its kind, the others are its fields:
+
+    kind   fields                                   meaning
+    take   all fields of JournaledMessage in order  the message was accepted
+    try    numbers, time, zone                      an attempt of these messages is about to be sent
+    miss   number                                   the newest attempt of the message did not run
+    final  number, status, retry_after_ms           the message has its final status; a notice of it is owed
+    over   numbers, time                            nothing is owed for these messages any more
+    clock  boot id, offset in seconds               the time scale of all times in the journal
+    drain  whether drained                          an operator drains the courier of clients, or ends that
+    hand   uid, whether excluded                    an operator excludes an endpoint, or ends that
+    zone   name, whether excluded                   an operator excludes a zone, or ends that
+    known  latest number, {id: time}, {key: time}   written by a compaction: the latest number given to a
+                                                    message, ids of ended messages with the time of their end,
+                                                    idempotency keys with the start of the first attempt with
+                                                    them that may have run
+
+A `try` without the zone is read as one in an unknown zone. Numbers are those of JournaledMessage.number.
 """
 
 from __future__ import annotations
@@ -323,7 +342,7 @@
         self._write(["miss", number])
 
     def record_done(self, number: int) -> None:
-        """Record that nothing is owed: delivered, withdrawn, or refused before it was accepted."""
+        """Record that nothing is owed: delivered, or withdrawn by its endpoint."""
         self._write(["over", [number], self.scale.now()])
 
     def record_end(self, number: int, status: str, retry_after_ms: int) -> None:
@@ -368,7 +387,10 @@
         self.apply(record)
 
     def _has_room_for(self, extra_bytes: int) -> bool:
-        """Return whether two copies of all live entries with this one stay under the limit."""
+        """Return whether two copies of all live entries with this one stay under the limit.
+
+        A compaction writes the second copy beside the file before it replaces it.
+        """
         return round_up_to_blocks(2 * (self.live_bytes + extra_bytes) + SPARE_BYTES) <= self.limit_bytes
 
     def _can_compact_after(self, extra_bytes: int) -> bool:
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -1,7 +1,9 @@
-"""A policy: values that override those fields of the configuration that can change while a courier runs.
+"""The operators' policy: overrides of those fields of the configuration that can change while a courier runs.
 
-It is stored as {path: value}; a row of a list is identified by its name: `tenants[gold].quota_per_s`. A patch
-is TOML with the tables of the configuration; `unset` lists paths that return to each courier's own file.
+Overrides are stored as {path: value}; a row of a list is identified by its name: `tenants[gold].quota_per_s`.
+A patch is TOML with the tables of the configuration; `unset` lists paths that return to each courier's own
+file.
+The package hopmill.policy is something else: the decision core, which works with the resulting settings.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
 
 
 def read_patch(raw: Any) -> tuple[ValuesByPath, tuple[str, ...]]:
-    """Returns the values that a patch sets and the paths that it unsets.
+    """Return the overrides that a patch sets and the paths that it unsets.
 
     Raises ConfigError, whose text is one line that names the first wrong path.
     """
@@ -80,7 +82,7 @@
 
 
 def _require_changeable(path: str) -> str:
-    """Returns the path. Raises ConfigError if the field is unknown or can't change while a courier runs."""
+    """Return the path. Raises ConfigError if the field is unknown or can't change while a courier runs."""
     if match := ROW_PATH.match(path):
         table, row, field = match.groups()
         if table in CHANGEABLE_ROWS and field in CHANGEABLE_ROWS[table][1]:
@@ -112,12 +114,12 @@
 
 
 def merge(overrides: ValuesByPath, patch: ValuesByPath, unset: tuple[str, ...]) -> ValuesByPath:
-    """Returns the values of a policy after a patch; `unset` wins over `patch`."""
+    """Return the overrides after a patch; `unset` wins over `patch`."""
     return {path: value for path, value in (overrides | patch).items() if path not in unset}
 
 
 def apply(document: Document, overrides: ValuesByPath) -> Document:
-    """Returns the document with the values of a policy in it.
+    """Return the document with the overrides in it.
 
     Raises ConfigError, whose text is one line that names a value that does not fit this document.
     """
@@ -145,9 +147,9 @@
 
 
 def overridden_paths(document: Document, overrides: ValuesByPath) -> Iterator[str]:
-    """Yields the paths whose value in a courier's own file is overridden by a different one.
+    """Yield the paths whose value in a courier's own file is overridden by a different one.
 
-    A field that has its default counts as left out of the file.
+    A field that has its default is treated as not set in the file.
     """
     own, defaults = dict(_changeable_values(document)), dict(_changeable_values(_minimal_document()))
     for path, value in overrides.items():
--- a/hopmill/standin/ledger.py
+++ b/hopmill/standin/ledger.py
@@ -1,4 +1,4 @@
-"""The outcome of every submitted message: the account printed at the end of a demo or an experiment."""
+"""The outcome of every submitted message, with the summary printed at the end of a demo or an experiment."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
             submission.notice = notice["status"]
 
     def count_open(self, now: float) -> int:
-        """Return the number of messages taken on that have no final answer yet and are not lost yet."""
+        """Return the number of accepted messages that have no final answer yet and are not lost yet."""
         return sum(
             submission.answer == "taken"
             and not submission.delivered_at
@@ -74,7 +74,7 @@
         )
 
     def result(self) -> Result:
-        """Count the outcomes; `taken` is the sum of delivered, deferred, undeliverable, withdrawn, lost."""
+        """Count the outcomes; `taken` is the sum of delivered, `lost` and the statuses of the notices."""
         counts: Counter[str] = Counter()
         latencies_s: list[float] = []
         for submission in self.entries.values():
@@ -113,7 +113,7 @@
         return bool(self.counts["lost"] or self.counts["twice"])
 
     def as_json(self) -> dict[str, object]:
-        """Return the account as commands print it in JSON."""
+        """Return the summary as commands print it in JSON."""
         names = (
             "handed_in",  # submissions
             "taken",
--- a/hopmill/standin/partner.py
+++ b/hopmill/standin/partner.py
@@ -96,7 +96,7 @@
         return True
 
     def take_token(self, now: float) -> float:
-        """Take a token and return 0, or return the seconds until one is available."""
+        """Take a token and return 0; if there is none, return the wait in seconds until one is available."""
         if not self.settings.rate_per_s:
             return 0.0
         if now < self.overloaded_until:
@@ -226,7 +226,10 @@
 
 
 class Partner:
-    """All endpoints of one partner; they share one rate limit unless each has its own (`routes_apart`)."""
+    """All endpoints of one partner; they share one rate limit unless each has its own (`routes_apart`).
+
+    zones: zone of each endpoint, one endpoint for each element.
+    """
 
     def __init__(
         self, settings: PartnerSettings, zones: list[str], ledger: Ledger, rng: random.Random, now: float
