--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -213,12 +213,10 @@
 
     def _request_completed(self) -> None:
         """Note a complete valid request: the time for the next one starts again."""
-        self.last_request_at, self.awaits_first_byte, self.has_sent_request, self.invalid_count = (
-            self.last_data_at,
-            True,
-            True,
-            0,
-        )
+        self.last_request_at = self.last_data_at
+        self.awaits_first_byte = True
+        self.has_sent_request = True
+        self.invalid_count = 0
 
     def _add_reply(self) -> Reply:
         self.pending_replies.append(Reply(self))
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -198,7 +198,7 @@
         if door["listening"] is not None:
             host.operator_server.resume(
                 socket_at(door["listening"]),
-                [(socket_at(fd_index), heard) for fd_index, heard in door["callers"]],
+                [(socket_at(fd_index), received) for fd_index, received in door["callers"]],
             )
         self.payload = HandoverPayload()
 
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -216,10 +216,9 @@
         """Take back the newest attempt of a message, which did not run."""
         if message := self.messages.get(record[1]):
             message.latest_attempt_at = 0.0
-            if message.idempotency_key and not message.earlier_run_at:
-                self.live_bytes -= ENTRY_RESERVE_BYTES * (
-                    self.first_run_by_key.pop(message.idempotency_key, None) is not None
-                )
+            key = message.idempotency_key
+            if key and not message.earlier_run_at and self.first_run_by_key.pop(key, None) is not None:
+                self.live_bytes -= ENTRY_RESERVE_BYTES
 
     def _apply_over(self, record: list[Any]) -> None:
         """Forget messages for which nothing is owed, and remember their ids."""
--- a/hopmill/overlay.py
+++ b/hopmill/overlay.py
@@ -10,7 +10,7 @@
 
 import re
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -19,6 +19,16 @@
 from hopmill.fields import ConfigError
 
 ValuesByPath = dict[str, Any]
+
+
+class RowRule(NamedTuple):
+    """What overrides may change in the rows of a list."""
+
+    key: str  # the field that identifies a row
+    fields: tuple[str, ...]  # the fields that overrides may change
+    may_add: bool  # whether overrides may add rows
+
+
 # Table: its fields that overrides may change; "" is the top level of the configuration file.
 CHANGEABLE_FIELDS = {
     "retries": ("attempts", "longest_told_wait_ms"),
@@ -27,12 +37,11 @@
     "left_out": ("endpoints", "zones"),
     "": ("held",),
 }
-# List: the field that identifies a row, the fields that a policy may change, and whether it may add rows.
 CHANGEABLE_ROWS = {
-    "classes": ("name", ("worth", "late_share"), False),
-    "tenants": ("name", ("share", "quota_per_s"), False),
-    "zones": ("name", ("fee",), False),
-    "ceilings": ("partner", ("window", "rate_per_s"), True),
+    "classes": RowRule("name", ("worth", "late_share"), False),
+    "tenants": RowRule("name", ("share", "quota_per_s"), False),
+    "zones": RowRule("name", ("fee",), False),
+    "ceilings": RowRule("partner", ("window", "rate_per_s"), True),
 }
 UNSET = "unset"
 ROW_PATH = re.compile(r"^(\w+)\[([^\]]+)\]\.(\w+)$")  # list[row].field
@@ -70,7 +79,7 @@
 
 
 def _read_rows(name: str, rows: Any) -> ValuesByPath:
-    key, _, _ = CHANGEABLE_ROWS[name]
+    key = CHANGEABLE_ROWS[name].key
     overrides: ValuesByPath = {}
     if not isinstance(rows, list) or not all(isinstance(row, dict) and key in row for row in rows):
         raise ConfigError(f"{name}: must be rows with a {key} each")
@@ -85,7 +94,7 @@
     """Return the path. Raises ConfigError if the field is unknown or can't change while a courier runs."""
     if match := ROW_PATH.match(path):
         table, row, field = match.groups()
-        if table in CHANGEABLE_ROWS and field in CHANGEABLE_ROWS[table][1]:
+        if table in CHANGEABLE_ROWS and field in CHANGEABLE_ROWS[table].fields:
             return path
         is_known = table in CHANGEABLE_ROWS and field in _fields_of(table)
     else:
@@ -132,12 +141,12 @@
             (tree[table] if table else tree)[field] = value
             continue
         table, name, field = match.groups()
-        key, _, may_add = CHANGEABLE_ROWS[table]
-        row = next((r for r in tree[table] if str(r[key]) == name), None)
+        rule = CHANGEABLE_ROWS[table]
+        row = next((r for r in tree[table] if str(r[rule.key]) == name), None)
         if row is None:
-            if not may_add:
+            if not rule.may_add:
                 raise ConfigError(f"{path}: this courier has no such row")
-            row = {key: int(name) if name.isdigit() else name}
+            row = {rule.key: int(name) if name.isdigit() else name}
             tree[table] = [*tree[table], row]
         row[field] = value
     changed = doc.convert(tree)
@@ -162,7 +171,7 @@
     for table, fields in CHANGEABLE_FIELDS.items():
         for field in fields:
             yield f"{table}.{field}" if table else field, (tree[table] if table else tree)[field]
-    for table, (key, fields, _) in CHANGEABLE_ROWS.items():
+    for table, rule in CHANGEABLE_ROWS.items():
         for row in tree[table]:
-            for field in fields:
-                yield f"{table}[{row[key]}].{field}", row[field]
+            for field in rule.fields:
+                yield f"{table}[{row[rule.key]}].{field}", row[field]
--- a/hopmill/standin/scene.py
+++ b/hopmill/standin/scene.py
@@ -98,7 +98,7 @@
         self.note = "no trouble"
 
     async def run(self, progress: Callable[[Progress], None] = lambda p: None) -> Result:
-        """Run the load and the trouble; return the account of the run.
+        """Run the load and the trouble; return the result of the run.
 
         OSError or TimeoutError if a courier does not start.
         """
