--- a/hopmill/net/active_policy.py
+++ b/hopmill/net/active_policy.py
@@ -1,4 +1,7 @@
-"""The policy that this courier acts under: the fleet's, if it has one, applied over the courier's own file.
+"""The operators' policy that this courier acts under: the fleet's, if any, applied over the courier's file.
+
+A policy here is a set of overrides of the configuration (hopmill/overlay.py). The package hopmill.policy is
+something else: the decision core, which receives the resulting settings.
 
 Before a call is begun or a message accepted, `may_act` is asked. While it is false no call begins, held
 messages are still answered in time, and clients wait briefly or receive a retry-after.
@@ -40,17 +43,20 @@
         self.has_policy = bool(host.config.members and host.config.members.policy)
         self.file_settings = host.settings  # from this courier's configuration file
         self.history = policy_history.PolicyHistory()
-        self.applied_version = -1  # version that the policy module uses, -1 for none
+        self.applied_version = -1  # version that the decision core works with, -1 for none
         self.excluded: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()  # endpoints, zones
-        self.rejection = ""  # why the version in force can not be applied, or ""
-        self.is_holding = self.has_policy
-        self.holding_since = host.loop.time()
-        self.waiting: list[tuple[Put, Reply, float]] = []
+        self.rejection_reason = ""  # why the version in force can not be applied, or ""
+        self.is_paused = self.has_policy  # no call begins and no message is accepted
+        self.paused_since = host.loop.time()
+        self.waiting: list[tuple[Put, Reply, float]] = []  # message, its reply, queued at (loop time, s)
 
     # Permission to act
 
     def may_act(self) -> bool:
-        """Whether this courier holds the lease on the version it applies. Ask immediately before acting."""
+        """Return whether this courier holds the lease on the version it applies.
+
+        Ask immediately before acting.
+        """
         if not self.has_policy:
             return True
         policy_member = self.member_transport and self.member_transport.node.policy_member
@@ -61,11 +67,11 @@
         )
 
     def queue(self, put: Put, reply: Reply) -> None:
-        """Queues a message that arrived while none may be accepted."""
+        """Queue a message that arrived while none may be accepted."""
         now = self.host.loop.time()
-        if not self.is_holding:  # noticed only now, by this message
-            self._set_holding(True)
-        if now - self.holding_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.settings.max_held:
+        if not self.is_paused:  # `may_act` has become false since the last check: the lease expired
+            self._set_paused(True)
+        if now - self.paused_since >= MAX_CHANGE_WAIT_S or len(self.waiting) >= self.host.settings.max_held:
             reply.send(refusal(self.host.courier.come_back_us()))
             return
         if not self.waiting:
@@ -73,8 +79,10 @@
         self.waiting.append((put, reply, now))
 
     def _refuse_expired(self) -> None:
+        # Once the pause has ended the messages are submitted again; whoever is still queued then is refused
+        # rather than left without an answer.
         wait_began_before = self.host.loop.time() - MAX_CHANGE_WAIT_S
-        while self.waiting and (self.waiting[0][2] <= wait_began_before or not self.is_holding):
+        while self.waiting and (self.waiting[0][2] <= wait_began_before or not self.is_paused):
             self.waiting.pop(0)[1].send(refusal(self.host.courier.come_back_us()))
         if self.waiting:
             self.host.loop.call_later(
@@ -82,20 +90,20 @@
             )
 
     def refuse_waiting(self) -> None:
-        """Answers all waiting clients with a retry-after, since this process hands over."""
+        """Answer all waiting clients with a retry-after, since this process hands over."""
         for _, reply, _ in self.waiting:
             reply.send(refusal(self.host.courier.come_back_us()))
         self.waiting.clear()
 
-    def _set_holding(self, is_holding: bool) -> None:
-        if is_holding is self.is_holding:
+    def _set_paused(self, is_paused: bool) -> None:
+        if is_paused is self.is_paused:
             return
-        self.is_holding = is_holding
-        if is_holding:
-            self.holding_since = self.host.loop.time()
-        log.info("fleet.standing", may_act=not is_holding, version=self.applied_version)
-        self.host.handle_now(interface.Hold(is_holding))
-        if not is_holding:
+        self.is_paused = is_paused
+        if is_paused:
+            self.paused_since = self.host.loop.time()
+        log.info("fleet.standing", may_act=not is_paused, version=self.applied_version)
+        self.host.handle_now(interface.Hold(is_paused))
+        if not is_paused:
             waiting, self.waiting, now = self.waiting, [], self.host.loop.time()
             for put, reply, queued_at in waiting:
                 if reply.is_wanted:
@@ -105,29 +113,30 @@
     # Policy versions
 
     def initial_events(self) -> list[interface.Event]:
-        """Events for the first turn: exclusions and ceilings of the file.
+        """Return the events for the first turn: exclusions and ceilings of the file.
 
-        With a fleet, nothing begins before it is heard.
+        With a fleet's policy, no calls begin until the fleet's policy is known.
         """
-        blank = Document(classes=self.document.classes)
+        defaults = Document(classes=self.document.classes)
         events: list[interface.Event] = [interface.Hold(True)] if self.has_policy else []
-        if (self.document.left_out, self.document.ceilings) != (blank.left_out, blank.ceilings):
+        if (self.document.left_out, self.document.ceilings) != (defaults.left_out, defaults.ceilings):
             events.append(self._policy_event(self.document))
         return events
 
     def join(self, transport: MemberTransport) -> None:
-        """Follows the policy of the fleet from now on."""
+        """Follow the policy of the fleet from now on."""
         self.member_transport = transport
         if self.has_policy:
             transport.on_change = self.on_member_change
             policy_member = transport.node.policy_member
             assert policy_member is not None
+            # Totals for the comparison of the canary group with the other members.
             policy_member.watch.counts = lambda: OutcomeTotals(*self.host.observer.totals)
             self.host.observer.is_counting = True
             self.on_member_change()
 
     def on_member_change(self) -> None:
-        """Checks version in force, proposed change and lease; any of them may have changed."""
+        """Check version in force, proposed change and lease; any of them may have changed."""
         policy_member = self.member_transport and self.member_transport.node.policy_member
         if not policy_member:
             return
@@ -148,15 +157,15 @@
             and change.id != policy_member.lease.ready_for
             and (not change.digest or change.digest in texts)
         ):
-            reason = self.reason_to_reject(texts.get(change.digest, EMPTY_POLICY))
+            reason = self.find_rejection_reason(texts.get(change.digest, EMPTY_POLICY))
             log.info("fleet.policy_checked", change=change.id, by=change.by, why=reason or None)
             policy_member.lease.report_check(change.id, reason)
             self.member_transport.run_due_work()
             return
-        self._set_holding(not self.may_act())
+        self._set_paused(not self.may_act())
 
-    def reason_to_reject(self, text: bytes) -> str:
-        """Why this courier can not apply a policy text, "" if it can."""
+    def find_rejection_reason(self, text: bytes) -> str:
+        """Return why this courier can not apply a policy text, "" if it can."""
         try:
             self._parse(text)
         except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
@@ -179,12 +188,12 @@
         return history, document
 
     def _apply(self, version: int, text: bytes) -> None:
-        """Applies a version; the module receives all of it as one event."""
+        """Apply a version; the decision core receives all of it as one event."""
         try:
             history, document = self._parse(text)
         except (ConfigError, policy_history.UnreadableHistoryError, ValueError) as error:
-            if self.rejection != str(error):
-                self.rejection = str(error)
+            if self.rejection_reason != str(error):
+                self.rejection_reason = str(error)
                 log.error("fleet.policy_not_taken", version=version, error=error)
             return
         changes = sum(
@@ -192,12 +201,16 @@
             for path in {*self.history.values, *history.values}
             if self.history.values.get(path) != history.values.get(path)
         )
-        self.rejection, self.history, self.applied_version = "", history, version
+        self.rejection_reason, self.history, self.applied_version = "", history, version
         self.host.handle_now(self._policy_event(document))
         log.info("fleet.policy", version=version, fields=len(history.values), changed=changes)
         self.on_file_reloaded(self.document)
 
     def _policy_event(self, document: Document) -> interface.PolicySet:
+        """Return the event that puts a document in force.
+
+        Also sets the host's settings and the endpoints and zones that the document excludes (`excluded`).
+        """
         before, after = self.document.settings(), document.settings()
         changed = {
             setting.name: getattr(after, setting.name)
@@ -220,16 +233,16 @@
         )
 
     def on_file_reloaded(self, document: Document) -> None:
-        """Logs the settings of the local file that the policy overrides."""
+        """Log the settings of the local file that the policy overrides."""
         if paths := [*overlay.overridden_paths(document, self.history.values)]:
             log.warning("fleet.policy_prevails", paths=",".join(paths))
 
     def status(self) -> dict[str, Any]:
-        """State for the operator API."""
+        """Return the state for the operator API."""
         return {
             "applied": self.applied_version,
             "may_act": self.may_act(),
-            "trouble": self.rejection,
+            "trouble": self.rejection_reason,
             "values": self.history.values,
             "waiting_clients": len(self.waiting),
         }
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -1,7 +1,7 @@
 """Runs the courier's turns on real sockets.
 
-A turn hands the events gathered since the last one to the decision module and carries out its actions in
-order.
+A turn passes the events gathered since the last one to the decision core (hopmill.policy.courier.Courier) and
+carries out its actions in order.
 """
 
 from __future__ import annotations
@@ -34,11 +34,12 @@
 from hopmill.policy.courier import Courier
 
 KEY_WINDOW_MARGIN_TICKS = 3  # no attempt begins this close to the end of its key's window
-TIMER_MARGIN_S = 5e-5  # added to the module's timers
-END_OVERDUE_S = 0.1  # a message this long past its expiry is ended here, should the module have failed to
+TIMER_MARGIN_S = 5e-5  # added to the decision core's timers
+END_OVERDUE_S = 0.1  # a message that the decision core has not ended this long after its expiry is ended here
 NOT_RUN_RESULTS = (interface.Result.FULL, interface.Result.CONNECT_FAILED, interface.Result.MOOT)
-# Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself. Clients
-# may hold a third; beyond that none can connect, so idle connections are closed before there are so many.
+# Shares of the limit on file descriptors; the rest is for calls, discovery, the journal and Python itself.
+# Clients may hold a third of the descriptors, and beyond that none can connect. From 0.3 on a connection is
+# closed for each new one, the least recently used idle one first.
 CLIENT_DESCRIPTOR_SHARE, IDLE_DESCRIPTOR_SHARE = 0.3, 0.2
 # Share of the memory for partly received requests, each of which may have the maximum size.
 REQUEST_MEMORY_SHARE = 1 / 8
@@ -46,7 +47,7 @@
 
 
 class Host:
-    """One courier: owns the event loop's parts, the journal and the decision module."""
+    """One courier: the decision core with its journal, timers, connections and servers."""
 
     def __init__(
         self,
@@ -62,8 +63,8 @@
         self.loop, self.config, self.settings = loop, config, config.settings
         self.handover = Handover(self, ownership, payload)
         self.courier = Courier(self.settings, config.seed)
-        self.member_transport: Any = None  # set if the configuration names a fleet
-        self.active_policy: Any = None  # set if settings may differ from the file's
+        self.member_transport: Any = None  # net.peers.MemberTransport, if the configuration names a fleet
+        self.active_policy: Any = None  # net.in_force.ActivePolicy, if settings may differ from the file's
         self.journal = Journal(
             ownership.folder,
             config.disk_bytes - joining.fleet_bytes(config),
@@ -88,7 +89,7 @@
             loop,
             self.settings.connection_idle_us,
             self.settings.connect_timeout_us,
-            int(config.sockets * IDLE_DESCRIPTOR_SHARE),
+            int(config.sockets * IDLE_DESCRIPTOR_SHARE),  # sockets: limit on file descriptors
             self.registry.is_usable,
         )
         self.calls = Calls(loop, hooks, self.pool)
@@ -99,11 +100,11 @@
         self.clients = ClientServer(self.intake.put, max(8, int(max_clients)))
         self.notices = NoticeSender(loop, config.discovery, self._notices_accepted)
         self.watch = DiscoveryWatch(
-            loop, config.discovery, config.known["rev"], self.listed, self.settings.couriers
+            loop, config.discovery, config.known["rev"], self.on_endpoint_list, self.settings.couriers
         )
         self.options = Options()
         self.observer = Observer(self.settings)
-        self.metrics: Any = None  # set only while the operator API is enabled
+        self.metrics: Any = None  # net.metrics.Metrics, only if the operator API is enabled
         self.turn_due_us = 0  # when the next turn is due, on the monotonic clock; 0 for none
         self.discovery_moved_to: Address | None = None  # address of discovery after a reload
         self.operator_actions = OperatorActions(
@@ -123,10 +124,10 @@
 
         Returns the clients' port.
         """
-        carried = self.handover.carried
+        carried = self.handover.carried  # what the previous process handed over; empty without an upgrade
         self.registry.uids.update(carried.get("uids", {}))
         known = carried.get("known", self.config.known)
-        self.listed({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
+        self.on_endpoint_list({"all": True, "targets": known["targets"]}, interface.ListForm.CACHED)
         number, zone = self.registry.number, self.registry.zone
         self.events += [
             interface.SetByHand(number(uid), True) for uid in sorted(self.journal.excluded_endpoints)
@@ -134,7 +135,7 @@
         self.events += [
             interface.SetZoneByHand(zone(name), True) for name in sorted(self.journal.excluded_zones)
         ]
-        self.watch.rev = known["rev"]
+        self.watch.revision = known["rev"]
         self.set_options(self.config.options)
         joining.apply_policy(self)
         if carried:
@@ -173,17 +174,17 @@
                 self.start_expiry_timer(message)
 
     def clock(self) -> int:
-        """Return the monotonic clock in microseconds, the time that the module works with."""
+        """Return the monotonic clock in microseconds, the time that the decision core works with."""
         return time.monotonic_ns() // 1000
 
-    def _to_module_time(self, at: float) -> int:
-        """Convert a time of the journal to the module's clock, in microseconds."""
+    def _to_core_time(self, at: float) -> int:
+        """Convert a time of the journal to the decision core's clock, in microseconds."""
         return self.clock() + int((at - self.journal.scale.now()) * 1e6)
 
     def arrival_event(
         self, message: JournaledMessage, in_flight: bool = False, restored: bool = False
     ) -> interface.MessageArrived:
-        """Return the event that makes a message known to the module.
+        """Return the event that makes a message known to the decision core.
 
         in_flight: its newest attempt continues in this process, so only earlier ones count as having run.
         """
@@ -196,12 +197,12 @@
             message.number,
             message.class_index,
             message.destination,
-            self._to_module_time(message.expires_at),
+            self._to_core_time(message.expires_at),
             message.tenant,
             message.order_key,
             message.resubmitted,
             message.attempts,
-            self._to_module_time(ran_at) if ran_at else -1,
+            self._to_core_time(ran_at) if ran_at else -1,
             self.registry.zones.get(zone, -1),
             in_flight,
             restored,
@@ -228,12 +229,12 @@
             self.loop.call_later(early_us / 1e6, self.turn)
 
     def turn(self) -> None:
-        """Let the module handle the events gathered so far, and carry out its actions."""
+        """Let the decision core handle the events gathered so far, and carry out its actions."""
         self.turn_scheduled = False
         self.last_turn_us = now = self.clock()
         late_us, self.turn_due_us = now - (self.turn_due_us or now), 0
         events: list[interface.Event] = [
-            interface.Connections(*news) for news in self.pool.take_idle_changes()
+            interface.Connections(*idle_change) for idle_change in self.pool.take_idle_changes()
         ]
         events += self.events
         self.events = []
@@ -272,7 +273,7 @@
     def _answer_refused(
         self, actions: list[interface.Action], arrived: dict[int, tuple[JournaledMessage, list[Reply]]]
     ) -> None:
-        """Answer the new messages that the module refuses, and remove them from `arrived`."""
+        """Answer the new messages that the decision core refuses, and remove them from `arrived`."""
         for action in actions:
             if isinstance(action, (interface.Refuse, interface.Fail)) and action.message in arrived:
                 message, replies = arrived.pop(action.message)
@@ -312,7 +313,7 @@
     # Ends of messages
 
     def start_expiry_timer(self, message: JournaledMessage) -> None:
-        """Make sure that the message ends shortly after its expiry, whatever the module does."""
+        """Make sure that the message ends shortly after its expiry, whatever the decision core does."""
         delay_s = max(0.0, message.expires_at + END_OVERDUE_S - self.journal.scale.now())
         self.expiry_timers[message.number] = self.loop.call_later(delay_s, self._expire, message.number)
 
@@ -356,7 +357,10 @@
         self.restart.maybe_exit()
 
     def record_best_effort(self, write: Any, *args: Any) -> None:
-        """Write a record whose loss is harmless: without it a restart takes the more cautious view."""
+        """Write a record whose loss is harmless.
+
+        Without it a restart assumes that an attempt may have run, or that a notice is still owed.
+        """
         try:
             write(*args)
         except OSError as error:
@@ -416,9 +420,8 @@
         except OSError as error:
             log.error("journal.failed", error=error)
             return []
-        if (
-            self.active_policy and not self.active_policy.may_act()
-        ):  # the last check before the call is written
+        # The lease may have expired during the write. This is the last check before the call is written.
+        if self.active_policy and not self.active_policy.may_act():
             for item in items:
                 self.record_best_effort(self.journal.record_not_run, item.number)
             return []
@@ -427,7 +430,7 @@
     def _may_attempt_now(self, message: JournaledMessage, now: float) -> bool:
         """Return whether the message's class allows another attempt at this moment.
 
-        The module's decision may be some time old, since a connection may have taken long to open.
+        The decision may be some time old, since a connection may have taken long to open.
         """
         message_class, ran_at = self.settings.classes[message.class_index], message.may_have_run_at
         if not ran_at or message_class.effect is interface.Effect.SAFE:
@@ -480,7 +483,7 @@
 
     # Changes of endpoints, options and configuration
 
-    def listed(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
+    def on_endpoint_list(self, change: dict[str, Any], form: interface.ListForm | None = None) -> None:
         """Apply a complete list or a change of endpoints from discovery."""
         self.post(self.registry.apply_list(change, form, self.pool))
 
@@ -494,10 +497,11 @@
         from hopmill.net.metrics import HostState, Metrics
 
         self.metrics = Metrics(tuple(c.name for c in self.settings.classes), HostState(self))
+        # The observer counts messages and attempts on them, the operator API serves them.
         self.observer.meters = self.operator_actions.metrics = self.metrics
 
     def set_options(self, options: Options) -> None:
-        """Apply the options; the module is notified only of changes."""
+        """Apply the options; the decision core is notified only of changes."""
         if options != self.options:
             log.info("config.options", warm_up=options.warm_up)
             self.options = options
--- a/hopmill/net/journal.py
+++ b/hopmill/net/journal.py
@@ -3,6 +3,25 @@
 The file is append-only. Each record has its length and checksum, and is written with os.write before the
 action that it records. What was written survives SIGKILL without fsync. After a crash a torn record at the
 end is cut off and the rest is used.
+
+A record is a list; the first element is its kind, the others are its fields:
+
+    kind   fields                                   meaning
+    take   all fields of JournaledMessage in order  the message was accepted
+    try    numbers, time, zone                      an attempt of these messages is about to be sent
+    miss   number                                   the newest attempt of the message did not run
+    final  number, status, retry_after_ms           the message has its final status; a notice of it is owed
+    over   numbers, time                            nothing is owed for these messages any more
+    clock  boot id, offset in seconds               the time scale of all times in the journal
+    drain  whether drained                          an operator drains the courier of clients, or ends that
+    hand   uid, whether excluded                    an operator excludes an endpoint, or ends that
+    zone   name, whether excluded                   an operator excludes a zone, or ends that
+    known  latest number, {id: time}, {key: time}   written by a compaction: the latest number given to a
+                                                    message, ids of ended messages with the time of their end,
+                                                    idempotency keys with the start of the first attempt with
+                                                    them that may have run
+
+A `try` without the zone is read as one in an unknown zone. Numbers are those of JournaledMessage.number.
 """
 
 from __future__ import annotations
@@ -26,7 +45,8 @@
 SPARE_BYTES = 8192  # reserved for all other records
 ENDED_ID_RETENTION_S = 30.0  # ids of ended messages are recognized for this long
 KEY_EXTRA_RETENTION_S = 60.0  # idempotency keys are remembered for this long after their window
-# The wall clock counts as set back if the new time scale begins no later than this after the latest record.
+# If a time scale that starts after a boot reads no later than the latest record plus this, the wall clock is
+# assumed to have been set back between the boots.
 SET_BACK_TOLERANCE_S = 0.001
 MIN_COMPACTION_BYTES = 1 << 17  # smaller files are compacted only for lack of space
 log = logs.part("journal")
@@ -56,9 +76,9 @@
     order_key: int = 0  # shared by messages that are kept in order, 0 for none
     attempts: int = 0  # begun so far
     latest_attempt_at: float = 0.0  # start of the newest attempt; 0 once it is known not to have run
-    earlier_run_at: float = 0.0  # start of the first attempt before it that may have run, 0 for none
-    status: str = ""  # of the final notice that is owed; "" while the message is open
-    retry_after_ms: int = 0  # goes into that notice
+    earlier_run_at: float = 0.0  # start of the first attempt before the newest that may have run, 0 for none
+    status: str = ""  # final status ("deferred", "undeliverable"), "" while open
+    retry_after_ms: int = 0  # goes into the notice of the final status, 0 for none
     latest_attempt_zone: str = ""  # zone of the newest attempt, "" if not known
     earlier_run_zone: str = ""  # zone of the attempt of earlier_run_at, "" if not known
 
@@ -77,7 +97,7 @@
         return ["take", *(getattr(self, f.name) for f in fields(self))]
 
     @property
-    def size_bytes(self) -> int:
+    def reserved_bytes(self) -> int:
         """An upper bound on what the message takes in the journal, with its later records."""
         return len(self.body) + len(self.id) + len(self.idempotency_key) + ENTRY_RESERVE_BYTES
 
@@ -127,7 +147,7 @@
         self.ended_ids: dict[str, float] = {}  # id: when the message ended, in that order
         # Idempotency key: start of the first attempt with it that may have run.
         self.first_run_by_key: dict[str, float] = {}
-        self.drained = False  # by an operator
+        self.drained = False  # whether an operator drains the courier of clients
         self.excluded_endpoints: set[str] = set()  # uids, excluded by an operator
         self.excluded_zones: set[str] = set()  # names, excluded by an operator
         # live_bytes: upper bound on what a compacted journal takes, with the reserve for later records.
@@ -176,7 +196,7 @@
         self.messages[message.number], self.numbers_by_id[message.id] = message, message.number
         self.open_count += not message.status
         self.last_number = max(self.last_number, message.number)
-        self.live_bytes += message.size_bytes
+        self.live_bytes += message.reserved_bytes
 
     def _apply_attempt(self, record: list[Any]) -> None:
         """Note an attempt of messages, which may run from now on."""
@@ -196,10 +216,9 @@
         """Take back the newest attempt of a message, which did not run."""
         if message := self.messages.get(record[1]):
             message.latest_attempt_at = 0.0
-            if message.idempotency_key and not message.earlier_run_at:
-                self.live_bytes -= ENTRY_RESERVE_BYTES * (
-                    self.first_run_by_key.pop(message.idempotency_key, None) is not None
-                )
+            key = message.idempotency_key
+            if key and not message.earlier_run_at and self.first_run_by_key.pop(key, None) is not None:
+                self.live_bytes -= ENTRY_RESERVE_BYTES
 
     def _apply_over(self, record: list[Any]) -> None:
         """Forget messages for which nothing is owed, and remember their ids."""
@@ -207,7 +226,7 @@
             if message := self.messages.pop(number, None):
                 self.open_count -= not message.status
                 self.numbers_by_id.pop(message.id, None)
-                self.live_bytes -= message.size_bytes
+                self.live_bytes -= message.reserved_bytes
                 self._remember_ended_id(message.id, record[2])
 
     def mark_ended(self, message: JournaledMessage, status: str, retry_after_ms: int) -> None:
@@ -249,7 +268,7 @@
         self.limit_bytes = limit_bytes
         self.new_path.unlink(missing_ok=True)
         self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
-        self.size_bytes = self._restore()
+        self.file_bytes = self._restore()
         self._set_time_scale()
 
     def _restore(self) -> int:
@@ -284,6 +303,9 @@
 
         The wall clock went back between two boots, so it is not known how long the machine was down.
         """
+        # Keys move back by their window only: moved back by the whole retention they would be forgotten at
+        # the next compaction, and a message with such a key would count as never attempted. Messages are kept
+        # whatever the time of their attempts.
         for message in self.messages.values():
             if message.may_have_run_at:
                 message.earlier_run_zone, message.earlier_run_at = (
@@ -302,10 +324,12 @@
 
     def record_message(self, message: JournaledMessage) -> None:
         """Record that the courier has accepted the message."""
-        if not self._has_room_for(message.size_bytes):
+        if not self._has_room_for(message.reserved_bytes):
             self.compact()  # drops ids and keys that have outlived their retention
-            if not self._has_room_for(message.size_bytes):
-                raise JournalFullError(f"no room in the journal for a message of {message.size_bytes} bytes")
+            if not self._has_room_for(message.reserved_bytes):
+                raise JournalFullError(
+                    f"no room in the journal for a message of {message.reserved_bytes} bytes"
+                )
         self._write(message.to_record())
 
     def record_attempt(self, numbers: list[int], at: float, zone: str = "") -> None:
@@ -317,7 +341,7 @@
         self._write(["miss", number])
 
     def record_done(self, number: int) -> None:
-        """Record that nothing is owed: delivered, withdrawn, or refused before it was accepted."""
+        """Record that nothing is owed: delivered, or withdrawn by its endpoint."""
         self._write(["over", [number], self.scale.now()])
 
     def record_end(self, number: int, status: str, retry_after_ms: int) -> None:
@@ -342,33 +366,36 @@
 
     def _write(self, record: list[Any]) -> None:
         data = encode_record(record)
-        if self.size_bytes + len(data) > max(
+        if self.file_bytes + len(data) > max(
             MIN_COMPACTION_BYTES, 4 * self.live_bytes
         ) or not self._can_compact_after(len(data)):
             self.compact()
-        if round_up_to_blocks(self.size_bytes + len(data)) > self.limit_bytes:
+        if round_up_to_blocks(self.file_bytes + len(data)) > self.limit_bytes:
             raise JournalFullError(
                 f"a record of {len(data)} bytes exceeds the disk limit of {self.limit_bytes} bytes"
             )
         try:
             written = os.write(self.fd, data)
         except OSError:
-            os.ftruncate(self.fd, self.size_bytes)
+            os.ftruncate(self.fd, self.file_bytes)
             raise
         if written != len(data):  # a partial record would make all later ones unreadable
-            os.ftruncate(self.fd, self.size_bytes)
+            os.ftruncate(self.fd, self.file_bytes)
             raise JournalFullError(f"disk full: {written} of {len(data)} bytes written")
-        self.size_bytes += written
+        self.file_bytes += written
         self.apply(record)
 
     def _has_room_for(self, extra_bytes: int) -> bool:
-        """Return whether two copies of all live entries with this one stay under the limit."""
+        """Return whether two copies of all live entries with this one stay under the limit.
+
+        A compaction writes the second copy beside the file before it replaces it.
+        """
         return round_up_to_blocks(2 * (self.live_bytes + extra_bytes) + SPARE_BYTES) <= self.limit_bytes
 
     def _can_compact_after(self, extra_bytes: int) -> bool:
         """Return whether a compacted copy still fits beside the file after a write of this size."""
         return (
-            round_up_to_blocks(self.size_bytes + extra_bytes)
+            round_up_to_blocks(self.file_bytes + extra_bytes)
             + round_up_to_blocks(self.live_bytes + SPARE_BYTES)
             <= self.limit_bytes
         )
@@ -383,12 +410,12 @@
             key: at for key, at in self.first_run_by_key.items() if now - at < self.key_retention_s
         }
         self.live_bytes = sum(
-            message.size_bytes for message in self.messages.values()
+            message.reserved_bytes for message in self.messages.values()
         ) + ENTRY_RESERVE_BYTES * (len(self.ended_ids) + len(self.first_run_by_key))
         self.live_bytes += sum(
             len(name) + ENTRY_RESERVE_BYTES for name in (*self.excluded_endpoints, *self.excluded_zones)
         )
-        frames = [
+        records = [
             encode_record(["clock", self.scale.boot_id, self.scale.offset_s]),
             encode_record(["known", self.last_number, self.ended_ids, self.first_run_by_key]),
             encode_record(["drain", self.drained]),
@@ -396,9 +423,9 @@
             *(encode_record(["zone", name, True]) for name in self.excluded_zones),
         ]
         for message in self.messages.values():
-            frames.append(encode_record(message.to_record()))
-        data = b"".join(frames)
-        if round_up_to_blocks(self.size_bytes) + round_up_to_blocks(len(data)) > self.limit_bytes:
+            records.append(encode_record(message.to_record()))
+        data = b"".join(records)
+        if round_up_to_blocks(self.file_bytes) + round_up_to_blocks(len(data)) > self.limit_bytes:
             return
         new_fd = os.open(self.new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
@@ -411,4 +438,4 @@
             self.new_path.unlink(missing_ok=True)
             return
         os.close(self.fd)
-        self.fd, self.size_bytes = new_fd, len(data)
+        self.fd, self.file_bytes = new_fd, len(data)
--- a/hopmill/trial/history.py
+++ b/hopmill/trial/history.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill.standin.ledger import Entry, Ledger
+from hopmill.standin.ledger import Submission, Ledger
 
 
 def elapsed_us() -> int:
@@ -51,7 +51,7 @@
         # The courier that holds each message; only it delivers it.
         self.courier_by_message: dict[str, str] = {}
 
-    def record_submission(self, message_id: str, entry: Entry) -> None:
+    def record_submission(self, message_id: str, entry: Submission) -> None:
         """The load sends a message."""
         super().record_submission(message_id, entry)
         self.history.add("load", "put", message=message_id, cls=entry.class_name)
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -55,7 +55,7 @@
     record_attempts = Host._record_attempts
     accept = Intake.accept
     apply = ActivePolicy._apply
-    set_holding = ActivePolicy._set_holding
+    set_holding = ActivePolicy._set_paused
 
     def write_row(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
@@ -100,7 +100,7 @@
             )
 
     def recording_set_holding(self: ActivePolicy, is_holding: bool) -> None:
-        if is_holding is not self.is_holding:
+        if is_holding is not self.is_paused:
             write_row("holds", on=is_holding, version=self.applied_version)
         set_holding(self, is_holding)
 
@@ -108,7 +108,7 @@
     Host._record_attempts = recording_record_attempts  # type: ignore[method-assign]
     Intake.accept = recording_accept  # type: ignore[method-assign]
     ActivePolicy._apply = recording_apply  # type: ignore[method-assign]
-    ActivePolicy._set_holding = recording_set_holding  # type: ignore[method-assign]
+    ActivePolicy._set_paused = recording_set_holding  # type: ignore[method-assign]
 
 
 def main() -> int:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -266,7 +266,7 @@
     document = overlay._minimal_document()
     try:
         flat, unset = overlay.read_patch(patch)
-        changed = overlay.apply(document, overlay.merged({}, flat, unset))
+        changed = overlay.apply(document, overlay.merge({}, flat, unset))
     except ConfigError as error:
         assert expected and re.search(expected, str(error)), error
         return
@@ -293,7 +293,7 @@
     assert policy_history.decode(history.encode()) == history
     for version, values in enumerate(states):
         patch, unset = history.patch_to(version)
-        assert overlay.merged(history.values, patch, unset) == values
+        assert overlay.merge(history.values, patch, unset) == values
 
 
 def test_a_history_drops_its_oldest_changes_and_reports_that_they_are_gone():
