--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -31,7 +31,7 @@
     "zone-out": ("POST", "/zones/{}/maint"),
     "zone-back": ("POST", "/zones/{}/ready"),
 }
-COMMANDS_WITHOUT_LAB = (
+ARGUMENTS_THAT_SKIP_LAB = (
     "serve",
     "check",
     "schema",
@@ -242,7 +242,7 @@
 
 def main() -> int:
     """Runs the command line and returns its exit status."""
-    if sys.argv[1:2] and sys.argv[1] not in COMMANDS_WITHOUT_LAB:  # the search for its packages takes time
+    if sys.argv[1:2] and sys.argv[1] not in ARGUMENTS_THAT_SKIP_LAB:  # the search for its packages takes time
         _add_lab()
     _add_fleet()
     try:
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -37,19 +37,19 @@
 ) -> None:
     """Show each courier's view: members, voters, register version, leases. Exit 1 if one does not answer."""
     failed_count = 0
-    for door in doors:
+    for address in doors:
         try:
-            status_code, body = call(door, "GET", "/fleet")
+            status_code, body = call(address, "GET", "/fleet")
         except OperatorApiError as error:
             status_code, body = 0, {"error": str(error)}
         failed_count += status_code != 200
         if as_json:
-            print(json.dumps({"door": door, **body}))
+            print(json.dumps({"door": address, **body}))
         elif status_code != 200:
-            print(f"{door}: {body.get('error')}")
+            print(f"{address}: {body.get('error')}")
         else:
             print(
-                f"{door}: {body['id']} of {body['fleet']}, version {body['version']}, voters "
+                f"{address}: {body['id']} of {body['fleet']}, version {body['version']}, voters "
                 f"{', '.join(body['voters'])}, {'votes' if body['votes'] else 'does not vote'}, "
                 f"health {body['health']}, disk {body['disk']}"
             )
@@ -59,14 +59,14 @@
     raise typer.Exit(int(bool(failed_count)))
 
 
-def _change_register(door: str, path: str, wait: float, as_json: bool) -> None:
+def _change_register(address: str, path: str, wait: float, as_json: bool) -> None:
     """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
-    outcome = _request(door, "POST", path)
+    outcome = _request(address, "POST", path)
     deadline = time.monotonic() + wait
     while outcome["state"] == "under way" and time.monotonic() < deadline:
         time.sleep(POLL_INTERVAL_S)
         outcome = _request(
-            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
+            address, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
         )
     print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
     raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(outcome["state"], 3))
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -46,7 +46,7 @@
 
 
 @lab.command("run", epilog="Example: hopmill lab run calm --couriers 60 --seeds 1-20 --json")
-def run_(
+def run_scenario(
     scenario: str,
     couriers: CouriersOption = 0,
     seeds: SeedsOption = "1-8",
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -50,7 +50,7 @@
     from hopmill.net.peers import elapsed_us
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-    looked_at_us = [0]
+    lease_checked_at_us = [0]
     may_act = ActivePolicy.may_act
     record_attempts = Host._record_attempts
     accept = Intake.accept
@@ -62,7 +62,7 @@
             os.write(fd, json.dumps({"what": what, "at_us": elapsed_us(), **more}).encode() + b"\n")
 
     def recording_may_act(self: ActivePolicy) -> bool:
-        looked_at_us[0] = elapsed_us()
+        lease_checked_at_us[0] = elapsed_us()
         return may_act(self)
 
     def recording_record_attempts(self: Host, items: Any) -> bool:
@@ -71,7 +71,7 @@
         if is_recorded and self.active_policy:
             write_row(
                 "began",
-                looked_us=looked_at_us[0],
+                looked_us=lease_checked_at_us[0],
                 version=self.active_policy.applied_version,
                 messages=identifiers,
             )
@@ -82,7 +82,7 @@
         if self.host.active_policy and message.number in self.host.journal.messages:
             write_row(
                 "took",
-                looked_us=looked_at_us[0],
+                looked_us=lease_checked_at_us[0],
                 version=self.host.active_policy.applied_version,
                 messages=[message.id],
             )
--- a/hopmill/trial/rules.py
+++ b/hopmill/trial/rules.py
@@ -9,11 +9,12 @@
 from hopmill.standin.ledger import Ledger
 from hopmill.trial.history import History
 
+MAX_VIOLATIONS = 20
 Row = dict[str, Any]
 
 
 def violations(history: History, ledger: Ledger) -> list[str]:
-    """One line for each violated guarantee; at most 20."""
+    """One line for each violated guarantee; at most MAX_VIOLATIONS."""
     found = [
         *message_violations(ledger),
         *register_violations(history),
@@ -21,7 +22,7 @@
         *view_violations(history),
         *generation_violations(history),
     ]
-    return found[:20]
+    return found[:MAX_VIOLATIONS]
 
 
 def message_violations(ledger: Ledger) -> Iterator[str]:
@@ -55,10 +56,13 @@
                 if reported_at_us < row["began_us"] and version > row["version"]:
                     yield f"{row['ticket']} saw version {row['version']} after {ticket} had seen {version}"
                     break
-    tickets: dict[int, str] = {}
+    ticket_by_version: dict[int, str] = {}
     for row in history.rows_of("change"):
-        if row["state"] == "done" and tickets.setdefault(row["made"], row["ticket"]) != row["ticket"]:
-            yield f"version {row['made']} was made by {tickets[row['made']]} and by {row['ticket']}"
+        if (
+            row["state"] == "done"
+            and ticket_by_version.setdefault(row["made"], row["ticket"]) != row["ticket"]
+        ):
+            yield f"version {row['made']} was made by {ticket_by_version[row['made']]} and by {row['ticket']}"
 
 
 def lease_violations(history: History) -> Iterator[str]:
@@ -105,7 +109,7 @@
         f"{member} by {observer}"
         for at_us, observer, member in deaths
         if not any(
-            began_us <= at_us <= ended_us
-            for began_us, ended_us in fault_times[member] + fault_times[observer]
+            began_us <= at_us <= explains_until_us
+            for began_us, explains_until_us in fault_times[member] + fault_times[observer]
         )
     ]
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -103,10 +103,15 @@
         for plan in demo_partners(self.scenario.rate_per_s):
             partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.rng, loop.time())
             self.partners.append(partner)
-            for machine in partner.endpoints:
-                await machine.start()
+            for endpoint in partner.endpoints:
+                await endpoint.start()
                 self.discovery.target(
-                    machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
+                    endpoint.uid,
+                    endpoint.port,
+                    plan.number,
+                    plan.kind,
+                    rate=plan.rate_per_s,
+                    zone=endpoint.zone,
                 )
 
     def _open_relay(self) -> None:
@@ -156,7 +161,7 @@
             self.couriers,
             self.history,
             self.rng,
-            [machine.uid for partner in self.partners for machine in partner.endpoints],
+            [endpoint.uid for partner in self.partners for endpoint in partner.endpoints],
         )
         if self.scenario.policies_per_s:
             background_tasks.append(
@@ -174,7 +179,7 @@
             if await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
                 self.agreed_s = loop.time() - faults_ended_at
             deadline = loop.time() + LAST_MESSAGES_TIMEOUT_S
-            while self._unfinished_messages() and loop.time() < deadline:
+            while self._unfinished_message_count() and loop.time() < deadline:
                 await asyncio.sleep(0.1)
         finally:
             for task in background_tasks:
@@ -185,7 +190,7 @@
                 await asyncio.wait(self.pending_changes, timeout=OUTCOME_TIMEOUT_S)
             load.close()
 
-    def _unfinished_messages(self) -> int:
+    def _unfinished_message_count(self) -> int:
         return sum(
             entry.answer == "taken" and not entry.delivered_at and not entry.notice
             for entry in self.ledger.entries.values()
@@ -244,11 +249,13 @@
     async def _change_forever(self) -> None:
         while self.scenario.changes_per_s:
             await asyncio.sleep(self.rng.expovariate(self.scenario.changes_per_s))
-            task = asyncio.get_running_loop().create_task(self._change(self.rng.choice(self.couriers)))
+            task = asyncio.get_running_loop().create_task(
+                self._submit_register_request(self.rng.choice(self.couriers))
+            )
             self.pending_changes.add(task)
             task.add_done_callback(self.pending_changes.discard)
 
-    async def _change(self, courier: Courier) -> None:
+    async def _submit_register_request(self, courier: Courier) -> None:
         """Writes an entry into the register, or reads it, and records the reported outcome."""
         self.text_count += 1
         text = str(self.text_count) if self.rng.random() < 0.7 else ""
@@ -285,7 +292,7 @@
         self.relay.close()
         for server in (
             self.discovery,
-            *(machine for partner in self.partners for machine in partner.endpoints),
+            *(endpoint for partner in self.partners for endpoint in partner.endpoints),
         ):
             await server.stop()
 
@@ -306,7 +313,7 @@
             "faults": dict(sorted(self.fault_injector.counts.items())),
             "killed": self.fault_injector.killed_count,
             "messages": counts["taken"],
-            "lost": self._unfinished_messages(),
+            "lost": self._unfinished_message_count(),
             "twice": counts["twice"],
             "in_time": round(counts["in_time"] / max(1, counts["handed_in"]), 4),
             "changes": sum(change["state"] == "done" for change in changes),
