--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -118,7 +118,8 @@
         self.outdated_senders: set[str] = set()  # used an earlier incarnation than is known
         self.outbox: list[Send] = []
         self.changes: list[MemberChange] = []
-        self.dropped: Counter[str] = Counter()  # datagrams and updates, by reason
+        # Datagrams and updates, by reason. "of the gone": about an unknown member that is dead or has left.
+        self.dropped: Counter[str] = Counter()
         self.is_leaving = False
         self.live_count = 1  # alive or suspected members, this one included
 
--- a/hopmill/fleet/wire.py
+++ b/hopmill/fleet/wire.py
@@ -182,7 +182,7 @@
     worth: float = 0.0  # of the messages that ended
     earned: float = 0.0  # by them
     calls: float = 0.0  # that ended
-    refused: float = 0.0  # calls refused as full
+    refused: float = 0.0  # calls refused (Result.FULL)
     failed: float = 0.0  # calls that failed otherwise
 
 
--- a/hopmill/policy/links.py
+++ b/hopmill/policy/links.py
@@ -28,7 +28,7 @@
         self.max_connections: float = math.inf  # table_share, randomly rounded
         self.next_cut_us = self.next_growth_us = 0
         self.consecutive_new_refusals = 0
-        self.announced = -1  # how many connections the pool was last told to keep
+        self.announced = -1  # max idle connections last announced to the pool (action Keep)
 
     def check_out(self, now_us: int, oldest_us: int) -> int:
         """Take the most recently used connection. Return how long it was idle, -1 for a new one.
