--- a/hopmill/fleet/conductor.py
+++ b/hopmill/fleet/conductor.py
@@ -49,7 +49,7 @@
     def __init__(
         self, me: str, register: Register, rng: random.Random, other_members: Callable[[], list[str]]
     ) -> None:
-        """other_members: who is told of a step at once; those that miss it learn of it by later datagrams."""
+        """other_members: whom to notify of a step at once; who misses it learns it from later datagrams."""
         self.me, self.register, self.rng, self.other_members = me, register, rng, other_members
         self.epoch, self.epoch_began_at, self.leads_at, self.next_query_at, self.query_count = -1, 0, 0, 0, 0
         self.replies: dict[str, DrainReply] = {}
--- a/hopmill/fleet/lease.py
+++ b/hopmill/fleet/lease.py
@@ -153,7 +153,7 @@
         return asked_at
 
     def carry(self) -> dict[str, int]:
-        """State for an upgrade on the same machine, whose elapsed clock continues."""
+        """Return the state to hand over at an upgrade on the same machine, whose elapsed clock continues."""
         return {"fence": self.token, "valid_until": self.valid_until, "count": self.proposal_count}
 
     def resume(self, carried: dict[str, int]) -> None:
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -143,7 +143,10 @@
     # Upgrades
 
     def carry(self) -> dict[str, Any]:
-        """State for the next process on this machine; this one must not send anything any more."""
+        """Return the state to hand over to the next process on this machine, at an upgrade.
+
+        This process must not send anything any more.
+        """
         register = self.register
         return {
             "born": self.generation,
--- a/hopmill/fleet/standing.py
+++ b/hopmill/fleet/standing.py
@@ -198,7 +198,7 @@
     # Upgrades, on the same machine, whose elapsed clock continues
 
     def carry(self) -> dict[str, object]:
-        """State for the next process in an upgrade."""
+        """Return the state that is handed over to the next process at an upgrade."""
         return {
             "version": self.applied_version,
             "given": self.granted_at,
@@ -208,7 +208,7 @@
         }
 
     def resume(self, carried: dict[str, object]) -> None:
-        """Continue with the granted lease; open requests are not carried over."""
+        """Continue with the granted lease; open requests are not handed over."""
         self.applied_version, self.granted_at = int(carried["version"]), dict(carried["given"])  # type: ignore[call-overload]
         self.voter_set_version, self.stopped_epoch = int(carried["roster"]), int(carried["stopped"])  # type: ignore[call-overload]
         self.seq = int(carried["seq"]) + 1  # type: ignore[call-overload]
