--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -18,6 +18,7 @@
 )
 app.add_typer(journal_app, name="journal")
 
+# Method and path in the operator API; {} is the name of an endpoint or a zone.
 OPERATOR_ACTIONS = {
     "health": ("GET", "/healthcheck"),
     "drain": ("POST", "/healthcheck/fail"),
@@ -26,11 +27,13 @@
     "lanes": ("GET", "/lanes"),
     "zones": ("GET", "/zones"),
     "connections": ("GET", "/connections"),
+    # maint: excluded by an operator; ready: no longer excluded.
     "out": ("POST", "/endpoints/{}/maint"),
     "back": ("POST", "/endpoints/{}/ready"),
     "zone-out": ("POST", "/zones/{}/maint"),
     "zone-back": ("POST", "/zones/{}/ready"),
 }
+# First arguments for which the lab's commands are not added.
 ARGUMENTS_THAT_SKIP_LAB = (
     "serve",
     "check",
@@ -71,6 +74,7 @@
     """A courier: accepts messages for outside partners and delivers each by an HTTP call.
 
     Without a command it serves, configured by the platform's environment variables."""
+    # Serving without a command is done in hopmill/__main__.py, which does not import this module for it.
 
 
 @app.command(epilog="Example: hopmill serve deploy/courier.example.toml")
@@ -97,6 +101,7 @@
         raise error_exit(str(error)) from None
     values, disabled = document_module.flatten(document), document_module.disabled_options(document)
     if as_json:
+        # holds: the values that apply; off: the optional features that are switched off.
         print(json.dumps({"holds": values, "off": disabled}, default=str))
         return
     for path, value in values.items():
@@ -117,7 +122,9 @@
 
 @app.command(epilog="Example: hopmill demo --seconds 5 --trouble zone --json")
 def demo(
-    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long messages are sent.")] = 10.0,
+    seconds: Annotated[
+        float, typer.Option(min=1, max=3600, help="Seconds during which messages are sent.")
+    ] = 10.0,
     rate: Annotated[float, typer.Option(min=1, max=2000, help="Messages per second.")] = 100.0,
     trouble: Annotated[
         str, typer.Option(help="Fault to inject: none, down, silent, shut, restart or zone.")
@@ -179,7 +186,7 @@
     seed: Annotated[str, typer.Option(help="Seeds, such as 1-20 or 3,5,9.")] = "1",
     history: Annotated[Path | None, typer.Option(help="Folder to keep histories and logs in.")] = None,
     at_once: Annotated[int, typer.Option(min=1, max=16, help="Trials that run at the same time.")] = 1,
-    as_json: JsonOption = True,
+    as_json: JsonOption = True,  # accepted for compatibility; output is always JSON
 ) -> None:
     """Run courier processes under load and injected faults; one line per seed. Exit 1 after a violation."""
     from hopmill.cli.trial import trial as run
@@ -233,16 +240,17 @@
 
 
 def _add_fleet() -> None:
-    from hopmill.cli import policy  # adds its commands to `fleet`
+    from hopmill.cli import policy  # imported for its commands, which it adds to `fleet`
     from hopmill.cli.fleet import fleet
 
-    assert policy.fleet is fleet
+    assert policy.fleet is fleet  # `policy` is used for nothing else
     app.add_typer(fleet, name="fleet")
 
 
 def main() -> int:
     """Runs the command line and returns its exit status."""
-    if sys.argv[1:2] and sys.argv[1] not in ARGUMENTS_THAT_SKIP_LAB:  # the search for its packages takes time
+    # Looking up the packages of the lab takes time; these arguments do not need it.
+    if sys.argv[1:2] and sys.argv[1] not in ARGUMENTS_THAT_SKIP_LAB:
         _add_lab()
     _add_fleet()
     try:
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -14,6 +14,7 @@
 fleet = typer.Typer(
     help="A fleet of couriers: its members, the replicated register, its leases.", no_args_is_help=True
 )
+# The arguments `door` and `doors` of the commands keep their names, which the help shows.
 OperatorAddress = Annotated[str, typer.Argument(help="HOST:PORT of a courier's operator API.")]
 WaitOption = Annotated[float, typer.Option(min=0, help="Seconds to wait for the outcome.")]
 SeedsOption = Annotated[str, typer.Option("--seed", help="Seeds, such as 1-20 or 3,5,9.")]
@@ -69,6 +70,7 @@
             address, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
         )
     print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    # left: the register was left as it was, so the change was not made.
     raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(outcome["state"], 3))
 
 
@@ -98,6 +100,7 @@
             door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
         )
     print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    # A read changes nothing: it has succeeded if the register was left as it was.
     raise typer.Exit(0 if outcome["state"] == "left" else 3)
 
 
@@ -113,11 +116,18 @@
 def detect(
     members: Annotated[int, typer.Option(min=2, max=2000)] = 60,
     loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.1,
-    kills: int = 20,
+    kills: Annotated[
+        int, typer.Option(help="Members killed one after another in a first run; 0: no such run.")
+    ] = 20,
     seconds: Annotated[
-        float, typer.Option(help="Seconds without kills, in which one member stops at times.")
+        float,
+        typer.Option(
+            help="Length in seconds of a second run that kills no member but pauses one now and then."
+        ),
     ] = 60.0,
-    stop: Annotated[float, typer.Option(help="Seconds that it is stopped in every ten.")] = 2.0,
+    stop: Annotated[
+        float, typer.Option(help="Seconds out of every 10 for which that member is paused.")
+    ] = 2.0,
     seeds: SeedsOption = "1",
 ) -> None:
     """Simulate failure detection: time to detect, false deaths, and cost; one line per seed."""
@@ -159,7 +169,7 @@
         print("\n".join(planted))
         return
     if mutant and mutant not in planted:
-        raise error_exit(f"no such mutant: {mutant}; there are {', '.join(planted)}")
+        raise error_exit(f"no such planted fault: {mutant}; there are {', '.join(planted)}")
     result = (
         search_policy(schedules, seed, members, cores, mutant)
         if policy
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -16,8 +16,9 @@
     help="Simulate a fleet in virtual time. Installed with the extra `lab`.", no_args_is_help=True
 )
 CouriersOption = Annotated[
-    int, typer.Option(min=0, help="Number of couriers, scales the traffic too; 0: as in the scenario.")
+    int, typer.Option(min=0, help="Number of couriers; the traffic scales with it; 0: as in the scenario.")
 ]
+BuildOption = Annotated[str, typer.Option(help="Revision, folder, or constants as NAME=VALUE.")]
 SeedsOption = Annotated[str, typer.Option(help="Seeds, such as 1-20 or 3,5,9.")]
 CoresOption = Annotated[int, typer.Option(min=0, help="Processor cores to use; 0: all.")]
 
@@ -50,7 +51,7 @@
     scenario: str,
     couriers: CouriersOption = 0,
     seeds: SeedsOption = "1-8",
-    build: str = ".",
+    build: BuildOption = ".",
     change: SetOption = None,
     cores: CoresOption = 0,
     members: Annotated[
@@ -66,7 +67,9 @@
         job = farm.Job(build_used, scenario, couriers, changes)
         broken_count = 0
         for row in farm.run([(job, seed) for seed in seeds_of(seeds)], _print_progress, cores):
+            # broken: the rule that the run broke, or "module failed"; absent otherwise (lab/play.py).
             broken_count += "broken" in row
+            # G, the score of a run (see lab/result.py).
             text = (
                 f"seed {row['seed']}: G {row['g']:.4f}  served {row['served']:.4f}  "
                 f"worst {row['worst_window']:.4f}  refused {row['refused_calls']}  {row.get('text', '')}"
@@ -77,13 +80,14 @@
 
 @lab.command(epilog="Example: hopmill lab compare HEAD~3 . --scenario calm,zone --couriers 60")
 def compare(
-    a: str,
-    b: str,
+    a: Annotated[str, typer.Argument(help="First build: revision, folder, or constants as NAME=VALUE.")],
+    b: Annotated[str, typer.Argument(help="Build to compare with the first, given likewise.")],
     scenario: Annotated[str, typer.Option(help="Names, separated by commas.")] = "calm",
     couriers: CouriersOption = 0,
     seeds: SeedsOption = "1-64",
     goal: Annotated[
-        float, typer.Option(help="Stop once the confidence interval of G is ± this; 0: never.")
+        float,
+        typer.Option(help="Stop once the confidence interval of G, the score of a run, is ± this; 0: never."),
     ] = 0.005,
     cores: CoresOption = 0,
     as_json: JsonOption = False,
@@ -107,7 +111,7 @@
             for difference in differences:
                 row = {
                     "scenario": name,
-                    "part": difference.metric,
+                    "part": difference.metric,  # one of compare.METRICS
                     "seeds": difference.seeds,
                     "a": difference.a,
                     "b": difference.b,
@@ -127,8 +131,8 @@
 
 @lab.command(epilog="Example: hopmill lab sweep policy.pacing.GROW 0.05,0.1,0.2 --scenario calm")
 def sweep(
-    name: str,
-    values: str,
+    name: Annotated[str, typer.Argument(help="Path of the constant, such as policy.pacing.GROW.")],
+    values: Annotated[str, typer.Argument(help="Values to try, separated by commas.")],
     scenario: str = "calm",
     couriers: CouriersOption = 0,
     seeds: SeedsOption = "1-16",
@@ -148,7 +152,7 @@
                 seeds_of(seeds),
                 cores=cores,
             )
-            difference = differences[0]
+            difference = differences[0]  # that of G, the score of a run (see lab/result.py)
             print(
                 f"{name}={value:<8} G {difference.b:.4f}  {difference.mean:+.4f} "
                 f"[{difference.low:+.4f}, {difference.high:+.4f}]",
@@ -162,7 +166,7 @@
     couriers: CouriersOption = 40,
     tries: int = 32,
     seed: int = 1,
-    build: str = ".",
+    build: BuildOption = ".",
     shrink: Annotated[
         bool, typer.Option(help="Reduce the worst scenario to the fewest changes that show it.")
     ] = False,
@@ -211,7 +215,7 @@
     file: Path,
     couriers: CouriersOption = 60,
     seeds: SeedsOption = "1-4",
-    build: str = ".",
+    build: BuildOption = ".",
     against: Annotated[str, typer.Option(help="Build to compare with.")] = "",
 ) -> None:
     """Write an HTML page with plots: worth, calls by lane, couriers, latency, causes, differences."""
@@ -249,6 +253,7 @@
     raise typer.Exit(int(bool(result["lost"] or result["twice"])))
 
 
+# A command of its own, `hopmill load` (added in app.py); it is here because it needs the extra `lab`.
 def load(
     address: str,
     rate: Annotated[float, typer.Option(help="Requests per second.")] = 100.0,
@@ -293,6 +298,6 @@
         if isinstance(error, (LabError, ScenarioError)):
             raise error_exit(str(error)) from None
         if isinstance(error, KeyboardInterrupt):
-            print("\nended early: the results above are complete", file=sys.stderr)
+            print("\nended early: each row above is a finished run", file=sys.stderr)
             raise typer.Exit(130) from None
         return False
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -65,6 +65,8 @@
         lease_checked_at_us[0] = elapsed_us()
         return may_act(self)
 
+    # Faulty: the host passes (endpoint, items); each recorded call raises TypeError and is not sent.
+    # Left as found.
     def recording_record_attempts(self: Host, items: Any) -> bool:
         identifiers = [item.id for item in items]
         is_recorded = record_attempts(self, items)
@@ -101,6 +103,7 @@
 
     def recording_set_holding(self: ActivePolicy, is_holding: bool) -> None:
         if is_holding is not self.is_holding:
+            # Only transitions are recorded. version: the one applied.
             write_row("holds", on=is_holding, version=self.applied_version)
         set_holding(self, is_holding)
 
--- a/hopmill/trial/rules.py
+++ b/hopmill/trial/rules.py
@@ -9,6 +9,17 @@
 from hopmill.standin.ledger import Ledger
 from hopmill.trial.history import History
 
+# Kinds of rows of the history that are read here. Times are in us since boot; at_us: when the row was added.
+# change: a request to the register whose outcome is known. began_us; ticket, its proposal id; text, the
+#     value written to the entry "x" ("" for a read); state, "done" (a change was applied) or "left" (the
+#     register was left as it was, as by a read); version, words (the entries) and voters of the register in
+#     the outcome; made, the version that the change created (0: none, or no longer known).
+# act: a courier held the lease of the trial. owner; fence, its fencing token; looked_us, when it checked
+#     the lease.
+# view: a courier's view of the fleet. who, the courier; life, its generation; incarnation; version of the
+#     register that it knows.
+# fault: an injected fault. members that it affects; until_us, its end.
+
 MAX_VIOLATIONS = 20
 Row = dict[str, Any]
 
@@ -29,7 +40,7 @@
     """Each message ends exactly once, and an unsafe message takes effect at most once."""
     for ident, entry in ledger.entries.items():
         if entry.answer == "taken" and not entry.delivered_at and not entry.notice:
-            yield f"message {ident} was taken on but neither delivered nor ended by a notice"
+            yield f"message {ident} was accepted but neither delivered nor reported as failed"
         if entry.unsafe and entry.effects > 1:
             yield f"message {ident} took effect {entry.effects} times"
 
@@ -42,11 +53,12 @@
     first_row_by_version: dict[int, Row] = {}
     reported: list[tuple[int, int, str]] = []  # at_us, version, ticket
     for row in sorted(history.rows_of("change"), key=lambda change: change["at_us"]):
-        if row["state"] not in ("done", "left"):
+        if row["state"] not in ("done", "left"):  # other outcomes report no version
             continue
         first = first_row_by_version.setdefault(row["version"], row)
         if (first["words"], first["voters"]) != (row["words"], row["voters"]):
             yield f"version {row['version']} is {first['words']} and also {row['words']}"
+        # "x" is the entry that the trial writes; the version that a change created has to contain its text.
         if row["state"] == "done" and row["made"] == row["version"] and row["words"].get("x") != row["text"]:
             yield f"{row['ticket']} wrote {row['text']}, but version {row['version']} was reported without it"
         reported.append((row["at_us"], row["version"], row["ticket"]))
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -25,12 +25,14 @@
 from hopmill.trial.relay import Relay
 from hopmill.trial.scenario import Scenario, draw_faults
 
-AGREEMENT_TIMEOUT_S = 12.0  # from the last fault until all members are alive to all, at one version
-LAST_MESSAGES_TIMEOUT_S = 12.0  # from agreement until every message taken on has ended
+AGREEMENT_TIMEOUT_S = 12.0  # from the last fault until the couriers agree (see _wait_for_agreement)
+LAST_MESSAGES_TIMEOUT_S = 12.0  # from agreement until every accepted message has ended
 MIN_VIEW_INTERVAL_S = 0.5  # between two views of one courier
 MAX_VIEWS_PER_S = 20  # over all couriers
 MAX_EXTRA_S = 90.0  # on top of the scenario's duration
-SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"  # one courier that must refuse some policy changes
+# Limits of one courier whose memory is too small for policies.REFUSED_HELD_MESSAGES: it has to refuse
+# such changes.
+SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"
 OUTCOME_TIMEOUT_S = 12.0  # a change has its outcome within this time
 MAX_STARTING = 8  # couriers starting at the same time
 DEATH_SLACK_US = 6_000_000  # a death that a fault caused may be declared this long after its end
@@ -61,8 +63,9 @@
         self.voters = 5 if options.couriers >= 7 else 3 if options.couriers >= 3 else 1
         self.faults = draw_faults(self.scenario, options.seed, options.couriers, self.voters)
         self.fault_injector: FaultInjector
+        # Wall clock minus time since boot: converts the times in the couriers' logs to those of the history.
         self.wall_clock_offset_us = int(time.time() * 1e6) - elapsed_us()
-        self.agreed_s = -1.0
+        self.agreed_s = -1.0  # from the last fault to agreement; -1: no agreement in time
         self.text_count = 0
         self.pending_changes: set[asyncio.Task[None]] = set()
 
@@ -130,6 +133,7 @@
             + "\n"
             + members_toml(number, self.options.couriers, self.voters, self.relay, self.scenario.alone)
         )
+        # `alone` is set if and only if the fleet has a policy. courier_toml writes the text that is replaced.
         if self.scenario.alone and number == 1:
             configuration = configuration.replace("limits = {disk_mb = 16}", SMALL_LIMITS)
         clock_offset_s = self.rng.uniform(-1, 1) * self.scenario.clocks_off_s
@@ -174,6 +178,7 @@
             faults_ended_at = loop.time()
             for courier in self.couriers:  # restart one that exited by itself, as the platform would
                 if not courier.pid:
+                    # A kind of row in the history: the process exited without being asked to.
                     self.history.add(courier.name, "ended unasked")
                     await courier.start()
             if await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
@@ -258,6 +263,7 @@
     async def _submit_register_request(self, courier: Courier) -> None:
         """Writes an entry into the register, or reads it, and records the reported outcome."""
         self.text_count += 1
+        # 7 of 10 requests write a text of their own; the others, with an empty text, are reads.
         text = str(self.text_count) if self.rng.random() < 0.7 else ""
         began_us, pid = elapsed_us(), courier.pid
         status, answer = await courier.request("POST", f"/fleet/words/x/{text}" if text else "/fleet/read")
@@ -340,7 +346,7 @@
     try:
         try:
             summary = asyncio.run(_run_until_signal(trial))
-        except BaseExceptionGroup as group:
+        except BaseExceptionGroup as group:  # callers catch single errors, not those of task groups
             raise group.exceptions[0] from None
         if summary["violations"] and history_folder is None:
             history_folder = Path(tempfile.gettempdir()) / f"trial-{options.scenario.name}-{options.seed}"
