--- a/hopmill/cli/app.py
+++ b/hopmill/cli/app.py
@@ -1,4 +1,4 @@
-"""The commands. Each imports what it needs only when it runs, which keeps serving small in memory."""
+"""The command line. Each command imports what it needs only when it runs, to keep serving small in memory."""
 
 from __future__ import annotations
 
@@ -196,7 +196,7 @@
 
 @journal_app.command("show", epilog="Example: hopmill journal show /var/lib/hopmill")
 def journal_show(folder: Path, as_json: JsonOption = False) -> None:
-    """Show the messages held, the notices owed, and what operators have excluded."""
+    """Show the messages held, the notices not yet sent, and what operators have excluded."""
     from hopmill.cli.journal import show
 
     raise typer.Exit(show(folder, as_json))
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -1,4 +1,7 @@
-"""`hopmill fleet ...`: the members of a fleet, through the operator APIs of its couriers."""
+"""`hopmill fleet ...`: the members of a fleet, through the operator APIs of its couriers.
+
+`detect` and `explore` are simulations on this machine and ask no courier.
+"""
 
 from __future__ import annotations
 
@@ -108,7 +111,7 @@
 def replace_voter(
     door: OperatorAddress, old: str, new: str, wait: WaitOption = 10.0, as_json: JsonOption = False
 ) -> None:
-    """Replace a voter while the fleet runs, one at a time; the second step follows by itself."""
+    """Replace a voter while the fleet runs, one at a time; the old set is then retired automatically."""
     _change_register(door, f"/fleet/voters/{old}/{new}", wait, as_json)
 
 
--- a/hopmill/cli/lab.py
+++ b/hopmill/cli/lab.py
@@ -92,7 +92,7 @@
     cores: CoresOption = 0,
     as_json: JsonOption = False,
 ) -> None:
-    """Compare B with A on the same seeds: revisions, folders, or settings as policy.pacing.GROW=0.2."""
+    """Compare B with A on the same seeds: revisions, folders, or constants such as policy.pacing.GROW=0.2."""
     from hopmill.lab import compare as comparison
     from hopmill.lab import farm
 
@@ -218,7 +218,7 @@
     build: BuildOption = ".",
     against: Annotated[str, typer.Option(help="Build to compare with.")] = "",
 ) -> None:
-    """Write an HTML page with plots: worth, calls by lane, couriers, latency, causes, differences."""
+    """Write an HTML page: share of worth served, calls by lane, couriers, latency, causes, differences."""
     from hopmill.lab import compare as comparison
     from hopmill.lab import farm
     from hopmill.lab import report as pages
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -1,8 +1,8 @@
 """Runs a courier of a trial: the unchanged program with a wrong wall clock and, at times, a slow disk.
 
 The trial sets environment variables: HOPMILL_TRIAL_CLOCK_S, the error of the wall clock in seconds;
-HOPMILL_TRIAL_DISK, a file with the present delay of each disk sync in ms; HOPMILL_TRIAL_RECORD, a file to
-which the courier's decisions under a policy are written: each call begun and each message taken on, the
+HOPMILL_TRIAL_DISK, a file with the current delay of each disk sync in ms; HOPMILL_TRIAL_RECORD, a file to
+which the courier's decisions under a policy are written: each call begun and each message accepted, the
 policy version, and when the courier checked that it may act.
 """
 
@@ -38,9 +38,17 @@
 
 
 def record_decisions(path: str) -> None:
-    """Replaces methods of the host so that its decisions are written to path, one JSON object per line.
-
-    Rows are written without a buffer, before the act goes on: a killed process has recorded what it did.
+    """Replaces methods of Host, Intake and ActivePolicy to write decisions to path as JSON lines.
+
+    Rows are written without a buffer. Kinds of rows:
+    began: the attempts are in the journal and their call is about to be written to its
+        connection, so a process killed afterwards has recorded what it did.
+    took: a message was accepted; written afterwards, so a process killed in between leaves no row of it.
+    policy: a version was applied; written afterwards. values, by path; changes, the ids in its history;
+        staged, whether it is that of the staged change.
+    holds: the courier is about to hold new work (on) or to resume it.
+    In `began` and `took`, messages are identifiers, and looked_us is when the process last checked that it
+    may act.
     """
     import json
 
@@ -115,7 +123,7 @@
 
 
 def main() -> int:
-    """Applies what the environment asks for and runs the program; its exit status."""
+    """Applies the environment variables of the trial, runs the program and returns its exit status."""
     if offset_s := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
         shift_wall_clock(float(offset_s))
     if path := os.environ.get("HOPMILL_TRIAL_DISK"):
--- a/hopmill/trial/rules.py
+++ b/hopmill/trial/rules.py
@@ -37,7 +37,7 @@
 
 
 def message_violations(ledger: Ledger) -> Iterator[str]:
-    """Each message ends exactly once, and an unsafe message takes effect at most once."""
+    """Each accepted message has ended, and an unsafe message takes effect at most once."""
     for ident, entry in ledger.entries.items():
         if entry.answer == "taken" and not entry.delivered_at and not entry.notice:
             yield f"message {ident} was accepted but neither delivered nor reported as failed"
@@ -111,7 +111,8 @@
 def false_deaths(history: History, deaths: list[tuple[int, str, str]], slack_us: int) -> list[str]:
     """Members declared dead although neither they nor the observer had a fault that explains it.
 
-    deaths: (at_us, observer, member). slack_us: how long after its end a fault may still cause a declaration.
+    deaths: (at_us, observer, member), at_us by the clock of the history (us since boot). slack_us: how long
+    after its end a fault may still cause a declaration.
     """
     fault_times: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for row in history.rows_of("fault"):
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -202,7 +202,11 @@
         )
 
     async def _wait_for_agreement(self, timeout_s: float) -> bool:
-        """Waits until all couriers report all members alive and the same entries. False on timeout."""
+        """Waits until every courier sees all members alive, the same entries and no change in progress.
+
+        Each must have started. The change is one of the policy; with a policy each must also be allowed to
+        act. False on timeout.
+        """
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             views = await asyncio.gather(*(courier.request("GET", "/fleet") for courier in self.couriers))
@@ -261,7 +265,7 @@
             task.add_done_callback(self.pending_changes.discard)
 
     async def _submit_register_request(self, courier: Courier) -> None:
-        """Writes an entry into the register, or reads it, and records the reported outcome."""
+        """Writes the entry "x" into the register, or reads the register, and records the reported outcome."""
         self.text_count += 1
         # 7 of 10 requests write a text of their own; the others, with an empty text, are reads.
         text = str(self.text_count) if self.rng.random() < 0.7 else ""
