--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -63,8 +63,8 @@
     raise typer.Exit(int(bool(failed_count)))
 
 
-def _change_register(address: str, path: str, wait: float, as_json: bool) -> None:
-    """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
+def _print_register_outcome(address: str, path: str, wait: float, as_json: bool) -> dict[str, Any]:
+    """Posts a request to the register, waits up to `wait` seconds for its outcome, prints and returns it."""
     outcome = _request(address, "POST", path)
     deadline = time.monotonic() + wait
     while outcome["state"] == "under way" and time.monotonic() < deadline:
@@ -73,6 +73,12 @@
             address, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
         )
     print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    return outcome
+
+
+def _change_register(address: str, path: str, wait: float, as_json: bool) -> None:
+    """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
+    outcome = _print_register_outcome(address, path, wait, as_json)
     # left: the register was left as it was, so the change was not made.
     raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(outcome["state"], 3))
 
@@ -95,14 +101,7 @@
 @fleet.command("read", epilog="Example: hopmill fleet read 127.0.0.1:8600 --json")
 def read(door: OperatorAddress, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
     """Read the register from a majority of the voters."""
-    outcome = _request(door, "POST", "/fleet/read")
-    deadline = time.monotonic() + wait
-    while outcome["state"] == "under way" and time.monotonic() < deadline:
-        time.sleep(POLL_INTERVAL_S)
-        outcome = _request(
-            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
-        )
-    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    outcome = _print_register_outcome(door, "/fleet/read", wait, as_json)
     # A read changes nothing: it has succeeded if the register was left as it was.
     raise typer.Exit(0 if outcome["state"] == "left" else 3)
 
