--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -166,12 +166,12 @@
     from hopmill.explorer.policy_mutants import PLANTED as POLICY_PLANTED
     from hopmill.explorer.search import search, search_policy
 
-    planted = list(POLICY_PLANTED if policy else PLANTED)
+    planted_faults = list(POLICY_PLANTED if policy else PLANTED)
     if mutants:
-        print("\n".join(planted))
+        print("\n".join(planted_faults))
         return
-    if mutant and mutant not in planted:
-        raise error_exit(f"no such planted fault: {mutant}; there are {', '.join(planted)}")
+    if mutant and mutant not in planted_faults:
+        raise error_exit(f"no such planted fault: {mutant}; there are {', '.join(planted_faults)}")
     result = (
         search_policy(schedules, seed, members, cores, mutant)
         if policy
