--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.encoded_documents: dict[int, bytes] = {}
         self.operations: dict[str, Operation] = {}
-        self.fencing_token, self.owner = 0, ""
+        self.last_fencing_token, self.last_owner = 0, ""
 
     def on_outcome(self, operation: Operation, outcome: Outcome, now: int) -> None:
         """Check the outcome of a change.
@@ -67,10 +67,10 @@
                     f"proposal {operation.proposal_id} got version {document.version}, "
                     f"after an earlier one had got version {other.seen_version}"
                 )
-            must_be_recent = (
+            must_be_listed = (
                 other.made_version and 0 <= document.version - other.made_version < doc.MAX_RECENT_PROPOSALS
             )
-            if must_be_recent and other.proposal_id not in document.recent_proposals:
+            if must_be_listed and other.proposal_id not in document.recent_proposals:
                 raise InvariantViolationError(
                     f"proposal {other.proposal_id} was applied, "
                     f"but version {document.version} does not list it"
@@ -80,9 +80,13 @@
 
     def on_act(self, owner: str, fencing_token: int) -> None:
         """Check an act under a lease: no later token, and no other owner of this token, has acted before."""
-        if fencing_token < self.fencing_token or fencing_token == self.fencing_token and owner != self.owner:
+        if (
+            fencing_token < self.last_fencing_token
+            or fencing_token == self.last_fencing_token
+            and owner != self.last_owner
+        ):
             raise InvariantViolationError(
                 f"{owner} acted under fencing token {fencing_token} "
-                f"after {self.owner} had acted under {self.fencing_token}"
+                f"after {self.last_owner} had acted under {self.last_fencing_token}"
             )
-        self.fencing_token, self.owner = fencing_token, owner
+        self.last_fencing_token, self.last_owner = fencing_token, owner
--- a/hopmill/explorer/known.py
+++ b/hopmill/explorer/known.py
@@ -8,10 +8,17 @@
 
 from collections.abc import Callable
 
-from hopmill.explorer.world import DRIFT, LEASE_NAME, LEASE_US, Member, InvariantViolationError, Simulation
+from hopmill.explorer.world import (
+    MAX_CLOCK_DRIFT,
+    LEASE_NAME,
+    LEASE_US,
+    Member,
+    InvariantViolationError,
+    Simulation,
+)
 from hopmill.fleet import document as doc
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.register import Register, replace_voter, say
+from hopmill.fleet.register import Register, replace_voter, set_entry
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Accept, ChosenDocument, Prepare, Promise
 
@@ -123,8 +130,8 @@
 def drifting_clocks(simulation: Simulation) -> None:
     """The holder's clock is slow and its successor's fast, both within the drift."""
     holder, successor, others = _elect_holder(simulation)
-    set_clock_rate(simulation, holder, 1 - 0.49 * DRIFT)
-    set_clock_rate(simulation, successor, 1 + 0.49 * DRIFT)
+    set_clock_rate(simulation, holder, 1 - 0.49 * MAX_CLOCK_DRIFT)
+    set_clock_rate(simulation, successor, 1 + 0.49 * MAX_CLOCK_DRIFT)
     simulation.now += LEASE_US // 2
     simulation.run_undisturbed()  # the holder renews its lease
     _announce(simulation, holder.register.document, others)
@@ -140,13 +147,13 @@
     """A voter promises, loses its folder and is readmitted; then a proposer uses the promise."""
     voter, proposer = simulation.members["m0"], simulation.members["m3"]
     proposer.register.proposer.round = HIGH_ROUND  # as if many of its ballots had been rejected
-    simulation.propose(proposer, say("x", "old"))
+    simulation.propose(proposer, set_entry("x", "old"))
     deliver_only(simulation, (Prepare, Promise), lambda sender, receiver: {sender, receiver} == {"m0", "m3"})
     simulation.in_flight.clear()
     voter.pending_writes.clear()
     simulation.restart(voter, Memory(), False)
     run_only(simulation, ["m0", "m1", "m2"], 6, 350_000)
-    simulation.propose(simulation.members["m1"], say("x", "new"))
+    simulation.propose(simulation.members["m1"], set_entry("x", "new"))
     run_only(simulation, ["m0", "m1"])
     simulation.in_flight.clear()
     run_only(simulation, ["m2", "m3"], 4, 250_000)
@@ -156,7 +163,7 @@
 def lost_vote(simulation: Simulation) -> None:
     """A voter is counted as having accepted, and crashes before the vote is on disk."""
     simulation.run_undisturbed()
-    simulation.propose(simulation.members["m0"], say("x", "1"))
+    simulation.propose(simulation.members["m0"], set_entry("x", "1"))
     deliver_only(simulation, (Prepare, Promise))
     simulation.stalled_disk = "m1"
     deliver_only(simulation, (object,), lambda sender, receiver: "m2" not in (sender, receiver))
@@ -166,7 +173,7 @@
     simulation.in_flight.clear()
     simulation.restart_from_disk(simulation.members["m1"])
     run_only(simulation, ["m1", "m2"], 4, 350_000)
-    simulation.propose(simulation.members["m2"], say("x", "2"))
+    simulation.propose(simulation.members["m2"], set_entry("x", "2"))
     run_only(simulation, ["m1", "m2"], 4, 350_000)
 
 
@@ -176,7 +183,7 @@
     simulation.propose(simulation.members["m1"], replace_voter("m0", "m2"))
     deliver_only(simulation, (Prepare, Promise))
     run_only(simulation, ["m1", "m2"])
-    simulation.propose(simulation.members["m3"], say("x", "1"))
+    simulation.propose(simulation.members["m3"], set_entry("x", "1"))
     run_only(simulation, ["m0", "m3"], 4, 350_000)
 
 
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from hopmill.explorer.checker import Checker, InvariantViolationError
-from hopmill.explorer.world import DRIFT, LEASE_US, FailingSchedule, Member, Simulation
+from hopmill.explorer.world import MAX_CLOCK_DRIFT, LEASE_US, FailingSchedule, Member, Simulation
 from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Memory
@@ -124,7 +124,7 @@
             register,
             random.Random(self.rng.random()),
             LEASE_US,
-            DRIFT,
+            MAX_CLOCK_DRIFT,
             self.continues_alone,
             self.configured_ids,
             lambda: others,
@@ -335,7 +335,7 @@
     return ""
 
 
-def schedule(seed: int) -> list[int]:
+def random_choices(seed: int) -> list[int]:
     """The random choices of this seed."""
     rng = random.Random(seed * 2654435761 + 7)
     return [rng.randrange(10**7) for _ in range(STEPS_PER_SCHEDULE)]
@@ -346,7 +346,7 @@
 ) -> tuple[int, list[FailingSchedule]]:
     """Run random schedules. Returns how many were run, and the first that violates a promise, if any."""
     for count, seed in enumerate(range(first_seed, first_seed + schedules), 1):
-        choices = schedule(seed)
+        choices = random_choices(seed)
         if violation := run(choices, members, seed, policy_member_type):
             return count, [FailingSchedule(seed, violation, choices)]
     return schedules, []
--- a/hopmill/explorer/policy_known.py
+++ b/hopmill/explorer/policy_known.py
@@ -8,7 +8,7 @@
 
 from hopmill.explorer.known import HIGH_ROUND, act_all, run_only, deliver_only, set_clock_rate
 from hopmill.explorer.policy import PolicySimulation
-from hopmill.explorer.world import DRIFT, LEASE_US, InvariantViolationError
+from hopmill.explorer.world import MAX_CLOCK_DRIFT, LEASE_US, InvariantViolationError
 from hopmill.fleet import document as doc
 from hopmill.fleet.govern import PolicyMember
 from hopmill.fleet.policy import close, reopen
@@ -106,7 +106,11 @@
 
 def drifting_clocks(simulation: PolicySimulation) -> None:
     """The clock of a lease holder is slow and those of the grantors fast, all within the drift."""
-    for name, rate in (("m0", 1 + 0.49 * DRIFT), ("m1", 1 + 0.49 * DRIFT), ("m2", 1 - 0.49 * DRIFT)):
+    for name, rate in (
+        ("m0", 1 + 0.49 * MAX_CLOCK_DRIFT),
+        ("m1", 1 + 0.49 * MAX_CLOCK_DRIFT),
+        ("m2", 1 - 0.49 * MAX_CLOCK_DRIFT),
+    ):
         set_clock_rate(simulation, simulation.members[name], rate)
     _run_all(simulation)
     simulation.now += 2 * LEASE_US  # no voter waits for unknown grants any more
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -18,12 +18,12 @@
 from hopmill.explorer.checker import Checker, InvariantViolationError, Operation
 from hopmill.fleet.actions import Persist, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.register import Register, finish_voter_change, replace_voter, say
+from hopmill.fleet.register import Register, finish_voter_change, replace_voter, set_entry
 from hopmill.fleet.voter import Memory
 from hopmill.fleet.wire import Body
 
 STEPS_PER_SCHEDULE = 80  # choices in a random schedule
-LEASE_US, DRIFT = 100_000, 0.1  # drift: by which the rates of two clocks may differ
+LEASE_US, MAX_CLOCK_DRIFT = 100_000, 0.1  # drift: by which the rates of two clocks may differ
 LEASE_NAME = "duty"
 MAX_IN_FLIGHT = 60  # messages; beyond that the oldest are lost
 UNDISTURBED_DELIVERIES = (3, 6, 9, 14, 60)  # to end within a round of messages or after it
@@ -70,7 +70,9 @@
         self.is_link_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.stalled_disk = ""  # the member whose disk does not complete writes
         for name in member_ids:
-            rate = 1 + DRIFT * self.rng.choice((-0.49, 0.0, 0.49))  # two clocks differ by less than the drift
+            rate = 1 + MAX_CLOCK_DRIFT * self.rng.choice(
+                (-0.49, 0.0, 0.49)
+            )  # two clocks differ by less than the drift
             member = Member(name, rate, self.rng.randrange(10**9), None)  # type: ignore[arg-type]
             member.register = self.create_register(member, Memory(), False)
             self.members[name] = member
@@ -85,9 +87,11 @@
                     self.now += 350_000
         # Each simulation makes some kinds of events frequent and leaves others out: schedules that mix all
         # kinds seldom find a fault.
-        self.kinds = self.event_kinds()
+        self.weighted_events = self.event_kinds()
         self.cumulative_weights = list(
-            itertools.accumulate(weight * self.rng.choice((0, 1, 1, 1, 4)) for _, weight in self.kinds)
+            itertools.accumulate(
+                weight * self.rng.choice((0, 1, 1, 1, 4)) for _, weight in self.weighted_events
+            )
         )
 
     def exchange_versions(self) -> None:
@@ -111,7 +115,7 @@
             random.Random(self.rng.random()),
         )
         if self.has_leases:
-            register.hold_lease(LEASE_NAME, LEASE_US, DRIFT)
+            register.hold_lease(LEASE_NAME, LEASE_US, MAX_CLOCK_DRIFT)
         return register
 
     def _bootstrap(self) -> None:
@@ -137,7 +141,7 @@
         )
         rest = choice // 1000
         member = self.members[self.member_ids[rest % len(self.member_ids)]]
-        self.kinds[kind][0](member, rest // len(self.member_ids))
+        self.weighted_events[kind][0](member, rest // len(self.member_ids))
         for member in self.members.values():
             self.act(member)
 
@@ -256,7 +260,7 @@
     def propose_entry(self, member: Member, argument: int) -> None:
         """Propose to store a text in the register."""
         self.proposal_count += 1
-        self.propose(member, say("x", str(self.proposal_count)))
+        self.propose(member, set_entry("x", str(self.proposal_count)))
 
     def _replace_voter(self, member: Member, argument: int) -> None:
         voters = member.register.document.voters
@@ -403,7 +407,7 @@
     return ""
 
 
-def schedule(seed: int, steps: int = STEPS_PER_SCHEDULE) -> list[int]:
+def random_choices(seed: int, steps: int = STEPS_PER_SCHEDULE) -> list[int]:
     """The random choices of this seed."""
     rng = random.Random(seed * 2654435761 + 1)
     return [rng.randrange(10**7) for _ in range(steps)]
@@ -433,7 +437,7 @@
     found, count = [], 0
     for seed in range(first_seed, first_seed + schedules):
         count += 1
-        choices = schedule(seed, steps)
+        choices = random_choices(seed, steps)
         if violation := run(choices, members, seed, register_type):
             found.append(FailingSchedule(seed, violation, choices))
             if stop_at_first:
--- a/hopmill/fleet/register.py
+++ b/hopmill/fleet/register.py
@@ -196,7 +196,7 @@
 # Changes of the document
 
 
-def say(
+def set_entry(
     name: str, text: str, if_version: int | None = None
 ) -> Callable[[str, RegisterDocument], RegisterDocument | None]:
     """Set an entry that operators store in the document; an empty text removes it.
--- a/hopmill/lab/calls.py
+++ b/hopmill/lab/calls.py
@@ -32,7 +32,7 @@
     attempt_started_us: int = -1  # the running attempt; -1 after one that certainly did not execute
     earlier_attempt_us: int = -1  # the first attempt that may have executed; -1: none
     executions: int = 0
-    taken_on_us: int = 0
+    accepted_us: int = 0
     outcome: str = ""  # delivered, deferred or undeliverable; empty while open
 
     @property
@@ -132,7 +132,7 @@
             return
         result = outgoing.endpoint.connect()
         if result in (partners.OK, partners.FULL):
-            outgoing.connection = Connection(outgoing.endpoint, over_limit=result == partners.FULL)
+            outgoing.connection = Connection(outgoing.endpoint, over_connection_limit=result == partners.FULL)
             self.clock.after(delay_us + self.simulation.handshake_us, self._connected, outgoing)
         elif result == partners.CONNECT_FAILED:
             self.clock.after(delay_us, self._answer_arrived, outgoing, partners.CONNECT_FAILED, 0, ())
@@ -200,7 +200,9 @@
         outgoing.endpoint_call = partners.Call(
             self.number, tuple(message.number for message, _ in outgoing.items), work_us, answer, executed
         )
-        outgoing.endpoint_call.over_limit = outgoing.connection is not None and outgoing.connection.over_limit
+        outgoing.endpoint_call.over_connection_limit = (
+            outgoing.connection is not None and outgoing.connection.over_connection_limit
+        )
         self.clock.after(
             self.simulation.network_delay_us(self.courier, outgoing.endpoint),
             self._arrive,
@@ -245,7 +247,7 @@
         if (
             outcome in (partners.RESET, partners.CONNECT_FAILED)
             or outgoing.connection
-            and outgoing.connection.over_limit
+            and outgoing.connection.over_connection_limit
         ):
             connection, outgoing.connection = outgoing.connection, None
             self.connections.close(connection)
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -192,7 +192,7 @@
                 reply("gone", 0)
                 continue
             self.journal[message.number] = message
-            message.taken_on_us = now
+            message.accepted_us = now
             self.simulation.change_held(1)
             self.rules.record(now, self.number, message.number, message.destination, "accepted")
             self.clock.at(message.valid_until_us + END_GRACE_US, self._check_ended, message)
@@ -281,7 +281,7 @@
         message.outcome = outcome
         self.journal.pop(message.number, None)
         self.simulation.change_held(-1)
-        self.simulation.total_stay_us += self.clock.now - message.taken_on_us
+        self.simulation.total_stay_us += self.clock.now - message.accepted_us
         self.rules.record(self.clock.now, self.number, message.number, message.destination, outcome)
 
     # Calls
--- a/hopmill/lab/links.py
+++ b/hopmill/lab/links.py
@@ -19,7 +19,7 @@
     endpoint: Endpoint
     idle_since_us: int = 0
     is_open: bool = True
-    over_limit: bool = False  # the endpoint refuses one call on it and closes it
+    over_connection_limit: bool = False  # the endpoint refuses one call on it and closes it
 
 
 class IdleConnections:
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -27,7 +27,7 @@
     on_answer: Callable[[str, int, tuple[float, ...]], None]  # outcome, retry-after in us, report
     on_executed: Callable[[], None]  # the messages were executed
     is_abandoned: bool = False  # the courier no longer waits; work that has begun continues
-    over_limit: bool = False  # its connection exceeds the endpoint's maximum
+    over_connection_limit: bool = False  # its connection exceeds the endpoint's maximum
 
 
 @dataclass
@@ -36,7 +36,7 @@
 
     kind: Kind
     per_s: float  # calls per second; 0: no limit
-    remaining_share: float = 1.0  # of per_s, while the limit is lowered
+    limit_factor: float = 1.0  # of per_s, while the limit is lowered
     calls_in_window: float = 0.0
     window_index: int = -1
     tokens: float = 0.0
@@ -48,11 +48,11 @@
     @property
     def current_per_s(self) -> float:
         """Calls per second that the limit allows now."""
-        return self.per_s * self.remaining_share
+        return self.per_s * self.limit_factor
 
     @property
     def _max_tokens(self) -> float:
-        return max(1.0, self.per_s * self.remaining_share * self.kind.span_ms / 1e3)
+        return max(1.0, self.per_s * self.limit_factor * self.kind.span_ms / 1e3)
 
     def _refresh(self, now: int) -> None:
         if self.kind.limit == "window":
@@ -79,7 +79,7 @@
         self.tokens = max(-self._max_tokens, self.tokens)
         return 0 if has_room else max(1, int((1 - self.tokens) / self.current_per_s * 1e6))
 
-    def share_left(self, now: int) -> float:
+    def unused_share(self, now: int) -> float:
         """The share of the allowance that is unused now."""
         self._refresh(now)
         if self.kind.limit == "window":
@@ -141,12 +141,12 @@
         self.outage, self.severity, self.outage_ends_us = kind, severity, ends_us
         self.affected_couriers.clear()
         if kind == "limit":
-            self.limit.remaining_share, self.outage = severity, ""
+            self.limit.limit_factor, self.outage = severity, ""
 
     def end_outage(self, now: int, kind: str) -> None:
         """Ends an outage of that kind. After a full outage the target starts with a part of its capacity."""
         if kind == "limit":
-            self.limit.remaining_share = 1.0
+            self.limit.limit_factor = 1.0
             return
         returns_cold = kind in ("down", "silent", "hung", "shut") or kind == "errors" and self.severity >= 0.5
         self.outage = ""
@@ -154,7 +154,7 @@
             self.cold_since_us, self.recent_load = now, 0.0
             self.recent_calls.clear()
 
-    def collapses_under(self, now: int, call: Call) -> bool:
+    def record_call_in_recovery(self, now: int, call: Call) -> bool:
         """Counts a call that arrives during recovery; True if it exhausts the budget of the window."""
         if self.cold_since_us < 0 or self.has_collapsed:
             return False
@@ -238,14 +238,14 @@
             return
         if outage == "down":
             call.on_answer(RESET, 0, ())
-        elif outage == "hung" or target.collapses_under(now, call):
+        elif outage == "hung" or target.record_call_in_recovery(now, call):
             return
         elif outage == "shut":
             announced_us = target.outage_ends_us - now if self.rng.uniform() < target.kind.tells_wait else 0
             self._refuse(call, announced_us, "shut")
         elif outage == "errors" and self.rng.uniform() < target.severity:
             self._answer_later(QUICK_ANSWER_US, call, ERROR)
-        elif call.over_limit:
+        elif call.over_connection_limit:
             self._refuse(call, 0, "table full")
         elif (retry_after_us := target.limit.admit(now)) > 0:
             self._refuse(call, retry_after_us if self.rng.uniform() < target.kind.tells_wait else 0, "limit")
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -71,7 +71,7 @@
 
     def _build_partners(self) -> None:
         scenario = self.scenario
-        rng, slowness_rng = stream(self.seed, "partners"), stream(self.seed, "slow")
+        rng, slowdown_rng = stream(self.seed, "partners"), stream(self.seed, "slow")
         endpoints_per_partner = sum(k.endpoints * k.share for k in scenario.kinds) / sum(
             k.share for k in scenario.kinds
         )
@@ -86,7 +86,7 @@
             kind = scenario.kinds[kind_indexes[index]]
             endpoint_count = max(1, int(kind.endpoints + rng.random()))
             partner = partners.Partner(index + 1, int(kind_indexes[index]), float(shares[index]))
-            slowness = float(lognormal(slowness_rng, 1.0, kind.slow_cv))
+            slowdown = float(lognormal(slowdown_rng, 1.0, kind.slow_cv))
             messages_per_s = scenario.load.rate_per_s * kind.full_load * partner.share
             calls_per_s = max(kind.least_per_s, kind.headroom * messages_per_s * kind.calls_per_message)
             route_count = endpoint_count if kind.routes_apart else 1
@@ -99,7 +99,7 @@
                         kind,
                         limit,
                         capacity_per_s,
-                        slowness,
+                        slowdown,
                         scenario.fall_multiple,
                         int(scenario.fall_ms * 1e3),
                     )
@@ -107,7 +107,7 @@
             for position in range(endpoint_count):
                 endpoint_number += 1
                 target = partner.targets[position % route_count]
-                mean_work_s = mean_work_ms * slowness / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
+                mean_work_s = mean_work_ms * slowdown / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
                 zone = int(rng.integers(scenario.net.zones))
                 self._add_endpoint(endpoint_number, partner, target, endpoint_count, zone, mean_work_s)
             self.partners.append(partner)
@@ -156,7 +156,7 @@
         """Refreshes the load report that a target's answers carry, with the scenario's delay and noise."""
         reports, now = self.scenario.reports, self.clock.now
         noise = 1 + reports.noise * (2 * rng.uniform() - 1) * 1.7
-        report = (min(1.0, target.limit.share_left(now) * noise), target.limit.current_per_s)
+        report = (min(1.0, target.limit.unused_share(now) * noise), target.limit.current_per_s)
         self.clock.after(int(reports.delay_ms * 1e3), setattr, target, "report", report)
         self.clock.after(max(1000, int(reports.period_ms * 1e3)), self._refresh_report, target, rng)
 
@@ -197,7 +197,7 @@
             "keyed": interface.Effect.KEYED,
             "unsafe": interface.Effect.UNSAFE,
         }
-        max_wait_us = int(scenario.clients.longest_wait_ms * 1e3)
+        max_retry_after_us = int(scenario.clients.longest_wait_ms * 1e3)
         fees = (
             tuple(scenario.net.fee * z / max(1, scenario.net.zones - 1) for z in range(scenario.net.zones))
             if scenario.net.fee
@@ -231,7 +231,7 @@
             second_copies=False,
             may_cancel=True,
             tick_us=int(scenario.fleet.tick_ms * 1e3),
-            max_retry_after_us=max_wait_us,
+            max_retry_after_us=max_retry_after_us,
             connection_idle_us=int(scenario.fleet.idle_ms * 1e3),
             connect_timeout_us=int(scenario.fleet.connect_ms * 1e3),
             drain_grace_us=int(scenario.drain_grace_ms * 1e3),
--- a/hopmill/net/staff_fleet.py
+++ b/hopmill/net/staff_fleet.py
@@ -52,11 +52,11 @@
         """Stores a short text in the register; an empty text removes it."""
         if self.member_transport() is None:
             return 404, {"error": "no fleet is configured"}
-        from hopmill.fleet.register import say
+        from hopmill.fleet.register import set_entry
 
         if len(name) + len(text) > MAX_TEXT:
             return 400, {"error": f"a word and its text are at most {MAX_TEXT} characters"}
-        return self._begin(say(name, text))
+        return self._begin(set_entry(name, text))
 
     def remove_entry(self, name: str) -> Answer:
         """Removes a text from the register."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -202,7 +202,7 @@
     connects = [target_endpoint.connect() for _ in range(3)]
     for result in connects:
         call = partners.Call(0, (0,), (1000.0,), lambda *answer: outcomes.append(answer[0]), lambda: None)
-        call.over_limit = result == partners.FULL
+        call.over_connection_limit = result == partners.FULL
         target_endpoint.receive(call)
     clock.run(10**6)
     assert connects == [partners.OK, partners.OK, partners.FULL] and sorted(outcomes) == ["full", "ok", "ok"]
@@ -302,13 +302,13 @@
         target.affected_couriers.add(1)
         target.end_outage(clock.now, "down")
     call = partners.Call(1, (0,), (100.0,), lambda *answer: None, lambda: None)
-    collapses = [overloaded.target.collapses_under(clock.now + n, call) for n in range(30)]
+    collapses = [overloaded.target.record_call_in_recovery(clock.now + n, call) for n in range(30)]
     assert (
         collapses.index(True) >= 4
         and overloaded.target.has_collapsed
         and overloaded.target.informed_share == 1.0
     )
-    assert not other.target.has_collapsed and not other.target.collapses_under(10, call)
+    assert not other.target.has_collapsed and not other.target.record_call_in_recovery(10, call)
 
 
 def test_a_courier_killed_in_the_tick_in_which_a_call_ends_sends_no_unsafe_one_again(monkeypatch):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -17,7 +17,7 @@
 from hopmill.explorer.mutants import PLANTED, planted
 from hopmill.fleet.node import Node, Stored, Write
 from hopmill.fleet.proposer import Outcome
-from hopmill.fleet.register import replace_voter, say
+from hopmill.fleet.register import replace_voter, set_entry
 from hopmill.fleet.settings import Members, Other, problems, warnings
 from hopmill.fleet.swim import ALIVE, DEAD, LEFT, MAX_RELAYS
 from hopmill.fleet.voter import MAX_OTHER_GENERATIONS
@@ -341,7 +341,7 @@
     fleet.run(3_000_000)
     for turn in range(20):
         for n in range(5):
-            propose(fleet, rows, n, say(f"w{n}", str(turn)))
+            propose(fleet, rows, n, set_entry(f"w{n}", str(turn)))
     fleet.run(30_000_000)
     assert [r.state for r in rows] == ["done"] * 100 and sorted(r.made_version for r in rows) == list(
         range(1, 101)
@@ -352,7 +352,7 @@
 def test_all_are_killed_and_start_in_any_order(folders):
     fleet, rows = Fleet(Plan(3, 0.0, 5)), []
     fleet.run(2_000_000)
-    propose(fleet, rows, 0, say("w", "kept"))
+    propose(fleet, rows, 0, set_entry("w", "kept"))
     fleet.run(3_000_000)
     for n in range(3):
         fleet.kill(n)
@@ -375,11 +375,11 @@
     groups = [0, 1, 2, 0, 1, 2, 0, 1, 2]  # of the five voters, two, two and one are in a group
     fleet.is_reachable = lambda a, b: groups[a] == groups[b]
     for n in range(9):
-        propose(fleet, rows, n, say("w", str(n)))
+        propose(fleet, rows, n, set_entry("w", str(n)))
     fleet.run(16_000_000)
     assert len(rows) == 9 and {r.state for r in rows} <= {"refused", "unknown"}
     fleet.is_reachable = lambda a, b: True
-    propose(fleet, rows, 4, say("w", "healed"))
+    propose(fleet, rows, 4, set_entry("w", "healed"))
     fleet.run(24_000_000)
     assert rows[-1].state == "done" and {n.register.document.version for n in fleet.nodes} == {
         rows[-1].document.version
@@ -393,7 +393,7 @@
     propose(fleet, rows, 0, replace_voter("c1", "c9"))
     fleet.run(13_000_000)
     assert [(r.state, r.why) for r in rows] == [("refused", "no vote from c9")]
-    propose(fleet, rows, 0, say("x", "on it goes"))
+    propose(fleet, rows, 0, set_entry("x", "on it goes"))
     fleet.run(14_000_000)
     assert rows[-1].state == "done" and fleet.nodes[0].register.document.previous_voters == ()
 
@@ -404,13 +404,13 @@
     assert [n.register.voter.is_voting for n in fleet.nodes] == [True, True, True, False]
     fleet.kill(1)
     propose(fleet, rows, 0, replace_voter("c1", "c3"))
-    propose(fleet, rows, 0, say("w", "meanwhile"))
+    propose(fleet, rows, 0, set_entry("w", "meanwhile"))
     fleet.run(8_000_000)
     document = fleet.nodes[0].register.document
     assert [r.state for r in rows] == ["done", "done"] and document.previous_voters == ()
     assert set(document.voters) == {"c0", "c2", "c3"} and fleet.nodes[3].register.voter.is_voting
     fleet.kill(2)  # the two others are a majority
-    propose(fleet, rows, 0, say("w", "after"))
+    propose(fleet, rows, 0, set_entry("w", "after"))
     fleet.run(12_000_000)
     assert rows[-1].state == "done"
 
@@ -419,7 +419,7 @@
     node = started(voters=("a",))
     node.tick(0)
     rows = []
-    node.propose(say("w", "x"), 0, rows.append)
+    node.propose(set_entry("w", "x"), 0, rows.append)
     for at in range(0, 3_000_000, 50_000):
         node.tick(at)
         for action in node.take(at):
@@ -497,8 +497,8 @@
 @pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
 def test_each_planted_fault_is_found(name, at):
     count, seed = at
-    assert explore.run(explore.schedule(seed), count, seed, planted(name))
-    assert not explore.run(explore.schedule(seed), count, seed)
+    assert explore.run(explore.random_choices(seed), count, seed, planted(name))
+    assert not explore.run(explore.random_choices(seed), count, seed)
 
 
 def test_a_found_schedule_is_shrunk_and_still_fails():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -84,8 +84,8 @@
 @pytest.mark.parametrize(("name", "at"), FAILING_SEEDS.items())
 def test_each_planted_fault_is_found(name, at):
     count, seed = at
-    assert explore.run(explore.schedule(seed), count, seed, planted(name))
-    assert not explore.run(explore.schedule(seed), count, seed)
+    assert explore.run(explore.random_choices(seed), count, seed, planted(name))
+    assert not explore.run(explore.random_choices(seed), count, seed)
 
 
 # By number of members: seeds around one at which a fault was found once. They are fixed, so that the test is
@@ -98,7 +98,7 @@
 def test_no_member_becomes_a_voter_that_could_not_be_readmitted(monkeypatch):
     monkeypatch.setattr(Proposer, "can_switch_voters", lambda self, after, at: True)
     assert "a change has not ended or a member has no lease" in explore.run(
-        explore.schedule(134_568), 4, 134_568
+        explore.random_choices(134_568), 4, 134_568
     )
 
 
