--- a/hopmill/explorer/checker.py
+++ b/hopmill/explorer/checker.py
@@ -1,6 +1,7 @@
-"""Checks the promises of the register and its leases, by the order of one clock.
+"""Checks the guarantees of the register and its leases, in the order of simulated time.
 
-It does not depend on how they work: it judges the outcomes that proposers got, and the acts under leases.
+It does not depend on how they work: it judges the outcomes that proposers got, and the acts under leases. An
+act is any use of a lease with a fencing token.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class InvariantViolationError(Exception):
-    """A promise was broken; the text says which."""
+    """A guarantee was broken; the text says which."""
 
 
 @dataclass
@@ -21,15 +22,15 @@
 
     proposal_id: str
     began_at: int
-    ended_at: int = -1  # -1: it has not ended
-    seen_version: int = -1  # of the document in its outcome; -1: it has not ended
+    ended_at: int = -1  # -1: no outcome that reports a document
+    seen_version: int = -1  # of the document in its outcome; -1: no outcome that reports a document
     made_version: int = 0  # the version that it made; 0: none
 
 
 class Checker:
     """Checks that the register is linearizable and that fencing tokens of acts never go back.
 
-    The methods raise InvariantViolationError, and have to be called in the order of one clock.
+    The methods raise InvariantViolationError, and have to be called in the order of simulated time.
     """
 
     def __init__(self) -> None:
@@ -40,9 +41,12 @@
     def on_outcome(self, operation: Operation, outcome: Outcome, now: int) -> None:
         """Check the outcome of a change.
 
-        Each version is one document. A change is applied once. Whoever proposes after an outcome sees that
-        outcome's version or a later one, and a change that was made stays.
+        - Each version has one document.
+        - A change is applied exactly once.
+        - An operation that begins after an outcome sees that outcome's version or a later one.
+        - A change that was applied stays applied.
         """
+        # "left": the document already was as wanted, or was only read. The other states report no document.
         if outcome.state not in ("done", "left") or outcome.document is None:
             return
         document = outcome.document
@@ -52,6 +56,8 @@
                 f"version {document.version} was chosen with two different documents"
             )
         operation.ended_at, operation.seen_version = now, document.version
+        # A proposer whose answer was lost proposes again, which must not apply the change a second time. If
+        # the list lacks it, a change was reported as done that the document does not contain.
         if outcome.state == "done" and document.recent_proposals.count(operation.proposal_id) != 1:
             raise InvariantViolationError(
                 f"proposal {operation.proposal_id} was applied "
@@ -67,6 +73,7 @@
                     f"proposal {operation.proposal_id} got version {document.version}, "
                     f"after an earlier one had got version {other.seen_version}"
                 )
+            # A document lists the last changes only.
             must_be_listed = (
                 other.made_version and 0 <= document.version - other.made_version < doc.MAX_RECENT_PROPOSALS
             )
--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -1,7 +1,7 @@
 """The simulation with a policy: couriers act under leases on its versions while changes are made.
 
-It is judged, by one clock, who acted when under which version and text, and how each change is said to have
-ended.
+The checker judges, in the order of simulated time, who acted under which version and text, and which outcome
+is reported for each change.
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 from hopmill.fleet.wire import Body
 
 STEPS_PER_SCHEDULE = 110  # choices in a random schedule
-REFUSED_PREFIX = b"not here"  # such a text is refused by the members that it names
+# A text "not here MEMBER CHANGE" is refused by the member that it names; all other texts are accepted.
+REFUSED_PREFIX = b"not here"
 # Without faults, each change has to end and each member has to get a lease within this time.
 SETTLE_TIMEOUT_US, ROUND_US = 30_000_000, 15_000
 
 
 class PolicyChecker(Checker):
-    """Checks the promises of policy changes on top of those of the register."""
+    """Checks the guarantees of policy changes on top of those of the register."""
 
     def __init__(self) -> None:
         super().__init__()
         self.canary_groups: dict[int, set[str]] = {}  # by staged version
-        self.highest_canary_version = 0  # that a member of its canary group has acted under
+        self.highest_canary_version = 0  # highest staged version under which a canary member acted
         self.highest_version, self.texts_by_version, self.versions_by_change = (
             0,
             dict[int, bytes](),
@@ -47,10 +48,11 @@
             )
 
     def on_act_under(self, member: str, version: int, text: bytes) -> None:
-        """Check that no act is under a version before the highest one that binds the member.
+        """Check that no act is under a version before the lowest one that the member may still use.
 
-        A staged version binds its canary group once one of the group has acted under it, and the others
-        only once one of them has.
+        Once a member of its canary group has acted under a staged version, all members of the group have to
+        act under that version or a later one. Members outside the group need not apply it until one of them
+        has.
         """
         min_version = max(
             self.highest_version,
@@ -60,7 +62,8 @@
         )
         if version < min_version:
             raise InvariantViolationError(
-                f"{member} acted under version {version}, although version {min_version} binds it"
+                f"{member} acted under version {version}, "
+                f"although it must not act under a version before {min_version}"
             )
         if member in self.canary_groups.get(version, ()) and version > self.highest_version:
             self.highest_canary_version = max(self.highest_canary_version, version)
@@ -70,7 +73,10 @@
             raise InvariantViolationError(f"version {version} has two different texts")
 
     def on_change_ended(self, change: str, version: int) -> None:
-        """Check that a change has one outcome only. version: that it put in force, 0 for none."""
+        """Check that a change has one outcome only.
+
+        version: the policy version that the change produced, 0 if none.
+        """
         if self.versions_by_change.setdefault(change, version) != version:
             raise InvariantViolationError(
                 f"change {change} ended twice: with version {self.versions_by_change[change]} and {version}"
@@ -105,9 +111,12 @@
     def __init__(
         self, members: int, seed: int, policy_member_type: type[PolicyMember] = PolicyMember
     ) -> None:
+        # Whether couriers go on under the last version while they cannot reach the voters, instead of
+        # holding.
         self.policy_member_type, self.continues_alone = policy_member_type, seed % 4 == 3
         self.stored_texts: dict[str, dict[bytes, bytes]] = {}  # by member and digest: on its disk
         self.configured_ids = [f"m{n}" for n in range(members)]
+        # The base class starts the fleet before the checker and the policy exist.
         self.is_bootstrapped = False
         super().__init__(members, seed, PolicyRegister, has_leases=False)
         self.checker: PolicyChecker = PolicyChecker()
@@ -148,31 +157,31 @@
             self.now += ROUND_US
 
     def propose_policy(self, member: Member, argument: int) -> None:
-        """Propose or withdraw a change. Some are refused by a member, and some were proposed already."""
+        """Propose a change, propose the last one again, or withdraw it. A member refuses some of them."""
         if not member.is_running:
             return
         policy_member = self.policy_member_of(member)
-        if argument % 11 == 10:
+        if argument % 11 == 10:  # withdraw the last change
             policy_member.withdraw(f"p{self.proposal_count}", member.elapsed_us(self.now))
             self.collect_actions(member)
             return
-        self.proposal_count += argument % 8 != 7
+        self.proposal_count += argument % 8 != 7  # else the last change is proposed again
         change_id = f"p{self.proposal_count}"
         text = f"policy {change_id}".encode()
-        if argument % 5 == 4:
+        if argument % 5 == 4:  # one member refuses the text
             text = (
                 REFUSED_PREFIX
                 + f" {self.member_ids[argument // 5 % len(self.member_ids)]} {change_id}".encode()
             )
         base_version = member.register.document.policy.version
-        share = 0.5 if argument // 40 % 3 == 0 else 1.0
+        share = 0.5 if argument // 40 % 3 == 0 else 1.0  # under 1: staged on a canary group first
         policy_member.propose(
             change_id, text, base_version, member.elapsed_us(self.now), lambda outcome: None, share, 50
         )
         self.collect_actions(member)
 
     def _cancel_or_restore_member(self, member: Member, argument: int) -> None:
-        """An operator withdraws a member that does not run, or lets one back."""
+        """As an operator: cancel a member that does not run (odd argument: restore a cancelled one)."""
         stopped_ids = [x.id for x in self.members.values() if not x.is_running]
         cancelled_ids = member.register.document.policy.cancelled_members
         if member.is_running and (cancelled_ids if argument % 2 else stopped_ids):
@@ -189,7 +198,7 @@
         assert isinstance(member.register, PolicyRegister) and member.register.policy_member is not None
         return member.register.policy_member
 
-    # The part of the courier that surrounds the member
+    # What the courier's host does for its member
 
     def collect_actions(self, member: Member) -> None:
         """Do what the courier does after each call of its member, then collect the actions."""
@@ -222,7 +231,7 @@
             self.policy_member_of(member).texts.writes or self.policy_member_of(member).deletable_texts
         ):
             texts = self.policy_member_of(member).texts
-            # Deletions come before writes, as at a node.
+            # Deletions come before writes, the same order as in fleet/node.py.
             for digest in self.policy_member_of(member).deletable_texts:
                 self.stored_texts[member.id].pop(digest, None)
             self.policy_member_of(member).deletable_texts = set()
@@ -285,7 +294,7 @@
     def settle(self) -> None:
         """End all faults and run until every change has ended and every member may act.
 
-        Members that are withdrawn need not act. Raises InvariantViolationError if that takes too long.
+        Cancelled members need not act. Raises InvariantViolationError if that takes too long.
         """
         self.is_link_cut, self.stalled_disk = (lambda sender, receiver: False), ""
         for member in self.members.values():
@@ -344,7 +353,7 @@
 def explore(
     schedules: int, first_seed: int, members: int, policy_member_type: type[PolicyMember] = PolicyMember
 ) -> tuple[int, list[FailingSchedule]]:
-    """Run random schedules. Returns how many were run, and the first that violates a promise, if any."""
+    """Run random schedules. Returns how many were run, and the first that violates an invariant, if any."""
     for count, seed in enumerate(range(first_seed, first_seed + schedules), 1):
         choices = random_choices(seed)
         if violation := run(choices, members, seed, policy_member_type):
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -23,10 +23,12 @@
 from hopmill.fleet.wire import Body
 
 STEPS_PER_SCHEDULE = 80  # choices in a random schedule
-LEASE_US, MAX_CLOCK_DRIFT = 100_000, 0.1  # drift: by which the rates of two clocks may differ
+LEASE_US = 100_000  # length of a lease
+MAX_CLOCK_DRIFT = 0.1  # share by which the rates of two members' clocks may differ
 LEASE_NAME = "duty"
 MAX_IN_FLIGHT = 60  # messages; beyond that the oldest are lost
-UNDISTURBED_DELIVERIES = (3, 6, 9, 14, 60)  # to end within a round of messages or after it
+# Delivery counts for run_undisturbed: small ones stop in the middle of a protocol round, 60 completes it.
+UNDISTURBED_DELIVERIES = (3, 6, 9, 14, 60)
 TIME_STEPS_US = (1_000, 20_000, 20_000, 60_000, 95_000, 160_000)
 
 
@@ -52,7 +54,7 @@
 class Simulation:
     """Members and the network between them. Times are us.
 
-    `step` makes one event happen, by a number. Violations of a promise are raised as InvariantViolationError.
+    `step` makes one event happen, by a number. A broken invariant is raised as InvariantViolationError.
     """
 
     def __init__(
@@ -79,7 +81,9 @@
         self.member_ids, self.proposal_count, self.act_count = member_ids, 0, 0
         self._bootstrap()
         assert all(self.members[voter].register.voter.is_voting for voter in voters)
-        if members == 4 and seed % 2:  # begin with a former voter that still has its votes
+        # Start with a replaced voter whose voter state is still on disk. With four members, three vote and m3
+        # can replace one of them; even seeds keep the initial voters, so that both starts are explored.
+        if members == 4 and seed % 2:
             for change in (replace_voter("m2", "m3"), finish_voter_change):
                 self.propose(self.members["m0"], change)
                 for _ in range(4):
@@ -182,8 +186,13 @@
             self.in_flight.append(self.in_flight[argument % len(self.in_flight)])
 
     def _partition(self, argument: int) -> None:
-        """Cut some links, or stall a disk, from now on. Messages on cut links wait."""
+        """Cut some links, or stall a disk, from now on. Messages on cut links wait.
+
+        Modes: 0 and 1 restore all links and disks; 2 restores all links and stalls the member's disk; 3 cuts
+        all links to the member, 4 all links from it; 5 to 7 cut the members into two sides.
+        """
         mode, argument = argument % 8, argument // 8
+        # Bit n of the mask is the side of member n in modes 5 to 7.
         name, mask = self.member_ids[argument % len(self.member_ids)], argument // len(self.member_ids)
         self.stalled_disk = name if mode == 2 else ""
         sides = {each: mask >> n & 1 for n, each in enumerate(self.member_ids)}
@@ -199,7 +208,10 @@
             self.is_link_cut = lambda sender, receiver: sides[sender] != sides[receiver]
 
     def run_undisturbed(self, deliveries: int = 60) -> None:
-        """Let timers, writes and deliveries happen without loss. Few deliveries end it within a round."""
+        """Run timers, writes and deliveries without loss, up to that many deliveries.
+
+        A small number stops in the middle of a protocol round.
+        """
         self.exchange_versions()
         for member in self.members.values():
             self.tick(member)
@@ -310,7 +322,9 @@
     def _crash(self, member: Member, argument: int) -> None:
         """Crash a member.
 
-        Its last writes may have reached the disk or not; messages that wait for them are never sent.
+        Its last writes may have reached the disk or not; messages that wait for them are never sent. In two
+        of three cases the first running member with pending writes is chosen instead of the given one, if
+        there is one, so that crashes during a write are frequent.
         """
         with_writes = next((x for x in self.members.values() if x.pending_writes and x.is_running), member)
         member = with_writes if argument % 3 else member
@@ -321,7 +335,10 @@
             member.pending_writes.clear()
 
     def restart_from_disk(self, member: Member) -> None:
-        """Start a crashed member, this one if none has crashed first."""
+        """Restart the first stopped member from its disk; do nothing if all run.
+
+        `member` has no effect: it is stopped only if some member is, and then the first stopped one is taken.
+        """
         member = next((x for x in self.members.values() if not x.is_running), member)
         if not member.is_running:
             memory = (
@@ -358,7 +375,11 @@
         member.pending_writes, member.stored_state = [], b""
 
     def may_lose_folder(self, member: Member) -> bool:
-        """Whether all voters have their memory, so that one of them may lose it."""
+        """Whether all voters have their memory, so that one of them may lose it.
+
+        The initial voters count too: a member with an empty folder starts from the initial document and knows
+        only them.
+        """
         voters = member.register.document.all_voters | self.initial_document.all_voters
         return all(
             self.members[voter].register.voter.is_voting and self.members[voter].stored_state
@@ -366,7 +387,13 @@
         )
 
     def state(self) -> tuple[Any, ...]:
-        """All that the future depends on, to recognize schedules with the same result."""
+        """The parts compared to detect duplicate states in explore_exhaustively.
+
+        Leases, cut links, stalled disks and older states of disks are left out because that search uses none.
+        The time, the random state, the proposers' timers, the contents of pending writes and the checker's
+        records are left out to keep the number of states small. States that differ in these only count as
+        equal, so the search may skip a schedule whose continuation differs.
+        """
         rows = []
         for member in self.members.values():
             voter, proposer = member.register.voter, member.register.proposer
@@ -415,7 +442,7 @@
 
 @dataclass
 class FailingSchedule:
-    """A schedule that violates a promise."""
+    """A schedule that violates an invariant."""
 
     seed: int
     violation: str
@@ -432,7 +459,7 @@
 ) -> tuple[int, list[FailingSchedule]]:
     """Run random schedules of these seeds.
 
-    Returns how many were run, and those that violate a promise. stop_at_first: only the first of them.
+    Returns how many were run, and those that violate an invariant. stop_at_first: only the first of them.
     """
     found, count = [], 0
     for seed in range(first_seed, first_seed + schedules):
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -1,6 +1,7 @@
 """The model of a courier's host: turns, connections, calls, and a journal that survives a kill.
 
-It drives the module itself, as hopmill/net/host.py does: events of a turn in, actions out in order.
+It drives the module under test (hopmill.Courier) itself, as hopmill/net/host.py does. A turn is one call of
+`handle`: events in, actions out in order.
 """
 
 from __future__ import annotations
@@ -30,21 +31,24 @@
         self.clock, self.dialect, self.rules = simulation.clock, simulation.dialect, simulation.rules
         self.settings = simulation.courier_settings(number)
         self.is_alive = self.is_listening = False
-        self.generation = 0  # grows at each start and kill: callbacks of an earlier process run are void
+        self.generation = 0  # grows at each start and kill: callbacks of an earlier process run are ignored
         self.journal: dict[int, HeldMessage] = {}  # accepted and not ended; survives a kill
         self.known_entries: dict[int, Any] = {}  # discovery's list as last received
         self.leaving_since_us: dict[int, int] = {}  # draining or gone endpoints: since when known
+        # Called after each turn: time in us, calls of come_back_us since the last turn, events, actions.
         self.recorder: Callable[[int, int, list[Any], list[Any]], None] | None = None
         self._reset_process_state()
 
     def _reset_process_state(self) -> None:
         self.module: Any = None
         self.events: list[Any] = []
+        # Submitted since the last turn: the messages, and how to answer their clients.
         self.pending: dict[int, tuple[HeldMessage, Callable[[str, int], None]]] = {}
         self.is_turn_scheduled, self.last_turn_us = False, -self.settings.tick_us
         self.calls = Calls(self)
         self.is_closing = False
-        # Calls of come_back_us since the last turn: each draws a random number, so replays repeat them.
+        # Calls of come_back_us since the last turn. Each draws a random number, so a replay has to repeat
+        # them to get the same actions.
         self.retry_after_requests = 0
 
     # Process lifecycle
@@ -234,7 +238,8 @@
     def submit(self, message: HeldMessage, reply: Callable[[str, int], None]) -> None:
         """Takes a message from a client. reply(answer, retry-after in us) is called once.
 
-        Answers: taken, refused, failed, or gone where the process died first.
+        Answers: taken, refused, failed or gone. Gone: the process does not accept messages, it ended before
+        it answered, or the client left before the answer.
         """
         if not self.is_alive or not self.is_listening:
             reply("gone", 0)
@@ -320,7 +325,7 @@
     # Discovery
 
     def update_endpoints(self, entries: list[Any]) -> None:
-        """Changed entries of discovery's list have arrived."""
+        """Apply changed entries of discovery's list."""
         if not self.is_alive:
             return
         interface = self.dialect.interface
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -14,12 +14,12 @@
 # Outcomes of a call, named as in interface.Result, except SILENT, where nothing answers.
 OK, ERROR, FULL, CONNECT_FAILED, RESET, SILENT = "ok", "error", "full", "connect_failed", "reset", "silent"
 QUICK_ANSWER_US = 3_000  # until a refusal or an immediate error is answered
-COLD_CALL_SLACK = 4.0  # calls over the recovery budget that are put down to random arrival
+COLD_CALL_SLACK = 4.0  # calls over the recovery budget that are tolerated as random variation
 
 
 @dataclass
 class Call:
-    """One call on its way. `on_answer` is called at the endpoint's end, in virtual time."""
+    """One call on its way. `on_answer` is called on the endpoint's side, in virtual time."""
 
     courier: int
     messages: tuple[int, ...]  # message numbers
@@ -108,14 +108,17 @@
         self.name, self.kind, self.limit = name, kind, limit
         self.capacity_per_s, self.slowdown = capacity_per_s, slowdown
         self.fall_multiple, self.fall_us = fall_multiple, fall_us
-        self.outage = ""  # kind of the current outage; empty: none
-        self.severity = 1.0  # as the scenario's `size`: share of failing calls, or a factor of the duration
+        # Kind of the current outage: down, silent, hung, shut, errors or slow; empty: none.
+        self.outage = ""
+        # As the scenario's `size`: share of failing calls (errors), factor of the duration (slow), or factor
+        # of the limit (limit, which is no outage).
+        self.severity = 1.0
         self.outage_ends_us = 0
         self.cold_since_us = -1  # end of the last outage; -1 when at full capacity
         self.has_collapsed = False  # overloaded while it recovered, for the rest of the run
-        self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: (time, courier, weight)
+        self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: (us, courier, weight)
         self.recent_load = 0.0  # the sum of the weights of recent_calls
-        self.affected_couriers: set[int] = set()  # couriers whose calls met the outage
+        self.affected_couriers: set[int] = set()  # that met the outage, or a refusal in the recovery
         self.report: tuple[float, ...] = ()  # that answers carry: share of the limit left, limit
         self.report_at_us = -1
         self.calls_by_step: dict[int, int] = {}  # by steps of 100 ms
@@ -155,7 +158,11 @@
             self.recent_calls.clear()
 
     def record_call_in_recovery(self, now: int, call: Call) -> bool:
-        """Counts a call that arrives during recovery; True if it exhausts the budget of the window."""
+        """Counts a call that arrives during recovery.
+
+        True if it makes the target collapse: the load of the window exceeds the budget by more than random
+        variation explains.
+        """
         if self.cold_since_us < 0 or self.has_collapsed:
             return False
         weight = 1 + 0.05 * (len(call.messages) - 1)
@@ -227,7 +234,7 @@
         self.open_connections -= 1
 
     def receive(self, call: Call) -> None:
-        """The call's last byte has arrived: refuses, queues or starts it."""
+        """Refuses, queues or starts a call whose last byte has arrived, or does not answer it at all."""
         now, target = self.clock.now, self.target
         step = now // 100_000
         target.calls_by_step[step] = target.calls_by_step.get(step, 0) + 1
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -21,7 +21,8 @@
 from hopmill.lab.troubles import FaultInjector
 
 
-# Another value gives every courier other random numbers for the same traffic: for A/A tests.
+# Another value gives every courier other random numbers for the same traffic, for A/A tests. No code sets it;
+# whoever runs an A/A test does.
 SEED_SALT = 0
 
 
@@ -35,7 +36,8 @@
         self.counts: Counter[str] = Counter()
         # The number of messages that couriers hold now, since when, and its integral over time.
         self.messages_held, self.held_since_us, self.held_message_us = 0, 0, 0
-        self.total_stay_us = 0  # the same, summed by message: Little's law is tested with both
+        # The sum of the times that ended messages were held. Little's law relates it to held_message_us.
+        self.total_stay_us = 0
         drawn = self.scenario
         self.handshake_us = int(drawn.net.handshake_ms * 1e3)
         self.jitter_draws = UniformBuffer(stream(seed, "jitter"))
@@ -84,6 +86,7 @@
         endpoint_number = 0
         for index in range(partner_count):
             kind = scenario.kinds[kind_indexes[index]]
+            # Rounded up or down at random, so that the mean is kept.
             endpoint_count = max(1, int(kind.endpoints + rng.random()))
             partner = partners.Partner(index + 1, int(kind_indexes[index]), float(shares[index]))
             slowdown = float(lognormal(slowdown_rng, 1.0, kind.slow_cv))
@@ -107,6 +110,8 @@
             for position in range(endpoint_count):
                 endpoint_number += 1
                 target = partner.targets[position % route_count]
+                # A batch is taken to have two messages: an item after the first adds item_cost of a message's
+                # work.
                 mean_work_s = mean_work_ms * slowdown / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
                 zone = int(rng.integers(scenario.net.zones))
                 self._add_endpoint(endpoint_number, partner, target, endpoint_count, zone, mean_work_s)
@@ -239,7 +244,7 @@
             cold_us=int(max(k.cold_ms for k in scenario.kinds) * 1e3),
             fall_multiple=scenario.fall_multiple,
             fall_us=int(scenario.fall_ms * 1e3),
-            report_fields=("x0", "x1"),
+            report_fields=("x0", "x1"),  # unused share of the limit, limit in calls per second
             rates_listed=True,
             over_share_worth=scenario.over_share_worth,
             late_halves=scenario.late == "halves",
@@ -248,7 +253,10 @@
         )
 
     def courier_settings(self, number: int):
-        """The module's settings for one courier. `me` stays below the configured number of couriers."""
+        """The module's settings for one courier.
+
+        `me` stays below the configured number of couriers, which may be smaller than the number that run.
+        """
         own_index = min(number, self._common_settings["couriers"] - 1)
         return self.dialect.make("Settings", me=own_index, **self._common_settings)
 
@@ -257,7 +265,10 @@
         return zlib.crc32(f"{self.seed} {courier} {generation} {SEED_SALT or ''}".encode())
 
     def must_end_messages(self, courier: CourierModel) -> bool:
-        """False during a restart and for RECOVERY_GRACE_US after it: a missing outcome is allowed."""
+        """Whether a missing outcome breaks a rule: not before `FaultInjector.exempt_until_us`.
+
+        A courier is exempt from SIGTERM on for 10 s, and from its exit until a grace time after its restart.
+        """
         return self.clock.now >= self.faults.exempt_until_us.get(courier.number, -1)
 
     def process_ended(self, courier: CourierModel) -> None:
@@ -298,7 +309,7 @@
                     self.clock.now,
                     f"{target.name} collapsed while it recovered; {informed_share:.2f} of the load came from "
                     "couriers that had met its outage",
-                    lane=endpoint.partner,
+                    lane=endpoint.partner,  # the trace of the rules records destinations as lanes
                 )
 
     # The run
