--- a/hopmill/explorer/policy.py
+++ b/hopmill/explorer/policy.py
@@ -23,7 +23,8 @@
 # A text "not here MEMBER CHANGE" is refused by the member that it names; all other texts are accepted.
 REFUSED_PREFIX = b"not here"
 # Without faults, each change has to end and each member has to get a lease within this time.
-SETTLE_TIMEOUT_US, ROUND_US = 30_000_000, 15_000
+SETTLE_TIMEOUT_US = 30_000_000
+ROUND_US = 15_000  # time that passes between two rounds without faults
 
 
 class PolicyChecker(Checker):
@@ -33,11 +34,10 @@
         super().__init__()
         self.canary_groups: dict[int, set[str]] = {}  # by staged version
         self.highest_canary_version = 0  # highest staged version under which a canary member acted
-        self.highest_version, self.texts_by_version, self.versions_by_change = (
-            0,
-            dict[int, bytes](),
-            dict[str, int](),
-        )
+        # Highest version under which a member acted, not counting canary members that act under a staged one.
+        self.highest_version = 0
+        self.texts_by_version: dict[int, bytes] = {}
+        self.versions_by_change: dict[str, int] = {}  # version that a change produced, 0 for none
 
     def on_stage(self, version: int, canary_group: set[str]) -> None:
         """Check that a staged version has one canary group. The other members keep the version before it."""
@@ -176,7 +176,13 @@
         base_version = member.register.document.policy.version
         share = 0.5 if argument // 40 % 3 == 0 else 1.0  # under 1: staged on a canary group first
         policy_member.propose(
-            change_id, text, base_version, member.elapsed_us(self.now), lambda outcome: None, share, 50
+            change_id,
+            text,
+            base_version,
+            member.elapsed_us(self.now),
+            lambda outcome: None,
+            share,
+            watch_ms=50,
         )
         self.collect_actions(member)
 
--- a/hopmill/explorer/world.py
+++ b/hopmill/explorer/world.py
@@ -29,6 +29,9 @@
 MAX_IN_FLIGHT = 60  # messages; beyond that the oldest are lost
 # Delivery counts for run_undisturbed: small ones stop in the middle of a protocol round, 60 completes it.
 UNDISTURBED_DELIVERIES = (3, 6, 9, 14, 60)
+PROPOSAL_TIMEOUT_US = 3_000_000
+VOTER_CHANGE_ROUND_US = 350_000  # time that passes between rounds of the voter change at the start
+EXHAUSTIVE_TIME_STEP_US = 200_000  # by which explore_exhaustively advances the time
 TIME_STEPS_US = (1_000, 20_000, 20_000, 60_000, 95_000, 160_000)
 
 
@@ -88,7 +91,7 @@
                 self.propose(self.members["m0"], change)
                 for _ in range(4):
                     self.run_undisturbed()
-                    self.now += 350_000
+                    self.now += VOTER_CHANGE_ROUND_US
         # Each simulation makes some kinds of events frequent and leaves others out: schedules that mix all
         # kinds seldom find a fault.
         self.weighted_events = self.event_kinds()
@@ -300,7 +303,7 @@
             change,
             member.elapsed_us(self.now),
             lambda outcome: self.checker.on_outcome(operation, outcome, self.now),
-            3_000_000,
+            PROPOSAL_TIMEOUT_US,
         )
         self.checker.operations[operation.proposal_id] = operation
         self.collect_actions(member)
@@ -536,7 +539,7 @@
 
 
 def _advance_and_tick(simulation: Simulation, name: str) -> None:
-    simulation.now += 200_000
+    simulation.now += EXHAUSTIVE_TIME_STEP_US
     simulation.tick(simulation.members[name])
 
 
--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -17,6 +17,7 @@
 
 # After SIGTERM: calls may run until the first time, the process exits at the second.
 SHUTDOWN_CALLS_US, SHUTDOWN_EXIT_US = 3_200_000, 3_400_000
+TIMER_LATENCY_US = 50  # by which a timer fires after its time
 
 
 class ModuleFailedError(Exception):
@@ -76,7 +77,14 @@
         self.run_turn()
 
     def kill(self) -> None:
-        """SIGKILL: outstanding calls may have executed; clients without an answer get none."""
+        """Ends the process by SIGKILL."""
+        self._end_process()
+
+    def _end_process(self) -> None:
+        """Ends the process, killed or by its own exit.
+
+        Outstanding calls may have executed; clients that wait see a broken connection.
+        """
         self.is_alive = self.is_listening = False
         self.generation += 1
         if self.simulation.members:
@@ -107,7 +115,7 @@
 
     def _exit(self, generation: int) -> None:
         if self.is_alive and generation == self.generation:
-            self.kill()
+            self._end_process()
             self.simulation.process_ended(self)
 
     # Events and turns
@@ -221,7 +229,9 @@
     def _apply_other(self, action: Any) -> None:
         name = type(action).__name__
         if name == "SetTimer":
-            self.clock.after(action.delay_us + 50, self._timer_due, self.generation, action.token)
+            self.clock.after(
+                action.delay_us + TIMER_LATENCY_US, self._timer_due, self.generation, action.token
+            )
         elif name == "Keep":
             self.calls.connections.set_max_idle(action.endpoint, action.most)
         elif name == "CloseIdle":
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -15,6 +15,9 @@
 OK, ERROR, FULL, CONNECT_FAILED, RESET, SILENT = "ok", "error", "full", "connect_failed", "reset", "silent"
 QUICK_ANSWER_US = 3_000  # until a refusal or an immediate error is answered
 COLD_CALL_SLACK = 4.0  # calls over the recovery budget that are tolerated as random variation
+TOLERATED_STANDARD_DEVIATIONS = 2  # of the calls in a window, in addition
+ITEM_WEIGHT = 0.05  # load of each message after the first of a batch, as a share of a call
+STEP_US = 100_000  # of the counts over time
 
 
 @dataclass
@@ -121,7 +124,7 @@
         self.affected_couriers: set[int] = set()  # that met the outage, or a refusal in the recovery
         self.report: tuple[float, ...] = ()  # that answers carry: share of the limit left, limit
         self.report_at_us = -1
-        self.calls_by_step: dict[int, int] = {}  # by steps of 100 ms
+        self.calls_by_step: dict[int, int] = {}  # by steps of STEP_US
         self.refusals_by_step: dict[int, int] = {}
         self.refusals_by_reason: dict[str, int] = {}
 
@@ -165,13 +168,17 @@
         """
         if self.cold_since_us < 0 or self.has_collapsed:
             return False
-        weight = 1 + 0.05 * (len(call.messages) - 1)
+        weight = 1 + ITEM_WEIGHT * (len(call.messages) - 1)
         self.recent_calls.append((now, call.courier, weight))
         self.recent_load += weight
         while self.recent_calls[0][0] < now - self.fall_us:
             self.recent_load -= self.recent_calls.popleft()[2]
         budget = self.fall_multiple * self.capacity_per_s * self.available_share(now) * self.fall_us / 1e6
-        if self.cold_since_us < 0 or self.recent_load <= budget + COLD_CALL_SLACK + 2 * math.sqrt(budget):
+        if (
+            self.cold_since_us < 0
+            or self.recent_load
+            <= budget + COLD_CALL_SLACK + TOLERATED_STANDARD_DEVIATIONS * math.sqrt(budget)
+        ):
             return False
         self.has_collapsed = True
         return True
@@ -236,7 +243,7 @@
     def receive(self, call: Call) -> None:
         """Refuses, queues or starts a call whose last byte has arrived, or does not answer it at all."""
         now, target = self.clock.now, self.target
-        step = now // 100_000
+        step = now // STEP_US
         target.calls_by_step[step] = target.calls_by_step.get(step, 0) + 1
         outage = self.outage
         if outage and not self.is_cut_off:
@@ -265,7 +272,7 @@
 
     def _refuse(self, call: Call, retry_after_us: int, reason: str) -> None:
         self.target.refusals_by_reason[reason] = self.target.refusals_by_reason.get(reason, 0) + 1
-        step = self.clock.now // 100_000
+        step = self.clock.now // STEP_US
         self.target.refusals_by_step[step] = self.target.refusals_by_step.get(step, 0) + 1
         if self.target.cold_since_us >= 0:
             self.target.affected_couriers.add(call.courier)
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -16,7 +16,7 @@
 from hopmill.fleet.settings import PolicyRule
 from hopmill.lab.members import Fleet, Plan
 from hopmill.lab.policy import FleetPolicy
-from hopmill.lab.rules import Rules
+from hopmill.lab.rules import INFORMED_SHARE_LIMIT, Rules
 from hopmill.lab.scenario import Scenario, draw
 from hopmill.lab.troubles import FaultInjector
 
@@ -25,6 +25,10 @@
 # whoever runs an A/A test does.
 SEED_SALT = 0
 
+# Scales a uniform draw from -1 to 1 to a standard deviation of about 1; the exact factor is the square root
+# of 3.
+UNIT_DEVIATION_FACTOR = 1.7
+
 
 class Simulation:
     """The state of one run of a scenario, as drawn for one seed. `play` runs it to its end."""
@@ -160,7 +164,7 @@
     def _refresh_report(self, target: partners.Target, rng: UniformBuffer) -> None:
         """Refreshes the load report that a target's answers carry, with the scenario's delay and noise."""
         reports, now = self.scenario.reports, self.clock.now
-        noise = 1 + reports.noise * (2 * rng.uniform() - 1) * 1.7
+        noise = 1 + reports.noise * (2 * rng.uniform() - 1) * UNIT_DEVIATION_FACTOR
         report = (min(1.0, target.limit.unused_share(now) * noise), target.limit.current_per_s)
         self.clock.after(int(reports.delay_ms * 1e3), setattr, target, "report", report)
         self.clock.after(max(1000, int(reports.period_ms * 1e3)), self._refresh_report, target, rng)
@@ -303,7 +307,7 @@
         if target.has_collapsed and target.recent_load:
             informed_share, target.recent_load = target.informed_share, 0.0
             self.counts["fell"] += 1
-            if informed_share >= 2 / 3:
+            if informed_share >= INFORMED_SHARE_LIMIT:
                 raise self.rules.violation(
                     "fail-back",
                     self.clock.now,
