--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -286,6 +286,7 @@
                 "not be repeated, but its client was asked to retry",
                 message.number,
             )
+        # Refusing an accepted message defers it: its client is notified and may submit it again.
         self.record_end(message, "deferred" if refused else "undeliverable")
         self.simulation.clients.message_ended(
             message, message.outcome, action.retry_after_us if refused else 0
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -39,7 +39,7 @@
 
     kind: Kind
     per_s: float  # calls per second; 0: no limit
-    limit_factor: float = 1.0  # of per_s, while the limit is lowered
+    limit_factor: float = 1.0  # by which per_s is multiplied while the limit is lowered
     calls_in_window: float = 0.0
     window_index: int = -1
     tokens: float = 0.0
@@ -122,7 +122,7 @@
         self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: (us, courier, weight)
         self.recent_load = 0.0  # the sum of the weights of recent_calls
         self.affected_couriers: set[int] = set()  # that met the outage, or a refusal in the recovery
-        self.report: tuple[float, ...] = ()  # that answers carry: share of the limit left, limit
+        self.report: tuple[float, ...] = ()  # that answers carry: unused share of the limit, limit per s
         self.report_at_us = -1
         self.calls_by_step: dict[int, int] = {}  # by steps of STEP_US
         self.refusals_by_step: dict[int, int] = {}
@@ -218,6 +218,7 @@
         self.open_connections = 0
         self.busy_workers = 0
         self.queue: deque[Call] = deque()
+        # Work that ended in an error or for an abandoned call, and work whose answer the courier awaited.
         self.wasted_us = self.served_us = 0.0
 
     @property
@@ -260,7 +261,7 @@
         elif outage == "errors" and self.rng.uniform() < target.severity:
             self._answer_later(QUICK_ANSWER_US, call, ERROR)
         elif call.over_connection_limit:
-            self._refuse(call, 0, "table full")
+            self._refuse(call, 0, "table full")  # of connections
         elif (retry_after_us := target.limit.admit(now)) > 0:
             self._refuse(call, retry_after_us if self.rng.uniform() < target.kind.tells_wait else 0, "limit")
         elif self.busy_workers < self.workers:
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/world.py
@@ -35,7 +35,7 @@
 
     def __init__(self, scenario: Scenario, seed: int, dialect: Dialect | None = None) -> None:
         self.scenario, self.seed = draw(scenario, seed), seed
-        self.dialect = dialect or Dialect()
+        self.dialect = dialect or Dialect()  # the types of the module under test
         self.clock, self.rules = Clock(), Rules()
         self.counts: Counter[str] = Counter()
         # The number of messages that couriers hold now, since when, and its integral over time.
@@ -235,6 +235,7 @@
             ),
             slots=max(1, round(scenario.fleet.slots)),
             max_held=max(2, round(scenario.fleet.held)),
+            # As configured at the couriers, which may differ from the number that run.
             couriers=scenario.fleet.told_couriers or scenario.fleet.couriers,
             max_attempts=6,
             second_copies=False,
@@ -244,6 +245,7 @@
             connection_idle_us=int(scenario.fleet.idle_ms * 1e3),
             connect_timeout_us=int(scenario.fleet.connect_ms * 1e3),
             drain_grace_us=int(scenario.drain_grace_ms * 1e3),
+            # The settings have one value for all kinds: the lowest share and the longest recovery.
             cold_share=min(k.cold_from for k in scenario.kinds),
             cold_us=int(max(k.cold_ms for k in scenario.kinds) * 1e3),
             fall_multiple=scenario.fall_multiple,
