--- a/hopmill/lab/courier.py
+++ b/hopmill/lab/courier.py
@@ -1,6 +1,7 @@
 """The model of a courier's host: turns, connections, calls, and a journal that survives a kill.
 
-It drives the module itself, as hopmill/net/host.py does: events of a turn in, actions out in order.
+It drives the module under test (hopmill.Courier) itself, as hopmill/net/host.py does. A turn is one call of
+`handle`: events in, actions out in order.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 
 # After SIGTERM: calls may run until the first time, the process exits at the second.
 SHUTDOWN_CALLS_US, SHUTDOWN_EXIT_US = 3_200_000, 3_400_000
+TIMER_LATENCY_US = 50  # by which a timer fires after its time
 
 
 class ModuleFailedError(Exception):
@@ -30,21 +32,24 @@
         self.clock, self.dialect, self.rules = simulation.clock, simulation.dialect, simulation.rules
         self.settings = simulation.courier_settings(number)
         self.is_alive = self.is_listening = False
-        self.generation = 0  # grows at each start and kill: callbacks of an earlier process run are void
+        self.generation = 0  # grows at each start and kill: callbacks of an earlier process run are ignored
         self.journal: dict[int, HeldMessage] = {}  # accepted and not ended; survives a kill
         self.known_entries: dict[int, Any] = {}  # discovery's list as last received
         self.leaving_since_us: dict[int, int] = {}  # draining or gone endpoints: since when known
+        # Called after each turn: time in us, calls of come_back_us since the last turn, events, actions.
         self.recorder: Callable[[int, int, list[Any], list[Any]], None] | None = None
         self._reset_process_state()
 
     def _reset_process_state(self) -> None:
         self.module: Any = None
         self.events: list[Any] = []
+        # Submitted since the last turn: the messages, and how to answer their clients.
         self.pending: dict[int, tuple[HeldMessage, Callable[[str, int], None]]] = {}
         self.is_turn_scheduled, self.last_turn_us = False, -self.settings.tick_us
         self.calls = Calls(self)
         self.is_closing = False
-        # Calls of come_back_us since the last turn: each draws a random number, so replays repeat them.
+        # Calls of come_back_us since the last turn. Each draws a random number, so a replay has to repeat
+        # them to get the same actions.
         self.retry_after_requests = 0
 
     # Process lifecycle
@@ -72,7 +77,14 @@
         self.run_turn()
 
     def kill(self) -> None:
-        """SIGKILL: outstanding calls may have executed; clients without an answer get none."""
+        """Ends the process by SIGKILL."""
+        self._end_process()
+
+    def _end_process(self) -> None:
+        """Ends the process, killed or by its own exit.
+
+        Outstanding calls may have executed; clients that wait see a broken connection.
+        """
         self.is_alive = self.is_listening = False
         self.generation += 1
         if self.simulation.members:
@@ -103,7 +115,7 @@
 
     def _exit(self, generation: int) -> None:
         if self.is_alive and generation == self.generation:
-            self.kill()
+            self._end_process()
             self.simulation.process_ended(self)
 
     # Events and turns
@@ -192,7 +204,7 @@
                 reply("gone", 0)
                 continue
             self.journal[message.number] = message
-            message.taken_on_us = now
+            message.accepted_us = now
             self.simulation.change_held(1)
             self.rules.record(now, self.number, message.number, message.destination, "accepted")
             self.clock.at(message.valid_until_us + END_GRACE_US, self._check_ended, message)
@@ -217,7 +229,9 @@
     def _apply_other(self, action: Any) -> None:
         name = type(action).__name__
         if name == "SetTimer":
-            self.clock.after(action.delay_us + 50, self._timer_due, self.generation, action.token)
+            self.clock.after(
+                action.delay_us + TIMER_LATENCY_US, self._timer_due, self.generation, action.token
+            )
         elif name == "Keep":
             self.calls.connections.set_max_idle(action.endpoint, action.most)
         elif name == "CloseIdle":
@@ -234,7 +248,8 @@
     def submit(self, message: HeldMessage, reply: Callable[[str, int], None]) -> None:
         """Takes a message from a client. reply(answer, retry-after in us) is called once.
 
-        Answers: taken, refused, failed, or gone where the process died first.
+        Answers: taken, refused, failed or gone. Gone: the process does not accept messages, it ended before
+        it answered, or the client left before the answer.
         """
         if not self.is_alive or not self.is_listening:
             reply("gone", 0)
@@ -271,6 +286,7 @@
                 "not be repeated, but its client was asked to retry",
                 message.number,
             )
+        # Refusing an accepted message defers it: its client is notified and may submit it again.
         self.record_end(message, "deferred" if refused else "undeliverable")
         self.simulation.clients.message_ended(
             message, message.outcome, action.retry_after_us if refused else 0
@@ -281,7 +297,7 @@
         message.outcome = outcome
         self.journal.pop(message.number, None)
         self.simulation.change_held(-1)
-        self.simulation.total_stay_us += self.clock.now - message.taken_on_us
+        self.simulation.total_stay_us += self.clock.now - message.accepted_us
         self.rules.record(self.clock.now, self.number, message.number, message.destination, outcome)
 
     # Calls
@@ -320,7 +336,7 @@
     # Discovery
 
     def update_endpoints(self, entries: list[Any]) -> None:
-        """Changed entries of discovery's list have arrived."""
+        """Apply changed entries of discovery's list."""
         if not self.is_alive:
             return
         interface = self.dialect.interface
--- a/hopmill/lab/partners.py
+++ b/hopmill/lab/partners.py
@@ -14,12 +14,15 @@
 # Outcomes of a call, named as in interface.Result, except SILENT, where nothing answers.
 OK, ERROR, FULL, CONNECT_FAILED, RESET, SILENT = "ok", "error", "full", "connect_failed", "reset", "silent"
 QUICK_ANSWER_US = 3_000  # until a refusal or an immediate error is answered
-COLD_CALL_SLACK = 4.0  # calls over the recovery budget that are put down to random arrival
+COLD_CALL_SLACK = 4.0  # calls over the recovery budget that are tolerated as random variation
+TOLERATED_STANDARD_DEVIATIONS = 2  # of the calls in a window, in addition
+ITEM_WEIGHT = 0.05  # load of each message after the first of a batch, as a share of a call
+STEP_US = 100_000  # of the counts over time
 
 
 @dataclass
 class Call:
-    """One call on its way. `on_answer` is called at the endpoint's end, in virtual time."""
+    """One call on its way. `on_answer` is called on the endpoint's side, in virtual time."""
 
     courier: int
     messages: tuple[int, ...]  # message numbers
@@ -27,7 +30,7 @@
     on_answer: Callable[[str, int, tuple[float, ...]], None]  # outcome, retry-after in us, report
     on_executed: Callable[[], None]  # the messages were executed
     is_abandoned: bool = False  # the courier no longer waits; work that has begun continues
-    over_limit: bool = False  # its connection exceeds the endpoint's maximum
+    over_connection_limit: bool = False  # its connection exceeds the endpoint's maximum
 
 
 @dataclass
@@ -36,7 +39,7 @@
 
     kind: Kind
     per_s: float  # calls per second; 0: no limit
-    remaining_share: float = 1.0  # of per_s, while the limit is lowered
+    limit_factor: float = 1.0  # by which per_s is multiplied while the limit is lowered
     calls_in_window: float = 0.0
     window_index: int = -1
     tokens: float = 0.0
@@ -48,11 +51,11 @@
     @property
     def current_per_s(self) -> float:
         """Calls per second that the limit allows now."""
-        return self.per_s * self.remaining_share
+        return self.per_s * self.limit_factor
 
     @property
     def _max_tokens(self) -> float:
-        return max(1.0, self.per_s * self.remaining_share * self.kind.span_ms / 1e3)
+        return max(1.0, self.per_s * self.limit_factor * self.kind.span_ms / 1e3)
 
     def _refresh(self, now: int) -> None:
         if self.kind.limit == "window":
@@ -79,7 +82,7 @@
         self.tokens = max(-self._max_tokens, self.tokens)
         return 0 if has_room else max(1, int((1 - self.tokens) / self.current_per_s * 1e6))
 
-    def share_left(self, now: int) -> float:
+    def unused_share(self, now: int) -> float:
         """The share of the allowance that is unused now."""
         self._refresh(now)
         if self.kind.limit == "window":
@@ -108,17 +111,20 @@
         self.name, self.kind, self.limit = name, kind, limit
         self.capacity_per_s, self.slowdown = capacity_per_s, slowdown
         self.fall_multiple, self.fall_us = fall_multiple, fall_us
-        self.outage = ""  # kind of the current outage; empty: none
-        self.severity = 1.0  # as the scenario's `size`: share of failing calls, or a factor of the duration
+        # Kind of the current outage: down, silent, hung, shut, errors or slow; empty: none.
+        self.outage = ""
+        # As the scenario's `size`: share of failing calls (errors), factor of the duration (slow), or factor
+        # of the limit (limit, which is no outage).
+        self.severity = 1.0
         self.outage_ends_us = 0
         self.cold_since_us = -1  # end of the last outage; -1 when at full capacity
         self.has_collapsed = False  # overloaded while it recovered, for the rest of the run
-        self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: (time, courier, weight)
+        self.recent_calls: deque[tuple[int, int, float]] = deque()  # while cold: (us, courier, weight)
         self.recent_load = 0.0  # the sum of the weights of recent_calls
-        self.affected_couriers: set[int] = set()  # couriers whose calls met the outage
-        self.report: tuple[float, ...] = ()  # that answers carry: share of the limit left, limit
+        self.affected_couriers: set[int] = set()  # that met the outage, or a refusal in the recovery
+        self.report: tuple[float, ...] = ()  # that answers carry: unused share of the limit, limit per s
         self.report_at_us = -1
-        self.calls_by_step: dict[int, int] = {}  # by steps of 100 ms
+        self.calls_by_step: dict[int, int] = {}  # by steps of STEP_US
         self.refusals_by_step: dict[int, int] = {}
         self.refusals_by_reason: dict[str, int] = {}
 
@@ -141,12 +147,12 @@
         self.outage, self.severity, self.outage_ends_us = kind, severity, ends_us
         self.affected_couriers.clear()
         if kind == "limit":
-            self.limit.remaining_share, self.outage = severity, ""
+            self.limit.limit_factor, self.outage = severity, ""
 
     def end_outage(self, now: int, kind: str) -> None:
         """Ends an outage of that kind. After a full outage the target starts with a part of its capacity."""
         if kind == "limit":
-            self.limit.remaining_share = 1.0
+            self.limit.limit_factor = 1.0
             return
         returns_cold = kind in ("down", "silent", "hung", "shut") or kind == "errors" and self.severity >= 0.5
         self.outage = ""
@@ -154,17 +160,25 @@
             self.cold_since_us, self.recent_load = now, 0.0
             self.recent_calls.clear()
 
-    def collapses_under(self, now: int, call: Call) -> bool:
-        """Counts a call that arrives during recovery; True if it exhausts the budget of the window."""
+    def record_call_in_recovery(self, now: int, call: Call) -> bool:
+        """Counts a call that arrives during recovery.
+
+        True if it makes the target collapse: the load of the window exceeds the budget by more than random
+        variation explains.
+        """
         if self.cold_since_us < 0 or self.has_collapsed:
             return False
-        weight = 1 + 0.05 * (len(call.messages) - 1)
+        weight = 1 + ITEM_WEIGHT * (len(call.messages) - 1)
         self.recent_calls.append((now, call.courier, weight))
         self.recent_load += weight
         while self.recent_calls[0][0] < now - self.fall_us:
             self.recent_load -= self.recent_calls.popleft()[2]
         budget = self.fall_multiple * self.capacity_per_s * self.available_share(now) * self.fall_us / 1e6
-        if self.cold_since_us < 0 or self.recent_load <= budget + COLD_CALL_SLACK + 2 * math.sqrt(budget):
+        if (
+            self.cold_since_us < 0
+            or self.recent_load
+            <= budget + COLD_CALL_SLACK + TOLERATED_STANDARD_DEVIATIONS * math.sqrt(budget)
+        ):
             return False
         self.has_collapsed = True
         return True
@@ -204,6 +218,7 @@
         self.open_connections = 0
         self.busy_workers = 0
         self.queue: deque[Call] = deque()
+        # Work that ended in an error or for an abandoned call, and work whose answer the courier awaited.
         self.wasted_us = self.served_us = 0.0
 
     @property
@@ -227,9 +242,9 @@
         self.open_connections -= 1
 
     def receive(self, call: Call) -> None:
-        """The call's last byte has arrived: refuses, queues or starts it."""
+        """Refuses, queues or starts a call whose last byte has arrived, or does not answer it at all."""
         now, target = self.clock.now, self.target
-        step = now // 100_000
+        step = now // STEP_US
         target.calls_by_step[step] = target.calls_by_step.get(step, 0) + 1
         outage = self.outage
         if outage and not self.is_cut_off:
@@ -238,15 +253,15 @@
             return
         if outage == "down":
             call.on_answer(RESET, 0, ())
-        elif outage == "hung" or target.collapses_under(now, call):
+        elif outage == "hung" or target.record_call_in_recovery(now, call):
             return
         elif outage == "shut":
             announced_us = target.outage_ends_us - now if self.rng.uniform() < target.kind.tells_wait else 0
             self._refuse(call, announced_us, "shut")
         elif outage == "errors" and self.rng.uniform() < target.severity:
             self._answer_later(QUICK_ANSWER_US, call, ERROR)
-        elif call.over_limit:
-            self._refuse(call, 0, "table full")
+        elif call.over_connection_limit:
+            self._refuse(call, 0, "table full")  # of connections
         elif (retry_after_us := target.limit.admit(now)) > 0:
             self._refuse(call, retry_after_us if self.rng.uniform() < target.kind.tells_wait else 0, "limit")
         elif self.busy_workers < self.workers:
@@ -258,7 +273,7 @@
 
     def _refuse(self, call: Call, retry_after_us: int, reason: str) -> None:
         self.target.refusals_by_reason[reason] = self.target.refusals_by_reason.get(reason, 0) + 1
-        step = self.clock.now // 100_000
+        step = self.clock.now // STEP_US
         self.target.refusals_by_step[step] = self.target.refusals_by_step.get(step, 0) + 1
         if self.target.cold_since_us >= 0:
             self.target.affected_couriers.add(call.courier)
