--- a/hopmill/cli/demo.py
+++ b/hopmill/cli/demo.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from hopmill.standin.ledger import Result
-from hopmill.standin.scene import Options, Progress, LoopbackSystem
+from hopmill.standin.loopback_system import Options, Progress, LoopbackSystem
 
 PLAIN_INTERVAL_S = 2.0  # between two lines without a terminal
 COUNT_ROWS = (
@@ -94,7 +94,7 @@
     console.print(account(result, scene.restarts))
     if as_json:
         print(json.dumps(result.as_json() | {"restarts": scene.restarts}))
-    return int(result.failed)
+    return int(result.has_violations)
 
 
 def _watch(scene: LoopbackSystem, console: Console) -> Result:
--- a/hopmill/cli/fleet.py
+++ b/hopmill/cli/fleet.py
@@ -1,4 +1,7 @@
-"""`hopmill fleet ...`: the members of a fleet, through the operator APIs of its couriers."""
+"""`hopmill fleet ...`: the members of a fleet, through the operator APIs of its couriers.
+
+`detect` and `explore` are simulations on this machine and ask no courier.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,12 @@
 import typer
 
 from hopmill.cli.app import JsonOption, error_exit
-from hopmill.cli.door import OperatorApiError, call, format_lines, format_table
+from hopmill.cli.operator_client import OperatorApiError, call, format_lines, format_table
 
 fleet = typer.Typer(
     help="A fleet of couriers: its members, the replicated register, its leases.", no_args_is_help=True
 )
+# The arguments `door` and `doors` of the commands keep their names, which the help shows.
 OperatorAddress = Annotated[str, typer.Argument(help="HOST:PORT of a courier's operator API.")]
 WaitOption = Annotated[float, typer.Option(min=0, help="Seconds to wait for the outcome.")]
 SeedsOption = Annotated[str, typer.Option("--seed", help="Seeds, such as 1-20 or 3,5,9.")]
@@ -37,19 +41,19 @@
 ) -> None:
     """Show each courier's view: members, voters, register version, leases. Exit 1 if one does not answer."""
     failed_count = 0
-    for door in doors:
+    for address in doors:
         try:
-            status_code, body = call(door, "GET", "/fleet")
+            status_code, body = call(address, "GET", "/fleet")
         except OperatorApiError as error:
             status_code, body = 0, {"error": str(error)}
         failed_count += status_code != 200
         if as_json:
-            print(json.dumps({"door": door, **body}))
+            print(json.dumps({"door": address, **body}))
         elif status_code != 200:
-            print(f"{door}: {body.get('error')}")
+            print(f"{address}: {body.get('error')}")
         else:
             print(
-                f"{door}: {body['id']} of {body['fleet']}, version {body['version']}, voters "
+                f"{address}: {body['id']} of {body['fleet']}, version {body['version']}, voters "
                 f"{', '.join(body['voters'])}, {'votes' if body['votes'] else 'does not vote'}, "
                 f"health {body['health']}, disk {body['disk']}"
             )
@@ -59,16 +63,23 @@
     raise typer.Exit(int(bool(failed_count)))
 
 
-def _change_register(door: str, path: str, wait: float, as_json: bool) -> None:
-    """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
-    outcome = _request(door, "POST", path)
+def _print_register_outcome(address: str, path: str, wait: float, as_json: bool) -> dict[str, Any]:
+    """Posts a request to the register, waits up to `wait` seconds for its outcome, prints and returns it."""
+    outcome = _request(address, "POST", path)
     deadline = time.monotonic() + wait
     while outcome["state"] == "under way" and time.monotonic() < deadline:
         time.sleep(POLL_INTERVAL_S)
         outcome = _request(
-            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
+            address, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
         )
     print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    return outcome
+
+
+def _change_register(address: str, path: str, wait: float, as_json: bool) -> None:
+    """Requests a change and waits for its outcome. Exit 0: done; 1: not done; 3: not known yet."""
+    outcome = _print_register_outcome(address, path, wait, as_json)
+    # left: the register was left as it was, so the change was not made.
     raise typer.Exit({"done": 0, "left": 1, "refused": 1}.get(outcome["state"], 3))
 
 
@@ -90,14 +101,8 @@
 @fleet.command("read", epilog="Example: hopmill fleet read 127.0.0.1:8600 --json")
 def read(door: OperatorAddress, wait: WaitOption = 10.0, as_json: JsonOption = False) -> None:
     """Read the register from a majority of the voters."""
-    outcome = _request(door, "POST", "/fleet/read")
-    deadline = time.monotonic() + wait
-    while outcome["state"] == "under way" and time.monotonic() < deadline:
-        time.sleep(POLL_INTERVAL_S)
-        outcome = _request(
-            door, "GET", f"/fleet/changes/{outcome['ticket'].replace('#', '%23').replace('/', '%2F')}"
-        )
-    print(json.dumps(outcome) if as_json else "\n".join(format_lines(outcome)))
+    outcome = _print_register_outcome(door, "/fleet/read", wait, as_json)
+    # A read changes nothing: it has succeeded if the register was left as it was.
     raise typer.Exit(0 if outcome["state"] == "left" else 3)
 
 
@@ -105,7 +110,7 @@
 def replace_voter(
     door: OperatorAddress, old: str, new: str, wait: WaitOption = 10.0, as_json: JsonOption = False
 ) -> None:
-    """Replace a voter while the fleet runs, one at a time; the second step follows by itself."""
+    """Replace a voter while the fleet runs, one at a time; the old set is then retired automatically."""
     _change_register(door, f"/fleet/voters/{old}/{new}", wait, as_json)
 
 
@@ -113,11 +118,18 @@
 def detect(
     members: Annotated[int, typer.Option(min=2, max=2000)] = 60,
     loss: Annotated[float, typer.Option(min=0, max=0.9)] = 0.1,
-    kills: int = 20,
+    kills: Annotated[
+        int, typer.Option(help="Members killed one after another in a first run; 0: no such run.")
+    ] = 20,
     seconds: Annotated[
-        float, typer.Option(help="Seconds without kills, in which one member stops at times.")
+        float,
+        typer.Option(
+            help="Length in seconds of a second run that kills no member but pauses one now and then."
+        ),
     ] = 60.0,
-    stop: Annotated[float, typer.Option(help="Seconds that it is stopped in every ten.")] = 2.0,
+    stop: Annotated[
+        float, typer.Option(help="Seconds out of every 10 for which that member is paused.")
+    ] = 2.0,
     seeds: SeedsOption = "1",
 ) -> None:
     """Simulate failure detection: time to detect, false deaths, and cost; one line per seed."""
@@ -154,12 +166,12 @@
     from hopmill.explorer.policy_mutants import PLANTED as POLICY_PLANTED
     from hopmill.explorer.search import search, search_policy
 
-    planted = list(POLICY_PLANTED if policy else PLANTED)
+    planted_faults = list(POLICY_PLANTED if policy else PLANTED)
     if mutants:
-        print("\n".join(planted))
+        print("\n".join(planted_faults))
         return
-    if mutant and mutant not in planted:
-        raise error_exit(f"no such mutant: {mutant}; there are {', '.join(planted)}")
+    if mutant and mutant not in planted_faults:
+        raise error_exit(f"no such planted fault: {mutant}; there are {', '.join(planted_faults)}")
     result = (
         search_policy(schedules, seed, members, cores, mutant)
         if policy
--- a/hopmill/explorer/mutants.py
+++ b/hopmill/explorer/mutants.py
@@ -4,7 +4,7 @@
 
 from hopmill.fleet.actions import Send
 from hopmill.fleet.document import Lease, RegisterDocument
-from hopmill.fleet.lease import LeaseHolder
+from hopmill.fleet.lease_holder import LeaseHolder
 from hopmill.fleet.proposer import BallotAttempt, Proposer
 from hopmill.fleet.register import Register
 from hopmill.fleet.voter import Voter
@@ -89,8 +89,10 @@
 
     def is_accepted(self, attempt: BallotAttempt) -> bool:
         """Ask only the voters of the next document for a majority."""
-        assert attempt.next is not None
-        return 2 * len(attempt.accepted_by & set(attempt.next.voters)) > len(attempt.next.voters)
+        assert attempt.next_document is not None
+        return 2 * len(attempt.accepted_by & set(attempt.next_document.voters)) > len(
+            attempt.next_document.voters
+        )
 
 
 class RepeatsDoneProposal(Proposer):
--- a/hopmill/fleet/node.py
+++ b/hopmill/fleet/node.py
@@ -17,7 +17,7 @@
 from hopmill.fleet import wire
 from hopmill.fleet.actions import Persist, Send
 from hopmill.fleet.document import RegisterDocument
-from hopmill.fleet.govern import POLICY_BODIES, PolicyMember
+from hopmill.fleet.policy_member import POLICY_BODIES, PolicyMember
 from hopmill.fleet.proposer import Outcome
 from hopmill.fleet.register import Register
 from hopmill.fleet.settings import Members
@@ -143,7 +143,10 @@
     # Upgrades
 
     def carry(self) -> dict[str, Any]:
-        """State for the next process on this machine; this one must not send anything any more."""
+        """Return the state to hand over to the next process on this machine, at an upgrade.
+
+        This process must not send anything any more.
+        """
         register = self.register
         return {
             "born": self.generation,
@@ -210,7 +213,7 @@
     # Datagrams
 
     def datagram(self, data: bytes, now: int) -> bool:
-        """Handle a datagram. Returns whether `tick` has something to do at once."""
+        """Handle a datagram. Return whether `tick` has something to do at once."""
         self.counts.received += 1
         try:
             frame, body, updates = wire.read(data, self.settings.fleet)
@@ -248,7 +251,7 @@
             self.due_at = now
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         if not self.started:
             self._start(now)
         if not self.started:
@@ -344,16 +347,16 @@
         now: int,
         callback: Callable[[Outcome], None],
     ) -> str:
-        """Propose a change of the document. Returns the proposal id."""
+        """Propose a change of the document. Return the proposal id."""
         return self.register.propose(change, now, callback)
 
     def fencing_token(self, lease: str, now: int) -> int:
-        """The token to act under, 0 if it may not act. To be called in the turn that acts."""
+        """Return the token to act under, 0 if it may not act. To be called in the turn that acts."""
         holder = self.register.lease_holders.get(lease)
         return holder.fencing_token(now) if holder else 0
 
     def status(self, now: int) -> dict[str, Any]:
-        """The status for operators; ages are in ms."""
+        """Return the status for operators; ages are in ms."""
         me, register = self.swim.me, self.register
         peers = sorted(self.swim.peers.values(), key=lambda peer: peer.id)
         rows = [
@@ -374,7 +377,7 @@
                 "zone": peer.zone,
                 "region": peer.region,
                 "incarnation": peer.incarnation,
-                "age_ms": (now - peer.heard_at) // 1000 if peer.heard_at else None,
+                "age_ms": (now - peer.last_datagram_at) // 1000 if peer.last_datagram_at else None,
                 "self": False,
             }
             for peer in peers
--- a/hopmill/fleet/swim.py
+++ b/hopmill/fleet/swim.py
@@ -22,14 +22,16 @@
 from hopmill.fleet.settings import MAX_MEMBERS, Members
 from hopmill.fleet.wire import Ack, IndirectPing, MemberUpdate, Ping, ProbeFailed, encode
 
-ALIVE, SUSPECT, DEAD, LEFT = range(4)
+ALIVE, SUSPECT, DEAD, LEFT = range(4)  # ordered: a later state overrides at equal incarnation
 STATES = ("alive", "suspect", "dead", "left")
 INDIRECT_PROBES = 3  # members asked to ping a silent one
-MAX_CONFIRMATIONS = 3  # with so many members that share it, a suspicion is shortest
+MAX_CONFIRMATIONS = 3  # members beyond the first that share a suspicion, after which it is shortest
 UNCONFIRMED_FACTOR = 2.0  # how much longer a suspicion lasts that no other member shares
 MAX_HEALTH_SCORE = 8
 GOSSIP_FACTOR = 3  # an update is sent so many times the logarithm of the fleet's size
 RANDOM_UPDATES = 2  # random members added to a datagram with room, so that a partition heals
+MAX_QUEUED_UPDATES = 12  # recent updates in a datagram
+FEW_UPDATES = 8  # a datagram with fewer also gets random members and the sender
 DEAD_PROBE_EVERY = 8  # one probe in so many goes to a dead member
 FORGET_DEAD_US = 60_000_000  # then a dead member is forgotten, unless it is configured
 MAX_RELAYS = 256  # open pings for other members
@@ -45,13 +47,13 @@
     region: str
     is_configured: bool  # named in the own configuration
     state: int = DEAD
-    incarnation: int = 0
+    incarnation: int = 0  # 0: configured, not heard of yet; -1: new, replaced by the first update
     state_since: int = 0  # us
-    heard_at: int = 0  # us, of its last datagram
+    last_datagram_at: int = 0  # us, of its last datagram
     suspected_by: set[str] = field(default_factory=set)
 
     def to_update(self) -> MemberUpdate:
-        """The gossip about this member."""
+        """Return the gossip about this member."""
         return MemberUpdate(
             self.id,
             self.state,
@@ -70,8 +72,8 @@
     target: str
     sent_at: int  # us
     is_indirect: bool = False  # helpers were asked
-    failed_helpers: int = 0  # that got no answer either
-    helper_count: int = 0
+    nack_count: int = 0  # helpers that reported that they got no answer either (nack of Lifeguard)
+    helper_count: int = 0  # members asked to ping the target
 
 
 @dataclass(frozen=True)
@@ -99,11 +101,13 @@
         self.settings, self.rng, self.next_incarnation = members, rng, next_incarnation
         self.me = Peer(members.id, members.address, members.zone, members.region, True, ALIVE, incarnation)
         self.peers = {o.id: Peer(o.id, o.address, o.zone, o.region, True) for o in members.others}
+        # period_us: between two probes, and for the ack of the direct ping. probe_timeout_us: for a whole
+        # probe, its indirect pings included.
         self.period_us, self.probe_timeout_us = int(members.period_ms * 1e3), int(members.probe_ms * 1e3)
         self.suspicion_us = int(members.patience_ms * 1e3)
         self.health_score = 0  # local health of Lifeguard: 0 is healthy, failed probes raise it
-        self.seq = 0
-        self.probes: dict[int, Probe] = {}
+        self.seq = 0  # of the last ping
+        self.probes: dict[int, Probe] = {}  # by seq of the ping
         self.relays: dict[int, tuple[str, int, int]] = {}  # by own seq: (member that asked, its seq, us)
         self.probe_order: list[str] = []
         self.probe_count = 0
@@ -114,6 +118,7 @@
         self.outdated_senders: set[str] = set()  # used an earlier incarnation than is known
         self.outbox: list[Send] = []
         self.changes: list[MemberChange] = []
+        # Datagrams and updates, by reason. "of the gone": about an unknown member that is dead or has left.
         self.dropped: Counter[str] = Counter()
         self.is_leaving = False
         self.live_count = 1  # alive or suspected members, this one included
@@ -128,16 +133,17 @@
     # State
 
     def is_alive(self, name: str) -> bool:
-        """Whether the member is this one, alive or suspected."""
+        """Return whether the member is this one, alive or suspected."""
         return name == self.me.id or (p := self.peers.get(name)) is not None and p.state in (ALIVE, SUSPECT)
 
     def address(self, name: str) -> str:
-        """Where the member receives datagrams, "" if that is not known."""
+        """Return where the member receives datagrams, "" if that is not known."""
         return p.address if (p := self.peers.get(name)) else ""
 
     def on_datagram(self, sender: str, incarnation: int, updates: list[MemberUpdate], now: int) -> bool:
-        """Handle sender and updates. Returns False if the datagram is to be dropped: outdated or unknown
-        sender.
+        """Handle sender and updates.
+
+        Return False if the datagram is to be dropped: its sender is unknown or its incarnation outdated.
         """
         for update in updates:
             self._on_update(update, now, sender)
@@ -147,7 +153,8 @@
             return False
         if incarnation < peer.incarnation:
             self.dropped["old incarnation"] += 1
-            # Its folder may be new: it has to learn the incarnation that it had before.
+            # It may have lost its state directory. The ping carries what is known of it, so that it chooses
+            # an incarnation above the earlier one.
             if sender not in self.outdated_senders:
                 self.outdated_senders.add(sender)
                 self._ping(sender, now)
@@ -155,7 +162,7 @@
         self.outdated_senders.discard(sender)
         if incarnation > peer.incarnation:
             self._set_state(peer, ALIVE, incarnation, "its own datagram", now)
-        peer.heard_at = now
+        peer.last_datagram_at = now
         return True
 
     def _on_update(self, update: MemberUpdate, now: int, sender: str) -> None:
@@ -179,13 +186,14 @@
             )
         if update.incarnation > peer.incarnation and not peer.is_configured:  # the address may have changed
             peer.address, peer.zone, peer.region = update.address, update.zone, update.region
+        # A later incarnation overrides; at an equal one, a later state does.
         if (update.incarnation, update.state) > (peer.incarnation, peer.state):
             self._set_state(peer, update.state, update.incarnation, update.suspected_by or sender, now)
         elif (update.incarnation, update.state) == (peer.incarnation, SUSPECT):
             self._confirm(peer, update.suspected_by)
 
     def _confirm(self, peer: Peer, by: str) -> None:
-        """Count one more member that suspects it; only so many count, and so many are gossiped."""
+        """Count and gossip one more member that suspects it, at most MAX_CONFIRMATIONS beyond the first."""
         if by and by not in peer.suspected_by and len(peer.suspected_by) <= MAX_CONFIRMATIONS:
             peer.suspected_by.add(by)
             self._enqueue_update(peer, by)
@@ -220,7 +228,7 @@
     # Timer
 
     def tick(self, now: int) -> int:
-        """Do everything that is due. Returns the time of the next call."""
+        """Do everything that is due. Return the time of the next call."""
         for seq, probe in list(self.probes.items()):
             waited_us = now - probe.sent_at
             if waited_us >= self.probe_timeout_us * (1 + self.health_score):
@@ -260,19 +268,21 @@
             ]
         )
 
-    def on_stall(self, late_us: int) -> None:
-        """Handle that this process did not run for so long: drop open probes and extend suspicions."""
+    def on_stall(self, stall_us: int) -> None:
+        """Handle that this process did not run for `stall_us`: drop open probes and extend suspicions."""
         self.probes.clear()
         self.relays.clear()
         for name in self.suspects:
-            self.peers[name].state_since += late_us
-        self.next_probe_at += late_us
+            self.peers[name].state_since += stall_us
+        self.next_probe_at += stall_us
 
     def _ack_timeout_us(self) -> int:
+        """Return how long the ack of a direct ping may take before others are asked to ping."""
         return self.period_us * (1 + self.health_score)
 
     def _suspicion_timeout_us(self, peer: Peer) -> int:
-        """Shorter the more members share the suspicion, as in Lifeguard."""
+        """Return how long a suspicion lasts: shorter the more members share it, as in Lifeguard."""
+        # Not counted: this member, the suspected one, and the one that suspected it first.
         limit = min(MAX_CONFIRMATIONS, self.live_count - 3)
         if limit <= 0:
             return self.suspicion_us
@@ -327,11 +337,11 @@
             self.outbox.append(Send(helper, IndirectPing(seq, probe.target)))
 
     def _on_probe_failed(self, probe: Probe, now: int) -> None:
-        if probe.failed_helpers < probe.helper_count or not probe.helper_count:
+        if probe.nack_count < probe.helper_count or not probe.helper_count:
             # Helpers that do not answer either suggest that this member is at fault.
             self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
         peer = self.peers.get(probe.target)
-        if peer and peer.state == ALIVE and peer.heard_at <= probe.sent_at:
+        if peer and peer.state == ALIVE and peer.last_datagram_at <= probe.sent_at:
             self._set_state(peer, SUSPECT, peer.incarnation, self.me.id, now)
         elif peer and peer.state == SUSPECT:
             self._confirm(peer, self.me.id)
@@ -353,10 +363,10 @@
             elif self.probes.pop(body.seq, None):
                 self.health_score = max(0, self.health_score - 1)
         elif body.seq in self.probes:
-            self.probes[body.seq].failed_helpers += 1
+            self.probes[body.seq].nack_count += 1
 
     def live_members(self) -> list[str]:
-        """All others that are alive or suspected."""
+        """Return all others that are alive or suspected and have been heard of (incarnation above 0)."""
         return [p.id for p in self.peers.values() if p.state in (ALIVE, SUSPECT) and p.incarnation > 0]
 
     def leave(self) -> None:
@@ -380,19 +390,21 @@
             update = msgspec.structs.replace(update, suspected_by=by)
         self.gossip_counts[peer.id], self.encoded_updates[peer.id] = 0, encode(update)
 
-    def updates_for(self, to: str) -> list[bytes]:
-        """Gossip for a datagram: first the state of its receiver, unless that is known to be alive."""
+    def updates_for(self, receiver: str) -> list[bytes]:
+        """Return the gossip for a datagram: first the receiver's state, unless it is known to be alive."""
         rows = []
-        peer = self.peers.get(to)
-        if peer and (peer.state in (SUSPECT, DEAD) or to in self.outdated_senders) and peer.incarnation:
+        peer = self.peers.get(receiver)
+        if peer and (peer.state in (SUSPECT, DEAD) or receiver in self.outdated_senders) and peer.incarnation:
             rows.append(encode(peer.to_update()))
         limit = GOSSIP_FACTOR * math.ceil(math.log2(self.live_count + 2))
-        for name in heapq.nsmallest(12, self.gossip_counts, key=self.gossip_counts.__getitem__):
+        for name in heapq.nsmallest(
+            MAX_QUEUED_UPDATES, self.gossip_counts, key=self.gossip_counts.__getitem__
+        ):
             rows.append(self.encoded_updates[name])
             self.gossip_counts[name] += 1
             if self.gossip_counts[name] >= limit:
                 del self.gossip_counts[name]
-        if len(rows) < 8 and self.peers:
+        if len(rows) < FEW_UPDATES and self.peers:
             names = self._sample(list(self.peers), RANDOM_UPDATES)
             rows += [encode(p.to_update()) for p in map(self.peers.__getitem__, names) if p.incarnation > 0]
             rows.append(encode(self.me.to_update()))
--- a/hopmill/lab/play.py
+++ b/hopmill/lab/play.py
@@ -14,14 +14,14 @@
 from hopmill.lab.result import calls_by_lane, worth_by_second, result
 from hopmill.lab.rules import RuleBrokenError
 from hopmill.lab.scenario import Scenario
-from hopmill.lab.world import Simulation
+from hopmill.lab.simulation import Simulation
 
 
 # Former paths of constants, which command lines and recorded comparisons still name.
 CONSTANT_ALIASES = {
     "policy.links.HALF": "policy.links.FULL_TABLE_FACTOR",
     "policy.pacing.BASE_US": "policy.pacing.FIRST_BACKOFF_US",
-    "policy.pacing.BURST_PRICED_S": "policy.pacing.PRICED_BURST_S",
+    "policy.pacing.BURST_PRICED_S": "policy.pacing.BURST_WITH_REFUSAL_COST_S",
     "policy.pacing.FLOOR": "policy.pacing.MIN_LIMIT_SHARE",
     "policy.pacing.GROW": "policy.pacing.GROWTH_SHARE",
     "policy.turn.TICKS": "policy.turn.DEADLINE_MARGIN_TICKS",
--- a/hopmill/lab/world.py
+++ b/hopmill/lab/simulation.py
@@ -16,26 +16,32 @@
 from hopmill.fleet.settings import PolicyRule
 from hopmill.lab.members import Fleet, Plan
 from hopmill.lab.policy import FleetPolicy
-from hopmill.lab.rules import Rules
+from hopmill.lab.rules import INFORMED_SHARE_LIMIT, Rules
 from hopmill.lab.scenario import Scenario, draw
 from hopmill.lab.troubles import FaultInjector
 
 
-# Another value gives every courier other random numbers for the same traffic: for A/A tests.
+# Another value gives every courier other random numbers for the same traffic, for A/A tests. No code sets it;
+# whoever runs an A/A test does.
 SEED_SALT = 0
 
+# Scales a uniform draw from -1 to 1 to a standard deviation of about 1; the exact factor is the square root
+# of 3.
+UNIT_DEVIATION_FACTOR = 1.7
+
 
 class Simulation:
     """The state of one run of a scenario, as drawn for one seed. `play` runs it to its end."""
 
     def __init__(self, scenario: Scenario, seed: int, dialect: Dialect | None = None) -> None:
         self.scenario, self.seed = draw(scenario, seed), seed
-        self.dialect = dialect or Dialect()
+        self.dialect = dialect or Dialect()  # the types of the module under test
         self.clock, self.rules = Clock(), Rules()
         self.counts: Counter[str] = Counter()
         # The number of messages that couriers hold now, since when, and its integral over time.
         self.messages_held, self.held_since_us, self.held_message_us = 0, 0, 0
-        self.total_stay_us = 0  # the same, summed by message: Little's law is tested with both
+        # The sum of the times that ended messages were held. Little's law relates it to held_message_us.
+        self.total_stay_us = 0
         drawn = self.scenario
         self.handshake_us = int(drawn.net.handshake_ms * 1e3)
         self.jitter_draws = UniformBuffer(stream(seed, "jitter"))
@@ -71,7 +77,7 @@
 
     def _build_partners(self) -> None:
         scenario = self.scenario
-        rng, slowness_rng = stream(self.seed, "partners"), stream(self.seed, "slow")
+        rng, slowdown_rng = stream(self.seed, "partners"), stream(self.seed, "slow")
         endpoints_per_partner = sum(k.endpoints * k.share for k in scenario.kinds) / sum(
             k.share for k in scenario.kinds
         )
@@ -84,9 +90,10 @@
         endpoint_number = 0
         for index in range(partner_count):
             kind = scenario.kinds[kind_indexes[index]]
+            # Rounded up or down at random, so that the mean is kept.
             endpoint_count = max(1, int(kind.endpoints + rng.random()))
             partner = partners.Partner(index + 1, int(kind_indexes[index]), float(shares[index]))
-            slowness = float(lognormal(slowness_rng, 1.0, kind.slow_cv))
+            slowdown = float(lognormal(slowdown_rng, 1.0, kind.slow_cv))
             messages_per_s = scenario.load.rate_per_s * kind.full_load * partner.share
             calls_per_s = max(kind.least_per_s, kind.headroom * messages_per_s * kind.calls_per_message)
             route_count = endpoint_count if kind.routes_apart else 1
@@ -99,7 +106,7 @@
                         kind,
                         limit,
                         capacity_per_s,
-                        slowness,
+                        slowdown,
                         scenario.fall_multiple,
                         int(scenario.fall_ms * 1e3),
                     )
@@ -107,7 +114,9 @@
             for position in range(endpoint_count):
                 endpoint_number += 1
                 target = partner.targets[position % route_count]
-                mean_work_s = mean_work_ms * slowness / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
+                # A batch is taken to have two messages: an item after the first adds item_cost of a message's
+                # work.
+                mean_work_s = mean_work_ms * slowdown / 1e3 * (1 + kind.item_cost * (kind.bundle > 1))
                 zone = int(rng.integers(scenario.net.zones))
                 self._add_endpoint(endpoint_number, partner, target, endpoint_count, zone, mean_work_s)
             self.partners.append(partner)
@@ -155,8 +164,8 @@
     def _refresh_report(self, target: partners.Target, rng: UniformBuffer) -> None:
         """Refreshes the load report that a target's answers carry, with the scenario's delay and noise."""
         reports, now = self.scenario.reports, self.clock.now
-        noise = 1 + reports.noise * (2 * rng.uniform() - 1) * 1.7
-        report = (min(1.0, target.limit.share_left(now) * noise), target.limit.current_per_s)
+        noise = 1 + reports.noise * (2 * rng.uniform() - 1) * UNIT_DEVIATION_FACTOR
+        report = (min(1.0, target.limit.unused_share(now) * noise), target.limit.current_per_s)
         self.clock.after(int(reports.delay_ms * 1e3), setattr, target, "report", report)
         self.clock.after(max(1000, int(reports.period_ms * 1e3)), self._refresh_report, target, rng)
 
@@ -197,7 +206,7 @@
             "keyed": interface.Effect.KEYED,
             "unsafe": interface.Effect.UNSAFE,
         }
-        max_wait_us = int(scenario.clients.longest_wait_ms * 1e3)
+        max_retry_after_us = int(scenario.clients.longest_wait_ms * 1e3)
         fees = (
             tuple(scenario.net.fee * z / max(1, scenario.net.zones - 1) for z in range(scenario.net.zones))
             if scenario.net.fee
@@ -226,20 +235,22 @@
             ),
             slots=max(1, round(scenario.fleet.slots)),
             max_held=max(2, round(scenario.fleet.held)),
+            # As configured at the couriers, which may differ from the number that run.
             couriers=scenario.fleet.told_couriers or scenario.fleet.couriers,
             max_attempts=6,
             second_copies=False,
             may_cancel=True,
             tick_us=int(scenario.fleet.tick_ms * 1e3),
-            max_retry_after_us=max_wait_us,
+            max_retry_after_us=max_retry_after_us,
             connection_idle_us=int(scenario.fleet.idle_ms * 1e3),
             connect_timeout_us=int(scenario.fleet.connect_ms * 1e3),
             drain_grace_us=int(scenario.drain_grace_ms * 1e3),
+            # The settings have one value for all kinds: the lowest share and the longest recovery.
             cold_share=min(k.cold_from for k in scenario.kinds),
             cold_us=int(max(k.cold_ms for k in scenario.kinds) * 1e3),
             fall_multiple=scenario.fall_multiple,
             fall_us=int(scenario.fall_ms * 1e3),
-            report_fields=("x0", "x1"),
+            report_fields=("x0", "x1"),  # unused share of the limit, limit in calls per second
             rates_listed=True,
             over_share_worth=scenario.over_share_worth,
             late_halves=scenario.late == "halves",
@@ -248,7 +259,10 @@
         )
 
     def courier_settings(self, number: int):
-        """The module's settings for one courier. `me` stays below the configured number of couriers."""
+        """The module's settings for one courier.
+
+        `me` stays below the configured number of couriers, which may be smaller than the number that run.
+        """
         own_index = min(number, self._common_settings["couriers"] - 1)
         return self.dialect.make("Settings", me=own_index, **self._common_settings)
 
@@ -257,7 +271,10 @@
         return zlib.crc32(f"{self.seed} {courier} {generation} {SEED_SALT or ''}".encode())
 
     def must_end_messages(self, courier: CourierModel) -> bool:
-        """False during a restart and for RECOVERY_GRACE_US after it: a missing outcome is allowed."""
+        """Whether a missing outcome breaks a rule: not before `FaultInjector.exempt_until_us`.
+
+        A courier is exempt from SIGTERM on for 10 s, and from its exit until a grace time after its restart.
+        """
         return self.clock.now >= self.faults.exempt_until_us.get(courier.number, -1)
 
     def process_ended(self, courier: CourierModel) -> None:
@@ -292,13 +309,13 @@
         if target.has_collapsed and target.recent_load:
             informed_share, target.recent_load = target.informed_share, 0.0
             self.counts["fell"] += 1
-            if informed_share >= 2 / 3:
+            if informed_share >= INFORMED_SHARE_LIMIT:
                 raise self.rules.violation(
                     "fail-back",
                     self.clock.now,
                     f"{target.name} collapsed while it recovered; {informed_share:.2f} of the load came from "
                     "couriers that had met its outage",
-                    lane=endpoint.partner,
+                    lane=endpoint.partner,  # the trace of the rules records destinations as lanes
                 )
 
     # The run
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -16,23 +16,24 @@
 from hopmill.net.resp import MALFORMED, MalformedValue, ProtocolError, RequestReader
 from hopmill.net.upgrade import HandoverPayload
 
-# In seconds. A client without a request, in the middle of one, or with unread answers is closed once it has
-# been idle for REQUEST_TIMEOUT_S: the platform's terms require an error line or a close within 3 s and allow
-# idle connections to be closed after 2 s, and their number is limited, so idle ones keep other clients out.
-# A request that arrives slowly may take MAX_REQUEST_S.
-REQUEST_TIMEOUT_S, MAX_REQUEST_S = 2.05, 2.8
+# A client without a request, in the middle of one, or with unread answers is closed once it has been idle for
+# this time. The platform requires that an incomplete request is answered with an error line or a close within
+# 3 s. It allows idle connections to be closed after 2 s; their number is limited, so idle ones keep other
+# clients out.
+REQUEST_TIMEOUT_S = 2.05
+MAX_REQUEST_S = 2.8  # for a request that arrives slowly
 BACKLOG = 512  # connections waiting to be accepted
-# In seconds after an operator drains the courier. The load balancer asks ten times a second, and new clients
-# may come until 0.2 s after the first error answer. From DRAIN_GRACE_S on connections are closed between
-# requests, those of idle clients after DRAIN_IDLE_S without data.
-DRAIN_GRACE_S, DRAIN_IDLE_S, DRAIN_SWEEP_S = 0.5, 0.2, 0.05
-# In seconds. After the last answer a connection is read for LINGER_S, and what comes is discarded. A client
-# that has not sent its first request yet may take FIRST_REQUEST_GRACE_S before it counts as idle.
-LINGER_S, FIRST_REQUEST_GRACE_S = 0.15, 0.4
+# After an operator drains the courier, connections are closed between requests from this time on. The load
+# balancer sends a PING ten times a second, and new clients may come until 0.2 s after the first error answer.
+DRAIN_GRACE_S = 0.5
+DRAIN_IDLE_S = 0.2  # a drained courier closes connections without data for this time
+DRAIN_SWEEP_S = 0.05  # interval of the sweep that closes idle connections while the courier is drained
+LINGER_S = 0.15  # after the last answer a connection is read for this time, and what comes is discarded
+FIRST_REQUEST_GRACE_S = 0.4  # a client that has not sent its first request yet counts as idle after this time
 MAX_ERROR_BYTES = 200  # of the text of an error answer
 LINGERING_DIVISOR = 10  # one in so many of the clients' connections may linger
-MAX_ACCEPTS_PER_TURN = 16  # new connections in one iteration of the event loop
-MAX_REQUESTS_PER_TURN = 32  # handled for one client before other clients' requests
+MAX_ACCEPTS_PER_ITERATION = 16  # new connections in one iteration of the event loop
+MAX_REQUESTS_PER_ITERATION = 32  # handled for one client before other clients' requests
 MAX_INVALID_REQUESTS = 16  # in a row; a peer that sends more is disconnected
 log = logs.part("clients")
 
@@ -41,25 +42,25 @@
     """The place of one answer in its connection: answers are sent in the order of their requests."""
 
     def __init__(self, client: ClientConnection) -> None:
-        self.client, self.text = client, b""
+        self.client, self.data = client, b""
 
     @property
     def is_wanted(self) -> bool:
         """Whether the client is still connected."""
         return not self.client.is_lost
 
-    def send(self, text: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Answer the request; only the first answer counts."""
-        if not self.text:
-            self.text = text
+        if not self.data:
+            self.data = data
             self.client.flush()
 
 
 class ClientConnection(asyncio.Protocol):
     """One client's connection.
 
-    carried: what the previous process handed over of this connection: state of the reader, last_data_at,
-    last_request_at, request_began_at, awaits_first_byte.
+    carried: what the previous process handed over at an upgrade: state of the reader, last_data_at,
+    last_request_at, request_began_at, awaits_first_byte. It is empty for a new connection.
     """
 
     def __init__(self, server: ClientServer, carried: tuple[Any, ...] = ()) -> None:
@@ -69,7 +70,7 @@
         self.is_lost = self.is_closing = self.writing_paused = False
         # Whether this side, and whether the peer, has announced that it sends no more.
         self.is_lingering = self.peer_sent_eof = False
-        self.has_served = bool(carried)  # it has sent a valid request
+        self.has_sent_request = bool(carried)  # it has sent a valid request
         self.invalid_count = 0  # requests since the last valid one
         self.resume_handle: asyncio.Handle | None = None  # set while data waits to be processed
         self.last_data_at = 0.0  # when it last sent data, or connected; these times are the event loop's
@@ -104,9 +105,10 @@
         """Run the time-out for the next valid request, or for reading the answers, if it is not running."""
         if self.timer is None and not self.is_lost:
             loop = asyncio.get_running_loop()
-            is_late = self.is_closing or self.writing_paused  # must read its answers within the time-out
+            # The client gets no further request handled; it must read its answers within the time-out.
+            must_read_answers = self.is_closing or self.writing_paused
             self.timer = loop.call_at(
-                loop.time() + REQUEST_TIMEOUT_S if is_late else self._deadline(), self._on_timeout
+                loop.time() + REQUEST_TIMEOUT_S if must_read_answers else self._deadline(), self._on_timeout
             )
 
     def _deadline(self) -> float:
@@ -124,9 +126,9 @@
             self.timer = None
 
     def _on_timeout(self) -> None:
-        """End a peer that is idle or never completes its request.
+        """Close a connection that is idle, or whose request or reading of answers takes too long.
 
-        Nothing else would, and it occupies a descriptor.
+        Such a connection occupies a descriptor, and no other timer closes it.
         """
         self.timer = None
         loop = asyncio.get_running_loop()
@@ -135,12 +137,13 @@
         elif self._deadline() > loop.time():
             self._ensure_timer()
         elif not self.reader.has_partial_request and self.has_unread_bytes:  # its next request is arriving
+            # LINGER_S gives the event loop time to read these bytes.
             self.timer = loop.call_later(LINGER_S, self._on_timeout)
         else:
             self.reject()
 
     def reject(self) -> None:
-        """Answer an incomplete request with an error line, then close."""
+        """Close the connection; an incomplete request gets an error line first."""
         self.is_closing = True
         if self.reader.has_partial_request:
             self._add_reply().send(b"-ERR no whole request in time\r\n")
@@ -179,7 +182,7 @@
         self.resume_handle = None
         try:
             self._note_request_start()
-            for _ in range(MAX_REQUESTS_PER_TURN):
+            for _ in range(MAX_REQUESTS_PER_ITERATION):
                 if self.is_closing or self.writing_paused or (request := self.reader.next_request()) is None:
                     break
                 self._handle(request)
@@ -210,12 +213,10 @@
 
     def _request_completed(self) -> None:
         """Note a complete valid request: the time for the next one starts again."""
-        self.last_request_at, self.awaits_first_byte, self.has_served, self.invalid_count = (
-            self.last_data_at,
-            True,
-            True,
-            0,
-        )
+        self.last_request_at = self.last_data_at
+        self.awaits_first_byte = True
+        self.has_sent_request = True
+        self.invalid_count = 0
 
     def _add_reply(self) -> Reply:
         self.pending_replies.append(Reply(self))
@@ -250,8 +251,8 @@
     def flush(self) -> None:
         """Write the answers that are due, and close if the connection is to end."""
         answers = []
-        while self.pending_replies and self.pending_replies[0].text:
-            answers.append(self.pending_replies.popleft().text)
+        while self.pending_replies and self.pending_replies[0].data:
+            answers.append(self.pending_replies.popleft().data)
         # The transport may be closing before connection_lost is called.
         if answers and not self.is_lost and not self.transport.is_closing():
             self.transport.write(b"".join(answers))
@@ -299,6 +300,7 @@
     @property
     def has_unread_bytes(self) -> bool:
         """Whether the kernel has data that was not read yet: closing now would cut off a request."""
+        # FIONREAD returns the number of unread bytes as a C int; it is 0 if all bytes of the int are.
         return any(fcntl.ioctl(self.fileno, termios.FIONREAD, bytes(4)))
 
     @property
@@ -342,19 +344,21 @@
         if self.sweep_timer:
             self.sweep_timer.cancel()
         if drained:
-            self.sweep_timer = asyncio.get_running_loop().call_later(DRAIN_GRACE_S, self._close_quiet)
+            self.sweep_timer = asyncio.get_running_loop().call_later(
+                DRAIN_GRACE_S, self._close_idle_while_draining
+            )
 
-    def _close_quiet(self) -> None:
+    def _close_idle_while_draining(self) -> None:
         loop = asyncio.get_running_loop()
         self.closes_after_answer = True  # from now on busy connections are closed after their answer
         for client in list(self.connections):
             if loop.time() - client.last_data_at >= DRAIN_IDLE_S:
                 client.close_if_idle()
-        self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_quiet)
+        self.sweep_timer = loop.call_later(DRAIN_SWEEP_S, self._close_idle_while_draining)
 
     def listen(self, sock: socket.socket) -> int:
         """Accept clients on this socket; returns its port."""
-        self.acceptor = Acceptor(sock, lambda: ClientConnection(self), MAX_ACCEPTS_PER_TURN)
+        self.acceptor = Acceptor(sock, lambda: ClientConnection(self), MAX_ACCEPTS_PER_ITERATION)
         return self.acceptor.port
 
     def connection_joined(self, client: ClientConnection) -> None:
@@ -408,7 +412,7 @@
             self.acceptor.close()
 
     def carry(self, payload: HandoverPayload, limit: int) -> list[list[Any]]:
-        """Return up to `limit` connections for the next process, the most recently used ones.
+        """Return up to `limit` connections to hand over to the next process, the most recently used ones.
 
         Between two turns no answer is pending on them.
         """
@@ -426,7 +430,7 @@
         ]
 
     def resume(self, sock: socket.socket, *carried: Any) -> None:
-        """Go on with a connection of the previous process."""
+        """Go on with a connection that the previous process handed over at an upgrade."""
         assert self.acceptor is not None
         self.acceptor.join(sock, lambda: ClientConnection(self, carried))
 
@@ -437,7 +441,7 @@
         """
         now = asyncio.get_running_loop().time()
         for client in list(self.connections):
-            if client.has_served or now - client.last_request_at >= FIRST_REQUEST_GRACE_S:
+            if client.has_sent_request or now - client.last_request_at >= FIRST_REQUEST_GRACE_S:
                 client.close_if_idle()
 
     def reject_all(self) -> None:
--- a/hopmill/net/joining.py
+++ b/hopmill/net/joining.py
@@ -24,24 +24,24 @@
 
 
 def apply_policy(host: Host) -> None:
-    """Sets up the active policy where the fleet, exclusions or ceilings may change the initial settings."""
+    """Set up the active policy where the fleet, exclusions or ceilings may change the initial settings."""
     document, members = host.config.document, host.config.members
     bounded = document is not None and (
         document.ceilings or document.left_out.endpoints or document.left_out.zones
     )
     if document is None or not (bounded or members and members.policy):
         return
-    from hopmill.net.in_force import ActivePolicy
+    from hopmill.net.active_policy import ActivePolicy
 
     host.active_policy = host.operator_actions.active_policy = ActivePolicy(host, document)
     host.events += host.active_policy.initial_events()
 
 
 def join_fleet(host: Host) -> None:
-    """Joins the fleet; its files lie beside the journal."""
+    """Join the fleet; its files lie beside the journal."""
     if not host.config.members:
         return
-    from hopmill.net.peers import MemberTransport
+    from hopmill.net.member_transport import MemberTransport
 
     carried = host.handover.carried.get("fleet")
     sock = host.handover.socket_at(carried["socket"]) if carried else None
--- a/hopmill/net/pool.py
+++ b/hopmill/net/pool.py
@@ -1,6 +1,6 @@
 """Connection pool: opens, checks out, keeps, closes and counts the connections to endpoints.
 
-How many idle connections are kept per endpoint is decided by the policy (hopmill/policy/links.py).
+How many idle connections are kept per endpoint is decided by the decision core (hopmill/policy/links.py).
 docs/operations.md describes the design.
 """
 
@@ -27,7 +27,17 @@
 OPENING, CHECKED_OUT, IDLE, CLOSED = "opening", "checked out", "idle", "closed"  # states of a connection
 log = logs.part("pool")
 
-# Reasons for closing a connection, as the operator API and the metrics show them.
+# Reasons for closing a connection, as the operator API and the metrics show them:
+# - IDLE_EXPIRED: idle so long that the endpoint may close it at any moment.
+# - OVER_LIMIT: more idle connections than are kept to this endpoint.
+# - EVICTED: the one idle longest, for lack of descriptors or since the pool keeps no more idle connections.
+# - CLOSED_BY_ENDPOINT, BROKE_DURING_CALL, NEVER_CONNECTED: closed from outside while idle, during a call, or
+#   before it was established; a connect that times out counts as NEVER_CONNECTED too.
+# - CALL_ABANDONED: closed by the call that used it or waited for it.
+# - ENDPOINT_REMOVED: the endpoint is no longer listed, has another address or may not be called.
+# - ENDPOINT_RESTARTED: opened before the endpoint last started.
+# - NOT_TRUSTED: idle since before a call or connect that failed without any later response.
+# - REQUESTED_BY_POLICY: the decision core asked for it.
 IDLE_EXPIRED, OVER_LIMIT, EVICTED = "aged", "over the endpoint's number", "room for others"
 CLOSED_BY_ENDPOINT, BROKE_DURING_CALL, CALL_ABANDONED = (
     "ended by the endpoint",
@@ -79,15 +89,19 @@
     max_idle: int = 1  # idle connections that are kept
     idle: OrderedDict[PooledConnection, None] = field(default_factory=OrderedDict)  # most recently used last
     connections: set[PooledConnection] = field(default_factory=set)  # in any state
-    canary: PooledConnection | None = None  # checked out untrusted, no response yet
-    last_response_at: float = -math.inf  # loop time of the last response, and
-    last_response_opened_at: float = math.inf  # wall clock at which its connection was opened
+    # Reused connection that tests whether the idle ones are alive; None if no such test is running.
+    trial_connection: PooledConnection | None = None
+    # The response that shows idle connections to be alive: when it arrived (loop time), and when its
+    # connection was opened (wall clock). A later response replaces it if its connection is no newer, or once
+    # the earlier response is older than the connect timeout.
+    last_response_at: float = -math.inf
+    last_response_opened_at: float = math.inf
     opened: int = 0
     reused: int = 0
     closed: Counter[str] = field(default_factory=Counter)
 
     def status(self) -> dict[str, Any]:
-        """Counters and limits for the operator API."""
+        """Return counters and limits for the operator API."""
         states = Counter(connection.state for connection in self.connections)
         return {
             "open": len(self.connections),
@@ -111,7 +125,7 @@
     timer: asyncio.TimerHandle | None = None
 
     def complete(self, connection: PooledConnection | None, error: OSError | None) -> None:
-        """Ends the checkout with a connection or with the error that prevented one."""
+        """End the checkout with a connection or with the error that prevented one."""
         if self.timer:
             self.timer.cancel()
         self.connection = connection
@@ -119,13 +133,13 @@
 
 
 def carry_connection(payload: HandoverPayload, connection: PooledConnection) -> int:
-    """Returns the index of its socket in the handover payload.
+    """Add a connection's socket to what is handed over to the next process, and return its index there.
 
     The opening time is stored beside the rows, because older versions expect rows of a fixed length.
     """
-    place = payload.add_descriptor(connection.sock.fileno())
-    payload.values.setdefault("born", {})[place] = connection.opened_at
-    return place
+    index = payload.add_descriptor(connection.sock.fileno())
+    payload.values.setdefault("born", {})[index] = connection.opened_at
+    return index
 
 
 class Pool:
@@ -134,25 +148,27 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        idle_us: int,
-        connect_us: int,
+        endpoint_idle_timeout_us: int,
+        connect_timeout_us: int,
         max_idle: int,
         is_usable: Callable[[int], bool] = lambda endpoint: True,
     ) -> None:
-        """Creates an empty pool.
+        """Create an empty pool.
 
-        idle_us is the idle timeout of endpoints. is_usable tells whether an endpoint may be called at all; no
-        connection is kept for one that may not.
+        endpoint_idle_timeout_us: after which endpoints close an idle connection. connect_timeout_us: for a
+        connect. max_idle: idle connections to all endpoints together. is_usable: whether an endpoint may be
+        called at all; no connection is kept for one that may not.
         """
         self.loop, self.is_usable = loop, is_usable
-        # The endpoint's idle timeout starts when it writes its response, and the next request needs time to
-        # reach it. A connect takes a round trip and is given connect_us. Closing that much earlier avoids
-        # that a request crosses the endpoint's close on the wire.
-        self.idle_s = max(idle_us / 2, idle_us - connect_us) / 1e6
-        self.connect_s, self.max_idle = connect_us / 1e6, max_idle
+        # Idle connections close connect_timeout_us early, so that a request does not cross the endpoint's
+        # close on the wire: the endpoint's idle timeout starts when it writes its response, and the next
+        # request needs time to reach it. A connect takes a round trip, so its timeout covers that time.
+        # Half of the endpoint's idle timeout is used in any case.
+        self.idle_s = max(endpoint_idle_timeout_us / 2, endpoint_idle_timeout_us - connect_timeout_us) / 1e6
+        self.connect_s, self.max_idle = connect_timeout_us / 1e6, max_idle
         self.endpoints: dict[int, EndpointConnections] = {}
         self.idle: OrderedDict[PooledConnection, None] = OrderedDict()  # of all endpoints, longest idle first
-        self.removed_endpoints: set[PooledConnection] = set()  # checked out, endpoint no longer listed
+        self.orphaned_connections: set[PooledConnection] = set()  # in use, endpoint removed or moved
         self.waiting_for_descriptor: deque[Checkout] = deque()
         self.idle_changed: set[int] = set()  # endpoints with idle connections not reported yet
         self.removed_totals: Counter[str] = Counter()  # counters of endpoints no longer listed
@@ -162,7 +178,7 @@
     # Endpoints
 
     def set_endpoint(self, endpoint: int, address: Address, boot_ms: float = 0.0) -> None:
-        """Sets address and start time of an endpoint; connections opened before its start are closed."""
+        """Set address and start time of an endpoint; connections opened before its start are closed."""
         entry = self.endpoints.get(endpoint)
         if entry is not None and entry.address != address:
             self.forget(endpoint)
@@ -175,7 +191,7 @@
             self.drop(connection, ENDPOINT_RESTARTED)
 
     def forget(self, endpoint: int) -> None:
-        """Removes an endpoint. Idle connections close now, connections in use when their call ends."""
+        """Remove an endpoint. Idle connections close now, connections in use when their call ends."""
         entry = self.endpoints.pop(endpoint, None)
         if entry is None:
             return
@@ -183,25 +199,25 @@
             if connection.state == IDLE:
                 self.drop(connection, ENDPOINT_REMOVED)
             else:  # closed when its call ends
-                self.removed_endpoints.add(connection)
+                self.orphaned_connections.add(connection)
         self.idle_changed.discard(endpoint)
         self.removed_totals.update({"opened": entry.opened, "reused": entry.reused})
         self.removed_totals.update(entry.closed)
 
     def close_idle(self, endpoint: int, reason: str = ENDPOINT_REMOVED) -> None:
-        """Closes the idle connections of an endpoint."""
+        """Close the idle connections of an endpoint."""
         if entry := self.endpoints.get(endpoint):
             for connection in list(entry.idle):
                 self.drop(connection, reason)
 
     def set_max_idle(self, endpoint: int, max_idle: int) -> None:
-        """Sets how many idle connections are kept from now on."""
+        """Set how many idle connections are kept from now on."""
         if entry := self.endpoints.get(endpoint):
             entry.max_idle = max_idle
             self._trim(entry)
 
     def close(self) -> None:
-        """Closes all connections and cancels timers."""
+        """Close all connections and cancel timers."""
         for timer in (self.expiry_timer, self.retry_timer):
             if timer:
                 timer.cancel()
@@ -209,13 +225,13 @@
         for entry in self.endpoints.values():
             for connection in list(entry.connections):
                 self.drop(connection, ENDPOINT_REMOVED)
-        for connection in list(self.removed_endpoints):
+        for connection in list(self.orphaned_connections):
             self.drop(connection, ENDPOINT_REMOVED)
 
     # Checking out
 
     def check_out(self, endpoint: int, done: CheckoutCallback) -> Checkout:
-        """Hands out the most recently used idle connection, so that surplus ones expire; else opens one."""
+        """Hand out the most recently used idle connection, so that surplus ones expire; else opens one."""
         checkout, entry = Checkout(endpoint, done), self.endpoints.get(endpoint)
         if entry and (connection := self._take_idle(entry)):
             checkout.complete(connection, None)
@@ -224,7 +240,7 @@
         return checkout
 
     def cancel(self, checkout: Checkout) -> None:
-        """Ends a checkout that its call no longer wants, and closes a connection being opened for it."""
+        """End a checkout that its call no longer wants, and close a connection being opened for it."""
         if checkout.timer:
             checkout.timer.cancel()
         if checkout in self.waiting_for_descriptor:
@@ -233,16 +249,16 @@
             self.drop(checkout.connection, CALL_ABANDONED)
 
     def open_spare(self, endpoint: int) -> None:
-        """Opens a connection before a message needs it.
+        """Open a connection before a message needs it.
 
-        Its result is not reported to the policy, since it is not a probe.
+        Its result is not reported to the decision core, since it is not a probe.
         """
         entry = self.endpoints.get(endpoint)
-        room = (
+        has_room = (
             entry
             and sum(connection.state != CHECKED_OUT for connection in entry.connections) < entry.max_idle
         )
-        if room and not self.waiting_for_descriptor and len(self.idle) < self.max_idle:
+        if has_room and not self.waiting_for_descriptor and len(self.idle) < self.max_idle:
             self._open(
                 Checkout(
                     endpoint, lambda connection, error: self.check_in(connection) if connection else None
@@ -253,7 +269,7 @@
         while entry.idle:
             connection = next(reversed(entry.idle))
             is_trusted = self._is_trusted(entry, connection)
-            if not is_trusted and entry.canary:
+            if not is_trusted and entry.trial_connection:
                 return None  # if all are dead, one call finds out for all
             if connection.stale():
                 self.drop(connection, CLOSED_BY_ENDPOINT)
@@ -265,13 +281,13 @@
                 now,
                 int((now - connection.idle_at) * 1e6),
             )
-            entry.canary = entry.canary if is_trusted else connection
+            entry.trial_connection = entry.trial_connection if is_trusted else connection
             entry.reused += 1
             return connection
         return None
 
     def _is_trusted(self, entry: EndpointConnections, connection: PooledConnection) -> bool:
-        """Whether an idle connection is known to be alive.
+        """Return whether an idle connection is known to be alive.
 
         It is if a response has arrived within the time that a connect may take, over a connection opened
         before this one became idle: then the machine has neither vanished nor restarted since.
@@ -324,7 +340,7 @@
     def _connect_timed_out(
         self, checkout: Checkout, connection: PooledConnection, entry: EndpointConnections
     ) -> None:
-        """Handles a connect without any reply.
+        """Handle a connect without any reply.
 
         If the endpoint has responded to other calls meanwhile its accept queue is full. Otherwise its machine
         may have vanished, and idle connections would cost a call each; they are closed.
@@ -378,7 +394,7 @@
     # Checking in
 
     def check_in(self, connection: PooledConnection) -> None:
-        """Takes back the connection of a finished call: it becomes idle, or is closed."""
+        """Take back the connection of a finished call: it becomes idle, or is closed."""
         entry = self.endpoints.get(connection.endpoint)
         if connection.closed or connection.state != CHECKED_OUT:
             return
@@ -386,15 +402,15 @@
             self.drop(connection, ENDPOINT_REMOVED)
         elif connection.opened_at < entry.booted_at:
             self.drop(connection, ENDPOINT_RESTARTED)
-        elif self.idle_s <= 0:
+        elif self.idle_s <= 0:  # endpoints keep no idle connections, so the number to keep is 0
             self.drop(connection, OVER_LIMIT)
         else:
             self._make_idle(connection, entry, self.loop.time())
 
-    def _make_idle(self, connection: PooledConnection, entry: EndpointConnections, since: float) -> None:
-        if entry.canary is connection:
-            entry.canary = None
-        connection.state, connection.idle_at = IDLE, since
+    def _make_idle(self, connection: PooledConnection, entry: EndpointConnections, idle_since: float) -> None:
+        if entry.trial_connection is connection:
+            entry.trial_connection = None
+        connection.state, connection.idle_at = IDLE, idle_since
         entry.idle[connection] = self.idle[connection] = None
         self.idle_changed.add(connection.endpoint)
         self._trim(entry)
@@ -421,7 +437,7 @@
     # Evidence from calls
 
     def response_received(self, connection: PooledConnection) -> None:
-        """Records a response: connections that were idle while this one was open are alive as well."""
+        """Record a response: connections that were idle while this one was open are alive as well."""
         entry = self.endpoints.get(connection.endpoint)
         if entry is None or connection not in entry.connections:
             return
@@ -431,26 +447,29 @@
             or now - entry.last_response_at > self.connect_s
         ):
             entry.last_response_at, entry.last_response_opened_at = now, connection.opened_at
-        if entry.canary is connection:
-            entry.canary = None
+        if entry.trial_connection is connection:
+            entry.trial_connection = None
 
     def call_failed(self, connection: PooledConnection) -> None:
-        """Records that a call on the connection broke or timed out."""
+        """Record that a call on the connection broke or timed out."""
         entry = self.endpoints.get(connection.endpoint)
         if entry is not None and connection.address == entry.address:
             self._distrust_idle(entry, connection.checked_out_at)
 
-    def _distrust_idle(self, entry: EndpointConnections, since: float) -> None:
-        """Closes connections idle since before then, unless the endpoint has responded after it."""
-        if entry.last_response_at >= since:
+    def _distrust_idle(self, entry: EndpointConnections, failure_began_at: float) -> None:
+        """Close connections idle since before the failed call or connect began.
+
+        They stay if the endpoint has responded since then.
+        """
+        if entry.last_response_at >= failure_began_at:
             return
-        for connection in [idle for idle in entry.idle if idle.idle_at <= since]:
+        for connection in [idle for idle in entry.idle if idle.idle_at <= failure_began_at]:
             self.drop(connection, NOT_TRUSTED)
 
     # Closing
 
     def drop(self, connection: PooledConnection, reason: str) -> None:
-        """Closes a connection; the first reason given is counted."""
+        """Close a connection; the first reason given is counted."""
         connection.reason = connection.reason or reason
         connection.close()
 
@@ -463,8 +482,8 @@
             self.expiry_timer = None
 
     def _connection_closed(self, connection: PooledConnection, entry: EndpointConnections) -> None:
-        """Removes a closed connection from all collections. Every close ends here."""
-        self.removed_endpoints.discard(connection)
+        """Remove a closed connection from all collections. Every close ends here."""
+        self.orphaned_connections.discard(connection)
         if connection not in entry.connections:
             return
         entry.connections.discard(connection)
@@ -472,8 +491,8 @@
             connection.timer.cancel()
         if connection.state == IDLE:
             self._remove_from_idle(connection, entry)
-        if entry.canary is connection:
-            entry.canary = None
+        if entry.trial_connection is connection:
+            entry.trial_connection = None
         if not connection.reason:
             connection.reason = (
                 NEVER_CONNECTED
@@ -491,7 +510,7 @@
     # Reporting
 
     def take_idle_changes(self) -> list[tuple[int, tuple[int, ...]]]:
-        """Endpoints whose idle connections changed since the last call.
+        """Return the endpoints whose idle connections changed since the last call.
 
         Each with the loop times (us) at which its connections became idle, oldest first.
         """
@@ -503,7 +522,7 @@
         ]
 
     def totals(self) -> Counter[str]:
-        """Counters over all endpoints, those no longer listed included."""
+        """Return the counters over all endpoints, those no longer listed included."""
         total = Counter(self.removed_totals)
         for entry in self.endpoints.values():
             total.update({"opened": entry.opened, "reused": entry.reused})
@@ -511,12 +530,15 @@
         return total
 
     def status(self, name: Callable[[int], str]) -> dict[str, Any]:
-        """State for the operator API: endpoints with the most connections first, at most MAX_ROWS."""
+        """Return the state for the operator API.
+
+        Endpoints with the most connections come first, at most MAX_ROWS of them.
+        """
         rows = sorted(self.endpoints.items(), key=lambda row: -len(row[1].connections))
         shown = [{"endpoint": name(endpoint), **entry.status()} for endpoint, entry in rows[:MAX_ROWS]]
         return {
             "open": sum(len(entry.connections) for entry in self.endpoints.values())
-            + len(self.removed_endpoints),
+            + len(self.orphaned_connections),
             "idle": len(self.idle),
             "idle_at_most": self.max_idle,
             "waiting": len(self.waiting_for_descriptor),
@@ -528,7 +550,7 @@
     # Upgrades
 
     def carry_idle(self, payload: HandoverPayload, max_count: int) -> list[list[Any]]:
-        """Packs the most recently used idle connections for the next process."""
+        """Pack the most recently used idle connections, to hand over to the next process."""
         idle = [connection for connection in reversed(self.idle) if not connection.stale()]
         return [
             [
@@ -543,23 +565,23 @@
     def resume(
         self, endpoint: int, address: Address, sock: socket.socket, opened_at: float
     ) -> PooledConnection:
-        """Takes over a connection in use; its endpoint may have been removed since the upgrade began."""
+        """Take over a connection in use; its endpoint may have been removed since the upgrade began."""
         connection = PooledConnection(self.loop, endpoint, address, opened_at, sock)
         entry = self.endpoints.get(endpoint)
         if entry is None or entry.address != address:
             entry = EndpointConnections(address)
-            self.removed_endpoints.add(connection)
+            self.orphaned_connections.add(connection)
         entry.connections.add(connection)
         connection.on_close = lambda: self._connection_closed(connection, entry)
         connection.state, connection.checked_out_at, connection.idle_us = CHECKED_OUT, self.loop.time(), 0
         return connection
 
     def resume_idle(self, rows: list[tuple[int, Address, socket.socket, float, float]]) -> None:
-        """Takes over idle connections.
+        """Take over idle connections.
 
         Rows: endpoint, address, socket, idle since (loop time, s), opened at (wall clock, s).
         """
-        for endpoint, address, sock, since, opened_at in sorted(rows, key=lambda row: row[3]):
+        for endpoint, address, sock, idle_since, opened_at in sorted(rows, key=lambda row: row[3]):
             connection = self.resume(endpoint, address, sock, opened_at)
             entry = self.endpoints.get(endpoint)
             if (
@@ -570,5 +592,6 @@
             ):
                 self.drop(connection, ENDPOINT_REMOVED)
             else:
-                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)  # until the policy sets the number
-                self._make_idle(connection, entry, since)
+                # This limit holds until the decision core sets another one.
+                entry.max_idle = max(entry.max_idle, len(entry.idle) + 1)
+                self._make_idle(connection, entry, idle_since)
--- a/hopmill/policy/circuit.py
+++ b/hopmill/policy/circuit.py
@@ -3,21 +3,23 @@
 from __future__ import annotations
 
 from hopmill.interface import EndpointState, Result
-from hopmill.policy.pacing import SPARE_FACTOR
+from hopmill.policy.pacing import ASSUMED_CAPACITY_FACTOR
 from hopmill.policy.state import CircuitBreaker, Endpoint
 from hopmill.policy.turn import Turn
 
-OUTCOME_WEIGHT = 0.25  # of the newest outcome in the moving failure share
+OUTCOME_WEIGHT = 0.25  # weight of the newest outcome in the moving failure share
 OPENING_SHARE = 0.5  # failure share that opens a breaker: three failures in a row after none
 TWO_FAILURES_SHARE = 0.4  # failure share after two failures in a row
 FIRST_TRIAL_GAP_US = 400_000  # upper bound of the jittered gap before the first half-open trial call
 MAX_TRIAL_GAP_US = 2_500_000
-AMBIGUOUS_FADE_FACTOR = 0.6  # the ambiguous share fades to 0 within this multiple of Settings.cold_us
+AMBIGUOUS_DECAY_FACTOR = 0.6  # the ambiguous share decays to 0 within this multiple of Settings.cold_us
 MIN_WARM_RATE_PER_S = 0.5
 MIN_SLOW_START_RATE_PER_S = 0.05
 MIN_FLEET_SLOW_START_RATE_PER_S = 0.001  # of one courier in a large fleet, since the rates of all add up
-CLOSING_SHARE_FACTOR = 0.8  # of OPENING_SHARE, the highest failure share that a closing breaker keeps
-RECOVERY_FACTOR = 0.8  # of Settings.fall_multiple that recovery uses; the rest allows for random variation
+CLOSING_SHARE_FACTOR = 0.8  # a closing breaker keeps at most this part of OPENING_SHARE as its failure share
+# Part of Settings.fall_multiple that recovery uses: to stay below the load at which a cold destination fails
+# again, with a margin for random variation.
+RECOVERY_FACTOR = 0.8
 
 
 class CircuitBreakers:
@@ -28,27 +30,31 @@
         self.settings = turn.settings
 
     def warm_share(self, breaker: CircuitBreaker) -> float:
-        """Share of the warm rate that a returning endpoint may get, from 0 to 1."""
+        """Return the share of the warm rate that a returning endpoint may get, from 0 to 1.
+
+        Its capacity grows from cold_share to 1 within cold_us. It fails again at fall_multiple times its
+        present capacity, so it may get that load, less a margin.
+        """
         cold_share = self.settings.cold_share
         since_us = self.turn.now_us if breaker.is_open else breaker.slow_start_began_us
         share = cold_share + (1 - cold_share) * (self.turn.now_us - since_us) / max(1, self.settings.cold_us)
         return min(1.0, RECOVERY_FACTOR * self.settings.fall_multiple * share)
 
     def record_arrival(self, breaker: CircuitBreaker, lane_count: int) -> None:
-        """A new message for a lane whose breaker the whole lane shares.
+        """Add slow-start tokens for a new message (large fleets: one breaker per lane).
 
-        A returning destination gets a share of new messages: summed over a large fleet it follows the total,
-        whichever courier gets them. At most one token is kept, since all couriers that were told to wait
-        return in the same moment.
+        lane_count: lanes of the message's destination. A returning destination gets a share of new messages:
+        summed over a large fleet it follows the total, whichever courier gets them. At most one token is
+        kept, since all couriers that were given the same retry-after return at the same moment.
         """
         if breaker.is_open or breaker.slow_start_began_us >= 0:
             breaker.tokens = min(1.0, breaker.tokens + self.warm_share(breaker) / lane_count)
 
     def set_warm_rate(self, endpoint: Endpoint) -> None:
-        # A lane that fails repeatedly has few successes, so the highest rate seen counts. In a large fleet
-        # the minimum rates of hundreds of couriers add up: there it is the courier's own traffic, since the
-        # sum of that over the fleet follows the total.
         """Set the rate that the slow start leads to."""
+        # A lane that fails repeatedly has few successes, so the highest rate seen counts. In a large fleet
+        # the minimum rates of hundreds of couriers add up: there the warm rate is the rate of this courier's
+        # own messages, since the sum of those over the fleet follows the total.
         turn = self.turn
         own_rate_per_s = (
             endpoint.lane.destination.arrivals
@@ -57,28 +63,26 @@
         )
         best_rate_per_s = max(
             endpoint.breaker.warm_rate_per_s,
-            endpoint.lane.limit_share_per_s or endpoint.lane.success_rate_per_s * SPARE_FACTOR,
+            endpoint.lane.limit_share_per_s or endpoint.lane.success_rate_per_s * ASSUMED_CAPACITY_FACTOR,
             MIN_WARM_RATE_PER_S,
         )
         endpoint.breaker.warm_rate_per_s = (
             (endpoint.lane.limit_share_per_s or own_rate_per_s) if turn.is_large_fleet else best_rate_per_s
         )
 
-    def start_cold(self, endpoint: Endpoint) -> None:
+    def begin_slow_start(self, endpoint: Endpoint) -> None:
         """Begin a slow start: an operator had excluded the endpoint, and it may have been restarted."""
         self.set_warm_rate(endpoint)
         endpoint.failure_share = endpoint.ambiguous_share = endpoint.breaker.failure_share = 0.0
-        (
-            endpoint.breaker.is_open,
-            endpoint.breaker.trial_call,
-            endpoint.breaker.trial_gap_us,
-            endpoint.breaker.tokens,
-        ) = False, None, 0, 1.0
+        endpoint.breaker.is_open = False
+        endpoint.breaker.trial_call = None
+        endpoint.breaker.trial_gap_us = 0
+        endpoint.breaker.tokens = 1.0
         endpoint.breaker.slow_start_began_us = endpoint.breaker.refilled_us = self.turn.now_us
         self.turn.log(f"endpoint {endpoint.id} may serve again: slow start")
 
-    def trip(self, endpoint: Endpoint, reason: str) -> None:
-        """Open the breaker: half-open trial calls only, with growing jittered gaps."""
+    def open_breaker(self, endpoint: Endpoint, reason: str) -> None:
+        """Open the breaker: only single trial calls, with growing jittered gaps."""
         turn = self.turn
         if not endpoint.breaker.is_open:
             self.set_warm_rate(endpoint)
@@ -93,29 +97,28 @@
             turn.rng.uniform(0.5, 1) * endpoint.breaker.trial_gap_us
         )
 
-    def ambiguous_share(self, endpoint: Endpoint) -> float:
-        """Moving share of calls that failed but may have run, faded by the time since."""
+    def current_ambiguous_share(self, endpoint: Endpoint) -> float:
+        """Return the moving share of calls that failed but may have run, decayed since its last update."""
         return endpoint.ambiguous_share * max(
             0.0,
             1
             - (self.turn.now_us - endpoint.ambiguous_updated_us)
-            / max(1.0, AMBIGUOUS_FADE_FACTOR * self.settings.cold_us),
+            / max(1.0, AMBIGUOUS_DECAY_FACTOR * self.settings.cold_us),
         )
 
     def record_ambiguous_failure(self, endpoint: Endpoint) -> None:
-        """A call failed after which the message may have been processed all the same."""
-        endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
-            self.ambiguous_share(endpoint) + OUTCOME_WEIGHT * (1 - self.ambiguous_share(endpoint)),
-            self.turn.now_us,
-        )
+        """Record a failed call after which the message may have been processed all the same."""
+        share = self.current_ambiguous_share(endpoint)
+        endpoint.ambiguous_share = share + OUTCOME_WEIGHT * (1 - share)
+        endpoint.ambiguous_updated_us = self.turn.now_us
 
     def record_outage_wait(self, endpoint: Endpoint) -> None:
-        """A refusal came with a retry-after too long for the end of a rate-limit window: an outage."""
+        """Record an outage: a refusal whose retry-after is longer than any rate-limit window."""
         endpoint.failure_share = endpoint.breaker.failure_share = 1.0
-        self.trip(endpoint, "long retry-after")
+        self.open_breaker(endpoint, "long retry-after")
 
     def record_failure(self, endpoint: Endpoint, result: Result, is_trial: bool, weight: float) -> None:
-        """A call failed. `weight`, from 0 to 1, says how much the failure counts as evidence."""
+        """Record a failed call. weight: how much the failure counts as evidence, from 0 to 1."""
         is_large_fleet = self.turn.is_large_fleet
         endpoint.failure_share += OUTCOME_WEIGHT * (1 - endpoint.failure_share) * weight
         endpoint.breaker.failure_share += OUTCOME_WEIGHT * (1 - endpoint.breaker.failure_share) * weight
@@ -135,7 +138,7 @@
             or opens_at_once
         ):
             if result is not Result.ERROR or is_large_fleet:
-                self.trip(endpoint, result.value)
+                self.open_breaker(endpoint, result.value)
                 return
             # The endpoint answers, but with errors. Trial calls alone would lose what an endpoint that fails
             # half its calls still delivers, so it continues at the pace of a slow start, which it can take
@@ -143,25 +146,19 @@
             if endpoint.breaker.slow_start_began_us < 0:
                 self.turn.log(f"endpoint {endpoint.id} answers with errors: slow start")
             self.set_warm_rate(endpoint)
-            endpoint.breaker.is_open, endpoint.breaker.trial_gap_us, endpoint.breaker.slow_start_began_us = (
-                False,
-                0,
-                self.turn.now_us,
-            )
+            endpoint.breaker.is_open = False
+            endpoint.breaker.trial_gap_us = 0
+            endpoint.breaker.slow_start_began_us = self.turn.now_us
 
-    def record_answer(self, endpoint: Endpoint) -> None:
-        """A call succeeded: lower the failure shares."""
-        endpoint.failure_share, endpoint.breaker.failure_share = (
-            endpoint.failure_share * (1 - OUTCOME_WEIGHT),
-            endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT),
-        )
-        endpoint.ambiguous_share, endpoint.ambiguous_updated_us = (
-            self.ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT),
-            self.turn.now_us,
-        )
+    def lower_failure_shares(self, endpoint: Endpoint) -> None:
+        """After a successful call, lower the failure shares and the ambiguous share."""
+        endpoint.failure_share = endpoint.failure_share * (1 - OUTCOME_WEIGHT)
+        endpoint.breaker.failure_share = endpoint.breaker.failure_share * (1 - OUTCOME_WEIGHT)
+        endpoint.ambiguous_share = self.current_ambiguous_share(endpoint) * (1 - OUTCOME_WEIGHT)
+        endpoint.ambiguous_updated_us = self.turn.now_us
 
-    def record_delivery(self, endpoint: Endpoint) -> None:
-        """After a delivery: an open breaker closes, and a slow start ends if its time is over."""
+    def close_after_success(self, endpoint: Endpoint) -> None:
+        """After a successful call, close an open breaker, or end a slow start whose time is over."""
         now_us, is_large_fleet = self.turn.now_us, self.turn.is_large_fleet
         if endpoint.breaker.is_open:
             endpoint.breaker.is_open = False
@@ -173,9 +170,9 @@
                 if not is_large_fleet:
                     endpoint.breaker.tokens = 1.0
                 self.turn.log(f"endpoint {endpoint.id} answers again: circuit closed, slow start")
-            endpoint.breaker.trial_gap_us, endpoint.breaker.failure_share = (
-                0,
-                min(endpoint.breaker.failure_share, OPENING_SHARE * CLOSING_SHARE_FACTOR),
+            endpoint.breaker.trial_gap_us = 0
+            endpoint.breaker.failure_share = min(
+                endpoint.breaker.failure_share, OPENING_SHARE * CLOSING_SHARE_FACTOR
             )
         elif (
             0 <= endpoint.breaker.slow_start_began_us <= now_us - self.settings.cold_us
@@ -185,7 +182,7 @@
             endpoint.breaker.slow_start_began_us = -1
 
     def allows(self, endpoint: Endpoint, has_quick_retry: bool) -> bool:
-        """Whether the breaker lets a call through now; if not, asks for a turn when it may.
+        """Return whether the breaker lets a call through now; if not, request a turn for when it may.
 
         has_quick_retry: a message waits whose first attempt failed so soon that it may be repeated during an
         outage.
@@ -214,12 +211,9 @@
             rate_per_s = max(
                 rate_per_s, MIN_FLEET_SLOW_START_RATE_PER_S if is_large_fleet else MIN_SLOW_START_RATE_PER_S
             )
-            endpoint.breaker.tokens, endpoint.breaker.refilled_us = (
-                min(
-                    1.0, endpoint.breaker.tokens + rate_per_s * (now_us - endpoint.breaker.refilled_us) / 1e6
-                ),
-                now_us,
-            )
+            new_tokens = rate_per_s * (now_us - endpoint.breaker.refilled_us) / 1e6
+            endpoint.breaker.tokens = min(1.0, endpoint.breaker.tokens + new_tokens)
+            endpoint.breaker.refilled_us = now_us
             if endpoint.breaker.tokens < 1.0:
                 self.turn.wake_at(now_us + int((1 - endpoint.breaker.tokens) / rate_per_s * 1e6) + 1)
                 return False
--- a/hopmill/policy/courier.py
+++ b/hopmill/policy/courier.py
@@ -50,16 +50,21 @@
 from hopmill.policy.worth import Worth
 from hopmill.policy.zones import Zones
 
-DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; the retry note's default
-RESERVED_MESSAGES = 2  # places kept free for new messages
+DEFAULT_MAX_ATTEMPTS = 3  # of one message, the first included; Retries (Agents SDK design)
+RESERVED_FOR_NEW_MESSAGES = 2  # of Settings.max_held, kept free for new messages
 QUICK_FAILURE_US = 200_000  # after a faster failure a message may be repeated even during an outage
 
 
 class Courier:
-    """Decides for one courier: `handle` takes the events of a turn and returns its actions."""
+    """Decides for one courier: `handle` takes the events of a turn and returns its actions.
+
+    Its main modules: `turn` holds the time, random numbers and actions of the events handled together;
+    `evidence` passes the outcomes of calls on to the modules that learn from them; `gate` decides whether an
+    endpoint may get a call and a message may be sent there; `worth` says what delivering a message is worth.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """The same settings, seed and events give the same actions."""
+        """Start a courier. The same settings, seed and events give the same actions."""
         self.settings = settings
         self.turn = turn = Turn(settings, seed)
         self.max_attempts = min(DEFAULT_MAX_ATTEMPTS, settings.max_attempts)
@@ -80,14 +85,14 @@
         self.ranking = Ranking(
             turn, self.state, self.gate, self.worth, self.timeouts, self.connections, self.zones
         )
-        self.sequence = 0
-        self.is_holding = False
+        self.sequence = 0  # number of the newest message, in order of arrival
+        self.is_holding = False  # no calls are started (event Hold)
         self.expiries: list[tuple[int, int]] = []  # heap of (time, message)
 
     # Events
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Handle the events of a turn at `now_us` (monotonic clock); returns the actions in order."""
+        """Handle the events of a turn at `now_us` (monotonic clock) and return the actions in order."""
         turn, state = self.turn, self.state
         first = turn.started_us < 0
         turn.begin(now_us)
@@ -133,11 +138,11 @@
         return turn.actions
 
     def come_back_us(self) -> int:
-        """Retry-after in microseconds for a message that the courier has no room for."""
+        """Return the retry-after for a client when the courier is full, in us."""
         return self.admission.come_back_us()
 
     def may_serve(self, endpoint_id: int, zone: int) -> bool:
-        """Whether operators let the endpoint have calls, and connections for them."""
+        """Return whether operators let the endpoint have calls, and connections for them."""
         return self.gate.may_serve(endpoint_id, zone)
 
     # Operators
@@ -145,17 +150,17 @@
     def _on_set_by_hand(self, event: SetByHand) -> None:
         """Exclude or readmit an endpoint; kept apart from its listed state, so no list change undoes it."""
         excluded = self.state.excluded_endpoints
-        if event.out:
+        if event.out:  # excluded
             excluded.add(event.endpoint)
             self.turn.actions.append(CloseIdle(event.endpoint))
         elif event.endpoint in excluded:
             excluded.remove(event.endpoint)
             if endpoint := self.state.endpoints.get(event.endpoint):
-                self.breakers.start_cold(endpoint)
+                self.breakers.begin_slow_start(endpoint)
 
     def _on_set_zone_by_hand(self, event: SetZoneByHand) -> None:
         in_zone = [endpoint for endpoint in self.state.endpoints.values() if endpoint.zone == event.zone]
-        if event.out:
+        if event.out:  # excluded
             self.zones.exclude(event.zone)
             self.turn.actions += [CloseIdle(endpoint.id) for endpoint in in_zone]
         elif self.zones.bring_back(event.zone, self.turn.now_us):
@@ -170,7 +175,7 @@
                 if endpoint.id not in self.state.excluded_endpoints and not any(
                     self.gate.is_serving(other) for other in others
                 ):
-                    self.breakers.start_cold(endpoint)
+                    self.breakers.begin_slow_start(endpoint)
         state, share, reason = self.zones.state(event.zone, self.turn.now_us)
         self.turn.log(f"zone {event.zone}: {state}, share {share:.2f}, {reason}, {len(in_zone)} endpoints")
 
@@ -202,7 +207,10 @@
     # Upgrades
 
     def carry(self) -> list[tuple[int, dict[str, float]]]:
-        """What was learned of each endpoint, for the process that takes over: [(endpoint, {name: value})]."""
+        """Return what was learned of each endpoint, to be handed over to the next process at an upgrade.
+
+        The result is [(endpoint, {name: value})]; the next process gets it as Carried events.
+        """
         return [(endpoint.id, self.carried.collect(endpoint)) for endpoint in self.state.endpoints.values()]
 
     def _on_call_carried(self, event: CallCarried) -> None:
@@ -234,7 +242,7 @@
             return
         self.sequence += 1
         if event.resubmitted:
-            self.admission.unreturned_refusals = 0
+            self.admission.refusals_without_resubmission = 0
         destination = state.destinations.setdefault(event.destination, Destination(event.destination))
         message = Message(
             event.message,
@@ -254,7 +262,8 @@
         destination.queue.append(message)
         if message.order_key:
             state.order_queues.setdefault(message.order_key, []).append(message)
-        # A message restored after a restart was taken on before: it is tried.
+        # A message restored after a restart has been accepted before, so it is not refused unsent. event.out:
+        # an attempt is in flight, whose outcome decides how the message ends.
         is_refused = not event.restored and self.admission.should_refuse(message)
         if (is_refused or self.admission.is_spent(message)) and not event.out:
             self._finish(message, self.settings.max_retry_after_us)
@@ -275,12 +284,12 @@
         message.attempts_in_flight -= 1
         if event.idle_us is not None:
             call.connection_idle_us = event.idle_us
-        if event.report and not call.is_judged:
+        if event.report and not call.is_outcome_recorded:
             self.pacing.record_report(endpoint.lane, event.report)
         if event.retry_after_us:
             self.pacing.record_retry_after(endpoint.lane, event.retry_after_us)
-        if not call.is_judged:
-            call.is_judged = True
+        if not call.is_outcome_recorded:
+            call.is_outcome_recorded = True
             if event.result not in (Result.FULL, Result.MOOT):
                 self.timeouts.record_slot_time(endpoint.lane, event.latency_us)
             self.evidence.record_outcome(endpoint, event.result, call, event.latency_us, event.retry_after_us)
@@ -319,7 +328,9 @@
             heapq.heappush(self.expiries, (last_send_us, message.id))
 
     def _finish(self, message: Message, wait_us: int) -> None:
-        """End a message; nothing else does. Refuse if a resubmission is known to be harmless, else fail.
+        """End a message with a final answer, then forget it; the only place that emits Refuse or Fail.
+
+        Refuse if a resubmission is known to be harmless, else Fail.
 
         wait_us: the announced wait, 0 if none.
         """
@@ -334,7 +345,7 @@
             if message.valid_until_us - now_us > max(
                 self.settings.max_retry_after_us, message.message_class.aim_us
             ):
-                self.admission.unreturned_refusals += 1
+                self.admission.refusals_without_resubmission += 1
             # Without an announced wait: half the longest one that clients respect, if the message has that
             # time.
             if not wait_us and message.valid_until_us - now_us > self.settings.max_retry_after_us:
@@ -345,6 +356,7 @@
         self._close(message)
 
     def _close(self, message: Message) -> None:
+        """Forget a message that has or needs no answer, as soon as no attempt of it is in flight."""
         if not message.is_closed:
             message.is_closed = True
             if message in message.destination.queue:
@@ -362,15 +374,18 @@
         while self.expiries and self.expiries[0][0] <= now_us:
             message = self.state.messages.get(heapq.heappop(self.expiries)[1])
             if message and not message.is_closed and not message.is_streaming:
-                # The time-out of the attempt in flight is due soon and gives the answer.
+                # The attempt in flight will produce the final outcome, at the latest until the expiry.
                 if message.attempts_in_flight and now_us < message.valid_until_us:
                     heapq.heappush(self.expiries, (message.valid_until_us, message.id))
                 elif now_us >= message.last_send_us(self.turn.deadline_margin_us):
                     self._finish(message, 0)
 
     def _make_room(self) -> None:
-        """Hand back messages of the longest queue before they keep out others that could be sent at once."""
-        while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_MESSAGES):
+        """End the least valuable messages of the longest queue while too many are held.
+
+        They would keep out new messages that could be sent at once.
+        """
+        while len(self.state.messages) > max(1, self.settings.max_held - RESERVED_FOR_NEW_MESSAGES):
             destination = max(self.state.destinations.values(), key=lambda d: len(d.queue))
             if len(destination.queue) < 2:
                 return
@@ -398,16 +413,16 @@
             if destination.queue and not self.is_holding and (picked := pick(destination))
         }
         while picks and self.state.calls_in_flight < self.settings.slots:
-            number = min(picks, key=lambda n: picks[n][:2])
-            _, _, message, endpoint = picks.pop(number)
-            self._send(message, endpoint)
+            number = min(picks, key=lambda candidate: picks[candidate].urgency)
+            picked = picks.pop(number)
+            self._send(picked.message, picked.endpoint)
             destination = destinations[number]
             if (
                 destination.queue
                 and self.settings.kinds[destination.kind].batch == 1
-                and (picked := pick(destination))
+                and (next_pick := pick(destination))
             ):
-                picks[number] = picked
+                picks[number] = next_pick
 
     def _send(self, message: Message, endpoint: Endpoint) -> None:
         call = self._begin_call(endpoint, self.turn.now_us)
--- a/hopmill/policy/evidence.py
+++ b/hopmill/policy/evidence.py
@@ -10,7 +10,7 @@
 from hopmill.policy.timeouts import Timeouts
 from hopmill.policy.turn import Turn
 
-OUTAGE_RETRY_AFTER_US = 2_500_000  # a longer retry-after means an outage, not the end of a rate-limit window
+OUTAGE_RETRY_AFTER_US = 2_500_000  # longer than any rate-limit window: such a retry-after means an outage
 
 
 class Evidence:
@@ -78,8 +78,8 @@
     def record_success(self, endpoint: Endpoint, latency_us: int) -> None:
         """Record a delivery. latency_us: 0 if it is not known."""
         endpoint.last_success_us = self.turn.now_us
-        self.breakers.record_answer(endpoint)
+        self.breakers.lower_failure_shares(endpoint)
         if latency_us:
             self.timeouts.record_latency(endpoint.lane, latency_us)
         self.pacing.record_success(endpoint.lane)
-        self.breakers.record_delivery(endpoint)
+        self.breakers.close_after_success(endpoint)
--- a/hopmill/trial/process.py
+++ b/hopmill/trial/process.py
@@ -1,8 +1,8 @@
 """Runs a courier of a trial: the unchanged program with a wrong wall clock and, at times, a slow disk.
 
 The trial sets environment variables: HOPMILL_TRIAL_CLOCK_S, the error of the wall clock in seconds;
-HOPMILL_TRIAL_DISK, a file with the present delay of each disk sync in ms; HOPMILL_TRIAL_RECORD, a file to
-which the courier's decisions under a policy are written: each call begun and each message taken on, the
+HOPMILL_TRIAL_DISK, a file with the current delay of each disk sync in ms; HOPMILL_TRIAL_RECORD, a file to
+which the courier's decisions under a policy are written: each call begun and each message accepted, the
 policy version, and when the courier checked that it may act.
 """
 
@@ -38,40 +38,50 @@
 
 
 def record_decisions(path: str) -> None:
-    """Replaces methods of the host so that its decisions are written to path, one JSON object per line.
-
-    Rows are written without a buffer, before the act goes on: a killed process has recorded what it did.
+    """Replaces methods of Host, Intake and ActivePolicy to write decisions to path as JSON lines.
+
+    Rows are written without a buffer. Kinds of rows:
+    began: the attempts are in the journal and their call is about to be written to its
+        connection, so a process killed afterwards has recorded what it did.
+    took: a message was accepted; written afterwards, so a process killed in between leaves no row of it.
+    policy: a version was applied; written afterwards. values, by path; changes, the ids in its history;
+        staged, whether it is that of the staged change.
+    holds: the courier is about to hold new work (on) or to resume it.
+    In `began` and `took`, messages are identifiers, and looked_us is when the process last checked that it
+    may act.
     """
     import json
 
     from hopmill.net.host import Host
-    from hopmill.net.in_force import ActivePolicy
+    from hopmill.net.active_policy import ActivePolicy
     from hopmill.net.intake import Intake
-    from hopmill.net.peers import elapsed_us
+    from hopmill.net.member_transport import elapsed_us
 
     fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-    looked_at_us = [0]
+    lease_checked_at_us = [0]
     may_act = ActivePolicy.may_act
     record_attempts = Host._record_attempts
     accept = Intake.accept
     apply = ActivePolicy._apply
-    set_holding = ActivePolicy._set_holding
+    set_holding = ActivePolicy._set_paused
 
     def write_row(what: str, **more: Any) -> None:
         with contextlib.suppress(OSError):  # the trial may fill the disk
             os.write(fd, json.dumps({"what": what, "at_us": elapsed_us(), **more}).encode() + b"\n")
 
     def recording_may_act(self: ActivePolicy) -> bool:
-        looked_at_us[0] = elapsed_us()
+        lease_checked_at_us[0] = elapsed_us()
         return may_act(self)
 
+    # Faulty: the host passes (endpoint, items); each recorded call raises TypeError and is not sent.
+    # Left as found.
     def recording_record_attempts(self: Host, items: Any) -> bool:
         identifiers = [item.id for item in items]
         is_recorded = record_attempts(self, items)
         if is_recorded and self.active_policy:
             write_row(
                 "began",
-                looked_us=looked_at_us[0],
+                looked_us=lease_checked_at_us[0],
                 version=self.active_policy.applied_version,
                 messages=identifiers,
             )
@@ -82,7 +92,7 @@
         if self.host.active_policy and message.number in self.host.journal.messages:
             write_row(
                 "took",
-                looked_us=looked_at_us[0],
+                looked_us=lease_checked_at_us[0],
                 version=self.host.active_policy.applied_version,
                 messages=[message.id],
             )
@@ -100,7 +110,8 @@
             )
 
     def recording_set_holding(self: ActivePolicy, is_holding: bool) -> None:
-        if is_holding is not self.is_holding:
+        if is_holding is not self.is_paused:
+            # Only transitions are recorded. version: the one applied.
             write_row("holds", on=is_holding, version=self.applied_version)
         set_holding(self, is_holding)
 
@@ -108,11 +119,11 @@
     Host._record_attempts = recording_record_attempts  # type: ignore[method-assign]
     Intake.accept = recording_accept  # type: ignore[method-assign]
     ActivePolicy._apply = recording_apply  # type: ignore[method-assign]
-    ActivePolicy._set_holding = recording_set_holding  # type: ignore[method-assign]
+    ActivePolicy._set_paused = recording_set_holding  # type: ignore[method-assign]
 
 
 def main() -> int:
-    """Applies what the environment asks for and runs the program; its exit status."""
+    """Applies the environment variables of the trial, runs the program and returns its exit status."""
     if offset_s := os.environ.get("HOPMILL_TRIAL_CLOCK_S"):
         shift_wall_clock(float(offset_s))
     if path := os.environ.get("HOPMILL_TRIAL_DISK"):
--- a/hopmill/trial/run.py
+++ b/hopmill/trial/run.py
@@ -16,7 +16,7 @@
 from hopmill.standin.discovery import Discovery
 from hopmill.standin.load import LoadGenerator
 from hopmill.standin.partner import Partner
-from hopmill.standin.scene import MESSAGE_CLASSES, Options, courier_toml, demo_partners
+from hopmill.standin.loopback_system import MESSAGE_CLASSES, Options, courier_toml, demo_partners
 from hopmill.trial import policy_rules, rules
 from hopmill.trial.couriers import LEASE, Courier, free_udp_ports, members_toml
 from hopmill.trial.faults import FaultInjector
@@ -25,12 +25,14 @@
 from hopmill.trial.relay import Relay
 from hopmill.trial.scenario import Scenario, draw_faults
 
-AGREEMENT_TIMEOUT_S = 12.0  # from the last fault until all members are alive to all, at one version
-LAST_MESSAGES_TIMEOUT_S = 12.0  # from agreement until every message taken on has ended
+AGREEMENT_TIMEOUT_S = 12.0  # from the last fault until the couriers agree (see _wait_for_agreement)
+LAST_MESSAGES_TIMEOUT_S = 12.0  # from agreement until every accepted message has ended
 MIN_VIEW_INTERVAL_S = 0.5  # between two views of one courier
 MAX_VIEWS_PER_S = 20  # over all couriers
 MAX_EXTRA_S = 90.0  # on top of the scenario's duration
-SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"  # one courier that must refuse some policy changes
+# Limits of one courier whose memory is too small for policies.REFUSED_HELD_MESSAGES: it has to refuse
+# such changes.
+SMALL_LIMITS = "limits = {disk_mb = 16, memory_mb = 160}"
 OUTCOME_TIMEOUT_S = 12.0  # a change has its outcome within this time
 MAX_STARTING = 8  # couriers starting at the same time
 DEATH_SLACK_US = 6_000_000  # a death that a fault caused may be declared this long after its end
@@ -61,8 +63,9 @@
         self.voters = 5 if options.couriers >= 7 else 3 if options.couriers >= 3 else 1
         self.faults = draw_faults(self.scenario, options.seed, options.couriers, self.voters)
         self.fault_injector: FaultInjector
+        # Wall clock minus time since boot: converts the times in the couriers' logs to those of the history.
         self.wall_clock_offset_us = int(time.time() * 1e6) - elapsed_us()
-        self.agreed_s = -1.0
+        self.agreed_s = -1.0  # from the last fault to agreement; -1: no agreement in time
         self.text_count = 0
         self.pending_changes: set[asyncio.Task[None]] = set()
 
@@ -103,10 +106,15 @@
         for plan in demo_partners(self.scenario.rate_per_s):
             partner = Partner(plan, ["hall-a", "hall-b"], self.ledger, self.rng, loop.time())
             self.partners.append(partner)
-            for machine in partner.endpoints:
-                await machine.start()
+            for endpoint in partner.endpoints:
+                await endpoint.start()
                 self.discovery.target(
-                    machine.uid, machine.port, plan.number, plan.kind, rate=plan.rate_per_s, zone=machine.zone
+                    endpoint.uid,
+                    endpoint.port,
+                    plan.number,
+                    plan.kind,
+                    rate=plan.rate_per_s,
+                    zone=endpoint.zone,
                 )
 
     def _open_relay(self) -> None:
@@ -125,6 +133,7 @@
             + "\n"
             + members_toml(number, self.options.couriers, self.voters, self.relay, self.scenario.alone)
         )
+        # `alone` is set if and only if the fleet has a policy. courier_toml writes the text that is replaced.
         if self.scenario.alone and number == 1:
             configuration = configuration.replace("limits = {disk_mb = 16}", SMALL_LIMITS)
         clock_offset_s = self.rng.uniform(-1, 1) * self.scenario.clocks_off_s
@@ -156,7 +165,7 @@
             self.couriers,
             self.history,
             self.rng,
-            [machine.uid for partner in self.partners for machine in partner.endpoints],
+            [endpoint.uid for partner in self.partners for endpoint in partner.endpoints],
         )
         if self.scenario.policies_per_s:
             background_tasks.append(
@@ -169,12 +178,13 @@
             faults_ended_at = loop.time()
             for courier in self.couriers:  # restart one that exited by itself, as the platform would
                 if not courier.pid:
+                    # A kind of row in the history: the process exited without being asked to.
                     self.history.add(courier.name, "ended unasked")
                     await courier.start()
             if await self._wait_for_agreement(AGREEMENT_TIMEOUT_S):
                 self.agreed_s = loop.time() - faults_ended_at
             deadline = loop.time() + LAST_MESSAGES_TIMEOUT_S
-            while self._unfinished_messages() and loop.time() < deadline:
+            while self._unfinished_message_count() and loop.time() < deadline:
                 await asyncio.sleep(0.1)
         finally:
             for task in background_tasks:
@@ -185,14 +195,18 @@
                 await asyncio.wait(self.pending_changes, timeout=OUTCOME_TIMEOUT_S)
             load.close()
 
-    def _unfinished_messages(self) -> int:
+    def _unfinished_message_count(self) -> int:
         return sum(
             entry.answer == "taken" and not entry.delivered_at and not entry.notice
             for entry in self.ledger.entries.values()
         )
 
     async def _wait_for_agreement(self, timeout_s: float) -> bool:
-        """Waits until all couriers report all members alive and the same entries. False on timeout."""
+        """Waits until every courier sees all members alive, the same entries and no change in progress.
+
+        Each must have started. The change is one of the policy; with a policy each must also be allowed to
+        act. False on timeout.
+        """
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             views = await asyncio.gather(*(courier.request("GET", "/fleet") for courier in self.couriers))
@@ -244,13 +258,16 @@
     async def _change_forever(self) -> None:
         while self.scenario.changes_per_s:
             await asyncio.sleep(self.rng.expovariate(self.scenario.changes_per_s))
-            task = asyncio.get_running_loop().create_task(self._change(self.rng.choice(self.couriers)))
+            task = asyncio.get_running_loop().create_task(
+                self._submit_register_request(self.rng.choice(self.couriers))
+            )
             self.pending_changes.add(task)
             task.add_done_callback(self.pending_changes.discard)
 
-    async def _change(self, courier: Courier) -> None:
-        """Writes an entry into the register, or reads it, and records the reported outcome."""
+    async def _submit_register_request(self, courier: Courier) -> None:
+        """Writes the entry "x" into the register, or reads the register, and records the reported outcome."""
         self.text_count += 1
+        # 7 of 10 requests write a text of their own; the others, with an empty text, are reads.
         text = str(self.text_count) if self.rng.random() < 0.7 else ""
         began_us, pid = elapsed_us(), courier.pid
         status, answer = await courier.request("POST", f"/fleet/words/x/{text}" if text else "/fleet/read")
@@ -285,7 +302,7 @@
         self.relay.close()
         for server in (
             self.discovery,
-            *(machine for partner in self.partners for machine in partner.endpoints),
+            *(endpoint for partner in self.partners for endpoint in partner.endpoints),
         ):
             await server.stop()
 
@@ -306,7 +323,7 @@
             "faults": dict(sorted(self.fault_injector.counts.items())),
             "killed": self.fault_injector.killed_count,
             "messages": counts["taken"],
-            "lost": self._unfinished_messages(),
+            "lost": self._unfinished_message_count(),
             "twice": counts["twice"],
             "in_time": round(counts["in_time"] / max(1, counts["handed_in"]), 4),
             "changes": sum(change["state"] == "done" for change in changes),
@@ -333,7 +350,7 @@
     try:
         try:
             summary = asyncio.run(_run_until_signal(trial))
-        except BaseExceptionGroup as group:
+        except BaseExceptionGroup as group:  # callers catch single errors, not those of task groups
             raise group.exceptions[0] from None
         if summary["violations"] and history_folder is None:
             history_folder = Path(tempfile.gettempdir()) / f"trial-{options.scenario.name}-{options.seed}"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,7 +26,7 @@
 from hopmill.net import calls as c
 from hopmill.net.accept import Acceptor, listening_socket
 from hopmill.net.discovery import NoticeSender, DiscoveryWatch
-from hopmill.net.state import (
+from hopmill.net.journal import (
     JOURNAL_FILE,
     Journal,
     JournaledMessage,
@@ -473,7 +473,7 @@
         for start in range(0, len(text), cut):
             lists.say(text[start : start + cut])
         await until(lambda: len(told) == 3)
-        assert [t["rev"] for t in told] == [4, 5, 6] and watch.rev == 6
+        assert [t["rev"] for t in told] == [4, 5, 6] and watch.revision == 6
         watch.stop()
         lists.server.close()
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import DOOR, Client, bounded, courier, until
 
-from hopmill.net.state import Journal
+from hopmill.net.journal import Journal
 
 CALL = b"%s %s HTTP/1.1\r\nHost: door\r\n%s\r\n"
 
@@ -163,7 +163,7 @@
     before = a.calls.qsize()
     for state in ("terminated", "in_service"):  # removed and listed again
         fleet.discovery.change("a", state=state)
-    while fleet.host.watch.rev != fleet.discovery.rev:
+    while fleet.host.watch.revision != fleet.discovery.rev:
         await asyncio.sleep(0.01)
     for n in range(8):
         await client.put(f"n{n}")
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 from loopback import ROOT, Client, Discovery, Fleet, answer, bounded, courier
 
-from hopmill.net.state import RECORD_HEADER, Journal, JournaledMessage, encode_record
+from hopmill.net.journal import RECORD_HEADER, Journal, JournaledMessage, encode_record
 from hopmill.net.timescale import boot_id
 
 
@@ -173,7 +173,7 @@
         journal.record_not_run(n)
         journal.record_done(n)
         journal.ended_ids.clear()
-        journal.live_bytes = sum(m.size_bytes for m in journal.messages.values())
+        journal.live_bytes = sum(m.reserved_bytes for m in journal.messages.values())
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
     again = Journal(tmp_path, limit)
@@ -221,7 +221,7 @@
 
 def another_boot(monkeypatch, name, wall):
     monkeypatch.setattr("hopmill.net.timescale.boot_id", lambda: name)
-    monkeypatch.setattr("hopmill.net.state.boot_id", lambda: name)
+    monkeypatch.setattr("hopmill.net.journal.boot_id", lambda: name)
     monkeypatch.setattr("hopmill.net.timescale.time.time", lambda: wall)
 
 
